--- a/crates/mentor/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -1,10 +1,10 @@
 //! The agent's process: its state machine at a desk, and its answers over HTTP.
 
 use crate::prelude::*;
-use toolroom::prelude::*;
+use runtime::prelude::*;
 
 struct Worker {
-    machine: MentorMachine,
+    machine: AgentMachine,
     port: ControlPort,
     tickets: Arc<Tickets<Option<DatedAnswer>>>,
     usage: Arc<Tickets<Vec<UsageLine>>>,
@@ -13,31 +13,33 @@
 }
 
 impl Host for Worker {
-    type Input = MentorInput;
+    type Input = AgentInput;
 
-    fn tick() -> MentorInput {
-        MentorInput::Tick
+    fn tick() -> AgentInput {
+        AgentInput::Tick
     }
 
-    fn take(&mut self, now: Duration, input: MentorInput) {
+    fn take(&mut self, now: Duration, input: AgentInput) {
         for output in self.machine.input(now, input) {
             match output {
-                MentorOutput::Send { to, message } => {
+                AgentOutput::Send { to, message } => {
                     self.port.forward(to, &self.machine.seal(now, to, message));
                 }
-                MentorOutput::AnswerBeat { ticket, answer } => self.tickets.answer(ticket, answer),
-                MentorOutput::Note { event: what } => match what {
-                    MentorEvent::Fresh => event(FRESH, ""),
-                    MentorEvent::Stale => event(STALE, ""),
-                    MentorEvent::OnIsland => event(ON_ISLAND, ""),
-                    MentorEvent::OffIsland => event(OFF_ISLAND, ""),
-                    MentorEvent::BookMoved { book, edition } => {
-                        event(BOOK_MOVED, format!("{book} at {edition}"));
+                AgentOutput::AnswerHeartbeat { ticket, answer } => {
+                    self.tickets.answer(ticket, answer)
+                }
+                AgentOutput::Note { event: what } => match what {
+                    AgentEvent::Fresh => event(FRESH, ""),
+                    AgentEvent::Stale => event(STALE, ""),
+                    AgentEvent::OnIsland => event(ON_ISLAND, ""),
+                    AgentEvent::OffIsland => event(OFF_ISLAND, ""),
+                    AgentEvent::MapMoved { map, version } => {
+                        event(MAP_MOVED, format!("{map} at {version}"));
                     }
-                    MentorEvent::InstanceGone { id } => event(INSTANCE_GONE, id),
+                    AgentEvent::InstanceGone { id } => event(INSTANCE_GONE, id),
                 },
-                MentorOutput::AnswerUsage { ticket, lines } => self.usage.answer(ticket, lines),
-                MentorOutput::Stopped => self.stopped.notify_one(),
+                AgentOutput::AnswerUsage { ticket, lines } => self.usage.answer(ticket, lines),
+                AgentOutput::Stopped => self.stopped.notify_one(),
             }
         }
         self.ready_until.set(self.machine.fresh_until());
@@ -45,40 +47,47 @@
 }
 
 async fn answer(
-    inbox: Inbox<MentorInput>,
+    inbox: Inbox<AgentInput>,
     tickets: Arc<Tickets<Option<DatedAnswer>>>,
     usage: Arc<Tickets<Vec<UsageLine>>>,
-    area: Area,
+    zone: Zone,
     ready: bool,
-    order: Request<Incoming>,
+    request: Request<Incoming>,
 ) -> Response<Body> {
-    match (order.method(), order.uri().path()) {
+    match (request.method(), request.uri().path()) {
         (&Method::GET, "/ready") => ready_answer(ready),
         (&Method::GET, "/usage") => {
             let (ticket, lines) = usage.draw();
-            inbox.give(MentorInput::Usage { ticket });
+            inbox.give(AgentInput::Usage { ticket });
             match lines.await {
-                Ok(lines) => json_answer(200, &usage_json(&area, &lines)),
+                Ok(lines) => json_answer(200, &usage_json(&zone, &lines)),
                 Err(_) => json_answer(503, &jzon::object! { why: "this agent is about to stop" }),
             }
         }
         (&Method::POST, "/beats") => {
-            let beat = match small_body(order.into_body(), 64 * 1024).await {
-                Ok(body) => beats::read_dated(&String::from_utf8_lossy(&body)),
+            let heartbeat = match small_body(request.into_body(), 64 * 1024).await {
+                Ok(body) => heartbeats::read_dated(&String::from_utf8_lossy(&body)),
                 Err(_) => Err("the body is too large or broke off".to_string()),
             };
-            let (beat, echo) = match beat {
+            let (heartbeat, echo) = match heartbeat {
                 Ok(dated) => dated,
                 Err(why) => return json_answer(400, &jzon::object! { why: why }),
             };
             let (ticket, answer) = tickets.draw();
-            if !inbox.give(MentorInput::Beat { ticket, beat, echo }) {
+            if !inbox.give(AgentInput::Heartbeat {
+                ticket,
+                heartbeat,
+                echo,
+            }) {
                 tickets.forget(ticket);
                 return json_answer(503, &jzon::object! { why: "this agent has too much to do" });
             }
             match answer.await {
-                Ok(Some(answer)) => json_answer(200, &beats::write_dated(&answer)),
-                _ => json_answer(503, &jzon::object! { why: "no ledger heard the beat" }),
+                Ok(Some(answer)) => json_answer(200, &heartbeats::write_dated(&answer)),
+                _ => json_answer(
+                    503,
+                    &jzon::object! { why: "no controller heard the heartbeat" },
+                ),
             }
         }
         _ => json_answer(404, &jzon::object! { why: "there is no such resource" }),
@@ -88,16 +97,16 @@
 /// Runs an agent until it is asked to stop; `serves` says whether it answers over HTTP.
 pub async fn run(place: Place, reread: Reread, serves: bool) -> anyhow::Result<()> {
     let clock = Clock::start();
-    let options = MentorOptions {
+    let options = AgentOptions {
         control: place.advertise,
-        area: place.area.clone(),
+        zone: place.zone.clone(),
         seeds: place.seeds.clone(),
         proxy_serves_on: place.terms.proxy.serves_on,
         instance_span: place.terms.core.instance_span,
-        beat_refresh: place.terms.core.beat_refresh,
+        heartbeat_refresh: place.terms.core.heartbeat_refresh,
         demand_period: place.terms.core.member_refresh,
     };
-    let machine = MentorMachine::start(options, fresh_seed());
+    let machine = AgentMachine::start(options, fresh_seed());
     let (inbox, receiver) = Inbox::open();
     let heard = inbox.clone();
     let port = ControlPort::open(
@@ -105,17 +114,17 @@
         place.control,
         place.advertise,
         move |envelope| {
-            heard.give(MentorInput::Heard { envelope });
+            heard.give(AgentInput::Heard { envelope });
         },
     )
     .await?;
     event(
         STARTED,
         format!(
-            "mentor {} control {} area {}",
+            "agent {} control {} zone {}",
             machine.node(),
             place.control,
-            place.area
+            place.zone
         ),
     );
     let tickets = Arc::new(Tickets::default());
@@ -132,32 +141,32 @@
         ready_until: ready_until.clone(),
         stopped: stopped.clone(),
     };
-    open_desk(worker, clock, receiver, place.terms.tick);
+    open_actor(worker, clock, receiver, place.terms.tick);
     if serves {
         let listener = listen(place.serving).await?;
         let stop = Arc::new(AtomicBool::new(false));
         let leaving = stopping.clone();
-        tokio::spawn(serve_http(listener, stop, move |_, order| {
+        tokio::spawn(serve_http(listener, stop, move |_, request| {
             let ready = ready_until.is_ready(clock.now()) && !leaving.load(Ordering::SeqCst);
             let answering = answer(
                 inbox.clone(),
                 tickets.clone(),
                 usage.clone(),
-                place.area.clone(),
+                place.zone.clone(),
                 ready,
-                order,
+                request,
             );
             async move { Ok(answering.await) }
         }));
     }
     let told = asked.clone();
     follow_settings(reread, move |seeds| {
-        told.give(MentorInput::Seeds { seeds });
+        told.give(AgentInput::Seeds { seeds });
     });
     asked_to_stop().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
-    stop_politely(&asked, MentorInput::Stop, &stopped).await;
+    stop_politely(&asked, AgentInput::Stop, &stopped).await;
     event(STOPPED, "");
     Ok(())
 }
--- a/crates/mentor/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -1,37 +1,41 @@
-//! The mentor's state machine: holds the link to the core, hears beats, feeds its proxy.
+//! The agent's state machine: holds the link to the core, hears heartbeats, feeds its proxy.
 
 use crate::prelude::*;
 
 /// A proxy that has not asked for this long is down.
 const PROXY_SILENCE: Duration = Duration::from_millis(1200);
-/// The books that an agent follows. A witness gets the placement when it is to vote on it.
-const FOLLOWED: [BookName; 3] = [BookName::Standing, BookName::Tenure, BookName::Cohort];
+/// The maps that an agent follows. A witness gets the placement when it is to vote on it.
+const FOLLOWED: [MapName; 3] = [
+    MapName::Configuration,
+    MapName::Ownership,
+    MapName::Membership,
+];
 /// For how many hours usage is remembered.
 const USAGE_HOURS: u64 = 48;
-/// How long a polite stop waits for the witness seat to be given to another.
-const SEAT_PATIENCE: Duration = Duration::from_secs(5);
+/// How long a polite stop waits for the witness voter to be given to another.
+const VOTER_PATIENCE: Duration = Duration::from_secs(5);
 /// How long it waits for a proxy that stops as well.
 const STOP_PATIENCE: Duration = Duration::from_secs(15);
-/// How long a beat waits for the keeper's answer.
-const BEAT_PATIENCE: Duration = Duration::from_millis(700);
+/// How long a heartbeat waits for the owner manager's answer.
+const HEARTBEAT_PATIENCE: Duration = Duration::from_millis(700);
 
 #[derive(Debug, Clone)]
-pub struct MentorOptions {
+pub struct AgentOptions {
     pub control: SocketAddr,
-    pub area: Area,
+    pub zone: Zone,
     pub seeds: Vec<SocketAddr>,
     /// The proxy goes on with what it last knew when the core is out of reach.
     pub proxy_serves_on: bool,
     /// An instance that has not beaten for so long is gone.
     pub instance_span: Duration,
-    /// How long a beat that says nothing new need not be told to the proxy.
-    pub beat_refresh: Duration,
+    /// How long a heartbeat that says nothing new need not be told to the proxy.
+    pub heartbeat_refresh: Duration,
     /// How long demand need not be told again.
     pub demand_period: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum MentorInput {
+pub enum AgentInput {
     Tick,
     Heard {
         envelope: Envelope,
@@ -46,46 +50,46 @@
     Usage {
         ticket: u64,
     },
-    /// A beat of an instance, with the last stamp that it had from us.
-    Beat {
+    /// A heartbeat of an instance, with the last stamp that it had from us.
+    Heartbeat {
         ticket: u64,
-        beat: Beat,
+        heartbeat: Heartbeat,
         echo: Option<Echo>,
     },
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum MentorOutput {
+pub enum AgentOutput {
     Send {
         to: SocketAddr,
         message: Message,
     },
-    /// `None` when no ledger heard the beat: the instance must take it elsewhere.
-    AnswerBeat {
+    /// `None` when no controller heard the heartbeat: the instance must take it elsewhere.
+    AnswerHeartbeat {
         ticket: u64,
         answer: Option<DatedAnswer>,
     },
     Note {
-        event: MentorEvent,
+        event: AgentEvent,
     },
     AnswerUsage {
         ticket: u64,
         lines: Vec<UsageLine>,
     },
-    /// The seat is handed on and nobody needs us: the process may end.
+    /// The voter is handed on and nobody needs us: the process may end.
     Stopped,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum MentorEvent {
+pub enum AgentEvent {
     Fresh,
     Stale,
     /// The core is out of reach, and the other agents' word keeps this one fresh.
     OnIsland,
     OffIsland,
-    BookMoved {
-        book: BookName,
-        edition: Edition,
+    MapMoved {
+        map: MapName,
+        version: Version,
     },
     InstanceGone {
         id: InstanceId,
@@ -93,16 +97,16 @@
 }
 
 #[derive(Debug, Clone)]
-struct WaitingBeat {
+struct WaitingHeartbeat {
     ticket: u64,
     number: u64,
     until: Duration,
-    /// The answer of a ledger that is not the keeper: it heard the beat, no more.
-    spread: Option<BeatAnswer>,
+    /// The answer of a controller that is not the owner manager: it heard the heartbeat, no more.
+    spread: Option<HeartbeatAnswer>,
 }
 
-pub struct MentorMachine {
-    options: MentorOptions,
+pub struct AgentMachine {
+    options: AgentOptions,
     node: NodeId,
     link: CoreLink,
     counter: u64,
@@ -111,26 +115,26 @@
     demand_to: SocketAddr,
     proxy: Option<(Duration, Pull)>,
     /// What the proxies' lives beside us carried, by life, hour and rule.
-    usage: BTreeMap<(u64, u64, RuleName, PoolName), UsageLine>,
-    beats: Vec<WaitingBeat>,
-    next_beat: u64,
+    usage: BTreeMap<(u64, u64, RouteName, ServiceName), UsageLine>,
+    heartbeats: Vec<WaitingHeartbeat>,
+    next_heartbeat: u64,
     stopping_since: Option<Duration>,
     was_fresh: bool,
     was_on_island: bool,
     islander: Islander,
-    /// The instances that beat here since we last told the other agents.
+    /// The instances that heartbeat here since we last told the other agents.
     beaten: BTreeSet<InstanceId>,
-    /// Our voting part while the cohort names us as a witness.
-    seat: Option<Seat>,
+    /// Our voting part while the membership names us as a witness.
+    voter: Option<Voter>,
 }
 
-impl MentorMachine {
-    pub fn start(options: MentorOptions, seed: u64) -> Self {
+impl AgentMachine {
+    pub fn start(options: AgentOptions, seed: u64) -> Self {
         let mut chance = Chance::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw());
         link.instances.span = options.instance_span;
-        link.instances.refresh = options.beat_refresh;
+        link.instances.refresh = options.heartbeat_refresh;
         let islander = Islander::new(options.control);
         let first = options.control;
         Self {
@@ -142,14 +146,14 @@
             demand_to: first,
             proxy: None,
             usage: BTreeMap::new(),
-            beats: Vec::new(),
-            next_beat: 0,
+            heartbeats: Vec::new(),
+            next_heartbeat: 0,
             stopping_since: None,
             was_fresh: false,
             was_on_island: false,
             islander,
             beaten: BTreeSet::new(),
-            seat: None,
+            voter: None,
         }
     }
 
@@ -159,7 +163,9 @@
 
     /// Makes a message ready to leave for another process.
     pub fn seal(&self, now: Duration, to: SocketAddr, message: Message) -> Envelope {
-        self.link.post.seal(now, self.options.control, to, message)
+        self.link
+            .envelope_clock
+            .seal(now, self.options.control, to, message)
     }
 
     pub fn link(&self) -> &CoreLink {
@@ -168,7 +174,7 @@
 
     /// Only for proving the observers: takes grants whose news has not arrived.
     pub fn be_careless(&mut self) {
-        self.link.permit.careless = true;
+        self.link.lease.careless = true;
     }
 
     /// Only for proving the observers.
@@ -183,10 +189,10 @@
 
     fn member(&mut self, now: Duration) -> Member {
         self.counter += 1;
-        let tells_demand = now >= self.demand_at || self.link.ledger() != self.demand_to;
+        let tells_demand = now >= self.demand_at || self.link.controller() != self.demand_to;
         if tells_demand {
             self.demand_at = now + self.options.demand_period;
-            self.demand_to = self.link.ledger();
+            self.demand_to = self.link.controller();
         }
         let proxy = self
             .proxy
@@ -197,7 +203,7 @@
             node: self.node,
             counter: self.counter,
             role: Role::Proxy,
-            area: self.options.area.clone(),
+            zone: self.options.zone.clone(),
             control: self.options.control,
             serving: proxy.map_or(self.options.control, |pull| pull.serving),
             ready: proxy.is_some_and(|pull| pull.ready),
@@ -208,61 +214,63 @@
                 .unwrap_or_default(),
             same_demand: !tells_demand,
             silent: false,
-            editions: self.link.editions(),
+            versions: self.link.versions(),
             leaving: self.stopping_since.is_some(),
             stands: Vec::new(),
         }
     }
 
-    pub fn input(&mut self, now: Duration, input: MentorInput) -> Vec<MentorOutput> {
+    pub fn input(&mut self, now: Duration, input: AgentInput) -> Vec<AgentOutput> {
         let mut outputs = Vec::new();
         match input {
-            MentorInput::Stop => {
+            AgentInput::Stop => {
                 self.stopping_since.get_or_insert(now);
                 self.link.renew_now(now);
             }
-            MentorInput::Seeds { seeds } => self.link.seeds = seeds,
-            MentorInput::Usage { ticket } => {
+            AgentInput::Seeds { seeds } => self.link.seeds = seeds,
+            AgentInput::Usage { ticket } => {
                 let lines = self.usage();
-                outputs.push(MentorOutput::AnswerUsage { ticket, lines });
-            }
-            MentorInput::Tick => self.tick(now, &mut outputs),
-            MentorInput::Heard { envelope } => self.hear(now, envelope, &mut outputs),
-            MentorInput::Beat { ticket, beat, echo } => {
-                self.beat(now, ticket, beat, echo, &mut outputs)
+                outputs.push(AgentOutput::AnswerUsage { ticket, lines });
             }
+            AgentInput::Tick => self.tick(now, &mut outputs),
+            AgentInput::Heard { envelope } => self.hear(now, envelope, &mut outputs),
+            AgentInput::Heartbeat {
+                ticket,
+                heartbeat,
+                echo,
+            } => self.heartbeat(now, ticket, heartbeat, echo, &mut outputs),
         }
-        let permit_until = self.link.fresh_until();
-        let cohort = self.link.shelf.follower().book(BookName::Cohort);
-        self.islander.look(now, cohort, permit_until);
+        let lease_until = self.link.fresh_until();
+        let membership = self.link.feed_cache.follower().map(MapName::Membership);
+        self.islander.look(now, membership, lease_until);
         let fresh = now < self.fresh_until();
         if fresh != self.was_fresh {
             self.was_fresh = fresh;
             let event = if fresh {
-                MentorEvent::Fresh
+                AgentEvent::Fresh
             } else {
-                MentorEvent::Stale
+                AgentEvent::Stale
             };
-            outputs.push(MentorOutput::Note { event });
+            outputs.push(AgentOutput::Note { event });
         }
-        let on_island = fresh && now >= permit_until;
+        let on_island = fresh && now >= lease_until;
         if on_island != self.was_on_island {
             self.was_on_island = on_island;
             let event = if on_island {
-                MentorEvent::OnIsland
+                AgentEvent::OnIsland
             } else {
-                MentorEvent::OffIsland
+                AgentEvent::OffIsland
             };
-            outputs.push(MentorOutput::Note { event });
+            outputs.push(AgentOutput::Note { event });
         }
         outputs
     }
 
-    fn tick(&mut self, now: Duration, outputs: &mut Vec<MentorOutput>) {
+    fn tick(&mut self, now: Duration, outputs: &mut Vec<AgentOutput>) {
         if self.link.due(now) {
             let member = self.member(now);
             let (to, message) = self.link.renew(now, member);
-            outputs.push(MentorOutput::Send { to, message });
+            outputs.push(AgentOutput::Send { to, message });
         }
         self.ask_agents(now, outputs);
         self.link.members.expire(now);
@@ -271,17 +279,17 @@
             false => self.link.instances.expire(now),
         };
         for id in gone {
-            let event = MentorEvent::InstanceGone { id };
-            outputs.push(MentorOutput::Note { event });
+            let event = AgentEvent::InstanceGone { id };
+            outputs.push(AgentOutput::Note { event });
         }
-        let stamp = self.link.post.stamp(now);
-        // Why an answer all the same on an island: the beat was heard, only no hold can be renewed.
+        let stamp = self.link.envelope_clock.stamp(now);
+        // Why an answer all the same on an island: the heartbeat was heard, only no hold can be renewed.
         let on_island = now < self.islander.until();
-        self.beats.retain_mut(|waiting| {
+        self.heartbeats.retain_mut(|waiting| {
             let over = now >= waiting.until;
-            let heard_here = on_island.then(BeatAnswer::default);
+            let heard_here = on_island.then(HeartbeatAnswer::default);
             if over {
-                outputs.push(MentorOutput::AnswerBeat {
+                outputs.push(AgentOutput::AnswerHeartbeat {
                     ticket: waiting.ticket,
                     answer: waiting
                         .spread
@@ -299,9 +307,9 @@
         self.stop_when_done(now, outputs);
     }
 
-    /// Ends a polite stop once the witness seat is another's, no beat waits for its answer, and the
+    /// Ends a polite stop once the witness voter is another's, no heartbeat waits for its answer, and the
     /// proxy does not stop at the same time and need its news until it has.
-    fn stop_when_done(&self, now: Duration, outputs: &mut Vec<MentorOutput>) {
+    fn stop_when_done(&self, now: Duration, outputs: &mut Vec<AgentOutput>) {
         let Some(since) = self.stopping_since else {
             return;
         };
@@ -310,79 +318,83 @@
             .proxy
             .as_ref()
             .is_some_and(|(asked, pull)| !pull.ready && now.saturating_sub(*asked) < PROXY_SILENCE);
-        let busy = self.seat.is_some() || !self.beats.is_empty();
-        let done = !busy || waited >= SEAT_PATIENCE;
+        let busy = self.voter.is_some() || !self.heartbeats.is_empty();
+        let done = !busy || waited >= VOTER_PATIENCE;
         if (done && !proxy_ends) || waited >= STOP_PATIENCE {
-            outputs.push(MentorOutput::Stopped);
+            outputs.push(AgentOutput::Stopped);
         }
     }
 
-    fn hear(&mut self, now: Duration, envelope: Envelope, outputs: &mut Vec<MentorOutput>) {
-        let lain = self.link.post.open(now, &envelope);
+    fn hear(&mut self, now: Duration, envelope: Envelope, outputs: &mut Vec<AgentOutput>) {
+        let lain = self.link.envelope_clock.open(now, &envelope);
         match envelope.message {
             Message::Grant { granted } => {
                 let moved = self.link.granted(now, envelope.from, &granted);
-                if moved.iter().any(|book| ISLAND_BOOKS.contains(book)) {
+                if moved.iter().any(|map| ISLAND_MAPS.contains(map)) {
                     // Why at once: an operator waits for our word that we hold it.
                     self.link.renew_now(now);
                 }
-                self.books_moved(&moved, outputs);
+                self.maps_moved(&moved, outputs);
             }
             Message::IslandAsk { ask } => {
                 // Why only with a known age: as for all facts.
                 if let Some(lain) = lain {
-                    for heard in &ask.beats {
+                    for heard in &ask.heartbeats {
                         self.link.instances.hear(now, &heard.clone().aged(lain));
                     }
                 }
-                let shelf = &self.link.shelf;
-                let news = ISLAND_BOOKS.iter().filter_map(|name| {
-                    let held = ask.editions.get(name.index()).copied();
-                    shelf.news_after(*name, held.unwrap_or_default())
+                let feed_cache = &self.link.feed_cache;
+                let news = ISLAND_MAPS.iter().filter_map(|name| {
+                    let held = ask.versions.get(name.index()).copied();
+                    feed_cache.news_after(*name, held.unwrap_or_default())
                 });
                 let tell = IslandTell {
                     number: ask.number,
-                    editions: self.link.editions(),
+                    versions: self.link.versions(),
                     news: news.collect(),
                     fit_under: self.islander.fit_under(),
                 };
-                outputs.push(MentorOutput::Send {
+                outputs.push(AgentOutput::Send {
                     to: envelope.reply_to,
                     message: Message::IslandTell { tell },
                 });
                 self.fetch_from(now, envelope.reply_to, &ask, outputs);
             }
             Message::IslandTell { tell } => {
-                let pools = self.islander.broken != BrokenIsland::NoPooling;
-                let moved: Vec<BookName> = tell
+                let services = self.islander.broken != BrokenIsland::NoPooling;
+                let moved: Vec<MapName> = tell
                     .news
                     .iter()
-                    .filter(|_| pools)
-                    .filter_map(|news| self.link.shelf.take(news))
+                    .filter(|_| services)
+                    .filter_map(|news| self.link.feed_cache.take(news))
                     .collect();
-                self.books_moved(&moved, outputs);
+                self.maps_moved(&moved, outputs);
                 // Why looked at first: news of another roster makes what was asked under this void.
-                let cohort = self.link.shelf.follower().book(BookName::Cohort);
-                self.islander.look(now, cohort, self.link.fresh_until());
-                let follower = self.link.shelf.follower();
+                let membership = self.link.feed_cache.follower().map(MapName::Membership);
+                self.islander.look(now, membership, self.link.fresh_until());
+                let follower = self.link.feed_cache.follower();
                 self.islander.told(envelope.reply_to, &tell, follower);
             }
-            Message::BeatReply { ticket, answer } => {
-                let Some(place) = self.beats.iter().position(|beat| beat.number == ticket) else {
+            Message::HeartbeatReply { ticket, answer } => {
+                let Some(place) = self
+                    .heartbeats
+                    .iter()
+                    .position(|heartbeat| heartbeat.number == ticket)
+                else {
                     return;
                 };
-                let keeper = self.link.keeper();
-                // Why wait on: this ledger heard the beat, but only the keeper renews holds.
-                if keeper.is_some_and(|keeper| keeper != envelope.reply_to) {
-                    self.beats[place].spread = Some(answer);
+                let owner_manager = self.link.owner_manager();
+                // Why wait on: this controller heard the heartbeat, but only the owner manager renews holds.
+                if owner_manager.is_some_and(|owner_manager| owner_manager != envelope.reply_to) {
+                    self.heartbeats[place].spread = Some(answer);
                     return;
                 }
-                let waiting = self.beats.swap_remove(place);
-                outputs.push(MentorOutput::AnswerBeat {
+                let waiting = self.heartbeats.swap_remove(place);
+                outputs.push(AgentOutput::AnswerHeartbeat {
                     ticket: waiting.ticket,
                     answer: Some(DatedAnswer {
                         answer,
-                        stamp: self.link.post.stamp(now),
+                        stamp: self.link.envelope_clock.stamp(now),
                         again: false,
                     }),
                 });
@@ -391,35 +403,35 @@
                 let view = self.view(now, &pull);
                 self.count_usage(&pull);
                 self.proxy = Some((now, pull));
-                outputs.push(MentorOutput::Send {
+                outputs.push(AgentOutput::Send {
                     to: envelope.reply_to,
                     message: Message::View { view },
                 });
             }
-            Message::Vote { vote } => {
-                let Some(seat) = &mut self.seat else {
+            Message::ConsensusMessage { vote } => {
+                let Some(voter) = &mut self.voter else {
                     return;
                 };
-                let outcome = seat.hear(vote);
-                let cohort_moved = outcome.moved.contains(&BookName::Cohort);
-                outputs.extend(outcome.replies.into_iter().map(|vote| MentorOutput::Send {
+                let outcome = voter.hear(vote);
+                let membership_moved = outcome.moved.contains(&MapName::Membership);
+                outputs.extend(outcome.replies.into_iter().map(|vote| AgentOutput::Send {
                     to: envelope.reply_to,
-                    message: Message::Vote { vote },
+                    message: Message::ConsensusMessage { vote },
                 }));
-                if cohort_moved {
-                    self.look_for_seat();
+                if membership_moved {
+                    self.look_for_voter();
                 }
             }
             Message::RoundAsk { number } => {
-                if let Some(seat) = &self.seat {
-                    let editions = seat.possible();
-                    outputs.push(MentorOutput::Send {
+                if let Some(voter) = &self.voter {
+                    let versions = voter.possible();
+                    outputs.push(AgentOutput::Send {
                         to: envelope.reply_to,
-                        message: Message::RoundAnswer { number, editions },
+                        message: Message::RoundAnswer { number, versions },
                     });
                 }
             }
-            // Why nothing: all else is for ledgers.
+            // Why nothing: all else is for controllers.
             _ => {}
         }
     }
@@ -429,7 +441,12 @@
     /// Why here: a proxy may die at any time, and its counts need not die with it.
     fn count_usage(&mut self, pull: &Pull) {
         for line in &pull.usage {
-            let place = (pull.life, line.hour, line.rule.clone(), line.pool.clone());
+            let place = (
+                pull.life,
+                line.hour,
+                line.route.clone(),
+                line.service.clone(),
+            );
             self.usage.insert(place, line.clone());
         }
         let latest = self.usage.keys().map(|place| place.1).max().unwrap_or(0);
@@ -437,19 +454,19 @@
             .retain(|place, _| place.1 + USAGE_HOURS >= latest);
     }
 
-    /// What was carried beside this agent, by hour, rule and pool.
+    /// What was carried beside this agent, by hour, rule and service.
     pub fn usage(&self) -> Vec<UsageLine> {
-        let mut sums: BTreeMap<(u64, &RuleName, &PoolName), UsageLine> = BTreeMap::new();
+        let mut sums: BTreeMap<(u64, &RouteName, &ServiceName), UsageLine> = BTreeMap::new();
         for line in self.usage.values() {
             let sum = sums
-                .entry((line.hour, &line.rule, &line.pool))
+                .entry((line.hour, &line.route, &line.service))
                 .or_insert_with(|| UsageLine {
                     hour: line.hour,
-                    rule: line.rule.clone(),
-                    pool: line.pool.clone(),
+                    route: line.route.clone(),
+                    service: line.service.clone(),
                     ..UsageLine::default()
                 });
-            sum.orders += line.orders;
+            sum.requests += line.requests;
             sum.served += line.served;
             sum.not_run += line.not_run;
             sum.unknown += line.unknown;
@@ -459,106 +476,106 @@
         sums.into_values().collect()
     }
 
-    fn books_moved(&mut self, moved: &[BookName], outputs: &mut Vec<MentorOutput>) {
-        if moved.contains(&BookName::Cohort) {
-            self.look_for_seat();
+    fn maps_moved(&mut self, moved: &[MapName], outputs: &mut Vec<AgentOutput>) {
+        if moved.contains(&MapName::Membership) {
+            self.look_for_voter();
         }
-        for book in moved {
-            let book = *book;
-            let edition = self.link.shelf.follower().book(book).edition;
-            let event = MentorEvent::BookMoved { book, edition };
-            outputs.push(MentorOutput::Note { event });
+        for map in moved {
+            let map = *map;
+            let version = self.link.feed_cache.follower().map(map).version;
+            let event = AgentEvent::MapMoved { map, version };
+            outputs.push(AgentOutput::Note { event });
         }
     }
 
-    /// Asks an agent for the books it has beyond ours, when the core cannot bring them.
+    /// Asks an agent for the maps it has beyond ours, when the core cannot bring them.
     fn fetch_from(
         &mut self,
         now: Duration,
         to: SocketAddr,
         ask: &IslandAsk,
-        outputs: &mut Vec<MentorOutput>,
+        outputs: &mut Vec<AgentOutput>,
     ) {
-        let editions = self.link.editions();
-        let behind = editions[BookName::Cohort.index()] == Edition(0)
-            && ask.editions.get(BookName::Cohort.index()) > Some(&Edition(0));
+        let versions = self.link.versions();
+        let behind = versions[MapName::Membership.index()] == Version(0)
+            && ask.versions.get(MapName::Membership.index()) > Some(&Version(0));
         if behind && self.islander.fetches(now, self.link.fresh_until()) {
             let ask = IslandAsk {
                 number: 0,
-                editions,
-                beats: Vec::new(),
+                versions,
+                heartbeats: Vec::new(),
             };
             let message = Message::IslandAsk { ask };
-            outputs.push(MentorOutput::Send { to, message });
+            outputs.push(AgentOutput::Send { to, message });
         }
     }
 
     /// Asks the other agents what they hold when the core has been silent for a while.
-    fn ask_agents(&mut self, now: Duration, outputs: &mut Vec<MentorOutput>) {
-        let permit_until = self.link.fresh_until();
-        let cohort = self.link.shelf.follower().book(BookName::Cohort);
-        let Some((number, others)) = self.islander.ask(now, cohort, permit_until) else {
+    fn ask_agents(&mut self, now: Duration, outputs: &mut Vec<AgentOutput>) {
+        let lease_until = self.link.fresh_until();
+        let membership = self.link.feed_cache.follower().map(MapName::Membership);
+        let Some((number, others)) = self.islander.ask(now, membership, lease_until) else {
             return;
         };
-        let beats: Vec<HeardBeat> = std::mem::take(&mut self.beaten)
+        let heartbeats: Vec<HeardHeartbeat> = std::mem::take(&mut self.beaten)
             .iter()
             .filter_map(|id| self.link.instances.heard(now, id))
             .collect();
         for to in others {
             let ask = IslandAsk {
                 number,
-                editions: self.link.editions(),
-                beats: beats.clone(),
+                versions: self.link.versions(),
+                heartbeats: heartbeats.clone(),
             };
             let message = Message::IslandAsk { ask };
-            outputs.push(MentorOutput::Send { to, message });
+            outputs.push(AgentOutput::Send { to, message });
         }
     }
 
-    /// Takes a witness's seat up or lays it down, as the cohort says.
+    /// Takes a witness's voter up or lays it down, as the membership says.
     ///
-    /// Why from the copies at hand: whoever gave us the seat had settled every book before, and
+    /// Why from the copies at hand: whoever gave us the voter had settled every map before, and
     /// what we lack of them we refuse to vote on until we have it.
-    fn look_for_seat(&mut self) {
-        let follower = self.link.shelf.follower();
-        let mut cohort = follower.book(BookName::Cohort);
-        if let Some(seat) = &self.seat {
-            let voted = seat.book(BookName::Cohort);
-            if voted.edition > cohort.edition {
-                cohort = voted;
+    fn look_for_voter(&mut self) {
+        let follower = self.link.feed_cache.follower();
+        let mut membership = follower.map(MapName::Membership);
+        if let Some(voter) = &self.voter {
+            let voted = voter.map(MapName::Membership);
+            if voted.version > membership.version {
+                membership = voted;
             }
         }
-        let named = cohort
-            .seats()
-            .is_some_and(|seats| seats.holder(self.node).is_some());
+        let named = membership
+            .voters()
+            .is_some_and(|voters| voters.holder(self.node).is_some());
         if !named {
-            self.seat = None;
-        } else if self.seat.is_none() {
-            let copies = ALL_BOOKS
+            self.voter = None;
+        } else if self.voter.is_none() {
+            let copies = ALL_MAPS
                 .iter()
                 .map(|name| Copy {
-                    book: follower.book(*name).clone(),
+                    map: follower.map(*name).clone(),
                     ..Copy::empty()
                 })
                 .collect();
-            self.seat = Some(Seat::restored(copies));
+            self.voter = Some(Voter::restored(copies));
         }
     }
 
     fn view(&self, now: Duration, pull: &Pull) -> ProxyView {
-        let follower = self.link.shelf.follower();
+        let follower = self.link.feed_cache.follower();
         let news = [
-            (BookName::Standing, pull.standing),
-            (BookName::Tenure, pull.tenure),
+            (MapName::Configuration, pull.configuration),
+            (MapName::Ownership, pull.ownership),
         ]
         .into_iter()
-        .filter_map(|(name, after)| self.link.shelf.news_after(name, after))
+        .filter_map(|(name, after)| self.link.feed_cache.news_after(name, after))
         .collect();
         let all = pull.agent != self.node || pull.instances_place < self.link.instances.removed();
         let heard = self.link.proxies() as usize;
         // Why the whole roster out of the core's reach: who of it still serves cannot be told, and
         // what is shared among the proxies must not be shared among fewer than there are.
-        let roster = follower.book(BookName::Cohort).roster();
+        let roster = follower.map(MapName::Membership).roster();
         let alone = now >= self.link.fresh_until();
         let listed = roster
             .filter(|_| alone)
@@ -572,72 +589,72 @@
                 true => self.link.instances.iter().cloned().collect(),
                 false => {
                     let changed = self.link.instances.after(now, pull.instances_place);
-                    changed.into_iter().map(|heard| heard.beat).collect()
+                    changed.into_iter().map(|heard| heard.heartbeat).collect()
                 }
             },
             agent: self.node,
             instances_place: self.link.instances.learned(),
             all_instances: all,
             proxies: proxies.max(1),
-            standing: follower.book(BookName::Standing).edition,
-            tenure: follower.book(BookName::Tenure).edition,
+            configuration: follower.map(MapName::Configuration).version,
+            ownership: follower.map(MapName::Ownership).version,
         }
     }
 
-    fn beat(
+    fn heartbeat(
         &mut self,
         now: Duration,
         ticket: u64,
-        beat: Beat,
+        heartbeat: Heartbeat,
         echo: Option<Echo>,
-        outputs: &mut Vec<MentorOutput>,
+        outputs: &mut Vec<AgentOutput>,
     ) {
         // Why at once: the instance is to find another agent before this one is gone.
         if self.stopping_since.is_some() {
             let answer = None;
-            outputs.push(MentorOutput::AnswerBeat { ticket, answer });
+            outputs.push(AgentOutput::AnswerHeartbeat { ticket, answer });
             return;
         }
-        // Why not taken at its word: a beat may have lain in a socket while we were frozen, and
-        // what it says may be long over. With our stamp in hand the instance beats again at once.
+        // Why not taken at its word: a heartbeat may have lain in a socket while we were frozen, and
+        // what it says may be long over. With our stamp in hand the instance heartbeats again at once.
         let Some(age) = echo.and_then(|echo| echo.lain(now, self.node)) else {
-            outputs.push(MentorOutput::AnswerBeat {
+            outputs.push(AgentOutput::AnswerHeartbeat {
                 ticket,
                 answer: Some(DatedAnswer {
-                    answer: BeatAnswer::default(),
-                    stamp: self.link.post.stamp(now),
+                    answer: HeartbeatAnswer::default(),
+                    stamp: self.link.envelope_clock.stamp(now),
                     again: true,
                 }),
             });
             return;
         };
-        let heard = HeardBeat { beat, age };
+        let heard = HeardHeartbeat { heartbeat, age };
         self.link.instances.hear(now, &heard);
-        self.beaten.insert(heard.beat.id.clone());
-        self.next_beat += 1;
-        self.beats.push(WaitingBeat {
+        self.beaten.insert(heard.heartbeat.id.clone());
+        self.next_heartbeat += 1;
+        self.heartbeats.push(WaitingHeartbeat {
             ticket,
-            number: self.next_beat,
-            until: now + BEAT_PATIENCE,
+            number: self.next_heartbeat,
+            until: now + HEARTBEAT_PATIENCE,
             spread: None,
         });
-        let keeper = self.link.keeper();
-        let ledger = self.link.ledger();
-        // Why both: only the keeper renews holds, but the fact must spread while there is none.
-        if let Some(to) = keeper {
-            outputs.push(MentorOutput::Send {
+        let owner_manager = self.link.owner_manager();
+        let controller = self.link.controller();
+        // Why both: only the owner manager renews holds, but the fact must spread while there is none.
+        if let Some(to) = owner_manager {
+            outputs.push(AgentOutput::Send {
                 to,
-                message: Message::BeatNote {
-                    ticket: self.next_beat,
+                message: Message::HeartbeatForward {
+                    ticket: self.next_heartbeat,
                     heard: heard.clone(),
                 },
             });
         }
-        if keeper != Some(ledger) {
-            outputs.push(MentorOutput::Send {
-                to: ledger,
-                message: Message::BeatNote {
-                    ticket: self.next_beat,
+        if owner_manager != Some(controller) {
+            outputs.push(AgentOutput::Send {
+                to: controller,
+                message: Message::HeartbeatForward {
+                    ticket: self.next_heartbeat,
                     heard,
                 },
             });
--- a/crates/mentor/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,9 +1,9 @@
-//! `mentor`: the agent beside a proxy.
+//! `agent`: the agent beside a proxy.
 
-use toolroom::prelude::*;
+use runtime::prelude::*;
 
 const HELP: &str = "The agent beside each proxy: holds the link to the core, hears instances' \
-beats over HTTP, and feeds the proxy over loopback";
+heartbeats over HTTP, and feeds the proxy over loopback";
 const NEEDS: [&str; 4] = ["control", "serving", "area", "seeds"];
 
 fn main() -> anyhow::Result<()> {
@@ -11,8 +11,5 @@
     let place = Place::read_or_end(&flags, &NEEDS);
     start_log()?;
     let reread: Reread = Arc::new(move || Place::read(&flags, &NEEDS).ok());
-    run_daemon(
-        place.terms.workers,
-        mentor::daemon::run(place, reread, true),
-    )
+    run_daemon(place.terms.workers, agent::daemon::run(place, reread, true))
 }
--- a/crates/mentor/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -1,6 +1,6 @@
 //! Stories of agents whose proxies serve on, and of instances that said they are gone.
 
-use mentor::prelude::*;
+use agent::prelude::*;
 
 fn millis(number: u64) -> Duration {
     Duration::from_millis(number)
@@ -10,13 +10,13 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn beat(id: &str, counter: u64) -> Beat {
-    Beat {
+fn heartbeat(id: &str, counter: u64) -> Heartbeat {
+    Heartbeat {
         id: InstanceId::new(id),
         incarnation: Incarnation(0),
         counter,
-        pool: PoolName::new("records"),
-        area: Area::new("e1"),
+        service: ServiceName::new("records"),
+        zone: Zone::new("e1"),
         address: address(8000 + (steady_hash(id) % 1000) as u16),
         capacity: 4,
         state: InstanceState::Serving,
@@ -28,7 +28,7 @@
     }
 }
 
-/// What the ledgers do that the agent asks.
+/// What the controllers do that the agent asks.
 #[derive(Clone, Copy, PartialEq)]
 enum Core {
     Answers,
@@ -37,9 +37,9 @@
     Silent,
 }
 
-/// An agent, and a ledger that is played by hand.
+/// An agent, and a controller that is played by hand.
 struct Bench {
-    machine: MentorMachine,
+    machine: AgentMachine,
     heard: BTreeMap<String, (Duration, u64)>,
     ended: Vec<InstanceId>,
     gone: Vec<(Duration, String)>,
@@ -49,24 +49,24 @@
 
 impl Bench {
     fn new(proxy_serves_on: bool) -> Self {
-        let options = MentorOptions {
-            beat_refresh: Duration::ZERO,
+        let options = AgentOptions {
+            heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
             control: address(6500),
-            area: Area::new("e1"),
+            zone: Zone::new("e1"),
             seeds: vec![address(6000), address(6001)],
             proxy_serves_on,
             instance_span: SPAN,
         };
         Self {
-            machine: MentorMachine::start(options, 1),
+            machine: AgentMachine::start(options, 1),
             heard: BTreeMap::new(),
             ended: Vec::new(),
             gone: Vec::new(),
         }
     }
 
-    fn says(&mut self, now: Duration, message: Message) -> Vec<MentorOutput> {
+    fn says(&mut self, now: Duration, message: Message) -> Vec<AgentOutput> {
         let envelope = Envelope {
             from: NodeId(1),
             reply_to: address(6000),
@@ -74,15 +74,15 @@
             stamp: None,
             echo: None,
         };
-        self.machine.input(now, MentorInput::Heard { envelope })
+        self.machine.input(now, AgentInput::Heard { envelope })
     }
 
     fn ticks(&mut self, now: Duration, core: Core) {
-        let mut outputs = self.machine.input(now, MentorInput::Tick);
+        let mut outputs = self.machine.input(now, AgentInput::Tick);
         let renewals: Vec<u64> = outputs
             .iter()
             .filter_map(|output| match output {
-                MentorOutput::Send {
+                AgentOutput::Send {
                     message: Message::Renew { renewal },
                     ..
                 } => Some(renewal.number),
@@ -90,15 +90,15 @@
             })
             .collect();
         for number in renewals.into_iter().filter(|_| core != Core::Silent) {
-            let instances = self.heard.iter().map(|(id, (at, counter))| HeardBeat {
-                beat: beat(id, *counter),
+            let instances = self.heard.iter().map(|(id, (at, counter))| HeardHeartbeat {
+                heartbeat: heartbeat(id, *counter),
                 age: now.saturating_sub(*at),
             });
             let granted = Granted {
                 proxies: 1,
                 number,
                 round_age: Duration::ZERO,
-                editions: vec![Edition(0); ALL_BOOKS.len()],
+                versions: vec![Version(0); ALL_MAPS.len()],
                 instances: instances.collect(),
                 instances_place: 0,
                 members: Vec::new(),
@@ -110,8 +110,8 @@
             outputs.extend(self.says(now, Message::Grant { granted }));
         }
         for output in outputs {
-            if let MentorOutput::Note {
-                event: MentorEvent::InstanceGone { id },
+            if let AgentOutput::Note {
+                event: AgentEvent::InstanceGone { id },
             } = output
             {
                 self.gone.push((now, id.to_string()));
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The core hears these beat twice a second while time passes.
+    /// The core hears these heartbeat twice a second while time passes.
     fn runs(&mut self, from: u64, to: u64, core: Core, beating: &[&str]) {
         for step in (from..to).step_by(25) {
             if step % 500 == 0 {
@@ -136,8 +136,8 @@
             agent: NodeId(0),
             instances_place: 0,
             number: now.as_millis() as u64,
-            standing: Edition(0),
-            tenure: Edition(0),
+            configuration: Version(0),
+            ownership: Version(0),
             serving: address(6600),
             ready: true,
             capacity: 1,
@@ -147,7 +147,7 @@
         };
         let outputs = self.says(now, Message::Pull { pull });
         let view = outputs.into_iter().find_map(|output| match output {
-            MentorOutput::Send {
+            AgentOutput::Send {
                 message: Message::View { view },
                 ..
             } => Some(view),
@@ -155,7 +155,7 @@
         });
         let view = view.expect("a proxy that asks is told");
         let known = view.instances.iter();
-        known.map(|beat| beat.id.to_string()).collect()
+        known.map(|heartbeat| heartbeat.id.to_string()).collect()
     }
 }
 
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn given_an_end_heard_by_a_grant_when_late_beats_come_to_the_agent_then_it_is_not_revived() {
+fn given_an_end_heard_by_a_grant_when_late_heartbeats_come_to_the_agent_then_it_is_not_revived() {
     let mut bench = Bench::new(true);
     bench.runs(0, 2000, Core::Answers, &["one", "two"]);
     bench.ended.push(InstanceId::new("one"));
@@ -224,16 +224,16 @@
     assert_eq!(bench.known(millis(3000)), ["two"]);
     // Straight to the agent, with a stamp of its own: still not.
     let send = |bench: &mut Bench, now: u64, echo: Option<Echo>| {
-        let input = MentorInput::Beat {
+        let input = AgentInput::Heartbeat {
             ticket: now,
-            beat: beat("one", 90_000 + now),
+            heartbeat: heartbeat("one", 90_000 + now),
             echo,
         };
         bench.machine.input(millis(now), input)
     };
     let outputs = send(&mut bench, 3000, None);
     let stamp = outputs.iter().find_map(|output| match output {
-        MentorOutput::AnswerBeat {
+        AgentOutput::AnswerHeartbeat {
             answer: Some(dated),
             ..
         } => Some(dated.stamp),
@@ -241,10 +241,14 @@
     });
     let held = Duration::ZERO;
     let echo = stamp.map(|stamp| Echo { stamp, held });
-    assert!(echo.is_some(), "it is asked to beat again");
+    assert!(echo.is_some(), "it is asked to heartbeat again");
     send(&mut bench, 3010, echo);
     assert_eq!(bench.known(millis(3020)), ["two"]);
     bench.ended.clear();
     bench.runs(3025, 9000, Core::Answers, &["one", "two"]);
-    assert_eq!(bench.known(millis(9000)), ["two"], "nor by a ledger's word");
+    assert_eq!(
+        bench.known(millis(9000)),
+        ["two"],
+        "nor by a controller's word"
+    );
 }
--- a/crates/foreman/src/main.rs
+++ b/crates/caperctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `foreman`: the operators' command line.
+//! `caperctl`: the operators' command line.
 
 mod prelude;
 mod usage;
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 
 const HELP: &str = "Drives a caperworks fleet: applies change sets, reads and watches resources, \
-closes and opens areas, and shows the state of the core";
+closes and opens zones, and shows the state of the core";
 
 #[derive(Debug, Clone)]
 enum Command {
@@ -20,10 +20,10 @@
         after: u64,
     },
     Close {
-        area: String,
+        zone: String,
     },
     Open {
-        area: String,
+        zone: String,
     },
     Retire {
         agents: Vec<SocketAddr>,
@@ -39,13 +39,13 @@
 
 #[derive(Debug, Clone)]
 struct Flags {
-    ledgers: Vec<SocketAddr>,
+    controllers: Vec<SocketAddr>,
     command: Command,
 }
 
 fn flags() -> OptionParser<Flags> {
-    let ledgers = long("ledger")
-        .help("HTTP address of a ledger; give several and they are tried in turn")
+    let controllers = long("ledger")
+        .help("HTTP address of a controller; give several and they are tried in turn")
         .argument::<SocketAddr>("ADDRESS")
         .many();
     let file = positional::<PathBuf>("FILE").help("A change set in JSON");
@@ -61,22 +61,22 @@
         .descr("Read one resource, or all of them")
         .command("get");
     let after = long("after")
-        .help("Follow changes after this edition; without it, from the present one on")
+        .help("Follow changes after this version; without it, from the present one on")
         .argument::<u64>("EDITION")
         .fallback(u64::MAX);
     let watch = construct!(Command::Watch { after })
         .to_options()
         .descr("Follow accepted changes as they come")
         .command("watch");
-    let area = positional::<String>("AREA");
-    let close = construct!(Command::Close { area })
+    let zone = positional::<String>("AREA");
+    let close = construct!(Command::Close { zone })
         .to_options()
-        .descr("Empty an area: no orders go there until it is opened")
+        .descr("Empty a zone: no orders go there until it is opened")
         .command("close");
-    let area = positional::<String>("AREA");
-    let open = construct!(Command::Open { area })
+    let zone = positional::<String>("AREA");
+    let open = construct!(Command::Open { zone })
         .to_options()
-        .descr("Give an area back")
+        .descr("Give a zone back")
         .command("open");
     let agents = positional::<SocketAddr>("AGENT")
         .help("Control address of an agent that is gone for good")
@@ -102,38 +102,45 @@
         file
     })
     .to_options()
-    .descr("Export orders, outcomes and bytes by hour, rule, pool and zone as CSV with a schema")
+    .descr("Export orders, outcomes and bytes by hour, rule, service and zone as CSV with a schema")
     .command("usage");
     let status = bpaf::pure(Command::Status)
         .to_options()
-        .descr("Show seats, duties, members, lag and unplaced demand")
+        .descr("Show voters, leadership roles, members, lag and unplaced demand")
         .command("status");
     let command = construct!([apply, get, watch, close, open, retire, usage, status]);
-    construct!(Flags { ledgers, command })
-        .to_options()
-        .descr(HELP)
+    construct!(Flags {
+        controllers,
+        command
+    })
+    .to_options()
+    .descr(HELP)
 }
 
-/// Asks the ledgers in turn until one gives an answer that settles the matter.
+/// Asks the controllers in turn until one gives an answer that settles the matter.
 ///
 /// Why it is safe to send a change to the next: every repeat carries the same change id, and the
 /// core answers a repeat with the first answer.
 async fn ask(
-    ledgers: &[SocketAddr],
+    controllers: &[SocketAddr],
     make: impl Fn(SocketAddr) -> Fetch,
 ) -> anyhow::Result<Fetched> {
     let mut last = None;
-    for ledger in ledgers {
-        match make(*ledger).patience(Duration::from_secs(35)).send().await {
+    for controller in controllers {
+        match make(*controller)
+            .patience(Duration::from_secs(35))
+            .send()
+            .await
+        {
             Ok(fetched) if fetched.status == 503 => last = Some(Ok(fetched)),
             Ok(fetched) => return Ok(fetched),
-            Err(mishap) => {
-                eprintln!("{ledger}: {mishap}");
-                last = last.or(Some(Err(mishap)));
+            Err(failure) => {
+                eprintln!("{controller}: {failure}");
+                last = last.or(Some(Err(failure)));
             }
         }
     }
-    last.unwrap_or_else(|| Err(anyhow!("no ledger was named")))
+    last.unwrap_or_else(|| Err(anyhow!("no controller was named")))
 }
 
 fn show(fetched: &Fetched) -> i32 {
@@ -146,41 +153,47 @@
     }
 }
 
-async fn apply(ledgers: &[SocketAddr], text: String) -> anyhow::Result<i32> {
-    let fetched = ask(ledgers, |ledger| {
-        Fetch::post(ledger, "/v1/standing", text.clone())
+async fn apply(controllers: &[SocketAddr], text: String) -> anyhow::Result<i32> {
+    let fetched = ask(controllers, |controller| {
+        Fetch::post(controller, "/v1/standing", text.clone())
     })
     .await?;
     Ok(show(&fetched))
 }
 
-async fn turn_area(ledgers: &[SocketAddr], area: &str, closed: bool) -> anyhow::Result<i32> {
-    let path = format!("/v1/standing/area/{area}");
-    let present = ask(ledgers, |ledger| Fetch::get(ledger, path.clone())).await?;
+async fn turn_zone(controllers: &[SocketAddr], zone: &str, closed: bool) -> anyhow::Result<i32> {
+    let path = format!("/v1/standing/area/{zone}");
+    let present = ask(controllers, |controller| {
+        Fetch::get(controller, path.clone())
+    })
+    .await?;
     if present.status != 200 {
         return Ok(show(&present));
     }
     let json = present.json();
-    let mut order = json["area"].clone();
-    order["closed"] = closed.into();
+    let mut request = json["area"].clone();
+    request["closed"] = closed.into();
     let word = if closed { "close" } else { "open" };
     let put = jzon::object! {
         kind: "area",
-        name: area,
+        name: zone,
         edition: json["edition"].as_u64(),
-        area: order,
+        area: request,
     };
     let change = jzon::object! {
-        id: format!("{word}-{area}-{:x}", fresh_seed()),
+        id: format!("{word}-{zone}-{:x}", fresh_seed()),
         put: [put],
     };
-    apply(ledgers, change.dump()).await
+    apply(controllers, change.dump()).await
 }
 
-async fn watch(ledgers: &[SocketAddr], after: u64) -> anyhow::Result<i32> {
+async fn watch(controllers: &[SocketAddr], after: u64) -> anyhow::Result<i32> {
     let mut after = after;
     if after == u64::MAX {
-        let now = ask(ledgers, |ledger| Fetch::get(ledger, "/v1/standing")).await?;
+        let now = ask(controllers, |controller| {
+            Fetch::get(controller, "/v1/standing")
+        })
+        .await?;
         if now.status != 200 {
             return Ok(show(&now));
         }
@@ -188,7 +201,11 @@
     }
     loop {
         let path = format!("/v1/changes?after={after}&wait_ms=20000");
-        let fetched = match ask(ledgers, |ledger| Fetch::get(ledger, path.clone())).await {
+        let fetched = match ask(controllers, |controller| {
+            Fetch::get(controller, path.clone())
+        })
+        .await
+        {
             Ok(fetched) if fetched.status == 200 => fetched,
             _ => {
                 tokio::time::sleep(Duration::from_secs(1)).await;
@@ -196,12 +213,12 @@
             }
         };
         let json = fetched.json();
-        // Why never back: another ledger may be a little behind the one that answered before.
-        let edition = json["edition"].as_u64().unwrap_or(0);
-        if edition <= after {
+        // Why never back: another controller may be a little behind the one that answered before.
+        let version = json["edition"].as_u64().unwrap_or(0);
+        if version <= after {
             continue;
         }
-        after = edition;
+        after = version;
         if json.has_key("snapshot") {
             println!("{}", json["snapshot"].dump());
         }
@@ -242,12 +259,12 @@
             Ok(fetched) if fetched.status == 200 => answers.push(fetched.json()),
             // Why all or nothing: an export that lacks a machine looks like one that does not.
             Ok(fetched) => bail!("{agent} answered {}: nothing was written", fetched.status),
-            Err(mishap) => bail!("{agent}: {mishap}: nothing was written"),
+            Err(failure) => bail!("{agent}: {failure}: nothing was written"),
         }
     }
     let rows = rows(&answers, range);
-    if let Err(mishap) = write(file, &rows) {
-        let remedy = format!("cannot be written ({mishap}): give a path that can");
+    if let Err(failure) = write(file, &rows) {
+        let remedy = format!("cannot be written ({failure}): give a path that can");
         end_over(&[fault(&file.display().to_string(), remedy)]);
     }
     println!("{} rows", rows.len());
@@ -257,8 +274,8 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> anyhow::Result<()> {
     let flags = read_flags(&flags());
-    let ledgers = &flags.ledgers;
-    if ledgers.is_empty() && !matches!(flags.command, Command::Usage { .. }) {
+    let controllers = &flags.controllers;
+    if controllers.is_empty() && !matches!(flags.command, Command::Usage { .. }) {
         end_over(&[OptionsFault {
             file: "the command line".to_string(),
             field: "--ledger".to_string(),
@@ -267,11 +284,11 @@
     }
     let code = match &flags.command {
         Command::Apply { file } => match std::fs::read_to_string(file) {
-            Ok(text) => apply(ledgers, text).await?,
-            Err(mishap) => end_over(&[OptionsFault {
+            Ok(text) => apply(controllers, text).await?,
+            Err(failure) => end_over(&[OptionsFault {
                 file: file.display().to_string(),
                 field: "file".to_string(),
-                remedy: format!("cannot be read ({mishap}): give a file that exists"),
+                remedy: format!("cannot be read ({failure}): give a file that exists"),
             }]),
         },
         Command::Get { resource } => {
@@ -279,17 +296,22 @@
                 Some(resource) => format!("/v1/standing/{resource}"),
                 None => "/v1/standing".to_string(),
             };
-            show(&ask(ledgers, |ledger| Fetch::get(ledger, path.clone())).await?)
+            show(
+                &ask(controllers, |controller| {
+                    Fetch::get(controller, path.clone())
+                })
+                .await?,
+            )
         }
-        Command::Watch { after } => watch(ledgers, *after).await?,
-        Command::Close { area } => turn_area(ledgers, area, true).await?,
-        Command::Open { area } => turn_area(ledgers, area, false).await?,
+        Command::Watch { after } => watch(controllers, *after).await?,
+        Command::Close { zone } => turn_zone(controllers, zone, true).await?,
+        Command::Open { zone } => turn_zone(controllers, zone, false).await?,
         Command::Retire { agents } => {
             let dropped: Vec<String> = agents.iter().map(ToString::to_string).collect();
             let body = jzon::object! { drop: dropped }.dump();
             show(
-                &ask(ledgers, |ledger| {
-                    Fetch::post(ledger, "/v1/roster", body.clone())
+                &ask(controllers, |controller| {
+                    Fetch::post(controller, "/v1/roster", body.clone())
                 })
                 .await?,
             )
@@ -300,7 +322,12 @@
             to,
             file,
         } => export(agents, from.as_deref(), to.as_deref(), file).await?,
-        Command::Status => show(&ask(ledgers, |ledger| Fetch::get(ledger, "/v1/status")).await?),
+        Command::Status => show(
+            &ask(controllers, |controller| {
+                Fetch::get(controller, "/v1/status")
+            })
+            .await?,
+        ),
     };
     std::process::exit(code);
 }
--- a/crates/foreman/src/usage.rs
+++ b/crates/caperctl/src/usage.rs
@@ -16,7 +16,7 @@
         "the hour in UTC in which the orders came in",
     ),
     ("rule", "string", "the rule that they matched"),
-    ("pool", "string", "the pool that the rule leads to"),
+    ("pool", "string", "the service that the rule leads to"),
     (
         "zone",
         "string",
@@ -49,18 +49,18 @@
     })
 }
 
-/// The rows of all agents' answers, summed by hour, rule, pool and zone.
+/// The rows of all agents' answers, summed by hour, rule, service and zone.
 pub fn rows(answers: &[JsonValue], range: Range) -> Vec<Vec<String>> {
     let mut sums: BTreeMap<(u64, String, String, String), [u64; 6]> = BTreeMap::new();
     for answer in answers {
-        let area = answer["area"].as_str().unwrap_or_default();
+        let zone = answer["area"].as_str().unwrap_or_default();
         for line in answer["lines"].members() {
             let text = |name: &str| line[name].as_str().unwrap_or_default().to_string();
             let hour = line["hour"].as_u64().unwrap_or(0);
             if hour < range.from || hour >= range.to {
                 continue;
             }
-            let place = (hour, text("rule"), text("pool"), area.to_string());
+            let place = (hour, text("rule"), text("pool"), zone.to_string());
             let sum = sums.entry(place).or_default();
             for (sum, (name, _, _)) in sum.iter_mut().zip(&COLUMNS[4..]) {
                 *sum += line[*name].as_u64().unwrap_or(0);
@@ -68,9 +68,9 @@
         }
     }
     sums.into_iter()
-        .map(|((hour, rule, pool, zone), sums)| {
+        .map(|((hour, route, service, zone), sums)| {
             let counts = sums.iter().map(ToString::to_string);
-            [hour_text(hour), rule, pool, zone]
+            [hour_text(hour), route, service, zone]
                 .into_iter()
                 .chain(counts)
                 .collect()
--- /dev/null
+++ b/crates/caperworks/examples/consensus.rs
@@ -0,0 +1,77 @@
+//! Three voters agree on a change: the machines alone, with messages carried by a loop.
+
+use caperworks::prelude::*;
+
+fn main() {
+    let holders = (1..=3)
+        .map(|number| VoterEntry {
+            node: NodeId(number),
+            address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
+            zone: Zone::new(format!("area-{number}")),
+            controller: true,
+        })
+        .collect();
+    let founding = Change {
+        id: ChangeId::new("founding"),
+        puts: vec![Put {
+            key: "seats".to_string(),
+            expected: Some(Version(0)),
+            value: Some(Value::VoterSet {
+                voters: VoterSet { holders },
+            }),
+            written: None,
+        }],
+        guards: Vec::new(),
+    };
+    let mut voters: BTreeMap<NodeId, Voter> = (1..=3)
+        .map(|number| (NodeId(number), Voter::default()))
+        .collect();
+    for voter in voters.values_mut() {
+        voter.hear(ConsensusMessage::Commit {
+            map: MapName::Membership,
+            version: Version(1),
+            change: founding.clone(),
+        });
+    }
+
+    // Node 1 proposes a change to the configuration.
+    let me = NodeId(1);
+    let mut chance = Chance::seeded(1);
+    let mut proposer = Proposer::new(MapName::Configuration, me, ProposerOptions::default());
+    let change = Change {
+        id: ChangeId::new("open-e1"),
+        puts: vec![Put {
+            key: "area/e1".to_string(),
+            expected: Some(Version(0)),
+            value: Some(Value::Zone {
+                zone: ZoneSettings {
+                    region: Region::new("east"),
+                    closed: false,
+                },
+            }),
+            written: None,
+        }],
+        guards: Vec::new(),
+    };
+    let now = Duration::from_millis(1);
+    proposer.propose(now, 42, change);
+    let mut outcome = proposer.tick(now, &voters[&me], &mut chance);
+    let mut proposal_outcomes = Vec::new();
+    while let Some(vote) = outcome.to_voters.pop() {
+        let nodes: Vec<NodeId> = voters.keys().copied().collect();
+        for node in nodes {
+            // A real host syncs `records` before it sends `replies`.
+            let heard = voters.get_mut(&node).expect("a voter").hear(vote.clone());
+            for reply in heard.replies {
+                let more = proposer.hear(now, node, &reply, &voters[&me]);
+                outcome.to_voters.extend(more.to_voters);
+                proposal_outcomes.extend(more.proposal_outcomes);
+            }
+        }
+    }
+    println!("{proposal_outcomes:?}");
+    assert_eq!(
+        proposal_outcomes,
+        vec![(42, ProposalOutcome::Accepted(Version(1)))]
+    );
+}
--- a/crates/caperworks/examples/feed.rs
+++ b/crates/caperworks/examples/feed.rs
@@ -2,40 +2,45 @@
 
 use caperworks::prelude::*;
 
-fn news(from: u64, to: u64) -> Vote {
+fn news(from: u64, to: u64) -> ConsensusMessage {
     let changes = (from..=to)
-        .map(|edition| NumberedChange {
-            edition: Edition(edition),
+        .map(|version| NumberedChange {
+            version: Version(version),
             change: Change {
-                id: ChangeId::new(format!("change-{edition}")),
+                id: ChangeId::new(format!("change-{version}")),
                 puts: Vec::new(),
                 guards: Vec::new(),
             },
         })
         .collect();
-    Vote::News {
-        book: BookName::Standing,
+    ConsensusMessage::News {
+        map: MapName::Configuration,
         changes,
     }
 }
 
 fn main() {
-    let mut shelf = Shelf::default();
+    let mut feed_cache = FeedCache::default();
     let last = HISTORY_WEIGHT as u64 + 100;
-    for edition in 1..=last {
-        shelf.take(&news(edition, edition));
+    for version in 1..=last {
+        feed_cache.take(&news(version, version));
     }
     let mut near = Follower::default();
     near.take(&news(1, last - 2));
-    let (book, held) = (BookName::Standing, near.book(BookName::Standing).edition);
-    let answer = shelf.news_after(book, held).expect("it is behind");
-    assert!(matches!(answer, Vote::News { .. }));
+    let (map, held) = (
+        MapName::Configuration,
+        near.map(MapName::Configuration).version,
+    );
+    let answer = feed_cache.news_after(map, held).expect("it is behind");
+    assert!(matches!(answer, ConsensusMessage::News { .. }));
     near.take(&answer);
 
     let mut far = Follower::default();
-    let answer = shelf.news_after(book, Edition(0)).expect("it is behind");
-    assert!(matches!(answer, Vote::Whole { .. }));
+    let answer = feed_cache
+        .news_after(map, Version(0))
+        .expect("it is behind");
+    assert!(matches!(answer, ConsensusMessage::Whole { .. }));
     far.take(&answer);
-    println!("both hold {}", far.book(book).edition);
-    assert_eq!(near.book(book).edition, far.book(book).edition);
+    println!("both hold {}", far.map(map).version);
+    assert_eq!(near.map(map).version, far.map(map).version);
 }
--- a/crates/caperworks/examples/tenure.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -1,14 +1,14 @@
-//! Slices given to instances, and a hold that the instance counts from when it asked.
+//! Key ranges given to instances, and a hold that the instance counts from when it asked.
 
 use caperworks::prelude::*;
 
-fn beat(name: &str, port: u16, counter: u64, holding: Vec<u32>) -> Beat {
-    Beat {
+fn heartbeat(name: &str, port: u16, counter: u64, holding: Vec<u32>) -> Heartbeat {
+    Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(1),
         counter,
-        pool: PoolName::new("evidence"),
-        area: Area::new("e1"),
+        service: ServiceName::new("evidence"),
+        zone: Zone::new("e1"),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         capacity: 10,
         state: InstanceState::Serving,
@@ -21,59 +21,59 @@
 }
 
 fn main() {
-    let pool = Pool {
+    let service = Service {
         keyed: true,
-        slices: 8,
+        key_ranges: 8,
         instance_cap: 10,
         key_cap: 2,
         cold_rate_milli: 5000,
         warm_span: Duration::from_secs(3),
-        ..Pool::default()
+        ..Service::default()
     };
-    let name = PoolName::new("evidence");
+    let name = ServiceName::new("evidence");
     let now = Duration::from_secs(1);
     let mut instances = Instances::default();
     for (place, id) in ["one", "two"].iter().enumerate() {
-        let beat = beat(id, 7000 + place as u16, 1, Vec::new());
+        let heartbeat = heartbeat(id, 7000 + place as u16, 1, Vec::new());
         instances.hear(
             now,
-            &HeardBeat {
-                beat,
+            &HeardHeartbeat {
+                heartbeat,
                 age: Duration::ZERO,
             },
         );
     }
-    let mut keeper = Keeper::default();
-    keeper.take_up(Duration::ZERO, false);
-    let mut tenure = Book::empty();
-    let view = TenureView {
+    let mut owner_manager = OwnerManager::default();
+    owner_manager.take_up(Duration::ZERO, false);
+    let mut ownership = ReplicatedMap::empty();
+    let view = OwnershipView {
         instances: &instances,
         closed: &BTreeSet::new(),
-        tenure: &tenure,
+        ownership: &ownership,
     };
-    let table = keeper
-        .plan(now, Epoch(1), &name, &pool, &view)
-        .expect("slices without owners");
+    let table = owner_manager
+        .plan(now, Epoch(1), &name, &service, &view)
+        .expect("key ranges without owners");
 
-    // A real host has the table agreed on first; then beats are answered from it.
-    let value = Value::Slices { table };
+    // A real host has the table agreed on first; then heartbeats are answered from it.
+    let value = Value::KeyRanges { table };
     let put = Put {
         key: "slices/evidence".to_string(),
         expected: None,
         value: Some(value),
         written: None,
     };
-    tenure.apply(&Change {
+    ownership.apply(&Change {
         id: ChangeId::new("plan"),
         puts: vec![put],
         guards: Vec::new(),
     });
-    let answer = keeper.beat(now, &beat("one", 7000, 2, Vec::new()), &tenure);
+    let answer = owner_manager.heartbeat(now, &heartbeat("one", 7000, 2, Vec::new()), &ownership);
     let mut holdings = Holdings::default();
     holdings.answered(now, &answer);
     println!("instance one holds {:?}", holdings.holding(now));
     let hold = &answer.holds[0];
     let need = Duration::from_secs(2);
-    assert!(holdings.may_start(now, hold.slice, hold.epoch, need));
-    assert!(!holdings.may_start(now + HOLD_SPAN, hold.slice, hold.epoch, need));
+    assert!(holdings.may_start(now, hold.key_range, hold.epoch, need));
+    assert!(!holdings.may_start(now + HOLD_SPAN, hold.key_range, hold.epoch, need));
 }
--- a/crates/caperworks/examples/placement.rs
+++ b/crates/caperworks/examples/placement.rs
@@ -4,13 +4,13 @@
 
 fn main() {
     let sites = ["e1", "e2", "w1"].map(|name| Site {
-        area: Area::new(name),
+        zone: Zone::new(name),
         capacity: 100,
         proxy_capacity: 120,
     });
     let group = |name: &str, demand: u32, list: &[(usize, u32)]| ClientGroup {
         group: name.to_string(),
-        rule: RuleName::new("progress"),
+        route: RouteName::new("progress"),
         demand,
         list: list.to_vec(),
         last: Vec::new(),
--- a/crates/caperworks/src/standing.rs
+++ b/crates/caperworks/src/configuration.rs
@@ -1,11 +1,11 @@
-//! The standing orders: checking a change set whole, and matching an order to its rule.
+//! The configuration: checking a change set whole, and matching an order to its rule.
 
 use crate::prelude::*;
 
 pub const MOST_ITEMS: usize = 20_000;
 /// The longest time for which a route may have a try held.
 pub const DEADLINE_MOST: Duration = Duration::from_secs(600);
-/// The longest deadline for keyed pools: a hold, less the time between two renewals of it.
+/// The longest deadline for keyed services: a hold, less the time between two renewals of it.
 pub const KEYED_DEADLINE_MOST: Duration = Duration::from_millis(4500);
 pub const MOST_BYTES: usize = 6 * 1024 * 1024;
 
@@ -35,72 +35,72 @@
             .all(|sign| sign.is_ascii_alphanumeric() || "-_.".contains(sign))
 }
 
-fn check_rule(key: &str, rule: &Rule, faults: &mut Vec<Fault>) {
+fn check_route(key: &str, route: &Route, faults: &mut Vec<Fault>) {
     let mut fault = |field: &str, why: &str| faults.push(Fault::new(format!("{key}.{field}"), why));
-    if rule.host.is_empty() || rule.host.len() > 253 {
+    if route.host.is_empty() || route.host.len() > 253 {
         fault("host", "give a host name, or * for any");
     }
-    if !rule.path.starts_with('/') || rule.path.len() > 512 {
+    if !route.path.starts_with('/') || route.path.len() > 512 {
         fault("path", "give a path prefix that starts with /");
     }
-    if rule.deadline.is_zero() || rule.deadline > DEADLINE_MOST {
+    if route.deadline.is_zero() || route.deadline > DEADLINE_MOST {
         fault("deadline_ms", "give 1 to 600000");
     }
-    if rule.split.iter().any(|part| part.weight == 0) {
+    if route.split.iter().any(|part| part.weight == 0) {
         fault("split", "every part has a weight of at least 1");
     }
-    if rule.body_limit == 0 {
+    if route.body_limit == 0 {
         fault("body_limit", "give at least 1");
     }
 }
 
-fn check_pool(key: &str, pool: &Pool, faults: &mut Vec<Fault>) {
+fn check_service(key: &str, service: &Service, faults: &mut Vec<Fault>) {
     let mut fault = |field: &str, why: &str| faults.push(Fault::new(format!("{key}.{field}"), why));
-    if pool.keyed && !(1..=1024).contains(&pool.slices) {
-        fault("slices", "a keyed pool has 1 to 1024 slices");
+    if service.keyed && !(1..=1024).contains(&service.key_ranges) {
+        fault("slices", "a keyed service has 1 to 1024 key ranges");
     }
-    if pool.instance_cap == 0 {
+    if service.instance_cap == 0 {
         fault("instance_cap", "give at least 1");
     }
-    if pool.keyed && pool.key_cap == 0 {
+    if service.keyed && service.key_cap == 0 {
         fault("key_cap", "give at least 1");
     }
-    if pool.cold_rate_milli == 0 {
+    if service.cold_rate_milli == 0 {
         fault("gentle_per_second", "give at least 1");
     }
-    if pool.warm_span > Duration::from_secs(600) {
+    if service.warm_span > Duration::from_secs(600) {
         fault("warm_ms", "give at most 600000");
     }
 }
 
-/// Lists what is wrong between a rule and one of the pools that it leads to.
-fn check_pool_of(
-    name: &RuleName,
-    rule: &Rule,
-    pool_name: &PoolName,
-    pool: Option<&&Pool>,
+/// Lists what is wrong between a rule and one of the services that it leads to.
+fn check_service_of(
+    name: &RouteName,
+    route: &Route,
+    service_name: &ServiceName,
+    service: Option<&&Service>,
     faults: &mut Vec<Fault>,
 ) {
-    match pool {
+    match service {
         None => {
-            let why = format!("there is no pool {pool_name}");
+            let why = format!("there is no service {service_name}");
             faults.push(Fault::new(format!("rule/{name}.pool"), why));
         }
-        Some(pool) if pool.keyed && rule.key_header.is_none() => {
-            let why = format!("pool {pool_name} is keyed: name the header with the key");
+        Some(service) if service.keyed && route.key_header.is_none() => {
+            let why = format!("service {service_name} is keyed: name the header with the key");
             faults.push(Fault::new(format!("rule/{name}.key_header"), why));
         }
         // Why refused: the owner starts nothing that may outlive its hold, so every order under
         // this rule would be turned away. Why not where keys are ranges: there the owner itself
         // ends what outlasts its hold.
-        Some(pool)
-            if pool.keyed
-                && pool.key_space == KeySpace::Hashed
-                && rule.deadline > KEYED_DEADLINE_MOST =>
+        Some(service)
+            if service.keyed
+                && service.key_space == KeySpace::Hashed
+                && route.deadline > KEYED_DEADLINE_MOST =>
         {
             let most = KEYED_DEADLINE_MOST.as_millis();
             let why = format!(
-                "pool {pool_name} is keyed: no order may take longer than its owner's hold; give at most {most}"
+                "service {service_name} is keyed: no order may take longer than its owner's hold; give at most {most}"
             );
             faults.push(Fault::new(format!("rule/{name}.deadline_ms"), why));
         }
@@ -108,10 +108,10 @@
     }
 }
 
-/// Lists everything that is wrong with the book as it would be after the change.
+/// Lists everything that is wrong with the map as it would be after the change.
 ///
 /// Why whole and not item by item: a change may take away what another item needs.
-pub fn check_standing(book: &Book, change: &Change) -> Vec<Fault> {
+pub fn check_configuration(map: &ReplicatedMap, change: &Change) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut seen = BTreeSet::new();
     for put in &change.puts {
@@ -125,10 +125,12 @@
             faults.push(Fault::new(&put.key, why));
         }
         match (&put.value, kind) {
-            (Some(Value::Rule { rule }), "rule") => check_rule(&put.key, rule, &mut faults),
-            (Some(Value::Pool { pool }), "pool") => check_pool(&put.key, pool, &mut faults),
-            (Some(Value::Area { area }), "area") => {
-                if !name_is_good(area.region.as_str()) {
+            (Some(Value::Route { route }), "rule") => check_route(&put.key, route, &mut faults),
+            (Some(Value::Service { service }), "pool") => {
+                check_service(&put.key, service, &mut faults)
+            }
+            (Some(Value::Zone { zone }), "area") => {
+                if !name_is_good(zone.region.as_str()) {
                     faults.push(Fault::new(
                         format!("{}.region", put.key),
                         "give a region's name",
@@ -145,7 +147,7 @@
             // that it overtakes.
             (None, "rule" | "pool" | "area" | "limits") if put.written.is_some() => {}
             (None, "rule" | "pool" | "area") => {
-                if !book.items.contains_key(&put.key) {
+                if !map.items.contains_key(&put.key) {
                     faults.push(Fault::new(
                         &put.key,
                         "cannot be dropped: there is no such item",
@@ -155,7 +157,7 @@
             _ => faults.push(Fault::new(&put.key, "kind and contents do not go together")),
         }
     }
-    let mut after = book.clone();
+    let mut after = map.clone();
     after.apply(change);
     if after.items.len() > MOST_ITEMS {
         let why = format!(
@@ -169,51 +171,57 @@
         let why = format!("the orders would take {bytes} bytes, {MOST_BYTES} are the most");
         faults.push(Fault::new("items", why));
     }
-    let pools: BTreeMap<PoolName, &Pool> = after.pools().collect();
+    let services: BTreeMap<ServiceName, &Service> = after.services().collect();
     let regions: BTreeSet<Region> = after
-        .areas()
-        .map(|(_, order)| order.region.clone())
+        .zones()
+        .map(|(_, request)| request.region.clone())
         .collect();
-    let mut matches: BTreeMap<(String, &str), RuleName> = BTreeMap::new();
-    for (name, rule) in after.rules() {
-        for pool_name in rule.pools() {
-            check_pool_of(&name, rule, pool_name, pools.get(pool_name), &mut faults);
+    let mut matches: BTreeMap<(String, &str), RouteName> = BTreeMap::new();
+    for (name, route) in after.routes() {
+        for service_name in route.services() {
+            check_service_of(
+                &name,
+                route,
+                service_name,
+                services.get(service_name),
+                &mut faults,
+            );
         }
-        for home in rule.homes.iter().filter(|home| !regions.contains(home)) {
-            let why = format!("no area lies in region {home}");
+        for home in route.homes.iter().filter(|home| !regions.contains(home)) {
+            let why = format!("no zone lies in region {home}");
             faults.push(Fault::new(format!("rule/{name}.home"), why));
         }
         // Why in lower case: so requests are matched, and one of the two would hide the other.
-        let host = rule.host.to_ascii_lowercase();
-        if let Some(other) = matches.insert((host, &rule.path), name.clone()) {
+        let host = route.host.to_ascii_lowercase();
+        if let Some(other) = matches.insert((host, &route.path), name.clone()) {
             let why = format!("has the same host and path as rule {other}");
             faults.push(Fault::new(format!("rule/{name}"), why));
         }
     }
-    let mut areas = after.areas().peekable();
-    if areas.peek().is_some() && areas.all(|(_, order)| order.closed) {
-        faults.push(Fault::new("area", "this would close every area"));
+    let mut zones = after.zones().peekable();
+    if zones.peek().is_some() && zones.all(|(_, request)| request.closed) {
+        faults.push(Fault::new("area", "this would close every zone"));
     }
     faults
 }
 
 /// One rule with its name, shared by all that work by it.
-pub type NamedRoute = (RuleName, Arc<Rule>);
+pub type NamedRoute = (RouteName, Arc<Route>);
 
 /// Rules by host and path.
 #[derive(Debug, Clone, Default)]
-pub struct RuleTable {
+pub struct RouteTable {
     by_host: HashMap<String, HashMap<String, NamedRoute>>,
 }
 
-impl RuleTable {
-    pub fn of(book: &Book) -> Self {
+impl RouteTable {
+    pub fn of(map: &ReplicatedMap) -> Self {
         let mut by_host: HashMap<String, HashMap<String, NamedRoute>> = HashMap::new();
-        for (name, rule) in book.rules() {
+        for (name, route) in map.routes() {
             by_host
-                .entry(rule.host.to_ascii_lowercase())
+                .entry(route.host.to_ascii_lowercase())
                 .or_default()
-                .insert(rule.path.clone(), (name, Arc::new(rule.clone())));
+                .insert(route.path.clone(), (name, Arc::new(route.clone())));
         }
         Self { by_host }
     }
@@ -250,18 +258,18 @@
 
 /// Why on whole segments: /sign must not catch /signal.
 fn longest_prefix<'rules>(
-    rules: &'rules HashMap<String, NamedRoute>,
+    routes: &'rules HashMap<String, NamedRoute>,
     path: &str,
 ) -> Option<&'rules NamedRoute> {
     let path = path.split('?').next().unwrap_or_default();
-    if let Some(found) = rules.get(path) {
+    if let Some(found) = routes.get(path) {
         return Some(found);
     }
     let mut rest = path;
     while let Some(place) = rest.rfind('/') {
-        let found = rules
+        let found = routes
             .get(&path[..=place])
-            .or_else(|| rules.get(&path[..place]));
+            .or_else(|| routes.get(&path[..place]));
         if found.is_some() {
             return found;
         }
--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -2,27 +2,27 @@
 
 use crate::prelude::*;
 
-/// Which part of a pool's first shots may be followed by another shot.
+/// Which part of a service's first attempts may be followed by another attempt.
 pub const RETRY_PERCENT: u32 = 15;
-/// How many further shots each proxy has per window whatever the traffic; twelve proxies share
+/// How many further attempts each proxy has per window whatever the traffic; twelve proxies share
 /// the "few dozen" of the brief.
 pub const RETRY_FLOOR: u32 = 2;
 const RETRY_WINDOW: usize = 10;
-/// How many mishaps in a row put an instance aside.
-const MISHAPS_TO_EJECT: u32 = 5;
+/// How many failures in a row put an instance aside.
+const FAILURES_TO_EJECT: u32 = 5;
 const EJECT_SPAN: Duration = Duration::from_secs(2);
 const EJECT_MOST: Duration = Duration::from_secs(16);
-/// For how long an instance that could not be reached is left alone when it does not beat either.
+/// For how long an instance that could not be reached is left alone when it does not heartbeat either.
 const UNREACHED_SPAN: Duration = Duration::from_secs(3);
 /// For how long what an instance said of its load counts.
 const REPORT_SPAN: Duration = Duration::from_millis(500);
-/// Up to which load a slot instances are chosen before those of the next tier: the own area, the
+/// Up to which load a slot instances are chosen before those of the next tier: the own zone, the
 /// region, beyond.
 const SPILL_LOADS: [f64; 3] = [1.25, 2.0, 2.0];
 
 /// The named states of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderState {
+pub enum RequestState {
     Received,
     Matched,
     Admitted,
@@ -37,10 +37,10 @@
 
 /// Why an order was refused or lost; the answer's status follows from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mishap {
-    NoRule,
+pub enum Failure {
+    NoRoute,
     Stale,
-    AreaClosed,
+    ZoneClosed,
     OutsideHome,
     NoInstance,
     NoOwner,
@@ -64,21 +64,23 @@
     Unknown,
 }
 
-impl Mishap {
+impl Failure {
     pub fn told(self) -> Told {
         match self {
-            Mishap::LostAfterSending | Mishap::LateAfterSending | Mishap::Garbage => Told::Unknown,
+            Failure::LostAfterSending | Failure::LateAfterSending | Failure::Garbage => {
+                Told::Unknown
+            }
             _ => Told::NotRun,
         }
     }
 
     pub fn status(self) -> u16 {
         match self {
-            Mishap::NoRule => 404,
-            Mishap::BodyTooLarge => 413,
-            Mishap::BadFraming | Mishap::MissingKey | Mishap::BadKey => 400,
-            Mishap::LateAfterSending => 504,
-            Mishap::LostAfterSending | Mishap::Garbage => 502,
+            Failure::NoRoute => 404,
+            Failure::BodyTooLarge => 413,
+            Failure::BadFraming | Failure::MissingKey | Failure::BadKey => 400,
+            Failure::LateAfterSending => 504,
+            Failure::LostAfterSending | Failure::Garbage => 502,
             _ => 503,
         }
     }
@@ -86,42 +88,42 @@
     /// When to come back, for those that may be tried again with hope.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            Mishap::NoRule
-            | Mishap::BodyTooLarge
-            | Mishap::BadFraming
-            | Mishap::MissingKey
-            | Mishap::BadKey => None,
-            Mishap::AreaClosed | Mishap::Stale | Mishap::Leaving => Some(Duration::from_secs(2)),
+            Failure::NoRoute
+            | Failure::BodyTooLarge
+            | Failure::BadFraming
+            | Failure::MissingKey
+            | Failure::BadKey => None,
+            Failure::ZoneClosed | Failure::Stale | Failure::Leaving => Some(Duration::from_secs(2)),
             _ => Some(Duration::from_secs(1)),
         }
     }
 
     pub fn word(self) -> &'static str {
         match self {
-            Mishap::NoRule => "no rule matches",
-            Mishap::Stale => "this proxy has lost touch with the core",
-            Mishap::AreaClosed => "this area is closed",
-            Mishap::OutsideHome => "the rule is bound to another region",
-            Mishap::NoInstance => "no instance is free",
-            Mishap::NoOwner => "no instance owns the key just now",
-            Mishap::BodyTooLarge => "the body is over the rule's limit",
-            Mishap::BadFraming => "the framing is malformed or ambiguous",
-            Mishap::MissingKey => "the header with the key is missing",
-            Mishap::BadKey => "the key is none of this pool's",
-            Mishap::LateBeforeSending => "the deadline passed before anything was sent",
-            Mishap::NotOpened => "no circuit to an instance could be opened",
-            Mishap::InstanceRefused => "the instance refused and ran nothing",
-            Mishap::Leaving => "this proxy is about to stop",
-            Mishap::LostAfterSending => "the circuit was lost after sending",
-            Mishap::LateAfterSending => "the deadline passed after sending",
-            Mishap::Garbage => "the instance's answer was malformed",
+            Failure::NoRoute => "no rule matches",
+            Failure::Stale => "this proxy has lost touch with the core",
+            Failure::ZoneClosed => "this zone is closed",
+            Failure::OutsideHome => "the rule is bound to another region",
+            Failure::NoInstance => "no instance is free",
+            Failure::NoOwner => "no instance owns the key just now",
+            Failure::BodyTooLarge => "the body is over the rule's limit",
+            Failure::BadFraming => "the framing is malformed or ambiguous",
+            Failure::MissingKey => "the header with the key is missing",
+            Failure::BadKey => "the key is none of this service's",
+            Failure::LateBeforeSending => "the deadline passed before anything was sent",
+            Failure::NotOpened => "no connection to an instance could be opened",
+            Failure::InstanceRefused => "the instance refused and ran nothing",
+            Failure::Leaving => "this proxy is about to stop",
+            Failure::LostAfterSending => "the connection was lost after sending",
+            Failure::LateAfterSending => "the deadline passed after sending",
+            Failure::Garbage => "the instance's answer was malformed",
         }
     }
 }
 
-/// How one shot at an instance ended.
+/// How one attempt at an instance ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ShotEnd {
+pub enum AttemptEnd {
     /// No byte can have left.
     NotOpened,
     /// The instance said itself that it ran nothing.
@@ -138,46 +140,46 @@
     /// Choose an instance again and shoot.
     ShootAgain,
     PassOn,
-    Answer(Mishap),
+    Answer(Failure),
 }
 
 /// One order's state chart.
 #[derive(Debug, Clone)]
-pub struct OrderChart {
-    state: OrderState,
-    /// Why it matters: a read may be shot again, all else only when provably nothing ran.
+pub struct RequestChart {
+    state: RequestState,
+    /// Why it matters: a read may be attempt again, all else only when provably nothing ran.
     read: bool,
     /// Whether the body can be sent a second time.
     replayable: bool,
-    shots: u32,
-    most_shots: u32,
+    attempts: u32,
+    most_attempts: u32,
     deadline: Duration,
-    /// A shot of this order may have run and its answer is not known.
+    /// An attempt of this order may have run and its answer is not known.
     doubt: bool,
 }
 
-/// How often one order may be shot at most.
-const MOST_SHOTS: u32 = 3;
+/// How often one order may be attempt at most.
+const MOST_ATTEMPTS: u32 = 3;
 
-impl OrderChart {
+impl RequestChart {
     pub fn received(read: bool) -> Self {
         Self {
-            state: OrderState::Received,
+            state: RequestState::Received,
             read,
             replayable: true,
-            shots: 0,
-            most_shots: MOST_SHOTS,
+            attempts: 0,
+            most_attempts: MOST_ATTEMPTS,
             deadline: Duration::ZERO,
             doubt: false,
         }
     }
 
-    /// What the caller may be told: never "not run" once a shot is in doubt.
-    pub fn told(&self, mishap: Mishap) -> Told {
+    /// What the caller may be told: never "not run" once an attempt is in doubt.
+    pub fn told(&self, failure: Failure) -> Told {
         if self.doubt {
             Told::Unknown
         } else {
-            mishap.told()
+            failure.told()
         }
     }
 
@@ -185,12 +187,12 @@
         self.read
     }
 
-    pub fn state(&self) -> OrderState {
+    pub fn state(&self) -> RequestState {
         self.state
     }
 
-    pub fn shots(&self) -> u32 {
-        self.shots
+    pub fn attempts(&self) -> u32 {
+        self.attempts
     }
 
     pub fn deadline(&self) -> Duration {
@@ -198,12 +200,12 @@
     }
 
     /// A rule was found; the deadline counts from here.
-    pub fn matched(&mut self, now: Duration, rule: &Rule) {
-        self.state = OrderState::Matched;
-        self.deadline = now + rule.deadline;
-        self.read = rule.may_repeat(self.read);
-        if rule.most_attempts > 0 {
-            self.most_shots = rule.most_attempts;
+    pub fn matched(&mut self, now: Duration, route: &Route) {
+        self.state = RequestState::Matched;
+        self.deadline = now + route.deadline;
+        self.read = route.may_repeat(self.read);
+        if route.most_attempts > 0 {
+            self.most_attempts = route.most_attempts;
         }
     }
 
@@ -213,73 +215,73 @@
     }
 
     pub fn admitted(&mut self, replayable: bool) {
-        self.state = OrderState::Admitted;
+        self.state = RequestState::Admitted;
         self.replayable = replayable;
     }
 
     pub fn chosen(&mut self) {
-        self.state = OrderState::Chosen;
+        self.state = RequestState::Chosen;
     }
 
     /// The last check before the first byte held; from here on bytes may leave.
     pub fn shooting(&mut self) {
-        self.state = OrderState::Shooting;
-        self.shots += 1;
+        self.state = RequestState::Shooting;
+        self.attempts += 1;
     }
 
     pub fn sent(&mut self) {
-        self.state = OrderState::Sent;
+        self.state = RequestState::Sent;
     }
 
     pub fn done(&mut self) {
-        self.state = OrderState::Done;
+        self.state = RequestState::Done;
     }
 
-    pub fn refuse(&mut self, mishap: Mishap) -> NextStep {
-        self.state = match self.told(mishap) {
-            Told::NotRun => OrderState::Refused,
-            Told::Unknown => OrderState::Unknown,
+    pub fn refuse(&mut self, failure: Failure) -> NextStep {
+        self.state = match self.told(failure) {
+            Told::NotRun => RequestState::Refused,
+            Told::Unknown => RequestState::Unknown,
         };
-        NextStep::Answer(mishap)
+        NextStep::Answer(failure)
     }
 
-    /// What follows the end of a shot; `again` asks the budget and is asked only when it counts.
-    pub fn shot_ended(
+    /// What follows the end of an attempt; `again` asks the budget and is asked only when it counts.
+    pub fn attempt_ended(
         &mut self,
         now: Duration,
-        end: ShotEnd,
+        end: AttemptEnd,
         again: impl FnOnce() -> bool,
     ) -> NextStep {
         let nothing_ran = match end {
-            ShotEnd::Answered => {
-                self.state = OrderState::Answering;
+            AttemptEnd::Answered => {
+                self.state = RequestState::Answering;
                 return NextStep::PassOn;
             }
-            ShotEnd::NotOpened | ShotEnd::RefusedByInstance => true,
-            ShotEnd::Lost | ShotEnd::Late | ShotEnd::Garbage => false,
+            AttemptEnd::NotOpened | AttemptEnd::RefusedByInstance => true,
+            AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::Garbage => false,
         };
         self.doubt |= !nothing_ran;
         let may = (nothing_ran || self.read)
             && self.replayable
-            && self.shots < self.most_shots
-            && end != ShotEnd::Late
+            && self.attempts < self.most_attempts
+            && end != AttemptEnd::Late
             && now < self.deadline;
         if may && again() {
-            self.state = OrderState::Admitted;
+            self.state = RequestState::Admitted;
             return NextStep::ShootAgain;
         }
-        let mishap = match end {
-            ShotEnd::NotOpened => Mishap::NotOpened,
-            ShotEnd::RefusedByInstance => Mishap::InstanceRefused,
-            ShotEnd::Late => Mishap::LateAfterSending,
-            ShotEnd::Garbage => Mishap::Garbage,
-            ShotEnd::Lost | ShotEnd::Answered => Mishap::LostAfterSending,
+        let failure = match end {
+            AttemptEnd::NotOpened => Failure::NotOpened,
+            AttemptEnd::RefusedByInstance => Failure::InstanceRefused,
+            AttemptEnd::Late => Failure::LateAfterSending,
+            AttemptEnd::Garbage => Failure::Garbage,
+            AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
         };
-        self.refuse(mishap)
+        self.refuse(failure)
     }
 }
 
-/// Counts first and further shots over a sliding window of seconds.
+/// Counts first and further attempts over a sliding window of seconds.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
     seconds: VecDeque<(u64, u32, u32)>,
@@ -299,11 +301,11 @@
         &mut self.seconds[place]
     }
 
-    pub fn first_shot(&mut self, now: Duration) {
+    pub fn first_attempt(&mut self, now: Duration) {
         self.roll(now).1 += 1;
     }
 
-    /// Takes one further shot from the budget if there is one.
+    /// Takes one further attempt from the budget if there is one.
     pub fn take(&mut self, now: Duration) -> bool {
         self.roll(now);
         let first: u32 = self.seconds.iter().map(|second| second.1).sum();
@@ -333,7 +335,7 @@
     }
 }
 
-/// One key of a keyed pool, as long as anything is to be known of it.
+/// One key of a keyed service, as long as anything is to be known of it.
 #[derive(Debug, Clone, Default)]
 struct KeyWatch {
     under_way: u32,
@@ -352,57 +354,57 @@
     under_way: u32,
     reported: u32,
     reported_at: Duration,
-    /// Not chosen before a beat later than this one, or this moment: it could not be reached.
+    /// Not chosen before a heartbeat later than this one, or this moment: it could not be reached.
     unreached: Option<(u64, Duration)>,
-    mishaps: u32,
+    failures: u32,
     ejections: u32,
     ejected_until: Duration,
     gentle: Option<GentleBucket>,
 }
 
-/// The target of one shot.
+/// The target of one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    pub pool: PoolName,
+    pub service: ServiceName,
     pub instance: InstanceId,
     pub incarnation: Incarnation,
     pub address: SocketAddr,
-    pub area: Area,
-    pub slice: Option<(u32, Epoch)>,
+    pub zone: Zone,
+    pub key_range: Option<(u32, Epoch)>,
     pub key: Option<u64>,
 }
 
 impl Target {
-    /// Whether an order whose shot at this target ended so is to go elsewhere from now on.
+    /// Whether an order whose attempt at this target ended so is to go elsewhere from now on.
     ///
-    /// Why not always for keyed pools: a slice has one owner, and a circuit that could not be opened
-    /// says nothing of whether it holds the slice.
-    pub fn is_used_up(&self, end: ShotEnd) -> bool {
-        self.slice.is_none() || end == ShotEnd::RefusedByInstance
+    /// Why not always for keyed services: a key range has one owner, and a connection that could not be opened
+    /// says nothing of whether it holds the key range.
+    pub fn is_used_up(&self, end: AttemptEnd) -> bool {
+        self.key_range.is_none() || end == AttemptEnd::RefusedByInstance
     }
 }
 
 /// What a proxy knows of the world, as its agent last told it.
 ///
-/// Why the books and the table are shared: most news is of instances, and a proxy copies its
-/// knowledge for every piece of news; the standing orders may be many thousand.
+/// Why the maps and the table are shared: most news is of instances, and a proxy copies its
+/// knowledge for every piece of news; the configuration may be many thousand.
 #[derive(Debug, Clone, Default)]
 pub struct ProxyKnowledge {
     /// The number of the last answer taken.
     pub last_view: u64,
     pub fresh_until: Duration,
-    pub books: Arc<Follower>,
-    pub table: Arc<RuleTable>,
-    pub instances: BTreeMap<InstanceId, Beat>,
-    pub by_pool: HashMap<PoolName, Vec<Beat>>,
-    pub closed: BTreeSet<Area>,
-    pub regions: BTreeMap<Area, Region>,
+    pub maps: Arc<Follower>,
+    pub table: Arc<RouteTable>,
+    pub instances: BTreeMap<InstanceId, Heartbeat>,
+    pub by_service: HashMap<ServiceName, Vec<Heartbeat>>,
+    pub closed: BTreeSet<Zone>,
+    pub regions: BTreeMap<Zone, Region>,
     pub proxies: u32,
     /// Up to which place of which agent the instances are held.
     pub agent: NodeId,
     pub instances_place: u64,
     pub policy: ProxyPolicy,
-    /// Instances of areas that were taken back, with the last beat heard before: nobody knows yet
+    /// Instances of zones that were taken back, with the last heartbeat heard before: nobody knows yet
     /// whether they turned cold.
     pub doubtful: BTreeMap<InstanceId, u64>,
     /// When owners of keys were first heard to leave.
@@ -420,23 +422,23 @@
         }
         self.last_view = view.number;
         for news in &view.news {
-            if Arc::make_mut(&mut self.books).take(news) == Some(BookName::Standing) {
-                let standing = self.books.book(BookName::Standing);
-                self.table = Arc::new(RuleTable::of(standing));
-                let closed: BTreeSet<Area> = standing
-                    .areas()
-                    .filter(|(_, order)| order.closed)
-                    .map(|(area, _)| area)
+            if Arc::make_mut(&mut self.maps).take(news) == Some(MapName::Configuration) {
+                let configuration = self.maps.map(MapName::Configuration);
+                self.table = Arc::new(RouteTable::of(configuration));
+                let closed: BTreeSet<Zone> = configuration
+                    .zones()
+                    .filter(|(_, request)| request.closed)
+                    .map(|(zone, _)| zone)
                     .collect();
-                let reopened: BTreeSet<Area> = self.closed.difference(&closed).cloned().collect();
+                let reopened: BTreeSet<Zone> = self.closed.difference(&closed).cloned().collect();
                 let doubtful = self.instances.values();
-                let doubtful = doubtful.filter(|beat| reopened.contains(&beat.area));
+                let doubtful = doubtful.filter(|heartbeat| reopened.contains(&heartbeat.zone));
                 self.doubtful
-                    .extend(doubtful.map(|beat| (beat.id.clone(), beat.counter)));
+                    .extend(doubtful.map(|heartbeat| (heartbeat.id.clone(), heartbeat.counter)));
                 self.closed = closed;
-                self.regions = standing
-                    .areas()
-                    .map(|(area, order)| (area, order.region.clone()))
+                self.regions = configuration
+                    .zones()
+                    .map(|(zone, request)| (zone, request.region.clone()))
                     .collect();
             }
         }
@@ -446,21 +448,21 @@
         if view.all_instances || !view.instances.is_empty() {
             let told = view.instances.iter();
             self.instances
-                .extend(told.map(|beat| (beat.id.clone(), beat.clone())));
-            self.by_pool.clear();
-            for beat in self.instances.values() {
-                self.by_pool
-                    .entry(beat.pool.clone())
+                .extend(told.map(|heartbeat| (heartbeat.id.clone(), heartbeat.clone())));
+            self.by_service.clear();
+            for heartbeat in self.instances.values() {
+                self.by_service
+                    .entry(heartbeat.service.clone())
                     .or_default()
-                    .push(beat.clone());
+                    .push(heartbeat.clone());
             }
         }
-        let leaves = |beat: &Beat| beat.state == InstanceState::Leaving;
+        let leaves = |heartbeat: &Heartbeat| heartbeat.state == InstanceState::Leaving;
         let instances = &self.instances;
         self.leaving
             .retain(|id, _| instances.get(id).is_some_and(leaves));
-        for beat in instances.values().filter(|beat| leaves(beat)) {
-            self.leaving.entry(beat.id.clone()).or_insert(asked_at);
+        for heartbeat in instances.values().filter(|heartbeat| leaves(heartbeat)) {
+            self.leaving.entry(heartbeat.id.clone()).or_insert(asked_at);
         }
         self.agent = view.agent;
         self.instances_place = view.instances_place;
@@ -469,70 +471,70 @@
         self.doubtful.retain(|id, counter| {
             instances
                 .get(id)
-                .is_some_and(|beat| beat.counter <= *counter)
+                .is_some_and(|heartbeat| heartbeat.counter <= *counter)
         });
-        // Why both books: being fresh means acting on at least what the agent held when it said so.
-        let caught_up = self.books.book(BookName::Standing).edition >= view.standing
-            && self.books.book(BookName::Tenure).edition >= view.tenure;
+        // Why both maps: being fresh means acting on at least what the agent held when it said so.
+        let caught_up = self.maps.map(MapName::Configuration).version >= view.configuration
+            && self.maps.map(MapName::Ownership).version >= view.ownership;
         if caught_up {
             self.fresh_until = self.fresh_until.max(asked_at + view.left);
         }
     }
 
-    pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
+    pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         match &self
-            .books
-            .book(BookName::Standing)
+            .maps
+            .map(MapName::Configuration)
             .items
             .get(&format!("pool/{name}"))?
             .value
         {
-            Value::Pool { pool } => Some(pool),
+            Value::Service { service } => Some(service),
             _ => None,
         }
     }
 
     /// Whether an instance may be cold, as far as can be told.
-    fn is_cold(&self, beat: &Beat, pool: &Pool) -> bool {
-        beat.is_cold(pool.warm_span) || self.doubtful.contains_key(&beat.id)
+    fn is_cold(&self, heartbeat: &Heartbeat, service: &Service) -> bool {
+        heartbeat.is_cold(service.warm_span) || self.doubtful.contains_key(&heartbeat.id)
     }
 
     /// Whether keys may still go to an owner, though it may be leaving.
-    fn owner_serves(&self, now: Duration, beat: &Beat) -> bool {
-        if beat.state != InstanceState::Leaving {
+    fn owner_serves(&self, now: Duration, heartbeat: &Heartbeat) -> bool {
+        if heartbeat.state != InstanceState::Leaving {
             return true;
         }
-        let since = self.leaving.get(&beat.id);
+        let since = self.leaving.get(&heartbeat.id);
         since.is_some_and(|since| now < *since + self.policy.leaving_owner)
     }
 
     /// Whether what is known here may be acted on.
     pub fn is_usable(&self, now: Duration) -> bool {
-        let known = self.books.book(BookName::Standing).edition > Edition(0);
+        let known = self.maps.map(MapName::Configuration).version > Version(0);
         now < self.fresh_until || (self.policy.serves_on && known)
     }
 
     /// The rule for a host and path.
-    pub fn find(&self, now: Duration, host: &str, path: &str) -> Result<NamedRoute, Mishap> {
+    pub fn find(&self, now: Duration, host: &str, path: &str) -> Result<NamedRoute, Failure> {
         // Why not "no rule" when stale: a rule may have come that we have not heard of.
         let otherwise = if !self.is_usable(now) {
-            Mishap::Stale
+            Failure::Stale
         } else {
-            Mishap::NoRule
+            Failure::NoRoute
         };
         self.table.find(host, path).cloned().ok_or(otherwise)
     }
 
     /// Whether this proxy may carry anything for the rule now.
-    pub fn admits(&self, now: Duration, own_area: &Area, rule: &Rule) -> Result<(), Mishap> {
+    pub fn admits(&self, now: Duration, own_zone: &Zone, route: &Route) -> Result<(), Failure> {
         if !self.is_usable(now) {
-            return Err(Mishap::Stale);
+            return Err(Failure::Stale);
         }
-        if self.closed.contains(own_area) && !self.policy.closed_zone_carries {
-            return Err(Mishap::AreaClosed);
+        if self.closed.contains(own_zone) && !self.policy.closed_zone_carries {
+            return Err(Failure::ZoneClosed);
         }
-        if !self.policy.carries_home && !rule.is_at_home(self.regions.get(own_area)) {
-            return Err(Mishap::OutsideHome);
+        if !self.policy.carries_home && !route.is_at_home(self.regions.get(own_zone)) {
+            return Err(Failure::OutsideHome);
         }
         Ok(())
     }
@@ -541,41 +543,44 @@
     pub fn still_good(
         &self,
         now: Duration,
-        own_area: &Area,
-        rule: &Rule,
+        own_zone: &Zone,
+        route: &Route,
         target: &Target,
-    ) -> Result<(), Mishap> {
-        self.admits(now, own_area, rule)?;
-        let lives = self.instances.get(&target.instance).is_some_and(|beat| {
-            beat.incarnation == target.incarnation
-                && beat.address == target.address
-                && (beat.state != InstanceState::Leaving
-                    || (target.slice.is_some() && self.owner_serves(now, beat)))
-        });
-        if !lives || self.closed.contains(&target.area) {
-            return Err(Mishap::NoInstance);
-        }
-        if let Some((slice, epoch)) = target.slice {
+    ) -> Result<(), Failure> {
+        self.admits(now, own_zone, route)?;
+        let lives = self
+            .instances
+            .get(&target.instance)
+            .is_some_and(|heartbeat| {
+                heartbeat.incarnation == target.incarnation
+                    && heartbeat.address == target.address
+                    && (heartbeat.state != InstanceState::Leaving
+                        || (target.key_range.is_some() && self.owner_serves(now, heartbeat)))
+            });
+        if !lives || self.closed.contains(&target.zone) {
+            return Err(Failure::NoInstance);
+        }
+        if let Some((key_range, epoch)) = target.key_range {
             let holds = self
-                .books
-                .book(BookName::Tenure)
-                .slices(&target.pool)
-                .and_then(|table| table.owners.get(slice as usize)?.as_ref())
+                .maps
+                .map(MapName::Ownership)
+                .key_ranges(&target.service)
+                .and_then(|table| table.owners.get(key_range as usize)?.as_ref())
                 .is_some_and(|owner| owner.epoch == epoch && owner.instance == target.instance);
             if !holds {
-                return Err(Mishap::NoOwner);
+                return Err(Failure::NoOwner);
             }
         }
         Ok(())
     }
 }
 
-/// One pool as one proxy sees it: a shard with its own lock in the daemon.
+/// One service as one proxy sees it: a shard with its own lock in the daemon.
 #[derive(Debug, Clone)]
-pub struct PoolShard {
+pub struct ServiceShard {
     watches: HashMap<InstanceId, InstanceWatch>,
     keys: HashMap<u64, KeyWatch>,
-    /// How many orders for one key this proxy may have under way: its part of the pool's cap.
+    /// How many orders for one key this proxy may have under way: its part of the service's cap.
     key_share: f64,
     budget: RetryBudget,
     chance: Chance,
@@ -585,7 +590,7 @@
     pub no_key_cap: bool,
 }
 
-impl PoolShard {
+impl ServiceShard {
     pub fn new(seed: u64) -> Self {
         Self {
             watches: HashMap::new(),
@@ -598,34 +603,34 @@
         }
     }
 
-    pub fn first_shot(&mut self, now: Duration) {
-        self.budget.first_shot(now);
+    pub fn first_attempt(&mut self, now: Duration) {
+        self.budget.first_attempt(now);
     }
 
     pub fn take_retry(&mut self, now: Duration) -> bool {
         self.budget.take(now)
     }
 
-    /// Makes a watch for a beat, anew when the instance lives another life.
-    fn watch(&mut self, beat: &Beat) -> &mut InstanceWatch {
+    /// Makes a watch for a heartbeat, anew when the instance lives another life.
+    fn watch(&mut self, heartbeat: &Heartbeat) -> &mut InstanceWatch {
         // Why look before: the name is copied once in an instance's life and not for every order.
         if self
             .watches
-            .get(&beat.id)
-            .is_none_or(|watch| watch.incarnation != beat.incarnation)
+            .get(&heartbeat.id)
+            .is_none_or(|watch| watch.incarnation != heartbeat.incarnation)
         {
             let watch = InstanceWatch {
-                incarnation: beat.incarnation,
+                incarnation: heartbeat.incarnation,
                 ..InstanceWatch::default()
             };
-            self.watches.insert(beat.id.clone(), watch);
+            self.watches.insert(heartbeat.id.clone(), watch);
         }
         // Why this cannot miss: it was there or has just been put there.
-        self.watches.get_mut(&beat.id).expect("a watch")
+        self.watches.get_mut(&heartbeat.id).expect("a watch")
     }
 
     /// Forgets the instances that are gone, and the keys that nobody wants any more.
-    pub fn keep_only(&mut self, now: Duration, instances: &BTreeMap<InstanceId, Beat>) {
+    pub fn keep_only(&mut self, now: Duration, instances: &BTreeMap<InstanceId, Heartbeat>) {
         self.watches.retain(|id, _| instances.contains_key(id));
         self.keys
             .retain(|_, watch| watch.under_way > 0 || now < watch.rests_until);
@@ -643,11 +648,17 @@
     ///
     /// Why this proxy's part of the cap only: the cap is what an instance can stand, from however
     /// many proxies; a part is never less than one.
-    fn has_room(&mut self, now: Duration, beat: &Beat, pool: &Pool, proxies: u32) -> bool {
-        let cap = pool.instance_cap.div_ceil(proxies.max(1));
-        let watch = self.watch(beat);
+    fn has_room(
+        &mut self,
+        now: Duration,
+        heartbeat: &Heartbeat,
+        service: &Service,
+        proxies: u32,
+    ) -> bool {
+        let cap = service.instance_cap.div_ceil(proxies.max(1));
+        let watch = self.watch(heartbeat);
         if let Some((counter, until)) = watch.unreached {
-            if beat.counter <= counter && now < until {
+            if heartbeat.counter <= counter && now < until {
                 return false;
             }
             watch.unreached = None;
@@ -655,9 +666,9 @@
         watch.under_way < cap && now >= watch.ejected_until && !watch.over
     }
 
-    /// No connection came about: until it beats again the instance is not chosen.
+    /// No connection came about: until it heartbeats again the instance is not chosen.
     ///
-    /// Why until then: it may come back cold, and only a beat tells. Why for a while only: it may be
+    /// Why until then: it may come back cold, and only a heartbeat tells. Why for a while only: it may be
     /// this proxy alone that cannot reach it.
     pub fn not_opened(&mut self, now: Duration, target: &Target, counter: u64) {
         let watch = self.watches.get_mut(&target.instance);
@@ -670,17 +681,17 @@
     fn gentle_lets(
         &mut self,
         now: Duration,
-        beat: &Beat,
-        pool: &Pool,
+        heartbeat: &Heartbeat,
+        service: &Service,
         knowledge: &ProxyKnowledge,
     ) -> bool {
         // Why divided: the rate is the instance's, however many proxies there are.
-        let rate = pool.cold_rate() / f64::from(knowledge.proxies.max(1));
-        let cold = knowledge.is_cold(beat, pool);
+        let rate = service.cold_rate() / f64::from(knowledge.proxies.max(1));
+        let cold = knowledge.is_cold(heartbeat, service);
         // Why by chance: buckets that all begin empty at once are all full at once, and that many
         // proxies together would send in one second what the instance bears in several.
         let part = self.chance.below(1_000_000) as f64 / 1_000_000.0;
-        let watch = self.watch(beat);
+        let watch = self.watch(heartbeat);
         if !cold {
             watch.gentle = None;
             return true;
@@ -693,96 +704,99 @@
         bucket.tokens >= 1.0
     }
 
-    fn weight(&mut self, now: Duration, beat: &Beat) -> f64 {
-        let watch = self.watch(beat);
+    fn weight(&mut self, now: Duration, heartbeat: &Heartbeat) -> f64 {
+        let watch = self.watch(heartbeat);
         // Why only of late: an instance that told of much to do and was then left alone would else
         // be left alone for ever.
         let told = match now.saturating_sub(watch.reported_at) < REPORT_SPAN {
             true => watch.reported,
             false => 0,
         };
-        let load = f64::from(watch.under_way) + f64::from(told.max(beat.load));
-        load / f64::from(beat.capacity.max(1))
+        let load = f64::from(watch.under_way) + f64::from(told.max(heartbeat.load));
+        load / f64::from(heartbeat.capacity.max(1))
     }
 
-    /// Chooses an instance: same area first, then the region, and never beyond a home region.
+    /// Chooses an instance: same zone first, then the region, and never beyond a home region.
     pub fn choose(
         &mut self,
         now: Duration,
         knowledge: &ProxyKnowledge,
-        own_area: &Area,
-        rule: &Rule,
+        own_zone: &Zone,
+        route: &Route,
         key: Option<&str>,
         tried: &[InstanceId],
-    ) -> Result<Target, Mishap> {
-        self.choose_in(now, knowledge, own_area, rule, &rule.pool, key, tried)
+    ) -> Result<Target, Failure> {
+        self.choose_in(now, knowledge, own_zone, route, &route.service, key, tried)
     }
 
-    /// The same in one of the pools that the rule's requests are split over.
+    /// The same in one of the services that the rule's requests are split over.
     #[allow(clippy::too_many_arguments)]
     pub fn choose_in(
         &mut self,
         now: Duration,
         knowledge: &ProxyKnowledge,
-        own_area: &Area,
-        rule: &Rule,
-        pool_name: &PoolName,
+        own_zone: &Zone,
+        route: &Route,
+        service_name: &ServiceName,
         key: Option<&str>,
         tried: &[InstanceId],
-    ) -> Result<Target, Mishap> {
-        let pool = knowledge.pool(pool_name).ok_or(Mishap::NoInstance)?;
-        if pool.keyed {
-            return self.choose_owner(now, knowledge, rule, pool_name, pool, key, tried);
-        }
-        let own_region = knowledge.regions.get(own_area);
-        let beats = knowledge.by_pool.get(pool_name).ok_or(Mishap::NoInstance)?;
-        let mut tiers: [Vec<&Beat>; 3] = [Vec::new(), Vec::new(), Vec::new()];
-        for beat in beats {
-            if beat.state == InstanceState::Leaving
-                || knowledge.closed.contains(&beat.area)
-                || tried.contains(&beat.id)
+    ) -> Result<Target, Failure> {
+        let service = knowledge.service(service_name).ok_or(Failure::NoInstance)?;
+        if service.keyed {
+            return self.choose_owner(now, knowledge, route, service_name, service, key, tried);
+        }
+        let own_region = knowledge.regions.get(own_zone);
+        let heartbeats = knowledge
+            .by_service
+            .get(service_name)
+            .ok_or(Failure::NoInstance)?;
+        let mut tiers: [Vec<&Heartbeat>; 3] = [Vec::new(), Vec::new(), Vec::new()];
+        for heartbeat in heartbeats {
+            if heartbeat.state == InstanceState::Leaving
+                || knowledge.closed.contains(&heartbeat.zone)
+                || tried.contains(&heartbeat.id)
             {
                 continue;
             }
-            let region = knowledge.regions.get(&beat.area);
-            if !rule.is_at_home(region) {
+            let region = knowledge.regions.get(&heartbeat.zone);
+            if !route.is_at_home(region) {
                 continue;
             }
-            let tier = match (beat.area == *own_area, region == own_region) {
+            let tier = match (heartbeat.zone == *own_zone, region == own_region) {
                 (true, _) => 0,
                 (false, true) => 1,
                 (false, false) => 2,
             };
-            tiers[tier].push(beat);
+            tiers[tier].push(heartbeat);
         }
         if now < self.any_ejected_until {
             self.bound_ejections(now, &tiers);
         }
-        // Why near ones a second time: when all are busy, waiting near by beats waiting far away.
+        // Why near ones a second time: when all are busy, waiting near by heartbeats waiting far away.
         for spill in [SPILL_LOADS, [f64::MAX; 3]] {
             for (tier, most) in tiers.iter().zip(spill) {
-                if let Some(beat) = self.pick(now, tier, pool, knowledge, most) {
-                    return Ok(target_of(beat, None, None));
+                if let Some(heartbeat) = self.pick(now, tier, service, knowledge, most) {
+                    return Ok(target_of(heartbeat, None, None));
                 }
             }
         }
-        Err(Mishap::NoInstance)
+        Err(Failure::NoInstance)
     }
 
     /// Takes instances back when more than half of those that could serve are put aside.
     ///
-    /// Why bounded: that many mishaps say more of the way there than of the instances, and the rest
+    /// Why bounded: that many failures say more of the way there than of the instances, and the rest
     /// would be sunk by all the load.
-    fn bound_ejections(&mut self, now: Duration, tiers: &[Vec<&Beat>; 3]) {
+    fn bound_ejections(&mut self, now: Duration, tiers: &[Vec<&Heartbeat>; 3]) {
         let known: usize = tiers.iter().map(Vec::len).sum();
         let ejected = tiers
             .iter()
             .flatten()
-            .filter(|beat| now < self.watch(beat).ejected_until)
+            .filter(|heartbeat| now < self.watch(heartbeat).ejected_until)
             .count();
         if ejected * 2 > known {
-            for beat in tiers.iter().flatten() {
-                self.watch(beat).ejected_until = Duration::ZERO;
+            for heartbeat in tiers.iter().flatten() {
+                self.watch(heartbeat).ejected_until = Duration::ZERO;
             }
         }
     }
@@ -791,29 +805,29 @@
     fn pick<'beats>(
         &mut self,
         now: Duration,
-        tier: &[&'beats Beat],
-        pool: &Pool,
+        tier: &[&'beats Heartbeat],
+        service: &Service,
         knowledge: &ProxyKnowledge,
         most_load: f64,
-    ) -> Option<&'beats Beat> {
+    ) -> Option<&'beats Heartbeat> {
         let proxies = knowledge.proxies;
         // Why the cold first when their turn has come: it comes seldom, and a cold instance that
         // is never chosen never warms.
-        let is_cold = |beat: &Beat| knowledge.is_cold(beat, pool);
-        for beat in tier.iter().filter(|beat| is_cold(beat)) {
-            if self.has_room(now, beat, pool, proxies)
-                && self.gentle_lets(now, beat, pool, knowledge)
+        let is_cold = |heartbeat: &Heartbeat| knowledge.is_cold(heartbeat, service);
+        for heartbeat in tier.iter().filter(|heartbeat| is_cold(heartbeat)) {
+            if self.has_room(now, heartbeat, service, proxies)
+                && self.gentle_lets(now, heartbeat, service, knowledge)
             {
-                return Some(beat);
+                return Some(heartbeat);
             }
         }
         // Why by drawing first: nearly always one of two drawn is free, and looking at all of them
         // for every order is what an order would mostly cost.
-        let mut best: Option<&Beat> = None;
+        let mut best: Option<&Heartbeat> = None;
         for _ in 0..2 {
             let drawn = *tier.get(self.chance.below(tier.len() as u64) as usize)?;
             if is_cold(drawn)
-                || !self.has_room(now, drawn, pool, proxies)
+                || !self.has_room(now, drawn, service, proxies)
                 || self.weight(now, drawn) > most_load
             {
                 continue;
@@ -829,10 +843,10 @@
         let start = self.chance.below(tier.len() as u64) as usize;
         (0..tier.len())
             .map(|step| tier[(start + step) % tier.len()])
-            .find(|beat| {
-                !is_cold(beat)
-                    && self.has_room(now, beat, pool, proxies)
-                    && self.weight(now, beat) <= most_load
+            .find(|heartbeat| {
+                !is_cold(heartbeat)
+                    && self.has_room(now, heartbeat, service, proxies)
+                    && self.weight(now, heartbeat) <= most_load
             })
     }
 
@@ -841,49 +855,53 @@
         &mut self,
         now: Duration,
         knowledge: &ProxyKnowledge,
-        rule: &Rule,
-        pool_name: &PoolName,
-        pool: &Pool,
+        route: &Route,
+        service_name: &ServiceName,
+        service: &Service,
         key: Option<&str>,
         tried: &[InstanceId],
-    ) -> Result<Target, Mishap> {
-        let key = key.ok_or(Mishap::MissingKey)?;
-        let slice = pool.slice(key).ok_or(Mishap::BadKey)?;
+    ) -> Result<Target, Failure> {
+        let key = key.ok_or(Failure::MissingKey)?;
+        let key_range = service.key_range_of(key).ok_or(Failure::BadKey)?;
         let owner = knowledge
-            .books
-            .book(BookName::Tenure)
-            .slices(pool_name)
-            .and_then(|table| table.owners.get(slice as usize)?.as_ref())
-            .ok_or(Mishap::NoOwner)?;
-        let beat = knowledge
+            .maps
+            .map(MapName::Ownership)
+            .key_ranges(service_name)
+            .and_then(|table| table.owners.get(key_range as usize)?.as_ref())
+            .ok_or(Failure::NoOwner)?;
+        let heartbeat = knowledge
             .instances
             .get(&owner.instance)
-            .filter(|beat| beat.incarnation == owner.incarnation)
-            .filter(|beat| knowledge.owner_serves(now, beat))
-            .filter(|beat| !knowledge.closed.contains(&beat.area))
-            .filter(|beat| rule.is_at_home(knowledge.regions.get(&beat.area)))
-            // Why not again: an owner that says it does not hold the slice will not hold it in the
-            // next moment either, and the shot would be wasted.
-            .filter(|beat| !tried.contains(&beat.id))
-            .ok_or(Mishap::NoOwner)?;
+            .filter(|heartbeat| heartbeat.incarnation == owner.incarnation)
+            .filter(|heartbeat| knowledge.owner_serves(now, heartbeat))
+            .filter(|heartbeat| !knowledge.closed.contains(&heartbeat.zone))
+            .filter(|heartbeat| route.is_at_home(knowledge.regions.get(&heartbeat.zone)))
+            // Why not again: an owner that says it does not hold the key range will not hold it in the
+            // next moment either, and the attempt would be wasted.
+            .filter(|heartbeat| !tried.contains(&heartbeat.id))
+            .ok_or(Failure::NoOwner)?;
         let key = steady_hash(key);
         // Why a cap per key: one hot key must not take all of its owner's room from the others.
-        self.key_share = f64::from(pool.key_cap) / f64::from(knowledge.proxies.max(1));
+        self.key_share = f64::from(service.key_cap) / f64::from(knowledge.proxies.max(1));
         let most = (self.key_share as u32).max(1);
         let hot = self
             .keys
             .get(&key)
             .is_some_and(|watch| watch.under_way >= most || now < watch.rests_until);
         if (hot && !self.no_key_cap)
-            || !self.has_room(now, beat, pool, knowledge.proxies)
-            || !self.gentle_lets(now, beat, pool, knowledge)
+            || !self.has_room(now, heartbeat, service, knowledge.proxies)
+            || !self.gentle_lets(now, heartbeat, service, knowledge)
         {
-            return Err(Mishap::NoInstance);
+            return Err(Failure::NoInstance);
         }
-        Ok(target_of(beat, Some((slice, owner.epoch)), Some(key)))
+        Ok(target_of(
+            heartbeat,
+            Some((key_range, owner.epoch)),
+            Some(key),
+        ))
     }
 
-    /// A shot at the target begins. `cold` spends a token of the gentle rate.
+    /// An attempt at the target begins. `cold` spends a token of the gentle rate.
     pub fn begin(&mut self, now: Duration, target: &Target) {
         if let Some(watch) = self
             .watches
@@ -919,7 +937,7 @@
         }
     }
 
-    /// The shot is over; `load` is what the instance reported with its answer.
+    /// The attempt is over; `load` is what the instance reported with its answer.
     pub fn end(&mut self, now: Duration, target: &Target, good: bool, load: Option<u32>) {
         self.end_key(now, target, load);
         let Some(watch) = self
@@ -935,29 +953,29 @@
             watch.reported_at = now;
         }
         if good {
-            watch.mishaps = 0;
+            watch.failures = 0;
             watch.ejections = 0;
             return;
         }
-        watch.mishaps += 1;
-        if watch.mishaps >= MISHAPS_TO_EJECT {
+        watch.failures += 1;
+        if watch.failures >= FAILURES_TO_EJECT {
             let span = EJECT_SPAN * 2_u32.pow(watch.ejections.min(3));
             watch.ejected_until = now + span.min(EJECT_MOST);
             watch.ejections += 1;
-            watch.mishaps = 0;
+            watch.failures = 0;
             self.any_ejected_until = self.any_ejected_until.max(watch.ejected_until);
         }
     }
 }
 
-fn target_of(beat: &Beat, slice: Option<(u32, Epoch)>, key: Option<u64>) -> Target {
+fn target_of(heartbeat: &Heartbeat, key_range: Option<(u32, Epoch)>, key: Option<u64>) -> Target {
     Target {
-        pool: beat.pool.clone(),
-        instance: beat.id.clone(),
-        incarnation: beat.incarnation,
-        address: beat.address,
-        area: beat.area.clone(),
-        slice,
+        service: heartbeat.service.clone(),
+        instance: heartbeat.id.clone(),
+        incarnation: heartbeat.incarnation,
+        address: heartbeat.address,
+        zone: heartbeat.zone.clone(),
+        key_range,
         key,
     }
 }
--- a/crates/caperworks/src/post.rs
+++ b/crates/caperworks/src/envelope_clock.rs
@@ -26,12 +26,12 @@
 
 /// The stamps that a node holds of the others.
 #[derive(Debug, Clone)]
-pub struct Post {
+pub struct EnvelopeClock {
     node: NodeId,
     held: HashMap<SocketAddr, (Stamp, Duration)>,
 }
 
-impl Post {
+impl EnvelopeClock {
     pub fn new(node: NodeId) -> Self {
         Self {
             node,
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -4,7 +4,7 @@
 
 /// An instance not heard of for this long is gone.
 pub const INSTANCE_SPAN: Duration = Duration::from_millis(3000);
-/// A member whose permit was not renewed for this long is no member.
+/// A member whose lease was not renewed for this long is no member.
 pub const MEMBER_SPAN: Duration = Duration::from_millis(3000);
 
 messages! {
@@ -15,13 +15,13 @@
         2 Leaving,
     }
 
-    /// What an instance says of itself in a beat.
-    struct Beat {
+    /// What an instance says of itself in a heartbeat.
+    struct Heartbeat {
         0 id: InstanceId,
         1 incarnation: Incarnation,
         2 counter: u64,
-        3 pool: PoolName,
-        4 area: Area,
+        3 service: ServiceName,
+        4 zone: Zone,
         5 address: SocketAddr,
         6 capacity: u32,
         7 state: InstanceState,
@@ -41,42 +41,42 @@
 
     /// The zone that a group's clients say they stand in.
     #[derive(Eq)]
-    struct GroupStand { 0 group: String, 1 zone: Area }
+    struct GroupStand { 0 group: String, 1 zone: Zone }
 
     struct Demand {
         0 group: String,
-        1 rule: RuleName,
-        2 orders: u32,
+        1 route: RouteName,
+        2 requests: u32,
         3 locality: Duration,
     }
 
-    /// What a member says of itself when it renews its permit.
+    /// What a member says of itself when it renews its lease.
     struct Member {
         0 node: NodeId,
         1 counter: u64,
         2 role: Role,
-        3 area: Area,
+        3 zone: Zone,
         4 control: SocketAddr,
         5 serving: SocketAddr,
         6 ready: bool,
         7 capacity: u32,
         8 demand: Vec<Demand>,
-        9 editions: Vec<Edition>,
+        9 versions: Vec<Version>,
         10 leaving: bool,
         /// Where groups of clients say that they stand, as a directory heard it.
         11 stands: Vec<GroupStand>,
         /// Its demand is as told before, and left out here.
         12 same_demand: bool,
-        /// A ledger that it renewed at has not heard it since; what it says next goes before this.
+        /// A controller that it renewed at has not heard it since; what it says next goes before this.
         13 silent: bool,
     }
 
     /// A fact on its way between our processes, with the age it had when it left.
-    struct HeardBeat { 0 beat: Beat, 1 age: Duration }
+    struct HeardHeartbeat { 0 heartbeat: Heartbeat, 1 age: Duration }
     struct HeardMember { 0 member: Member, 1 age: Duration }
 }
 
-impl HeardBeat {
+impl HeardHeartbeat {
     /// The same, after it lay on its way for so long.
     pub fn aged(mut self, lain: Duration) -> Self {
         self.age += lain;
@@ -92,10 +92,10 @@
     }
 }
 
-impl Beat {
-    /// What followers need of it: the holds are the keeper's matter.
-    fn for_followers(&self) -> Beat {
-        Beat {
+impl Heartbeat {
+    /// What followers need of it: the holds are the owner manager's matter.
+    fn for_followers(&self) -> Heartbeat {
+        Heartbeat {
             holding: Vec::new(),
             let_go: Vec::new(),
             ..self.clone()
@@ -103,18 +103,18 @@
     }
 
     /// Whether it says something else than that one, besides being later.
-    fn tells_other_than(&self, other: &Beat) -> bool {
+    fn tells_other_than(&self, other: &Heartbeat) -> bool {
         self.incarnation != other.incarnation
             || self.address != other.address
             || self.state != other.state
-            || self.pool != other.pool
-            || self.area != other.area
+            || self.service != other.service
+            || self.zone != other.zone
             || self.capacity != other.capacity
             || self.cold_left.is_zero() != other.cold_left.is_zero()
     }
 
-    /// Whether this beat is news next to that one.
-    fn newer_than(&self, other: &Beat) -> bool {
+    /// Whether this heartbeat is news next to that one.
+    fn newer_than(&self, other: &Heartbeat) -> bool {
         (self.incarnation, self.counter) > (other.incarnation, other.counter)
     }
 
@@ -139,16 +139,16 @@
 /// The known instances.
 #[derive(Debug, Clone)]
 pub struct Instances {
-    known: BTreeMap<InstanceId, Kept<Beat>>,
-    /// Who was heard last at an address. Why kept beside: looking through all for every beat is what
+    known: BTreeMap<InstanceId, Kept<Heartbeat>>,
+    /// Who was heard last at an address. Why kept beside: looking through all for every heartbeat is what
     /// many instances would mostly cost.
     by_address: HashMap<SocketAddr, InstanceId>,
-    /// Those that said themselves that they ended, so that no late beat brings them back.
+    /// Those that said themselves that they ended, so that no late heartbeat brings them back.
     ended: BTreeMap<InstanceId, Kept<()>>,
     learned: u64,
     /// One that was not heard of for this long is gone.
     pub span: Duration,
-    /// How long a beat that says nothing else than the one before need not be passed on.
+    /// How long a heartbeat that says nothing else than the one before need not be passed on.
     pub refresh: Duration,
     /// The place of the last removal.
     removed: u64,
@@ -169,30 +169,31 @@
 }
 
 impl Instances {
-    /// Merges a beat in; says whether it was news.
-    pub fn hear(&mut self, now: Duration, heard: &HeardBeat) -> bool {
+    /// Merges a heartbeat in; says whether it was news.
+    pub fn hear(&mut self, now: Duration, heard: &HeardHeartbeat) -> bool {
         let heard_at = now.saturating_sub(heard.age);
-        if now.saturating_sub(heard_at) >= self.span || self.ended.contains_key(&heard.beat.id) {
+        if now.saturating_sub(heard_at) >= self.span || self.ended.contains_key(&heard.heartbeat.id)
+        {
             return false;
         }
-        if let Some(kept) = self.known.get(&heard.beat.id) {
-            if !heard.beat.newer_than(&kept.fact) {
+        if let Some(kept) = self.known.get(&heard.heartbeat.id) {
+            if !heard.heartbeat.newer_than(&kept.fact) {
                 return false;
             }
         }
         // Why the other leaves: an address has one instance at a time, and the one that was
         // heard of last in a new life is the one that answers there now.
-        let address = heard.beat.address;
-        let newcomer = self.known.get(&heard.beat.id).is_none_or(|kept| {
-            kept.fact.incarnation != heard.beat.incarnation || kept.fact.address != address
+        let address = heard.heartbeat.address;
+        let newcomer = self.known.get(&heard.heartbeat.id).is_none_or(|kept| {
+            kept.fact.incarnation != heard.heartbeat.incarnation || kept.fact.address != address
         });
         let other = self
             .by_address
             .get(&address)
-            .filter(|id| **id != heard.beat.id)
+            .filter(|id| **id != heard.heartbeat.id)
             .cloned();
         if let Some(other) = other {
-            // Why by when it was heard: a late beat of the one before, passed on by a third node,
+            // Why by when it was heard: a late heartbeat of the one before, passed on by a third node,
             // must not push out the one that took its address over.
             let outdone = self
                 .known
@@ -204,12 +205,12 @@
             self.known.remove(&other);
             self.note_removal();
         }
-        if let Some(kept) = self.known.get(&heard.beat.id) {
+        if let Some(kept) = self.known.get(&heard.heartbeat.id) {
             self.by_address.remove(&kept.fact.address);
         }
-        self.by_address.insert(address, heard.beat.id.clone());
-        let quiet = self.known.get(&heard.beat.id).filter(|kept| {
-            !heard.beat.tells_other_than(&kept.fact)
+        self.by_address.insert(address, heard.heartbeat.id.clone());
+        let quiet = self.known.get(&heard.heartbeat.id).filter(|kept| {
+            !heard.heartbeat.tells_other_than(&kept.fact)
                 && now.saturating_sub(kept.told_at) < self.refresh
         });
         // Why its old place: followers are told of what is new, and that it still lives now and then.
@@ -221,9 +222,9 @@
             }
         };
         self.known.insert(
-            heard.beat.id.clone(),
+            heard.heartbeat.id.clone(),
             Kept {
-                fact: heard.beat.clone(),
+                fact: heard.heartbeat.clone(),
                 heard_at,
                 learned,
                 told_at,
@@ -316,39 +317,39 @@
     }
 
     /// The facts learned after a place, with their present age.
-    pub fn after(&self, now: Duration, place: u64) -> Vec<HeardBeat> {
+    pub fn after(&self, now: Duration, place: u64) -> Vec<HeardHeartbeat> {
         self.known
             .values()
             .filter(|kept| kept.learned > place)
-            .map(|kept| HeardBeat {
-                beat: kept.fact.for_followers(),
+            .map(|kept| HeardHeartbeat {
+                heartbeat: kept.fact.for_followers(),
                 age: now.saturating_sub(kept.heard_at),
             })
             .collect()
     }
 
     /// What is known of one instance, with its present age.
-    pub fn heard(&self, now: Duration, id: &InstanceId) -> Option<HeardBeat> {
-        self.known.get(id).map(|kept| HeardBeat {
-            beat: kept.fact.clone(),
+    pub fn heard(&self, now: Duration, id: &InstanceId) -> Option<HeardHeartbeat> {
+        self.known.get(id).map(|kept| HeardHeartbeat {
+            heartbeat: kept.fact.clone(),
             age: now.saturating_sub(kept.heard_at),
         })
     }
 
-    pub fn get(&self, id: &InstanceId) -> Option<&Beat> {
+    pub fn get(&self, id: &InstanceId) -> Option<&Heartbeat> {
         self.known.get(id).map(|kept| &kept.fact)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Beat> {
+    pub fn iter(&self) -> impl Iterator<Item = &Heartbeat> {
         self.known.values().map(|kept| &kept.fact)
     }
 
-    pub fn with_heard(&self) -> impl Iterator<Item = (&Beat, Duration)> {
+    pub fn with_heard(&self) -> impl Iterator<Item = (&Heartbeat, Duration)> {
         self.known.values().map(|kept| (&kept.fact, kept.heard_at))
     }
 }
 
-/// The nodes that hold a permit.
+/// The nodes that hold a lease.
 #[derive(Debug, Clone, Default)]
 pub struct Members {
     known: BTreeMap<NodeId, Kept<Member>>,
--- a/crates/caperworks/src/feed.rs
+++ b/crates/caperworks/src/feed.rs
@@ -2,59 +2,56 @@
 
 use crate::prelude::*;
 
-/// A follower's copy of the books.
+/// A follower's copy of the maps.
 #[derive(Debug, Clone)]
 pub struct Follower {
-    books: Vec<Book>,
+    maps: Vec<ReplicatedMap>,
 }
 
 impl Default for Follower {
     fn default() -> Self {
         Self {
-            books: ALL_BOOKS.iter().map(|_| Book::empty()).collect(),
+            maps: ALL_MAPS.iter().map(|_| ReplicatedMap::empty()).collect(),
         }
     }
 }
 
 impl Follower {
-    pub fn book(&self, name: BookName) -> &Book {
-        &self.books[name.index()]
+    pub fn map(&self, name: MapName) -> &ReplicatedMap {
+        &self.maps[name.index()]
     }
 
-    pub fn editions(&self) -> Vec<Edition> {
-        self.books.iter().map(|book| book.edition).collect()
+    pub fn versions(&self) -> Vec<Version> {
+        self.maps.iter().map(|map| map.version).collect()
     }
 
-    /// Whether this copy holds at least these editions of the books that are wanted.
-    pub fn holds(&self, editions: &[Edition], wants: &[BookName]) -> bool {
+    /// Whether this copy holds at least these versions of the maps that are wanted.
+    pub fn holds(&self, versions: &[Version], wants: &[MapName]) -> bool {
         wants.iter().all(|name| {
-            let named = editions.get(name.index()).copied().unwrap_or_default();
-            self.book(*name).edition >= named
+            let named = versions.get(name.index()).copied().unwrap_or_default();
+            self.map(*name).version >= named
         })
     }
 
-    /// Takes news in; says whether the book moved on.
-    pub fn take(&mut self, news: &Vote) -> Option<BookName> {
+    /// Takes news in; says whether the map moved on.
+    pub fn take(&mut self, news: &ConsensusMessage) -> Option<MapName> {
         match news {
-            Vote::News {
-                book: name,
-                changes,
-            } => {
-                let book = &mut self.books[name.index()];
-                let before = book.edition;
+            ConsensusMessage::News { map: name, changes } => {
+                let map = &mut self.maps[name.index()];
+                let before = map.version;
                 for numbered in changes {
                     // Why only the very next: a gap means news was lost, and the next question
                     // will ask from where we stand.
-                    if numbered.edition == book.edition.next() {
-                        book.apply(&numbered.change);
+                    if numbered.version == map.version.next() {
+                        map.apply(&numbered.change);
                     }
                 }
-                (book.edition > before).then_some(*name)
+                (map.version > before).then_some(*name)
             }
-            Vote::Whole { book: name, whole } => {
-                let book = &mut self.books[name.index()];
-                if whole.edition > book.edition {
-                    *book = whole.clone();
+            ConsensusMessage::Whole { map: name, whole } => {
+                let map = &mut self.maps[name.index()];
+                if whole.version > map.version {
+                    *map = whole.clone();
                     Some(*name)
                 } else {
                     None
@@ -68,10 +65,10 @@
 /// How much a copy keeps at hand for followers that are a little behind, by [`Change::weight`].
 pub const HISTORY_WEIGHT: usize = 4096;
 
-/// The changes of late of one book.
+/// The changes of late of one map.
 ///
 /// Why bounded by weight and not by count: one mapping of a fleet with very many rules is as large
-/// as the book, and a few hundred of them would be more than a small machine has.
+/// as the map, and a few hundred of them would be more than a small machine has.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     changes: VecDeque<NumberedChange>,
@@ -95,52 +92,59 @@
         self.weight = 0;
     }
 
-    /// What a copy that holds `after` needs to come up to `book`: changes, or the whole book.
-    pub fn news_after(&self, name: BookName, book: &Book, after: Edition) -> Option<Vote> {
-        if after >= book.edition {
+    /// What a copy that holds `after` needs to come up to `map`: changes, or the whole map.
+    pub fn news_after(
+        &self,
+        name: MapName,
+        map: &ReplicatedMap,
+        after: Version,
+    ) -> Option<ConsensusMessage> {
+        if after >= map.version {
             return None;
         }
         let reaches = self
             .changes
             .front()
-            .is_some_and(|first| first.edition <= after.next());
+            .is_some_and(|first| first.version <= after.next());
         Some(if reaches {
-            let later = |numbered: &&NumberedChange| numbered.edition > after;
-            Vote::News {
-                book: name,
+            let later = |numbered: &&NumberedChange| numbered.version > after;
+            ConsensusMessage::News {
+                map: name,
                 changes: self.changes.iter().filter(later).cloned().collect(),
             }
         } else {
-            Vote::Whole {
-                book: name,
-                whole: book.clone(),
+            ConsensusMessage::Whole {
+                map: name,
+                whole: map.clone(),
             }
         })
     }
 }
 
-/// What a node that answers followers needs: the books, and the changes of late.
+/// What a node that answers followers needs: the maps, and the changes of late.
 #[derive(Debug, Clone, Default)]
-pub struct Shelf {
+pub struct FeedCache {
     follower: Follower,
-    histories: BTreeMap<BookName, History>,
+    histories: BTreeMap<MapName, History>,
 }
 
-impl Shelf {
+impl FeedCache {
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
-    pub fn take(&mut self, news: &Vote) -> Option<BookName> {
+    pub fn take(&mut self, news: &ConsensusMessage) -> Option<MapName> {
         let before = match news {
-            Vote::News { book, .. } | Vote::Whole { book, .. } => self.follower.book(*book).edition,
+            ConsensusMessage::News { map, .. } | ConsensusMessage::Whole { map, .. } => {
+                self.follower.map(*map).version
+            }
             _ => return None,
         };
         let moved = self.follower.take(news)?;
         let history = self.histories.entry(moved).or_default();
         match news {
-            Vote::News { changes, .. } => {
-                for numbered in changes.iter().filter(|numbered| numbered.edition > before) {
+            ConsensusMessage::News { changes, .. } => {
+                for numbered in changes.iter().filter(|numbered| numbered.version > before) {
                     history.push(numbered.clone());
                 }
             }
@@ -149,11 +153,11 @@
         Some(moved)
     }
 
-    pub fn news_after(&self, name: BookName, after: Edition) -> Option<Vote> {
-        let book = self.follower.book(name);
+    pub fn news_after(&self, name: MapName, after: Version) -> Option<ConsensusMessage> {
+        let map = self.follower.map(name);
         match self.histories.get(&name) {
-            Some(history) => history.news_after(name, book, after),
-            None => History::default().news_after(name, book, after),
+            Some(history) => history.news_after(name, map, after),
+            None => History::default().news_after(name, map, after),
         }
     }
 }
--- a/crates/caperworks/src/words.rs
+++ b/crates/caperworks/src/identifiers.rs
@@ -62,31 +62,31 @@
 }
 
 messages! {
-    /// One life of one process of ours: a ledger keeps it on disk, all others draw it anew.
+    /// One life of one process of ours: a controller keeps it on disk, all others draw it anew.
     number NodeId;
-    /// The version of an item or of a book. It only ever grows.
-    number Edition;
-    /// The term of a duty or of a slice's owner; lower ones are refused.
+    /// The version of an item or of a map. It only ever grows.
+    number Version;
+    /// The term of a leadership role or of a key range's owner; lower ones are refused.
     number Epoch;
     /// One life of an instance, as the instance itself numbers it; a later life has a higher one.
     number Incarnation;
     /// A zone: one place that can lose power as a whole.
-    text Area;
-    /// Areas that lie close to one another.
+    text Zone;
+    /// Zones that lie close to one another.
     text Region;
-    /// A pool of like instances.
-    text PoolName;
+    /// A service of like instances.
+    text ServiceName;
     /// A rule's name; it also names the service that the rule leads to.
-    text RuleName;
+    text RouteName;
     /// What an instance calls itself.
     text InstanceId;
     /// The operator's name for one change set; a repeat of it gets the first answer.
     text ChangeId;
 }
 
-impl Edition {
-    pub fn next(self) -> Edition {
-        Edition(self.0 + 1)
+impl Version {
+    pub fn next(self) -> Version {
+        Version(self.0 + 1)
     }
 }
 
--- a/crates/caperworks/src/island.rs
+++ b/crates/caperworks/src/island.rs
@@ -1,8 +1,8 @@
 //! Islands: agents that carry on together while the core is out of reach.
 //!
-//! The core says yes to a change of the standing orders only once so many agents of the roster hold
+//! The core says yes to a change of the configuration only once so many agents of the roster hold
 //! it that every majority of the roster has one of them ([`yes_quorum`]). So an agent that asks the
-//! others, hears a majority, and holds the highest edition among theirs, holds every change that
+//! others, hears a majority, and holds the highest version among theirs, holds every change that
 //! was told yes before it asked. That is as good as a grant of the core, and lives as long as one.
 
 use crate::prelude::*;
@@ -13,8 +13,8 @@
 pub const ISLAND_LEAD: Duration = Duration::from_millis(1200);
 /// An agent's word counts only once the core made it fresh so long after it learned the roster.
 ///
-/// Why: before that it may have forgotten in a restart what its former life confirmed, and a ledger
-/// may still count by the roster before. Both are over when a member's fact and a permit have run out.
+/// Why: before that it may have forgotten in a restart what its former life confirmed, and a controller
+/// may still count by the roster before. Both are over when a member's fact and a lease have run out.
 pub const SETTLE_SPAN: Duration = Duration::from_millis(5000);
 const ASK_PERIOD: Duration = Duration::from_millis(300);
 const OPEN_ASKS: usize = 8;
@@ -27,24 +27,24 @@
         1 before: Vec<SocketAddr>,
     }
 
-    /// One agent asks another what it holds, and passes on the beats that it heard itself.
+    /// One agent asks another what it holds, and passes on the heartbeats that it heard itself.
     struct IslandAsk {
         0 number: u64,
-        1 editions: Vec<Edition>,
-        2 beats: Vec<HeardBeat>,
+        1 versions: Vec<Version>,
+        2 heartbeats: Vec<HeardHeartbeat>,
     }
 
     /// The answer, with what the asker lacks, and the roster under which this agent's word counts.
     struct IslandTell {
         0 number: u64,
-        1 editions: Vec<Edition>,
-        2 news: Vec<Vote>,
-        3 fit_under: Option<Edition>,
+        1 versions: Vec<Version>,
+        2 news: Vec<ConsensusMessage>,
+        3 fit_under: Option<Version>,
     }
 }
 
-/// The books that an island goes by: what else there is waits for the core.
-pub const ISLAND_BOOKS: [BookName; 2] = [BookName::Standing, BookName::Cohort];
+/// The maps that an island goes by: what else there is waits for the core.
+pub const ISLAND_MAPS: [MapName; 2] = [MapName::Configuration, MapName::Membership];
 
 /// How many of so many agents make a majority, which an island needs.
 pub fn majority_of(agents: usize) -> usize {
@@ -58,10 +58,14 @@
 
 impl Roster {
     /// Whether enough of both sets are among these, by a rule of how many are enough.
-    pub fn enough(&self, is_among: impl Fn(&SocketAddr) -> bool, rule: fn(usize) -> usize) -> bool {
+    pub fn enough(
+        &self,
+        is_among: impl Fn(&SocketAddr) -> bool,
+        route: fn(usize) -> usize,
+    ) -> bool {
         [&self.members, &self.before].into_iter().all(|set| {
             let among = set.iter().filter(|address| is_among(address)).count();
-            set.is_empty() || among >= rule(set.len())
+            set.is_empty() || among >= route(set.len())
         })
     }
 
@@ -88,13 +92,13 @@
 struct OpenAsk {
     number: u64,
     sent_at: Duration,
-    answers: BTreeMap<SocketAddr, Vec<Edition>>,
+    answers: BTreeMap<SocketAddr, Vec<Version>>,
 }
 
 /// An agent's part in an island.
 pub struct Islander {
     own: SocketAddr,
-    roster_edition: Edition,
+    roster_version: Version,
     roster_since: Duration,
     fit: bool,
     number: u64,
@@ -108,7 +112,7 @@
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
-            roster_edition: Edition(0),
+            roster_version: Version(0),
             roster_since: Duration::ZERO,
             fit: false,
             number: 0,
@@ -125,33 +129,33 @@
     }
 
     /// Under which roster this agent's word counts in a majority.
-    pub fn fit_under(&self) -> Option<Edition> {
-        self.fit.then_some(self.roster_edition)
+    pub fn fit_under(&self) -> Option<Version> {
+        self.fit.then_some(self.roster_version)
     }
 
     /// Whether to ask an agent that knows more than we do, though we know no roster to ask.
-    pub fn fetches(&mut self, now: Duration, permit_until: Duration) -> bool {
-        let wanted = now >= permit_until && now >= self.ask_at;
+    pub fn fetches(&mut self, now: Duration, lease_until: Duration) -> bool {
+        let wanted = now >= lease_until && now >= self.ask_at;
         if wanted {
             self.ask_at = now + ASK_PERIOD;
         }
         wanted
     }
 
-    /// Looks at what the core said of late: the roster, and until when its permit lives.
-    pub fn look(&mut self, now: Duration, cohort: &Book, permit_until: Duration) {
-        let edition = cohort.present(ROSTER);
-        if edition != self.roster_edition {
-            self.roster_edition = edition;
+    /// Looks at what the core said of late: the roster, and until when its lease lives.
+    pub fn look(&mut self, now: Duration, membership: &ReplicatedMap, lease_until: Duration) {
+        let version = membership.present(ROSTER);
+        if version != self.roster_version {
+            self.roster_version = version;
             self.roster_since = now;
             self.fit = false;
             self.asks.clear();
         }
-        // Why by the permit's end: it began a span before that, with a round of the core's seats,
+        // Why by the lease's end: it began a span before that, with a round of the core's voters,
         // and whatever was decided before that round is held here now.
-        let proved = now < permit_until
-            && permit_until >= self.roster_since + SETTLE_SPAN + PERMIT_SPAN
-            && edition > Edition(0);
+        let proved = now < lease_until
+            && lease_until >= self.roster_since + SETTLE_SPAN + LEASE_SPAN
+            && version > Version(0);
         self.fit |= proved || self.broken == BrokenIsland::Forgetful;
     }
 
@@ -162,11 +166,11 @@
     pub fn ask(
         &mut self,
         now: Duration,
-        cohort: &Book,
-        permit_until: Duration,
+        membership: &ReplicatedMap,
+        lease_until: Duration,
     ) -> Option<(u64, BTreeSet<SocketAddr>)> {
-        let left = permit_until.saturating_sub(now);
-        let roster = cohort.roster()?;
+        let left = lease_until.saturating_sub(now);
+        let roster = membership.roster()?;
         let mut others = roster.everyone();
         let silent = self.broken == BrokenIsland::Silent;
         let early = left >= ISLAND_LEAD || now < self.ask_at;
@@ -189,18 +193,18 @@
     /// Takes an answer; the news in it must have been taken over before.
     pub fn told(&mut self, from: SocketAddr, tell: &IslandTell, follower: &Follower) {
         // Why under our very roster: an agent that is fit under an older one may not have heard what
-        // was accepted by a ledger that went by that.
-        let counts = tell.fit_under == Some(self.roster_edition);
+        // was accepted by a controller that went by that.
+        let counts = tell.fit_under == Some(self.roster_version);
         let ask = self.asks.iter_mut().find(|ask| ask.number == tell.number);
         if let Some(ask) = ask.filter(|_| counts) {
-            ask.answers.insert(from, tell.editions.clone());
+            ask.answers.insert(from, tell.versions.clone());
         }
         self.weigh(follower);
     }
 
-    /// Looks which asks a majority has answered whose highest editions are held here.
+    /// Looks which asks a majority has answered whose highest versions are held here.
     fn weigh(&mut self, follower: &Follower) {
-        let Some(roster) = follower.book(BookName::Cohort).roster() else {
+        let Some(roster) = follower.map(MapName::Membership).roster() else {
             return;
         };
         let (own, fit, broken) = (self.own, self.fit, self.broken);
@@ -212,10 +216,10 @@
                 BrokenIsland::CountsTheLiving => !ask.answers.is_empty(),
                 _ => roster.enough(heard, majority_of),
             };
-            let holds = ask.answers.values().all(|editions| {
-                ISLAND_BOOKS.iter().all(|name| {
-                    let held = follower.book(*name).edition;
-                    editions.get(name.index()).is_none_or(|told| *told <= held)
+            let holds = ask.answers.values().all(|versions| {
+                ISLAND_MAPS.iter().all(|name| {
+                    let held = follower.map(*name).version;
+                    versions.get(name.index()).is_none_or(|told| *told <= held)
                 })
             });
             if enough && (holds || broken == BrokenIsland::NoPooling) {
--- a/crates/caperworks/src/duty.rs
+++ b/crates/caperworks/src/leadership.rs
@@ -1,20 +1,20 @@
-//! Duties that one node does: the first live ledger in seat order, under an epoch.
+//! Leadership roles that one node does: the first live controller in voter order, under an epoch.
 
 use crate::prelude::*;
 
 pub const SOLVER: &str = "solver";
-pub const TENURE: &str = "tenure";
-pub const SEATING: &str = "seating";
-pub const DUTIES: [&str; 3] = [SOLVER, TENURE, SEATING];
+pub const OWNERSHIP: &str = "tenure";
+pub const VOTER_MANAGEMENT: &str = "seating";
+pub const LEADERSHIPS: [&str; 3] = [SOLVER, OWNERSHIP, VOTER_MANAGEMENT];
 
-/// A ledger not heard of for this long is passed over in the order.
+/// A controller not heard of for this long is passed over in the order.
 pub const SILENCE: Duration = Duration::from_millis(1500);
-/// How long a ledger must have been heard before it takes a duty from a live holder.
+/// How long a controller must have been heard before it takes a leadership role from a live holder.
 pub const STEADY: Duration = Duration::from_millis(4000);
 /// How long a new holder waits before it acts, so that the one before has fallen silent.
-pub const TAKEOVER_WAIT: Duration = PERMIT_SPAN;
+pub const TAKEOVER_WAIT: Duration = LEASE_SPAN;
 
-/// When each ledger was heard, and since when without a gap.
+/// When each controller was heard, and since when without a gap.
 #[derive(Debug, Clone, Default)]
 pub struct Liveness {
     heard: BTreeMap<NodeId, (Duration, Duration)>,
@@ -44,23 +44,23 @@
     }
 }
 
-/// Whose turn a duty is, as this node sees it.
+/// Whose turn a leadership role is, as this node sees it.
 pub fn first_in_order(
     now: Duration,
-    seats: &Seats,
+    voters: &VoterSet,
     liveness: &Liveness,
     holder: Option<NodeId>,
 ) -> Option<NodeId> {
     let holder_lives = holder.is_some_and(|holder| {
-        liveness.alive(now, holder) && seats.holder(holder).is_some_and(|seat| seat.ledger)
+        liveness.alive(now, holder) && voters.holder(holder).is_some_and(|voter| voter.controller)
     });
-    seats
+    voters
         .holders
         .iter()
-        .filter(|seat| seat.ledger)
-        .map(|seat| seat.node)
+        .filter(|voter| voter.controller)
+        .map(|voter| voter.node)
         .find(|node| {
-            // Why steady: a ledger that comes and goes must not drag the duty to and fro.
+            // Why steady: a controller that comes and goes must not drag the leadership role to and fro.
             Some(*node) == holder && holder_lives
                 || if holder_lives {
                     liveness.steady(now, *node)
@@ -70,31 +70,31 @@
         })
 }
 
-/// One duty as one ledger sees it.
+/// One leadership role as one controller sees it.
 #[derive(Debug, Clone)]
-pub struct DutyWatch {
+pub struct LeadershipWatch {
     pub name: &'static str,
     held_since: Option<(Epoch, Duration)>,
     asked_at: Option<Duration>,
 }
 
-/// What a ledger is to do about a duty.
+/// What a controller is to do about a leadership role.
 #[derive(Debug, Clone, PartialEq)]
-pub enum DutyStep {
+pub enum LeadershipStep {
     Rest,
-    /// Write this term, if the item still has the expected edition.
+    /// Write this term, if the item still has the expected version.
     Take {
-        term: DutyTerm,
-        expected: Edition,
+        term: LeadershipTerm,
+        expected: Version,
     },
-    /// The duty is ours under this epoch, and for how long it has been.
+    /// The leadership role is ours under this epoch, and for how long it has been.
     Hold {
         epoch: Epoch,
         held: Duration,
     },
 }
 
-impl DutyWatch {
+impl LeadershipWatch {
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -107,22 +107,22 @@
         &mut self,
         now: Duration,
         node: NodeId,
-        cohort: &Book,
+        membership: &ReplicatedMap,
         rounds: &Rounds,
         liveness: &Liveness,
-    ) -> DutyStep {
-        let Some(seats) = cohort.seats() else {
-            return DutyStep::Rest;
+    ) -> LeadershipStep {
+        let Some(voters) = membership.voters() else {
+            return LeadershipStep::Rest;
         };
-        // Why the round's edition: a later cohort may name another holder, so until we hold it
+        // Why the round's version: a later membership may name another holder, so until we hold it
         // we do nothing under an epoch that may be over.
         let sure = rounds
             .confirmed(now)
-            .is_some_and(|round| round.editions[BookName::Cohort.index()] <= cohort.edition);
+            .is_some_and(|round| round.versions[MapName::Membership.index()] <= membership.version);
         if !sure {
-            return DutyStep::Rest;
+            return LeadershipStep::Rest;
         }
-        let term = cohort.duty(self.name);
+        let term = membership.leadership(self.name);
         if let Some(term) = term.filter(|term| term.holder == node) {
             let since = match self.held_since {
                 Some((epoch, since)) if epoch == term.epoch => since,
@@ -131,7 +131,7 @@
                     now
                 }
             };
-            return DutyStep::Hold {
+            return LeadershipStep::Hold {
                 epoch: term.epoch,
                 held: now.saturating_sub(since),
             };
@@ -141,16 +141,16 @@
             .asked_at
             .is_some_and(|asked| now.saturating_sub(asked) < Duration::from_millis(500));
         let holder = term.map(|term| term.holder);
-        if recently || first_in_order(now, seats, liveness, holder) != Some(node) {
-            return DutyStep::Rest;
+        if recently || first_in_order(now, voters, liveness, holder) != Some(node) {
+            return LeadershipStep::Rest;
         }
         self.asked_at = Some(now);
-        DutyStep::Take {
-            term: DutyTerm {
+        LeadershipStep::Take {
+            term: LeadershipTerm {
                 holder: node,
                 epoch: term.map_or(Epoch(1), |term| term.epoch.next()),
             },
-            expected: cohort.present(&format!("duty/{}", self.name)),
+            expected: membership.present(&format!("duty/{}", self.name)),
         }
     }
 }
--- a/crates/caperworks/src/permits.rs
+++ b/crates/caperworks/src/leases.rs
@@ -1,12 +1,12 @@
-//! Permits: leases that a node renews at the core and that nobody can be kept fresh on alone.
+//! Leases: leases that a node renews at the core and that nobody can be kept fresh on alone.
 //!
-//! A ledger grants only from a round in which a majority of seats told it their editions. The
-//! span counts from the start of that round, so a ledger that is cut off grants nothing.
+//! A controller grants only from a round in which a majority of voters told it their versions. The
+//! span counts from the start of that round, so a controller that is cut off grants nothing.
 
 use crate::prelude::*;
 
-/// How long a permit lives, counted from the start of the round behind it.
-pub const PERMIT_SPAN: Duration = Duration::from_millis(3000);
+/// How long a lease lives, counted from the start of the round behind it.
+pub const LEASE_SPAN: Duration = Duration::from_millis(3000);
 /// What a holder gives up of the span, so that clocks that run apart cannot stretch it.
 pub const DRIFT_MARGIN: Duration = Duration::from_millis(100);
 /// A round older than this is no ground for a new grant.
@@ -18,14 +18,14 @@
 struct OpenRound {
     number: u64,
     started: Duration,
-    answers: BTreeMap<NodeId, Vec<Edition>>,
+    answers: BTreeMap<NodeId, Vec<Version>>,
 }
 
 /// A round that a majority answered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Round {
     pub started: Duration,
-    pub editions: Vec<Edition>,
+    pub versions: Vec<Version>,
 }
 
 /// The grantor's rounds.
@@ -50,25 +50,25 @@
         self.number
     }
 
-    /// Takes a seat's answer; only seats may be passed in.
-    pub fn answer(&mut self, from: NodeId, number: u64, editions: Vec<Edition>, majority: usize) {
+    /// Takes a voter's answer; only voters may be passed in.
+    pub fn answer(&mut self, from: NodeId, number: u64, versions: Vec<Version>, majority: usize) {
         let Some(place) = self.open.iter().position(|round| round.number == number) else {
             return;
         };
         let round = &mut self.open[place];
-        round.answers.insert(from, editions);
+        round.answers.insert(from, versions);
         if round.answers.len() < majority {
             return;
         }
-        let mut highest = vec![Edition(0); ALL_BOOKS.len()];
-        for editions in round.answers.values() {
-            for (own, heard) in highest.iter_mut().zip(editions) {
+        let mut highest = vec![Version(0); ALL_MAPS.len()];
+        for versions in round.answers.values() {
+            for (own, heard) in highest.iter_mut().zip(versions) {
                 *own = (*own).max(*heard);
             }
         }
         let complete = Round {
             started: round.started,
-            editions: highest,
+            versions: highest,
         };
         // Why drop the earlier ones: what they could still tell is older than what is known.
         self.open.drain(..=place);
@@ -81,9 +81,9 @@
             .filter(|round| now.saturating_sub(round.started) < ROUND_AGE_LIMIT)
     }
 
-    /// Whether a majority was heard in a round that began within the permit span.
+    /// Whether a majority was heard in a round that began within the lease span.
     pub fn confirmed(&self, now: Duration) -> Option<&Round> {
-        let span = PERMIT_SPAN - DRIFT_MARGIN;
+        let span = LEASE_SPAN - DRIFT_MARGIN;
         self.latest
             .as_ref()
             .filter(|round| now.saturating_sub(round.started) < span)
@@ -91,7 +91,7 @@
 
     /// Drops the rounds under way.
     ///
-    /// Why when the seats change: answers of two sets of seats make a majority of neither.
+    /// Why when the voters change: answers of two sets of voters make a majority of neither.
     pub fn begin_anew(&mut self) {
         self.open.clear();
     }
@@ -100,20 +100,20 @@
 #[derive(Debug, Clone)]
 struct HeldGrant {
     until: Duration,
-    editions: Vec<Edition>,
+    versions: Vec<Version>,
 }
 
-/// The holder's side of a permit.
+/// The holder's side of a lease.
 #[derive(Debug, Clone, Default)]
-pub struct PermitHolder {
+pub struct LeaseHolder {
     number: u64,
     sent: VecDeque<(u64, Duration)>,
     grants: VecDeque<HeldGrant>,
-    /// Only for proving the observers: treats every grant as if its editions were held.
+    /// Only for proving the observers: treats every grant as if its versions were held.
     pub careless: bool,
 }
 
-impl PermitHolder {
+impl LeaseHolder {
     pub fn renew(&mut self, now: Duration) -> u64 {
         self.number += 1;
         self.sent.push_back((self.number, now));
@@ -129,25 +129,25 @@
         Some(sent.1)
     }
 
-    pub fn granted(&mut self, number: u64, round_age: Duration, editions: Vec<Edition>) {
+    pub fn granted(&mut self, number: u64, round_age: Duration, versions: Vec<Version>) {
         let Some(sent_at) = self.sent_at(number) else {
             return;
         };
         // Why from our sending: the grantor answered after it, so the round began no earlier than
         // our sending less the age it told; counting from here can only be too short.
-        let span = PERMIT_SPAN.saturating_sub(DRIFT_MARGIN);
+        let span = LEASE_SPAN.saturating_sub(DRIFT_MARGIN);
         let until = (sent_at + span).saturating_sub(round_age);
-        self.grants.push_back(HeldGrant { until, editions });
+        self.grants.push_back(HeldGrant { until, versions });
         if self.grants.len() > OPEN_ROUNDS {
             self.grants.pop_front();
         }
     }
 
-    /// Until when the holder is fresh, given what its copy of the books holds.
-    pub fn fresh_until(&self, follower: &Follower, wants: &[BookName]) -> Duration {
+    /// Until when the holder is fresh, given what its copy of the maps holds.
+    pub fn fresh_until(&self, follower: &Follower, wants: &[MapName]) -> Duration {
         self.grants
             .iter()
-            .filter(|grant| self.careless || follower.holds(&grant.editions, wants))
+            .filter(|grant| self.careless || follower.holds(&grant.versions, wants))
             .map(|grant| grant.until)
             .max()
             .unwrap_or(Duration::ZERO)
--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -5,22 +5,22 @@
 //! outside, so the same code runs in the daemons and under the seeded simulator.
 
 #[macro_use]
-mod words;
+mod identifiers;
 
-pub mod agreement;
-pub mod books;
+pub mod configuration;
+pub mod consensus;
 pub mod dispatch;
-pub mod duty;
+pub mod envelope_clock;
 pub mod facts;
 pub mod feed;
 pub mod island;
+pub mod leadership;
+pub mod leases;
 pub mod link;
 pub mod messages;
-pub mod permits;
+pub mod ownership;
 pub mod placement;
 pub mod policy;
-pub mod post;
 pub mod prelude;
+pub mod replicated_map;
 pub mod slots;
-pub mod standing;
-pub mod tenure;
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -1,29 +1,29 @@
-//! A member's link to the core: finds it from the seeds, renews the permit, follows the feed.
+//! A member's link to the core: finds it from the seeds, renews the lease, follows the feed.
 
 use crate::prelude::*;
 
 pub const RENEW_PERIOD: Duration = Duration::from_millis(300);
 /// For how long a number of proxies that was told counts.
 const PROXIES_SPAN: Duration = Duration::from_secs(10);
-/// A ledger that has not answered for this long is left for another.
+/// A controller that has not answered for this long is left for another.
 const PATIENCE: Duration = Duration::from_millis(800);
 
 #[derive(Debug, Clone)]
 pub struct CoreLink {
-    /// The books that this node follows; the others it need not hold.
-    wants: Vec<BookName>,
+    /// The maps that this node follows; the others it need not hold.
+    wants: Vec<MapName>,
     pub seeds: Vec<SocketAddr>,
-    /// Since when ledgers have answered with a majority behind them, without a gap.
+    /// Since when controllers have answered with a majority behind them, without a gap.
     assured_since: Option<Duration>,
-    ledger: SocketAddr,
-    ledger_node: NodeId,
+    controller: SocketAddr,
+    controller_node: NodeId,
     answered_at: Duration,
     renew_at: Duration,
     instances_place: u64,
     members_place: u64,
-    pub post: Post,
-    pub shelf: Shelf,
-    pub permit: PermitHolder,
+    pub envelope_clock: EnvelopeClock,
+    pub feed_cache: FeedCache,
+    pub lease: LeaseHolder,
     pub instances: Instances,
     pub members: Members,
     /// How many proxies there were, as told of late.
@@ -31,45 +31,45 @@
 }
 
 impl CoreLink {
-    pub fn new(node: NodeId, wants: &[BookName], seeds: Vec<SocketAddr>, draw: u64) -> Self {
+    pub fn new(node: NodeId, wants: &[MapName], seeds: Vec<SocketAddr>, draw: u64) -> Self {
         // Why by chance: the members of a whole fleet must not all lean on the first seed.
         let first = seeds[(draw % seeds.len().max(1) as u64) as usize];
         Self {
             wants: wants.to_vec(),
             seeds,
             assured_since: None,
-            ledger: first,
-            ledger_node: NodeId(0),
+            controller: first,
+            controller_node: NodeId(0),
             answered_at: Duration::ZERO,
             renew_at: Duration::ZERO,
             instances_place: 0,
             members_place: 0,
-            post: Post::new(node),
-            shelf: Shelf::default(),
-            permit: PermitHolder::default(),
+            envelope_clock: EnvelopeClock::new(node),
+            feed_cache: FeedCache::default(),
+            lease: LeaseHolder::default(),
             instances: Instances::default(),
             members: Members::default(),
             proxies: VecDeque::new(),
         }
     }
 
-    pub fn ledger(&self) -> SocketAddr {
-        self.ledger
+    pub fn controller(&self) -> SocketAddr {
+        self.controller
     }
 
     pub fn fresh_until(&self) -> Duration {
-        let follower = self.shelf.follower();
-        self.permit.fresh_until(follower, &self.wants)
+        let follower = self.feed_cache.follower();
+        self.lease.fresh_until(follower, &self.wants)
     }
 
-    pub fn editions(&self) -> Vec<Edition> {
-        self.shelf.follower().editions()
+    pub fn versions(&self) -> Vec<Version> {
+        self.feed_cache.follower().versions()
     }
 
-    /// Every ledger that may answer: those of the cohort, and the seeds.
+    /// Every controller that may answer: those of the membership, and the seeds.
     fn candidates(&self) -> Vec<SocketAddr> {
-        let cohort = self.shelf.follower().book(BookName::Cohort);
-        let mut candidates = cohort.seat_addresses(true);
+        let membership = self.feed_cache.follower().map(MapName::Membership);
+        let mut candidates = membership.voter_addresses(true);
         for seed in &self.seeds {
             if !candidates.contains(seed) {
                 candidates.push(*seed);
@@ -80,16 +80,18 @@
 
     fn turn_to_another(&mut self, now: Duration) {
         let candidates = self.candidates();
-        let place = candidates.iter().position(|known| *known == self.ledger);
+        let place = candidates
+            .iter()
+            .position(|known| *known == self.controller);
         let next = place.map_or(0, |place| (place + 1) % candidates.len());
-        self.ledger = candidates[next];
+        self.controller = candidates[next];
         self.answered_at = now;
         self.renew_at = now;
         // Why here: another one's patience begins anew, and would hide that there was a gap.
         self.assured_since = None;
     }
 
-    /// Takes out the instances that have not been heard of; none while no ledger could tell of them.
+    /// Takes out the instances that have not been heard of; none while no controller could tell of them.
     ///
     /// Why: while the core is out of reach nobody's silence means anything.
     pub fn expire_instances(&mut self, now: Duration) -> Vec<InstanceId> {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether a renewal is due; a silent ledger is left first.
+    /// Whether a renewal is due; a silent controller is left first.
     pub fn due(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.answered_at) >= PATIENCE {
             self.turn_to_another(now);
@@ -119,14 +121,14 @@
     pub fn renew(&mut self, now: Duration, member: Member) -> (SocketAddr, Message) {
         self.renew_at = now + RENEW_PERIOD;
         let renewal = Renewal {
-            number: self.permit.renew(now),
+            number: self.lease.renew(now),
             member,
-            ledger: self.ledger_node,
+            controller: self.controller_node,
             instances_after: self.instances_place,
             members_after: self.members_place,
             wants: self.wants.clone(),
         };
-        (self.ledger, Message::Renew { renewal })
+        (self.controller, Message::Renew { renewal })
     }
 
     /// Renews at once, so that the core soon hears what is held now.
@@ -137,19 +139,19 @@
     /// How many proxies share what is shared.
     ///
     /// Why the most of a while: what is shared may at once be shared among more, and only later
-    /// among fewer; a ledger that has just begun has not heard of all.
+    /// among fewer; a controller that has just begun has not heard of all.
     pub fn proxies(&self) -> u32 {
         let told = self.proxies.iter().map(|(_, proxies)| *proxies);
         told.max().unwrap_or(0).max(1)
     }
 
-    /// Takes a ledger's answer; says which books moved on.
-    pub fn granted(&mut self, now: Duration, from: NodeId, granted: &Granted) -> Vec<BookName> {
+    /// Takes a controller's answer; says which maps moved on.
+    pub fn granted(&mut self, now: Duration, from: NodeId, granted: &Granted) -> Vec<MapName> {
         // Why dated by our question: an answer that lay in a socket while we slept, or took long on
         // its way, must not make anyone look alive; it cannot be older than what it answers.
-        if let Some(sent_at) = self.permit.sent_at(granted.number) {
+        if let Some(sent_at) = self.lease.sent_at(granted.number) {
             let lain = now.saturating_sub(sent_at);
-            self.ledger_node = from;
+            self.controller_node = from;
             self.proxies.push_back((now, granted.proxies));
             while self.proxies.len() > 1 && now.saturating_sub(self.proxies[0].0) >= PROXIES_SPAN {
                 self.proxies.pop_front();
@@ -166,16 +168,21 @@
                 self.members.hear(now, &heard.clone().aged(lain));
             }
         }
-        let moved: Vec<BookName> = granted
+        let moved: Vec<MapName> = granted
             .news
             .iter()
-            .filter_map(|news| self.shelf.take(news))
+            .filter_map(|news| self.feed_cache.take(news))
             .collect();
         if granted.assured {
-            self.permit
-                .granted(granted.number, granted.round_age, granted.editions.clone());
-            if self.permit.careless || self.shelf.follower().holds(&granted.editions, &self.wants) {
-                // Why only then: a ledger that grants but cannot bring the news that its grant
+            self.lease
+                .granted(granted.number, granted.round_age, granted.versions.clone());
+            if self.lease.careless
+                || self
+                    .feed_cache
+                    .follower()
+                    .holds(&granted.versions, &self.wants)
+            {
+                // Why only then: a controller that grants but cannot bring the news that its grant
                 // names is of no use, and is left like a silent one.
                 self.answered_at = now;
                 self.assured_since.get_or_insert(now);
@@ -186,10 +193,10 @@
         moved
     }
 
-    /// Where the tenure keeper hears beats, as far as the cohort tells.
-    pub fn keeper(&self) -> Option<SocketAddr> {
-        let cohort = self.shelf.follower().book(BookName::Cohort);
-        let holder = cohort.duty(TENURE)?.holder;
-        Some(cohort.seats()?.holder(holder)?.address)
+    /// Where the key ownership owner manager hears heartbeats, as far as the membership tells.
+    pub fn owner_manager(&self) -> Option<SocketAddr> {
+        let membership = self.feed_cache.follower().map(MapName::Membership);
+        let holder = membership.leadership(OWNERSHIP)?.holder;
+        Some(membership.voters()?.holder(holder)?.address)
     }
 }
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -15,27 +15,27 @@
     #[derive(Eq)]
     struct Founding {
         0 attempt: u64,
-        1 seats: Seats,
+        1 voters: VoterSet,
     }
 
     struct Renewal {
         0 number: u64,
         1 member: Member,
-        3 ledger: NodeId,
+        3 controller: NodeId,
         4 instances_after: u64,
         5 members_after: u64,
-        6 wants: Vec<BookName>,
+        6 wants: Vec<MapName>,
     }
 
     struct Granted {
         0 number: u64,
         1 round_age: Duration,
-        2 editions: Vec<Edition>,
-        3 instances: Vec<HeardBeat>,
+        2 versions: Vec<Version>,
+        3 instances: Vec<HeardHeartbeat>,
         4 instances_place: u64,
         5 members: Vec<HeardMember>,
         6 members_place: u64,
-        7 news: Vec<Vote>,
+        7 news: Vec<ConsensusMessage>,
         8 assured: bool,
         /// Instances that ended, as they said themselves.
         9 gone: Vec<InstanceId>,
@@ -47,9 +47,9 @@
     #[derive(Eq, Default)]
     struct UsageLine {
         0 hour: u64,
-        1 rule: RuleName,
-        2 pool: PoolName,
-        3 orders: u64,
+        1 route: RouteName,
+        2 service: ServiceName,
+        3 requests: u64,
         4 served: u64,
         5 not_run: u64,
         6 unknown: u64,
@@ -59,8 +59,8 @@
 
     struct Pull {
         0 number: u64,
-        1 standing: Edition,
-        2 tenure: Edition,
+        1 configuration: Version,
+        2 ownership: Version,
         3 serving: SocketAddr,
         4 ready: bool,
         5 capacity: u32,
@@ -75,11 +75,11 @@
     struct ProxyView {
         0 number: u64,
         1 left: Duration,
-        2 news: Vec<Vote>,
-        3 instances: Vec<Beat>,
+        2 news: Vec<ConsensusMessage>,
+        3 instances: Vec<Heartbeat>,
         4 proxies: u32,
-        5 standing: Edition,
-        6 tenure: Edition,
+        5 configuration: Version,
+        6 ownership: Version,
         7 agent: NodeId,
         8 instances_place: u64,
         /// Whether the instances are all there are, and not only those that changed.
@@ -87,18 +87,18 @@
     }
 
     enum Message {
-        0 Vote { 0 vote: Vote },
+        0 ConsensusMessage { 0 vote: ConsensusMessage },
         1 RoundAsk { 0 number: u64 },
-        2 RoundAnswer { 0 number: u64, 1 editions: Vec<Edition> },
-        3 SeedAsk { 0 area: Area, 1 founded: bool },
-        4 SeedAnswer { 0 area: Area, 1 founded: bool },
+        2 RoundAnswer { 0 number: u64, 1 versions: Vec<Version> },
+        3 SeedAsk { 0 zone: Zone, 1 founded: bool },
+        4 SeedAnswer { 0 zone: Zone, 1 founded: bool },
         5 FoundAsk { 0 founding: Founding },
         6 FoundTook { 0 attempt: u64 },
-        7 Facts { 0 instances: Vec<HeardBeat>, 1 members: Vec<HeardMember>, 2 gone: Vec<InstanceId> },
+        7 Facts { 0 instances: Vec<HeardHeartbeat>, 1 members: Vec<HeardMember>, 2 gone: Vec<InstanceId> },
         8 Renew { 0 renewal: Renewal },
         9 Grant { 0 granted: Granted },
-        10 BeatNote { 0 ticket: u64, 1 heard: HeardBeat },
-        11 BeatReply { 0 ticket: u64, 1 answer: BeatAnswer },
+        10 HeartbeatForward { 0 ticket: u64, 1 heard: HeardHeartbeat },
+        11 HeartbeatReply { 0 ticket: u64, 1 answer: HeartbeatAnswer },
         12 Pull { 0 pull: Pull },
         13 View { 0 view: ProxyView },
         14 IslandAsk { 0 ask: IslandAsk },
