--- a/crates/caperworks/src/placement.rs
+++ b/crates/caperworks/src/placement.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientGroup {
     pub group: String,
-    pub rule: RuleName,
+    pub route: RouteName,
     pub demand: u32,
     /// Site index and its distance in microseconds, ranked and cut.
     pub list: Vec<(usize, u32)>,
@@ -33,10 +33,10 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Site {
-    pub area: Area,
+    pub zone: Zone,
     /// What the proxies there and the instances behind them can carry without spilling.
     pub capacity: u32,
-    /// What the proxies there can carry when instances of other areas help.
+    /// What the proxies there can carry when instances of other zones help.
     pub proxy_capacity: u32,
 }
 
@@ -65,7 +65,7 @@
 /// Ranks the sites for a group and cuts the list.
 ///
 /// The group that stands for all unseen clients keeps every site: it has no distance to rank by,
-/// and each directory puts its own area first.
+/// and each directory puts its own zone first.
 ///
 /// Why ties go by a hash of both names and not by the site's name alone: many groups that see all
 /// sites alike would else all rank them alike and fill them one after the other.
@@ -73,20 +73,20 @@
     group: &str,
     sites: &[Site],
     last: &[usize],
-    distance: impl Fn(&Area) -> Option<u32>,
+    distance: impl Fn(&Zone) -> Option<u32>,
 ) -> Vec<(usize, u32)> {
     let mut list: Vec<(u32, u64, usize)> = sites
         .iter()
         .enumerate()
         .filter_map(|(index, site)| {
-            let far = distance(&site.area)?;
+            let far = distance(&site.zone)?;
             // Why a bonus: small changes in what is measured must not move clients (7.3.4).
             let far = if last.contains(&index) {
                 far.saturating_sub(STABILITY_BONUS)
             } else {
                 far
             };
-            Some((far, steady_hash(&format!("{group} {}", site.area)), index))
+            Some((far, steady_hash(&format!("{group} {}", site.zone)), index))
         })
         .collect();
     list.sort();
@@ -230,8 +230,8 @@
 struct Measured {
     /// Orders per second, smoothed.
     demand: f64,
-    /// Distance in microseconds by area, smoothed.
-    distance: BTreeMap<Area, f64>,
+    /// Distance in microseconds by zone, smoothed.
+    distance: BTreeMap<Zone, f64>,
     seen_at: Duration,
 }
 
@@ -245,16 +245,16 @@
 /// The solver: keeps the problem instance and solves it again and again.
 #[derive(Debug, Clone, Default)]
 pub struct Solver {
-    measured: BTreeMap<(String, RuleName), Measured>,
+    measured: BTreeMap<(String, RouteName), Measured>,
     /// Where groups say that they stand.
-    stands: BTreeMap<String, Area>,
+    stands: BTreeMap<String, Zone>,
     solved_at: Option<Duration>,
-    live_sites: BTreeSet<Area>,
+    live_sites: BTreeSet<Zone>,
 }
 
 /// What the solver draws its problem from.
 pub struct ProblemView<'view> {
-    pub standing: &'view Book,
+    pub configuration: &'view ReplicatedMap,
     pub instances: &'view Instances,
     pub members: &'view Members,
     pub last: Option<&'view Mapping>,
@@ -268,12 +268,12 @@
 
 /// For each route the first of its host, which stands for all of them; none where each has answers
 /// of its own.
-fn heads_of_hosts(view: &ProblemView<'_>) -> BTreeMap<RuleName, RuleName> {
+fn heads_of_hosts(view: &ProblemView<'_>) -> BTreeMap<RouteName, RouteName> {
     let mut heads = BTreeMap::new();
-    let mut of_host: BTreeMap<&str, RuleName> = BTreeMap::new();
+    let mut of_host: BTreeMap<&str, RouteName> = BTreeMap::new();
     if view.by_host {
-        for (name, rule) in view.standing.rules() {
-            let head = of_host.entry(&rule.host).or_insert_with(|| name.clone());
+        for (name, route) in view.configuration.routes() {
+            let head = of_host.entry(&route.host).or_insert_with(|| name.clone());
             heads.insert(name, head.clone());
         }
     }
@@ -281,19 +281,19 @@
 }
 
 impl Solver {
-    /// Removes closed, crashed and draining sites, and says what is left of each area: the
+    /// Removes closed, crashed and draining sites, and says what is left of each zone: the
     /// capacity of its ready proxies.
-    fn open_sites(view: &ProblemView<'_>) -> BTreeMap<Area, u32> {
-        let closed: BTreeSet<Area> = view
-            .standing
-            .areas()
-            .filter(|(_, order)| order.closed)
-            .map(|(area, _)| area)
+    fn open_sites(view: &ProblemView<'_>) -> BTreeMap<Zone, u32> {
+        let closed: BTreeSet<Zone> = view
+            .configuration
+            .zones()
+            .filter(|(_, request)| request.closed)
+            .map(|(zone, _)| zone)
             .collect();
-        let mut sites: BTreeMap<Area, u32> = BTreeMap::new();
+        let mut sites: BTreeMap<Zone, u32> = BTreeMap::new();
         for proxy in view.members.ready_proxies() {
-            if !closed.contains(&proxy.area) {
-                *sites.entry(proxy.area.clone()).or_default() += proxy.capacity;
+            if !closed.contains(&proxy.zone) {
+                *sites.entry(proxy.zone.clone()).or_default() += proxy.capacity;
             }
         }
         sites
@@ -301,21 +301,21 @@
 
     fn take_in(&mut self, now: Duration, view: &ProblemView<'_>) {
         let heads = heads_of_hosts(view);
-        let mut sums: BTreeMap<(String, RuleName), (u32, BTreeMap<Area, u32>)> = BTreeMap::new();
+        let mut sums: BTreeMap<(String, RouteName), (u32, BTreeMap<Zone, u32>)> = BTreeMap::new();
         for proxy in view
             .members
             .iter()
             .filter(|member| member.role == Role::Proxy)
         {
             for demand in &proxy.demand {
-                let route = heads.get(&demand.rule).unwrap_or(&demand.rule);
+                let route = heads.get(&demand.route).unwrap_or(&demand.route);
                 let entry = sums
                     .entry((demand.group.clone(), route.clone()))
                     .or_default();
-                entry.0 += demand.orders;
+                entry.0 += demand.requests;
                 let micros = demand.locality.as_micros().min(10_000_000) as u32;
                 if micros > 0 {
-                    let nearest = entry.1.entry(proxy.area.clone()).or_insert(micros);
+                    let nearest = entry.1.entry(proxy.zone.clone()).or_insert(micros);
                     *nearest = (*nearest).min(micros);
                 }
             }
@@ -328,18 +328,18 @@
                 measured.demand *= 0.7;
             }
         }
-        for (key, (orders, distances)) in sums {
+        for (key, (requests, distances)) in sums {
             let measured = self.measured.entry(key).or_default();
             // Why up at once and down slowly: too little room is worse than too much.
-            let heard = f64::from(orders);
+            let heard = f64::from(requests);
             measured.demand = if heard > measured.demand {
                 heard
             } else {
                 0.7 * measured.demand + 0.3 * heard
             };
             measured.seen_at = now;
-            for (area, micros) in distances {
-                let kept = measured.distance.entry(area).or_insert(f64::from(micros));
+            for (zone, micros) in distances {
+                let kept = measured.distance.entry(zone).or_insert(f64::from(micros));
                 *kept = 0.8 * *kept + 0.2 * f64::from(micros);
             }
         }
@@ -350,7 +350,7 @@
     /// Solves if the period is over or a site was lost or came back; says the new mapping.
     pub fn step(&mut self, now: Duration, epoch: Epoch, view: &ProblemView<'_>) -> Option<Mapping> {
         let open = Self::open_sites(view);
-        let live: BTreeSet<Area> = open.keys().cloned().collect();
+        let live: BTreeSet<Zone> = open.keys().cloned().collect();
         let due = self
             .solved_at
             .is_none_or(|solved| now.saturating_sub(solved) >= SOLVE_PERIOD);
@@ -367,80 +367,80 @@
         })
     }
 
-    fn place(&self, open: &BTreeMap<Area, u32>, view: &ProblemView<'_>) -> Vec<GroupPlacement> {
-        let regions: BTreeMap<Area, Region> = view
-            .standing
-            .areas()
-            .map(|(area, order)| (area, order.region.clone()))
+    fn place(&self, open: &BTreeMap<Zone, u32>, view: &ProblemView<'_>) -> Vec<GroupPlacement> {
+        let regions: BTreeMap<Zone, Region> = view
+            .configuration
+            .zones()
+            .map(|(zone, request)| (zone, request.region.clone()))
             .collect();
-        let mut instance_capacity: BTreeMap<(PoolName, Area), u32> = BTreeMap::new();
-        for beat in view.instances.iter() {
-            if beat.state == InstanceState::Serving {
+        let mut instance_capacity: BTreeMap<(ServiceName, Zone), u32> = BTreeMap::new();
+        for heartbeat in view.instances.iter() {
+            if heartbeat.state == InstanceState::Serving {
                 *instance_capacity
-                    .entry((beat.pool.clone(), beat.area.clone()))
-                    .or_default() += beat.capacity * view.requests_per_slot;
+                    .entry((heartbeat.service.clone(), heartbeat.zone.clone()))
+                    .or_default() += heartbeat.capacity * view.requests_per_slot;
             }
         }
         let heads = heads_of_hosts(view);
-        let mut by_rule: BTreeMap<RuleName, Vec<(String, u32)>> = view
-            .standing
-            .rules()
+        let mut by_route: BTreeMap<RouteName, Vec<(String, u32)>> = view
+            .configuration
+            .routes()
             .filter(|(name, _)| heads.get(name).is_none_or(|head| head == name))
             .map(|(name, _)| (name, vec![(UNSEEN_GROUP.to_string(), 1)]))
             .collect();
-        for ((group, rule), measured) in &self.measured {
-            if let Some(groups) = by_rule.get_mut(rule) {
+        for ((group, route), measured) in &self.measured {
+            if let Some(groups) = by_route.get_mut(route) {
                 groups.push((group.clone(), measured.demand.ceil().max(1.0) as u32));
             }
         }
         let may_use =
-            |rule: &Rule, area: &Area| view.carries_home || rule.is_at_home(regions.get(area));
+            |route: &Route, zone: &Zone| view.carries_home || route.is_at_home(regions.get(zone));
         // What each rule is expected to bring to a site if it spreads over all it may use.
-        let expected: BTreeMap<RuleName, f64> = view
-            .standing
-            .rules()
-            .map(|(name, rule)| {
-                let wanted = by_rule.get(&name).into_iter().flatten();
+        let expected: BTreeMap<RouteName, f64> = view
+            .configuration
+            .routes()
+            .map(|(name, route)| {
+                let wanted = by_route.get(&name).into_iter().flatten();
                 let demand: f64 = wanted.map(|(_, units)| f64::from(*units)).sum();
                 let usable: f64 = open
                     .iter()
-                    .filter(|(area, _)| may_use(rule, area))
+                    .filter(|(zone, _)| may_use(route, zone))
                     .map(|(_, capacity)| f64::from(*capacity))
                     .sum();
                 (name, demand / usable.max(1.0))
             })
             .collect();
-        let mut expected_at: BTreeMap<&Area, f64> = BTreeMap::new();
-        for (name, rule) in view.standing.rules() {
-            for area in open.keys().filter(|area| may_use(rule, area)) {
-                *expected_at.entry(area).or_default() += expected[&name];
+        let mut expected_at: BTreeMap<&Zone, f64> = BTreeMap::new();
+        for (name, route) in view.configuration.routes() {
+            for zone in open.keys().filter(|zone| may_use(route, zone)) {
+                *expected_at.entry(zone).or_default() += expected[&name];
             }
         }
-        let last: HashMap<(&str, &RuleName), &GroupPlacement> = view
+        let last: HashMap<(&str, &RouteName), &GroupPlacement> = view
             .last
             .iter()
             .flat_map(|mapping| &mapping.groups)
-            .map(|placement| ((placement.group.as_str(), &placement.rule), placement))
+            .map(|placement| ((placement.group.as_str(), &placement.route), placement))
             .collect();
         let mut result = Vec::new();
-        for (name, rule) in view.standing.rules() {
-            let Some(wanted) = by_rule.get(&name) else {
+        for (name, route) in view.configuration.routes() {
+            let Some(wanted) = by_route.get(&name) else {
                 continue;
             };
             let sites: Vec<Site> = open
                 .iter()
-                .filter(|(area, _)| may_use(rule, area))
-                .map(|(area, proxies)| {
+                .filter(|(zone, _)| may_use(route, zone))
+                .map(|(zone, proxies)| {
                     // Why by what is expected at this very site: its proxies serve all rules that
                     // may use it, and one that is bound to few sites needs more of each of them.
-                    let part = expected[&name] / expected_at[area].max(f64::MIN_POSITIVE);
+                    let part = expected[&name] / expected_at[zone].max(f64::MIN_POSITIVE);
                     let share = (f64::from(*proxies) * part).ceil() as u32;
                     let behind = instance_capacity
-                        .get(&(rule.pool.clone(), area.clone()))
+                        .get(&(route.service.clone(), zone.clone()))
                         .copied()
                         .unwrap_or(0);
                     Site {
-                        area: area.clone(),
+                        zone: zone.clone(),
                         capacity: share.min(behind),
                         proxy_capacity: share,
                     }
@@ -454,16 +454,16 @@
                         .iter()
                         .flat_map(|placement| &placement.shares)
                         .filter(|share| share.units > 0)
-                        .filter_map(|share| sites.iter().position(|site| site.area == share.area))
+                        .filter_map(|share| sites.iter().position(|site| site.zone == share.zone))
                         .collect();
                     let measured = self.measured.get(&(group.clone(), name.clone()));
                     ClientGroup {
                         group: group.clone(),
-                        rule: name.clone(),
+                        route: name.clone(),
                         demand: *units,
-                        list: ranked(group, &sites, &used, |area| {
+                        list: ranked(group, &sites, &used, |zone| {
                             let stands = self.stands.get(group);
-                            Some(distance_to(area, measured, stands, &regions))
+                            Some(distance_to(zone, measured, stands, &regions))
                         }),
                         last: used,
                     }
@@ -477,13 +477,13 @@
                     .list
                     .iter()
                     .map(|(site, _)| Share {
-                        area: sites[*site].area.clone(),
+                        zone: sites[*site].zone.clone(),
                         units: placed.units.get(site).copied().unwrap_or(0),
                     })
                     .collect();
                 result.push(GroupPlacement {
                     group: group.group,
-                    rule: group.rule,
+                    route: group.route,
                     shares,
                     unplaced: placed.unplaced,
                 });
@@ -494,28 +494,28 @@
 }
 
 fn distance_to(
-    area: &Area,
+    zone: &Zone,
     measured: Option<&Measured>,
-    stands: Option<&Area>,
-    regions: &BTreeMap<Area, Region>,
+    stands: Option<&Zone>,
+    regions: &BTreeMap<Zone, Region>,
 ) -> u32 {
     let Some(measured) = measured.filter(|measured| !measured.distance.is_empty()) else {
         // Why by where they say they stand: there the kernel tells no round trip.
         return match stands {
-            Some(stands) if stands == area => 0,
-            Some(stands) if regions.get(stands) == regions.get(area) => UNMEASURED_NEAR,
+            Some(stands) if stands == zone => 0,
+            Some(stands) if regions.get(stands) == regions.get(zone) => UNMEASURED_NEAR,
             _ => UNMEASURED_FAR,
         };
     };
-    if let Some(micros) = measured.distance.get(area) {
+    if let Some(micros) = measured.distance.get(zone) {
         return *micros as u32;
     }
-    // Why a guess by region: areas of one region are about a millisecond apart, so what was
+    // Why a guess by region: zones of one region are about a millisecond apart, so what was
     // measured in one of them holds for the others nearly as well.
     measured
         .distance
         .iter()
-        .filter(|(known, _)| regions.get(*known) == regions.get(area))
+        .filter(|(known, _)| regions.get(*known) == regions.get(zone))
         .map(|(_, micros)| *micros as u32 + UNMEASURED_NEAR)
         .min()
         .unwrap_or(UNMEASURED_FAR)
@@ -533,7 +533,7 @@
         return true;
     }
     last.groups.iter().zip(&next.groups).any(|(before, after)| {
-        if before.group != after.group || before.rule != after.rule {
+        if before.group != after.group || before.route != after.route {
             return true;
         }
         let total = |placement: &GroupPlacement| -> u32 {
@@ -544,11 +544,11 @@
                 .sum::<u32>()
                 .max(1)
         };
-        let part = |placement: &GroupPlacement, area: &Area| -> u32 {
+        let part = |placement: &GroupPlacement, zone: &Zone| -> u32 {
             let units = placement
                 .shares
                 .iter()
-                .find(|share| share.area == *area)
+                .find(|share| share.zone == *zone)
                 .map_or(0, |share| share.units);
             units * 100 / total(placement)
         };
@@ -556,14 +556,14 @@
             .shares
             .iter()
             .chain(&after.shares)
-            .any(|share| part(before, &share.area).abs_diff(part(after, &share.area)) > 10)
+            .any(|share| part(before, &share.zone).abs_diff(part(after, &share.zone)) > 10)
     })
 }
 
 /// One answer of the directory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Whereabouts {
-    pub rule: RuleName,
+    pub route: RouteName,
     pub addresses: Vec<SocketAddr>,
     pub lifetime: Duration,
 }
@@ -574,46 +574,46 @@
 /// refused, and any proxy that is alive serves it better.
 pub fn whereabouts_of_host(
     mapping: Option<&Mapping>,
-    rules: &[&RuleName],
+    routes: &[&RouteName],
     group: &str,
-    client_area: &Area,
-    proxies: &[(Area, SocketAddr)],
+    client_zone: &Zone,
+    proxies: &[(Zone, SocketAddr)],
     draw: u64,
 ) -> Option<Whereabouts> {
-    let mut units: BTreeMap<&Area, u64> = BTreeMap::new();
+    let mut units: BTreeMap<&Zone, u64> = BTreeMap::new();
     for placement in mapping.iter().flat_map(|mapping| &mapping.groups) {
-        if placement.group == group && rules.contains(&&placement.rule) {
+        if placement.group == group && routes.contains(&&placement.route) {
             for share in &placement.shares {
-                *units.entry(&share.area).or_default() += u64::from(share.units);
+                *units.entry(&share.zone).or_default() += u64::from(share.units);
             }
         }
     }
-    let alive = |area: &Area| proxies.iter().any(|(known, _)| known == area);
-    let placed: Vec<(&Area, u64)> = units
+    let alive = |zone: &Zone| proxies.iter().any(|(known, _)| known == zone);
+    let placed: Vec<(&Zone, u64)> = units
         .into_iter()
-        .filter(|(area, units)| *units > 0 && alive(area))
+        .filter(|(zone, units)| *units > 0 && alive(zone))
         .collect();
     let total: u64 = placed.iter().map(|(_, units)| units).sum();
     let mut point = draw % total.max(1);
     let mut chosen = None;
-    for (area, units) in &placed {
+    for (zone, units) in &placed {
         if point < *units {
-            chosen = Some(*area);
+            chosen = Some(*zone);
             break;
         }
         point -= units;
     }
-    // Why the own area for those that nobody has measured: a near proxy is rarely wrong.
-    let chosen = chosen.or_else(|| Some(client_area).filter(|area| alive(area)));
+    // Why the own zone for those that nobody has measured: a near proxy is rarely wrong.
+    let chosen = chosen.or_else(|| Some(client_zone).filter(|zone| alive(zone)));
     let addresses: Vec<SocketAddr> = proxies
         .iter()
-        .filter(|(area, _)| chosen.is_none_or(|chosen| chosen == area))
+        .filter(|(zone, _)| chosen.is_none_or(|chosen| chosen == zone))
         .map(|(_, address)| *address)
         .collect();
     (!addresses.is_empty()).then(|| Whereabouts {
-        rule: rules
+        route: routes
             .first()
-            .map_or(RuleName::new(""), |rule| (*rule).clone()),
+            .map_or(RouteName::new(""), |route| (*route).clone()),
         addresses,
         lifetime: ANSWER_LIFETIME,
     })
@@ -622,17 +622,17 @@
 /// Answers where a client should go, from the last mapping and the proxies last heard of.
 pub fn whereabouts(
     mapping: &Mapping,
-    rule: &RuleName,
+    route: &RouteName,
     group: &str,
-    own_area: &Area,
-    proxies: &[(Area, SocketAddr)],
+    own_zone: &Zone,
+    proxies: &[(Zone, SocketAddr)],
     draw: u64,
 ) -> Option<Whereabouts> {
     let find = |wanted: &str| {
         mapping
             .groups
             .iter()
-            .find(|placement| placement.group == wanted && placement.rule == *rule)
+            .find(|placement| placement.group == wanted && placement.route == *route)
     };
     let placement = find(group).or_else(|| find(UNSEEN_GROUP))?;
     let unseen = placement.group == UNSEEN_GROUP;
@@ -642,29 +642,29 @@
         .map(|share| u64::from(share.units))
         .sum();
     let mut point = draw % total.max(1);
-    let mut order: Vec<&Area> = Vec::new();
+    let mut request: Vec<&Zone> = Vec::new();
     for share in &placement.shares {
-        if point < u64::from(share.units) && order.is_empty() {
-            order.insert(0, &share.area);
+        if point < u64::from(share.units) && request.is_empty() {
+            request.insert(0, &share.zone);
         } else {
             point = point.saturating_sub(u64::from(share.units));
         }
     }
     for share in &placement.shares {
-        if !order.contains(&&share.area) {
-            order.push(&share.area);
+        if !request.contains(&&share.zone) {
+            request.push(&share.zone);
         }
     }
-    // Why the own area: a client that nobody has measured asked a directory near it.
-    if unseen && proxies.iter().any(|(area, _)| area == own_area) && order.contains(&own_area) {
-        order.retain(|area| *area != own_area);
-        order.insert(0, own_area);
+    // Why the own zone: a client that nobody has measured asked a directory near it.
+    if unseen && proxies.iter().any(|(zone, _)| zone == own_zone) && request.contains(&own_zone) {
+        request.retain(|zone| *zone != own_zone);
+        request.insert(0, own_zone);
     }
     let mut addresses = Vec::new();
-    for area in order {
+    for zone in request {
         let here: Vec<SocketAddr> = proxies
             .iter()
-            .filter(|(known, _)| known == area)
+            .filter(|(known, _)| known == zone)
             .map(|(_, address)| *address)
             .collect();
         let start = (mix(draw) % here.len().max(1) as u64) as usize;
@@ -672,7 +672,7 @@
     }
     addresses.truncate(LIST_LENGTH);
     (!addresses.is_empty()).then(|| Whereabouts {
-        rule: rule.clone(),
+        route: route.clone(),
         addresses,
         lifetime: ANSWER_LIFETIME,
     })
--- a/crates/caperworks/src/books.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -1,20 +1,20 @@
-//! Books: the state that may never be lost or forked.
+//! Maps: the state that may never be lost or forked.
 //!
-//! A book is a set of named items, each with its own edition, and a book edition that counts the
+//! A map is a set of named items, each with its own version, and a map version that counts the
 //! accepted change sets. The count is the number of the feed.
 
 use crate::prelude::*;
 
-/// How many answered change ids a book remembers, so that a repeat gets its first answer.
+/// How many answered change ids a map remembers, so that a repeat gets its first answer.
 pub const REMEMBERED_CHANGES: usize = 512;
 
 messages! {
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
-    enum BookName {
-        0 Standing,
+    enum MapName {
+        0 Configuration,
         1 Placement,
-        2 Tenure,
-        3 Cohort,
+        2 Ownership,
+        3 Membership,
     }
 
     /// What may be repeated of the requests on a route.
@@ -29,20 +29,20 @@
         3 Upload,
     }
 
-    /// One of the pools that a route's requests are split over.
+    /// One of the services that a route's requests are split over.
     #[derive(Eq)]
     struct SplitPart {
-        0 pool: PoolName,
+        0 service: ServiceName,
         1 weight: u32,
     }
 
-    /// A standing order: which hosts and paths go to which pool.
+    /// A configuration: which hosts and paths go to which service.
     #[derive(Eq, Default)]
-    struct Rule {
+    struct Route {
         0 host: String,
         1 path: String,
         /// Where its requests go when they are not split.
-        2 pool: PoolName,
+        2 service: ServiceName,
         /// The regions that its requests may be served in; none bind it nowhere.
         3 homes: Vec<Region>,
         /// The longest time for which one try is held.
@@ -59,7 +59,7 @@
         11 most_attempts: u32,
     }
 
-    /// How keys fall into slices.
+    /// How keys fall into key ranges.
     #[derive(Copy, Eq, Default)]
     enum KeySpace {
         /// By the hash of any text.
@@ -70,9 +70,9 @@
     }
 
     #[derive(Eq, Default)]
-    struct Pool {
+    struct Service {
         0 keyed: bool,
-        1 slices: u32,
+        1 key_ranges: u32,
         2 instance_cap: u32,
         3 key_cap: u32,
         /// Requests in a thousand seconds that a cold instance bears from all proxies together.
@@ -95,14 +95,14 @@
     }
 
     #[derive(Eq)]
-    struct AreaOrder {
+    struct ZoneSettings {
         0 region: Region,
         1 closed: bool,
     }
 
     #[derive(Eq)]
     struct Share {
-        0 area: Area,
+        0 zone: Zone,
         1 units: u32,
     }
 
@@ -110,7 +110,7 @@
     #[derive(Eq)]
     struct GroupPlacement {
         0 group: String,
-        1 rule: RuleName,
+        1 route: RouteName,
         2 shares: Vec<Share>,
         3 unplaced: u32,
     }
@@ -124,48 +124,48 @@
     }
 
     #[derive(Eq)]
-    struct SliceOwner {
+    struct KeyRangeOwner {
         0 instance: InstanceId,
         1 incarnation: Incarnation,
         2 epoch: Epoch,
-        /// What the owner before handed on of the slice.
+        /// What the owner before handed on of the key range.
         3 handover: Option<String>,
     }
 
     #[derive(Eq)]
-    struct SliceTable {
+    struct KeyRangeTable {
         0 epoch: Epoch,
-        1 owners: Vec<Option<SliceOwner>>,
+        1 owners: Vec<Option<KeyRangeOwner>>,
     }
 
     #[derive(Eq)]
-    struct SeatHolder {
+    struct VoterEntry {
         0 node: NodeId,
         1 address: SocketAddr,
-        2 area: Area,
-        3 ledger: bool,
+        2 zone: Zone,
+        3 controller: bool,
     }
 
     #[derive(Eq)]
-    struct Seats {
-        0 holders: Vec<SeatHolder>,
+    struct VoterSet {
+        0 holders: Vec<VoterEntry>,
     }
 
     #[derive(Eq)]
-    struct DutyTerm {
+    struct LeadershipTerm {
         0 holder: NodeId,
         1 epoch: Epoch,
     }
 
     #[derive(Eq)]
     enum Value {
-        0 Rule { 0 rule: Rule },
-        1 Pool { 0 pool: Pool },
-        2 Area { 0 area: AreaOrder },
+        0 Route { 0 route: Route },
+        1 Service { 0 service: Service },
+        2 Zone { 0 zone: ZoneSettings },
         3 Mapping { 0 mapping: Mapping },
-        4 Slices { 0 table: SliceTable },
-        5 Seats { 0 seats: Seats },
-        6 Duty { 0 term: DutyTerm },
+        4 KeyRanges { 0 table: KeyRangeTable },
+        5 VoterSet { 0 voters: VoterSet },
+        6 Leadership { 0 term: LeadershipTerm },
         7 Roster { 0 roster: Roster },
         8 Limits { 0 limits: CallerLimits },
         /// An item dropped under the operators' own version, which still counts.
@@ -181,19 +181,19 @@
 
     #[derive(Eq)]
     struct Item {
-        0 edition: Edition,
+        0 version: Version,
         1 value: Value,
         2 written: Option<Written>,
     }
 
-    /// One item of a change set. `expected` is the edition that the writer saw; zero means absent.
+    /// One item of a change set. `expected` is the version that the writer saw; zero means absent.
     ///
     /// With `written` the highest version of the operators' own holds: a lower or equal one changes
     /// nothing, whether the item was set or dropped.
     #[derive(Eq)]
     struct Put {
         0 key: String,
-        1 expected: Option<Edition>,
+        1 expected: Option<Version>,
         2 value: Option<Value>,
         3 written: Option<Written>,
     }
@@ -202,7 +202,7 @@
     #[derive(Eq)]
     struct Guard {
         0 key: String,
-        1 expected: Edition,
+        1 expected: Version,
     }
 
     /// A change set: applied whole or not at all.
@@ -216,13 +216,13 @@
     #[derive(Eq)]
     struct AnsweredChange {
         0 id: ChangeId,
-        1 edition: Edition,
+        1 version: Version,
         2 digest: u64,
     }
 
     #[derive(Eq)]
-    struct Book {
-        0 edition: Edition,
+    struct ReplicatedMap {
+        0 version: Version,
         1 items: BTreeMap<String, Item>,
         2 answered: Vec<AnsweredChange>,
     }
@@ -230,52 +230,52 @@
     #[derive(Eq)]
     struct Conflict {
         0 key: String,
-        1 expected: Edition,
-        2 present: Edition,
+        1 expected: Version,
+        2 present: Version,
     }
 }
 
-/// The item by which a duty's new holder shuts out the changes of the one before.
+/// The item by which a leadership role's new holder shuts out the changes of the one before.
 pub const FENCE: &str = "fence";
 
-/// The item of the standing book that bounds what callers may send.
+/// The item of the configuration map that bounds what callers may send.
 pub const LIMITS: &str = "limits/callers";
 
-/// The item of the cohort book that lists the agents.
+/// The item of the membership map that lists the agents.
 pub const ROSTER: &str = "roster";
 
-pub const ALL_BOOKS: [BookName; 4] = [
-    BookName::Standing,
-    BookName::Placement,
-    BookName::Tenure,
-    BookName::Cohort,
+pub const ALL_MAPS: [MapName; 4] = [
+    MapName::Configuration,
+    MapName::Placement,
+    MapName::Ownership,
+    MapName::Membership,
 ];
 
-impl BookName {
+impl MapName {
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-impl fmt::Display for BookName {
+impl fmt::Display for MapName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            BookName::Standing => "standing",
-            BookName::Placement => "placement",
-            BookName::Tenure => "tenure",
-            BookName::Cohort => "cohort",
+            MapName::Configuration => "standing",
+            MapName::Placement => "placement",
+            MapName::Ownership => "tenure",
+            MapName::Membership => "cohort",
         })
     }
 }
 
-/// What a book says of a change before it is proposed on top of it.
+/// What a map says of a change before it is proposed on top of it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Standpoint {
     Fits,
-    /// The same change was accepted before, at this edition.
-    Repeat(Edition),
+    /// The same change was accepted before, at this version.
+    Repeat(Version),
     /// The change's id was used before for something else.
-    IdTaken(Edition),
+    IdTaken(Version),
     Conflicts(Vec<Conflict>),
 }
 
@@ -284,7 +284,7 @@
     pub fn weight(&self) -> usize {
         let of_value = |value: &Value| match value {
             Value::Mapping { mapping } => mapping.groups.len() * LIST_LENGTH,
-            Value::Slices { table } => table.owners.len(),
+            Value::KeyRanges { table } => table.owners.len(),
             _ => 1,
         };
         1 + self
@@ -302,17 +302,17 @@
     }
 }
 
-impl Book {
+impl ReplicatedMap {
     pub fn empty() -> Self {
         Self {
-            edition: Edition(0),
+            version: Version(0),
             items: BTreeMap::new(),
             answered: Vec::new(),
         }
     }
 
-    pub fn present(&self, key: &str) -> Edition {
-        self.items.get(key).map_or(Edition(0), |item| item.edition)
+    pub fn present(&self, key: &str) -> Version {
+        self.items.get(key).map_or(Version(0), |item| item.version)
     }
 
     /// Whether the item holds a version of the operators' own that is as high as the put's.
@@ -352,9 +352,9 @@
             .find(|answered| answered.id == change.id)
         {
             return if answered.digest == change.digest() {
-                Standpoint::Repeat(answered.edition)
+                Standpoint::Repeat(answered.version)
             } else {
-                Standpoint::IdTaken(answered.edition)
+                Standpoint::IdTaken(answered.version)
             };
         }
         let guards = change
@@ -382,9 +382,9 @@
         }
     }
 
-    /// Applies a change that was agreed on for the edition after this one.
+    /// Applies a change that was agreed on for the version after this one.
     pub fn apply(&mut self, change: &Change) {
-        self.edition = self.edition.next();
+        self.version = self.version.next();
         for put in &change.puts {
             if self.is_overtaken(put) {
                 continue;
@@ -399,7 +399,7 @@
                 }
             };
             let item = Item {
-                edition: self.edition,
+                version: self.version,
                 value,
                 written: put.written.clone(),
             };
@@ -407,7 +407,7 @@
         }
         self.answered.push(AnsweredChange {
             id: change.id.clone(),
-            edition: self.edition,
+            version: self.version,
             digest: change.digest(),
         });
         if self.answered.len() > REMEMBERED_CHANGES {
@@ -415,9 +415,9 @@
         }
     }
 
-    pub fn seats(&self) -> Option<&Seats> {
+    pub fn voters(&self) -> Option<&VoterSet> {
         match &self.items.get("seats")?.value {
-            Value::Seats { seats } => Some(seats),
+            Value::VoterSet { voters } => Some(voters),
             _ => None,
         }
     }
@@ -429,27 +429,27 @@
         }
     }
 
-    /// Where the seats are heard: all of them, or only the ledgers.
-    pub fn seat_addresses(&self, ledgers_only: bool) -> Vec<SocketAddr> {
-        self.seats()
+    /// Where the voters are heard: all of them, or only the controllers.
+    pub fn voter_addresses(&self, controllers_only: bool) -> Vec<SocketAddr> {
+        self.voters()
             .iter()
-            .flat_map(|seats| &seats.holders)
-            .filter(|holder| holder.ledger || !ledgers_only)
+            .flat_map(|voters| &voters.holders)
+            .filter(|holder| holder.controller || !controllers_only)
             .map(|holder| holder.address)
             .collect()
     }
 
-    pub fn duty(&self, name: &str) -> Option<&DutyTerm> {
+    pub fn leadership(&self, name: &str) -> Option<&LeadershipTerm> {
         match &self.items.get(&format!("duty/{name}"))?.value {
-            Value::Duty { term } => Some(term),
+            Value::Leadership { term } => Some(term),
             _ => None,
         }
     }
 
-    /// The term under which a duty's holder last took this book over.
-    pub fn fence(&self) -> Option<&DutyTerm> {
+    /// The term under which a leadership role's holder last took this map over.
+    pub fn fence(&self) -> Option<&LeadershipTerm> {
         match &self.items.get(FENCE)?.value {
-            Value::Duty { term } => Some(term),
+            Value::Leadership { term } => Some(term),
             _ => None,
         }
     }
@@ -461,71 +461,71 @@
         }
     }
 
-    pub fn slices(&self, pool: &PoolName) -> Option<&SliceTable> {
-        match &self.items.get(&format!("slices/{pool}"))?.value {
-            Value::Slices { table } => Some(table),
+    pub fn key_ranges(&self, service: &ServiceName) -> Option<&KeyRangeTable> {
+        match &self.items.get(&format!("slices/{service}"))?.value {
+            Value::KeyRanges { table } => Some(table),
             _ => None,
         }
     }
 
-    pub fn rules(&self) -> impl Iterator<Item = (RuleName, &Rule)> {
+    pub fn routes(&self) -> impl Iterator<Item = (RouteName, &Route)> {
         self.items.iter().filter_map(
             |(key, item)| match (key.strip_prefix("rule/"), &item.value) {
-                (Some(name), Value::Rule { rule }) => Some((RuleName::new(name), rule)),
+                (Some(name), Value::Route { route }) => Some((RouteName::new(name), route)),
                 _ => None,
             },
         )
     }
 
-    pub fn pools(&self) -> impl Iterator<Item = (PoolName, &Pool)> {
+    pub fn services(&self) -> impl Iterator<Item = (ServiceName, &Service)> {
         self.items.iter().filter_map(
             |(key, item)| match (key.strip_prefix("pool/"), &item.value) {
-                (Some(name), Value::Pool { pool }) => Some((PoolName::new(name), pool)),
+                (Some(name), Value::Service { service }) => Some((ServiceName::new(name), service)),
                 _ => None,
             },
         )
     }
 
-    pub fn areas(&self) -> impl Iterator<Item = (Area, &AreaOrder)> {
+    pub fn zones(&self) -> impl Iterator<Item = (Zone, &ZoneSettings)> {
         self.items.iter().filter_map(
             |(key, item)| match (key.strip_prefix("area/"), &item.value) {
-                (Some(name), Value::Area { area }) => Some((Area::new(name), area)),
+                (Some(name), Value::Zone { zone }) => Some((Zone::new(name), zone)),
                 _ => None,
             },
         )
     }
 }
 
-impl Seats {
+impl VoterSet {
     pub fn majority(&self) -> usize {
         self.holders.len() / 2 + 1
     }
 
-    pub fn holder(&self, node: NodeId) -> Option<&SeatHolder> {
+    pub fn holder(&self, node: NodeId) -> Option<&VoterEntry> {
         self.holders.iter().find(|holder| holder.node == node)
     }
 }
 
-impl Rule {
-    /// The pools that its requests may go to.
-    pub fn pools(&self) -> impl Iterator<Item = &PoolName> {
-        let whole = self.split.is_empty().then_some(&self.pool);
+impl Route {
+    /// The services that its requests may go to.
+    pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
+        let whole = self.split.is_empty().then_some(&self.service);
         whole
             .into_iter()
-            .chain(self.split.iter().map(|part| &part.pool))
+            .chain(self.split.iter().map(|part| &part.service))
     }
 
-    /// The pool for one request, by a draw.
-    pub fn pool_for(&self, draw: u64) -> &PoolName {
+    /// The service for one request, by a draw.
+    pub fn service_for(&self, draw: u64) -> &ServiceName {
         let total: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
         let mut point = draw % total.max(1);
         for part in &self.split {
             if point < u64::from(part.weight) {
-                return &part.pool;
+                return &part.service;
             }
             point -= u64::from(part.weight);
         }
-        &self.pool
+        &self.service
     }
 
     /// Whether it may be served in a region.
@@ -543,28 +543,28 @@
     }
 }
 
-impl Pool {
+impl Service {
     /// Requests a second that a cold instance bears from all proxies together.
     pub fn cold_rate(&self) -> f64 {
         f64::from(self.cold_rate_milli) / 1000.0
     }
 
-    /// The slice that a key falls into; none for a key that is none of this pool's.
-    pub fn slice(&self, key: &str) -> Option<u32> {
+    /// The key range that a key falls into; none for a key that is none of this service's.
+    pub fn key_range_of(&self, key: &str) -> Option<u32> {
         match self.key_space {
-            KeySpace::Hashed => Some(slice_of(key, self.slices)),
+            KeySpace::Hashed => Some(key_range_of_hash(key, self.key_ranges)),
             KeySpace::Ranges => {
                 let number: u16 = key.parse().ok()?;
-                Some((u64::from(number) * u64::from(self.slices) / KEYS) as u32)
+                Some((u64::from(number) * u64::from(self.key_ranges) / KEYS) as u32)
             }
         }
     }
 
-    /// The first and last key of a slice, of a pool whose keys fall into ranges.
-    pub fn key_range(&self, slice: u32) -> (u32, u32) {
-        let slices = u64::from(self.slices.max(1));
-        let first = (u64::from(slice) * KEYS).div_ceil(slices);
-        let after = (u64::from(slice + 1) * KEYS).div_ceil(slices);
+    /// The first and last key of a key range, of a service whose keys fall into ranges.
+    pub fn key_bounds(&self, key_range: u32) -> (u32, u32) {
+        let key_ranges = u64::from(self.key_ranges.max(1));
+        let first = (u64::from(key_range) * KEYS).div_ceil(key_ranges);
+        let after = (u64::from(key_range + 1) * KEYS).div_ceil(key_ranges);
         (first as u32, (after - 1) as u32)
     }
 }
--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -1,7 +1,7 @@
 //! Disk: two slots written in turn, with a short log between.
 //!
 //! A slot holds the whole state under a generation; the log holds what came after it, each line
-//! under the same generation. All three lie in areas of a fixed size that are laid out before
+//! under the same generation. All three lie in zones of a fixed size that are laid out before
 //! use, so a full disk cannot take away the room to vote. Nothing counts until synced.
 
 use crate::prelude::*;
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of agreement, disk, feed, permits, facts and duties.
+//! Stories of agreement, disk, feed, leases, facts and leadership roles.
 
 use caperworks::prelude::*;
 
@@ -6,12 +6,12 @@
     Duration::from_millis(number)
 }
 
-fn area_put(name: &str, expected: Option<u64>) -> Put {
+fn zone_put(name: &str, expected: Option<u64>) -> Put {
     Put {
         key: format!("area/{name}"),
-        expected: expected.map(Edition),
-        value: Some(Value::Area {
-            area: AreaOrder {
+        expected: expected.map(Version),
+        value: Some(Value::Zone {
+            zone: ZoneSettings {
                 region: Region::new("east"),
                 closed: false,
             },
@@ -28,109 +28,117 @@
     }
 }
 
-fn holder(number: u64, ledger: bool) -> SeatHolder {
-    SeatHolder {
+fn holder(number: u64, controller: bool) -> VoterEntry {
+    VoterEntry {
         node: NodeId(number),
         address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
-        area: Area::new(format!("area-{number}")),
-        ledger,
+        zone: Zone::new(format!("area-{number}")),
+        controller,
     }
 }
 
-fn founding(ledgers: u64, witnesses: u64) -> Change {
-    let holders = (1..=ledgers + witnesses)
-        .map(|number| holder(number, number <= ledgers))
+fn founding(controllers: u64, witnesses: u64) -> Change {
+    let holders = (1..=controllers + witnesses)
+        .map(|number| holder(number, number <= controllers))
         .collect();
-    let value = Some(Value::Seats {
-        seats: Seats { holders },
+    let value = Some(Value::VoterSet {
+        voters: VoterSet { holders },
     });
     let key = "seats".to_string();
     change(
         "founding",
         vec![Put {
             key,
-            expected: Some(Edition(0)),
+            expected: Some(Version(0)),
             value,
             written: None,
         }],
     )
 }
 
-/// A council in memory: seats by number, one proposer each, and messages carried by hand.
-struct Council {
-    seats: BTreeMap<u64, Seat>,
+/// A council in memory: voters by number, one proposer each, and messages carried by hand.
+struct Consensus {
+    voters: BTreeMap<u64, Voter>,
     proposers: BTreeMap<u64, Proposer>,
     down: BTreeSet<u64>,
     chance: Chance,
     now: Duration,
-    verdicts: Vec<(u64, Verdict)>,
+    proposal_outcomes: Vec<(u64, ProposalOutcome)>,
 }
 
-impl Council {
-    fn new(ledgers: u64, witnesses: u64) -> Self {
-        let mut seats = BTreeMap::new();
+impl Consensus {
+    fn new(controllers: u64, witnesses: u64) -> Self {
+        let mut voters = BTreeMap::new();
         let mut proposers = BTreeMap::new();
-        for number in 1..=ledgers + witnesses {
-            let mut seat = Seat::default();
-            seat.hear(Vote::Chosen {
-                book: BookName::Cohort,
-                edition: Edition(1),
-                change: founding(ledgers, witnesses),
+        for number in 1..=controllers + witnesses {
+            let mut voter = Voter::default();
+            voter.hear(ConsensusMessage::Commit {
+                map: MapName::Membership,
+                version: Version(1),
+                change: founding(controllers, witnesses),
             });
-            seats.insert(number, seat);
+            voters.insert(number, voter);
             let options = ProposerOptions::default();
-            let proposer = Proposer::new(BookName::Standing, NodeId(number), options);
+            let proposer = Proposer::new(MapName::Configuration, NodeId(number), options);
             proposers.insert(number, proposer);
         }
         Self {
-            seats,
+            voters,
             proposers,
             down: BTreeSet::new(),
             chance: Chance::seeded(1),
             now: Duration::ZERO,
-            verdicts: Vec::new(),
+            proposal_outcomes: Vec::new(),
         }
     }
 
-    /// Carries votes from one proposer to all living seats and their replies back, to the end.
+    /// Carries votes from one proposer to all living voters and their replies back, to the end.
     fn carry(&mut self, from: u64, outcome: ProposerOutcome) {
-        self.verdicts.extend(outcome.verdicts);
-        let mut to_seats: VecDeque<(Option<u64>, Vote)> = outcome
-            .to_seats
+        self.proposal_outcomes.extend(outcome.proposal_outcomes);
+        let mut to_voters: VecDeque<(Option<u64>, ConsensusMessage)> = outcome
+            .to_voters
             .into_iter()
             .map(|vote| (None, vote))
             .collect();
-        to_seats.extend(
+        to_voters.extend(
             outcome
                 .to_one
                 .into_iter()
                 .map(|(node, vote)| (Some(node.0), vote)),
         );
-        while let Some((only, vote)) = to_seats.pop_front() {
-            let numbers: Vec<u64> = self.seats.keys().copied().collect();
+        while let Some((only, vote)) = to_voters.pop_front() {
+            let numbers: Vec<u64> = self.voters.keys().copied().collect();
             for number in numbers {
                 if self.down.contains(&number) || only.is_some_and(|only| only != number) {
                     continue;
                 }
                 let replies = self
-                    .seats
+                    .voters
                     .get_mut(&number)
                     .expect("seat")
                     .hear(vote.clone())
                     .replies;
                 for reply in replies {
-                    if let Vote::CatchUp { .. } | Vote::News { .. } | Vote::Whole { .. } = reply {
-                        let back = self.seats.get_mut(&from).expect("seat").hear(reply).replies;
+                    if let ConsensusMessage::CatchUp { .. }
+                    | ConsensusMessage::News { .. }
+                    | ConsensusMessage::Whole { .. } = reply
+                    {
+                        let back = self
+                            .voters
+                            .get_mut(&from)
+                            .expect("seat")
+                            .hear(reply)
+                            .replies;
                         for vote in back {
-                            self.seats.get_mut(&number).expect("seat").hear(vote);
+                            self.voters.get_mut(&number).expect("seat").hear(vote);
                         }
                         continue;
                     }
                     let proposer = self.proposers.get_mut(&from).expect("proposer");
-                    let more = proposer.hear(self.now, NodeId(number), &reply, &self.seats[&from]);
-                    self.verdicts.extend(more.verdicts);
-                    to_seats.extend(more.to_seats.into_iter().map(|vote| (None, vote)));
-                    to_seats.extend(
+                    let more = proposer.hear(self.now, NodeId(number), &reply, &self.voters[&from]);
+                    self.proposal_outcomes.extend(more.proposal_outcomes);
+                    to_voters.extend(more.to_voters.into_iter().map(|vote| (None, vote)));
+                    to_voters.extend(
                         more.to_one
                             .into_iter()
                             .map(|(node, vote)| (Some(node.0), vote)),
@@ -142,9 +150,9 @@
 
     fn tick(&mut self, number: u64, later: u64) {
         self.now += millis(later);
-        let seat = &self.seats[&number];
+        let voter = &self.voters[&number];
         let proposer = self.proposers.get_mut(&number).expect("proposer");
-        let outcome = proposer.tick(self.now, seat, &mut self.chance);
+        let outcome = proposer.tick(self.now, voter, &mut self.chance);
         self.carry(number, outcome);
     }
 
@@ -156,27 +164,30 @@
             .propose(now, ticket, change);
     }
 
-    fn verdict(&self, ticket: u64) -> Option<&Verdict> {
-        self.verdicts
+    fn proposal_outcome(&self, ticket: u64) -> Option<&ProposalOutcome> {
+        self.proposal_outcomes
             .iter()
             .find(|(known, _)| *known == ticket)
-            .map(|(_, verdict)| verdict)
+            .map(|(_, proposal_outcome)| proposal_outcome)
     }
 }
 
 #[test]
 fn given_two_racing_changes_to_one_item_when_both_are_proposed_then_one_wins_and_one_learns_why() {
-    let mut council = Council::new(3, 0);
-    council.propose(1, 10, change("left", vec![area_put("e1", Some(0))]));
-    council.propose(2, 20, change("right", vec![area_put("e1", Some(0))]));
+    let mut consensus = Consensus::new(3, 0);
+    consensus.propose(1, 10, change("left", vec![zone_put("e1", Some(0))]));
+    consensus.propose(2, 20, change("right", vec![zone_put("e1", Some(0))]));
     for _ in 0..20 {
-        council.tick(1, 50);
-        council.tick(2, 50);
+        consensus.tick(1, 50);
+        consensus.tick(2, 50);
     }
-    assert_eq!(council.verdict(10), Some(&Verdict::Accepted(Edition(1))));
-    match council.verdict(20) {
-        Some(Verdict::Conflicts(conflicts)) => {
-            assert_eq!(conflicts[0].present, Edition(1));
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::Accepted(Version(1)))
+    );
+    match consensus.proposal_outcome(20) {
+        Some(ProposalOutcome::Conflicts(conflicts)) => {
+            assert_eq!(conflicts[0].present, Version(1));
             assert_eq!(conflicts[0].key, "area/e1");
         }
         other => panic!("the loser was told {other:?}"),
@@ -185,150 +196,183 @@
 
 #[test]
 fn given_racing_changes_to_different_items_when_proposed_then_both_are_accepted() {
-    let mut council = Council::new(3, 2);
-    council.propose(1, 10, change("left", vec![area_put("e1", Some(0))]));
-    council.propose(2, 20, change("right", vec![area_put("e2", Some(0))]));
+    let mut consensus = Consensus::new(3, 2);
+    consensus.propose(1, 10, change("left", vec![zone_put("e1", Some(0))]));
+    consensus.propose(2, 20, change("right", vec![zone_put("e2", Some(0))]));
     for _ in 0..20 {
-        council.tick(1, 50);
-        council.tick(2, 50);
+        consensus.tick(1, 50);
+        consensus.tick(2, 50);
     }
-    assert!(matches!(council.verdict(10), Some(Verdict::Accepted(_))));
-    assert!(matches!(council.verdict(20), Some(Verdict::Accepted(_))));
-    let editions: BTreeSet<Edition> = council
-        .seats
+    assert!(matches!(
+        consensus.proposal_outcome(10),
+        Some(ProposalOutcome::Accepted(_))
+    ));
+    assert!(matches!(
+        consensus.proposal_outcome(20),
+        Some(ProposalOutcome::Accepted(_))
+    ));
+    let versions: BTreeSet<Version> = consensus
+        .voters
         .values()
-        .map(|seat| seat.book(BookName::Standing).edition)
+        .map(|voter| voter.map(MapName::Configuration).version)
         .collect();
-    assert_eq!(editions, BTreeSet::from([Edition(2)]));
+    assert_eq!(versions, BTreeSet::from([Version(2)]));
 }
 
 #[test]
 fn given_a_change_taken_by_a_majority_when_its_proposer_dies_then_the_next_finishes_it_first() {
-    let mut council = Council::new(3, 0);
-    let orphan = change("orphan", vec![area_put("e1", Some(0))]);
+    let mut consensus = Consensus::new(3, 0);
+    let orphan = change("orphan", vec![zone_put("e1", Some(0))]);
     let ballot = Ballot {
         round: 5,
         node: NodeId(1),
     };
     for number in [1, 3] {
-        let offer = Vote::Offer {
-            book: BookName::Standing,
-            cohort: Edition(1),
-            edition: Edition(1),
+        let offer = ConsensusMessage::Accept {
+            map: MapName::Configuration,
+            membership: Version(1),
+            version: Version(1),
             ballot,
             change: orphan.clone(),
         };
-        council.seats.get_mut(&number).expect("seat").hear(offer);
+        consensus.voters.get_mut(&number).expect("seat").hear(offer);
     }
-    council.down.insert(1);
-    council.propose(2, 20, change("next", vec![area_put("e2", Some(0))]));
+    consensus.down.insert(1);
+    consensus.propose(2, 20, change("next", vec![zone_put("e2", Some(0))]));
     for _ in 0..40 {
-        council.tick(2, 50);
+        consensus.tick(2, 50);
     }
-    let book = council.seats[&2].book(BookName::Standing);
-    assert_eq!(book.answered[0].id, orphan.id, "the orphan is edition 1");
-    assert_eq!(council.verdict(20), Some(&Verdict::Accepted(Edition(2))));
+    let map = consensus.voters[&2].map(MapName::Configuration);
+    assert_eq!(map.answered[0].id, orphan.id, "the orphan is version 1");
+    assert_eq!(
+        consensus.proposal_outcome(20),
+        Some(&ProposalOutcome::Accepted(Version(2)))
+    );
 }
 
 #[test]
 fn given_no_majority_when_time_runs_out_then_not_offered_is_refused_and_offered_is_unknown() {
-    let mut council = Council::new(3, 0);
-    council.down.extend([2, 3]);
-    council.propose(1, 10, change("alone", vec![area_put("e1", None)]));
+    let mut consensus = Consensus::new(3, 0);
+    consensus.down.extend([2, 3]);
+    consensus.propose(1, 10, change("alone", vec![zone_put("e1", None)]));
     for _ in 0..60 {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(10), Some(&Verdict::NoMajority));
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::NoMajority)
+    );
     // A majority promises, then falls silent before it can take the offer.
-    let mut council = Council::new(3, 0);
-    council.propose(1, 11, change("cut-short", vec![area_put("e2", None)]));
-    let proposer = council.proposers.get_mut(&1).expect("proposer");
-    let asked = proposer.tick(millis(10), &council.seats[&1], &mut council.chance);
+    let mut consensus = Consensus::new(3, 0);
+    consensus.propose(1, 11, change("cut-short", vec![zone_put("e2", None)]));
+    let proposer = consensus.proposers.get_mut(&1).expect("proposer");
+    let asked = proposer.tick(millis(10), &consensus.voters[&1], &mut consensus.chance);
     let mut offered = false;
     for number in [2, 3] {
-        let replies = council
-            .seats
+        let replies = consensus
+            .voters
             .get_mut(&number)
             .expect("seat")
-            .hear(asked.to_seats[0].clone());
+            .hear(asked.to_voters[0].clone());
         let outcome = proposer.hear(
             millis(20),
             NodeId(number),
             &replies.replies[0],
-            &council.seats[&1],
+            &consensus.voters[&1],
         );
         offered |= outcome
-            .to_seats
+            .to_voters
             .iter()
-            .any(|vote| matches!(vote, Vote::Offer { .. }));
+            .any(|vote| matches!(vote, ConsensusMessage::Accept { .. }));
     }
     assert!(offered, "two promises are a majority");
-    council.down.extend([1, 2, 3]);
+    consensus.down.extend([1, 2, 3]);
     for _ in 0..60 {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(11), Some(&Verdict::Unknown));
+    assert_eq!(
+        consensus.proposal_outcome(11),
+        Some(&ProposalOutcome::Unknown)
+    );
 }
 
 #[test]
-fn given_a_ledger_whose_books_are_behind_when_a_change_comes_then_it_is_not_called_faulty() {
-    let mut council = Council::new(3, 0);
-    council.down.extend([2, 3]);
+fn given_a_controller_whose_maps_are_behind_when_a_change_comes_then_it_is_not_called_faulty() {
+    let mut consensus = Consensus::new(3, 0);
+    consensus.down.extend([2, 3]);
     let needs_what_is_not_here = Put {
         key: "pool/that-others-have".to_string(),
         expected: None,
         value: None,
         written: None,
     };
-    council.propose(1, 10, change("drop", vec![needs_what_is_not_here]));
-    council.tick(1, 50);
-    assert_eq!(council.verdict(10), None, "alone it cannot know");
+    consensus.propose(1, 10, change("drop", vec![needs_what_is_not_here]));
+    consensus.tick(1, 50);
+    assert_eq!(consensus.proposal_outcome(10), None, "alone it cannot know");
     for _ in 0..60 {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(10), Some(&Verdict::NoMajority));
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::NoMajority)
+    );
 }
 
 #[test]
 fn given_an_accepted_change_when_it_is_sent_again_then_it_gets_the_first_answer() {
-    let mut council = Council::new(3, 0);
-    let first = change("same", vec![area_put("e1", Some(0))]);
-    council.propose(1, 1, first.clone());
-    council.tick(1, 50);
-    council.propose(2, 2, first);
-    council.propose(3, 3, change("same", vec![area_put("other", None)]));
+    let mut consensus = Consensus::new(3, 0);
+    let first = change("same", vec![zone_put("e1", Some(0))]);
+    consensus.propose(1, 1, first.clone());
+    consensus.tick(1, 50);
+    consensus.propose(2, 2, first);
+    consensus.propose(3, 3, change("same", vec![zone_put("other", None)]));
     for _ in 0..10 {
-        council.tick(2, 50);
-        council.tick(3, 50);
+        consensus.tick(2, 50);
+        consensus.tick(3, 50);
     }
-    assert_eq!(council.verdict(1), Some(&Verdict::Accepted(Edition(1))));
-    assert_eq!(council.verdict(2), Some(&Verdict::Repeat(Edition(1))));
-    assert_eq!(council.verdict(3), Some(&Verdict::IdTaken(Edition(1))));
+    assert_eq!(
+        consensus.proposal_outcome(1),
+        Some(&ProposalOutcome::Accepted(Version(1)))
+    );
+    assert_eq!(
+        consensus.proposal_outcome(2),
+        Some(&ProposalOutcome::Repeat(Version(1)))
+    );
+    assert_eq!(
+        consensus.proposal_outcome(3),
+        Some(&ProposalOutcome::IdTaken(Version(1)))
+    );
 }
 
 #[test]
-fn given_a_seat_of_another_cohort_when_asked_then_it_gives_no_vote_and_the_lagging_side_learns() {
-    let mut seat = Seat::default();
-    seat.hear(Vote::Chosen {
-        book: BookName::Cohort,
-        edition: Edition(1),
+fn given_a_voter_of_another_membership_when_asked_then_it_gives_no_vote_and_the_lagging_side_learns(
+) {
+    let mut voter = Voter::default();
+    voter.hear(ConsensusMessage::Commit {
+        map: MapName::Membership,
+        version: Version(1),
         change: founding(3, 0),
     });
-    for cohort in [Edition(0), Edition(2)] {
-        let outcome = seat.hear(Vote::Ask {
-            book: BookName::Standing,
-            cohort,
-            edition: Edition(1),
+    for membership in [Version(0), Version(2)] {
+        let outcome = voter.hear(ConsensusMessage::Prepare {
+            map: MapName::Configuration,
+            membership,
+            version: Version(1),
             ballot: Ballot {
                 round: 1,
                 node: NodeId(2),
             },
         });
-        assert!(outcome.records.is_empty(), "no vote under cohort {cohort}");
+        assert!(
+            outcome.records.is_empty(),
+            "no vote under membership {membership}"
+        );
         let learns = outcome.replies.iter().any(|reply| {
             matches!(
                 reply,
-                Vote::Whole { .. } | Vote::News { .. } | Vote::CatchUp { .. }
+                ConsensusMessage::Whole { .. }
+                    | ConsensusMessage::News { .. }
+                    | ConsensusMessage::CatchUp { .. }
             )
         });
         assert!(learns);
@@ -444,58 +488,62 @@
 
 #[test]
 fn given_a_follower_when_news_has_gaps_or_is_old_then_it_never_skips_and_never_goes_back() {
-    let mut shelf = Shelf::default();
-    let numbered = |edition: u64| NumberedChange {
-        edition: Edition(edition),
-        change: change(&format!("change-{edition}"), vec![area_put("e1", None)]),
+    let mut feed_cache = FeedCache::default();
+    let numbered = |version: u64| NumberedChange {
+        version: Version(version),
+        change: change(&format!("change-{version}"), vec![zone_put("e1", None)]),
     };
-    let news = |from: u64, to: u64| Vote::News {
-        book: BookName::Standing,
+    let news = |from: u64, to: u64| ConsensusMessage::News {
+        map: MapName::Configuration,
         changes: (from..=to).map(numbered).collect(),
     };
-    assert_eq!(shelf.take(&news(1, 3)), Some(BookName::Standing));
-    assert_eq!(shelf.take(&news(5, 6)), None, "a gap is not jumped");
-    assert_eq!(shelf.take(&news(2, 4)), Some(BookName::Standing));
-    let old = Vote::Whole {
-        book: BookName::Standing,
-        whole: Book::empty(),
+    assert_eq!(feed_cache.take(&news(1, 3)), Some(MapName::Configuration));
+    assert_eq!(feed_cache.take(&news(5, 6)), None, "a gap is not jumped");
+    assert_eq!(feed_cache.take(&news(2, 4)), Some(MapName::Configuration));
+    let old = ConsensusMessage::Whole {
+        map: MapName::Configuration,
+        whole: ReplicatedMap::empty(),
     };
-    assert_eq!(shelf.take(&old), None, "a lower edition is not taken over");
     assert_eq!(
-        shelf.follower().book(BookName::Standing).edition,
-        Edition(4)
+        feed_cache.take(&old),
+        None,
+        "a lower version is not taken over"
+    );
+    assert_eq!(
+        feed_cache.follower().map(MapName::Configuration).version,
+        Version(4)
     );
-    // A follower of this follower that is a little behind gets changes, a far one the whole book.
+    // A follower of this follower that is a little behind gets changes, a far one the whole map.
     assert!(matches!(
-        shelf.news_after(BookName::Standing, Edition(3)),
-        Some(Vote::News { changes, .. }) if changes.len() == 1
+        feed_cache.news_after(MapName::Configuration, Version(3)),
+        Some(ConsensusMessage::News { changes, .. }) if changes.len() == 1
     ));
-    for edition in 5..HISTORY_WEIGHT as u64 {
-        shelf.take(&news(edition, edition));
+    for version in 5..HISTORY_WEIGHT as u64 {
+        feed_cache.take(&news(version, version));
     }
     assert!(matches!(
-        shelf.news_after(BookName::Standing, Edition(3)),
-        Some(Vote::Whole { .. })
+        feed_cache.news_after(MapName::Configuration, Version(3)),
+        Some(ConsensusMessage::Whole { .. })
     ));
 }
 
 #[test]
-fn given_a_ledger_without_a_majority_when_it_asks_round_after_round_then_it_grants_nothing() {
+fn given_a_controller_without_a_majority_when_it_asks_round_after_round_then_it_grants_nothing() {
     let mut rounds = Rounds::default();
-    let editions = vec![Edition(1); 4];
+    let versions = vec![Version(1); 4];
     for step in 0..20 {
         let number = rounds.begin(millis(step * 200));
-        rounds.answer(NodeId(1), number, editions.clone(), 2);
-        rounds.answer(NodeId(1), number, editions.clone(), 2);
+        rounds.answer(NodeId(1), number, versions.clone(), 2);
+        rounds.answer(NodeId(1), number, versions.clone(), 2);
     }
     assert_eq!(
         rounds.latest(millis(4000)),
         None,
-        "one seat heard twice is not two seats"
+        "one voter heard twice is not two voters"
     );
     let number = rounds.begin(millis(5000));
-    rounds.answer(NodeId(1), number, editions.clone(), 2);
-    rounds.answer(NodeId(2), number, vec![Edition(7); 4], 2);
+    rounds.answer(NodeId(1), number, versions.clone(), 2);
+    rounds.answer(NodeId(2), number, vec![Version(7); 4], 2);
     let round = rounds.latest(millis(5100)).expect("a majority answered");
     assert_eq!(
         round.started,
@@ -503,9 +551,9 @@
         "the span counts from the start of the round"
     );
     assert_eq!(
-        round.editions,
-        vec![Edition(7); 4],
-        "the highest edition heard counts"
+        round.versions,
+        vec![Version(7); 4],
+        "the highest version heard counts"
     );
     assert_eq!(
         rounds.latest(millis(6600)),
@@ -515,44 +563,44 @@
 }
 
 #[test]
-fn given_a_grant_when_its_editions_are_not_held_then_it_makes_nobody_fresh() {
-    let mut permit = PermitHolder::default();
+fn given_a_grant_when_its_versions_are_not_held_then_it_makes_nobody_fresh() {
+    let mut lease = LeaseHolder::default();
     let mut follower = Follower::default();
-    let number = permit.renew(millis(1000));
-    permit.granted(
+    let number = lease.renew(millis(1000));
+    lease.granted(
         number,
         millis(300),
-        vec![Edition(1), Edition(0), Edition(0), Edition(0)],
+        vec![Version(1), Version(0), Version(0), Version(0)],
     );
-    assert_eq!(permit.fresh_until(&follower, &ALL_BOOKS), Duration::ZERO);
-    follower.take(&Vote::News {
-        book: BookName::Standing,
+    assert_eq!(lease.fresh_until(&follower, &ALL_MAPS), Duration::ZERO);
+    follower.take(&ConsensusMessage::News {
+        map: MapName::Configuration,
         changes: vec![NumberedChange {
-            edition: Edition(1),
-            change: change("one", vec![area_put("e1", None)]),
+            version: Version(1),
+            change: change("one", vec![zone_put("e1", None)]),
         }],
     });
-    let until = permit.fresh_until(&follower, &ALL_BOOKS);
+    let until = lease.fresh_until(&follower, &ALL_MAPS);
     assert_eq!(
         until,
-        millis(1000) + PERMIT_SPAN - DRIFT_MARGIN - millis(300)
+        millis(1000) + LEASE_SPAN - DRIFT_MARGIN - millis(300)
     );
-    permit.granted(99, Duration::ZERO, Vec::new());
+    lease.granted(99, Duration::ZERO, Vec::new());
     assert_eq!(
-        permit.fresh_until(&follower, &ALL_BOOKS),
+        lease.fresh_until(&follower, &ALL_MAPS),
         until,
         "an answer to no question counts for nothing"
     );
 }
 
-fn beat(id: &str, incarnation: u64, counter: u64, port: u16) -> HeardBeat {
-    HeardBeat {
-        beat: Beat {
+fn heartbeat(id: &str, incarnation: u64, counter: u64, port: u16) -> HeardHeartbeat {
+    HeardHeartbeat {
+        heartbeat: Heartbeat {
             id: InstanceId::new(id),
             incarnation: Incarnation(incarnation),
             counter,
-            pool: PoolName::new("records"),
-            area: Area::new("e1"),
+            service: ServiceName::new("records"),
+            zone: Zone::new("e1"),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             capacity: 1,
             state: InstanceState::Serving,
@@ -567,28 +615,29 @@
 }
 
 #[test]
-fn given_beats_in_any_order_when_heard_then_the_newest_life_wins_and_an_address_has_one_instance() {
+fn given_heartbeats_in_any_request_when_heard_then_the_newest_life_wins_and_an_address_has_one_instance(
+) {
     let mut instances = Instances::default();
-    assert!(instances.hear(millis(100), &beat("one", 2, 5, 7001)));
+    assert!(instances.hear(millis(100), &heartbeat("one", 2, 5, 7001)));
     assert!(
-        !instances.hear(millis(200), &beat("one", 1, 99, 7001)),
+        !instances.hear(millis(200), &heartbeat("one", 1, 99, 7001)),
         "an older life is no news"
     );
     assert!(
-        !instances.hear(millis(200), &beat("one", 2, 4, 7001)),
-        "an older beat is no news"
+        !instances.hear(millis(200), &heartbeat("one", 2, 4, 7001)),
+        "an older heartbeat is no news"
     );
     assert!(
-        instances.hear(millis(300), &beat("two", 1, 1, 7001)),
+        instances.hear(millis(300), &heartbeat("two", 1, 1, 7001)),
         "another took the address"
     );
     assert!(instances.get(&InstanceId::new("one")).is_none());
-    // A beat of the one before comes late, passed on by a third: it must not push out the newcomer.
-    let mut stale = beat("one", 2, 6, 7001);
+    // A heartbeat of the one before comes late, passed on by a third: it must not push out the newcomer.
+    let mut stale = heartbeat("one", 2, 6, 7001);
     stale.age = millis(500);
     assert!(!instances.hear(millis(400), &stale));
     assert!(instances.get(&InstanceId::new("two")).is_some());
-    let mut late = beat("one", 2, 6, 7002);
+    let mut late = heartbeat("one", 2, 6, 7002);
     late.age = millis(2900);
     assert!(instances.hear(millis(3000), &late));
     instances.expire(millis(3150));
@@ -605,9 +654,10 @@
 }
 
 #[test]
-fn given_a_duty_when_its_holder_falls_silent_then_the_next_takes_it_and_a_flapping_one_does_not() {
+fn given_a_leadership_when_its_holder_falls_silent_then_the_next_takes_it_and_a_flapping_one_does_not(
+) {
     let holders = (1..=3).map(|number| holder(number, true)).collect();
-    let seats = Seats { holders };
+    let voters = VoterSet { holders };
     let mut liveness = Liveness::default();
     for step in 0..30 {
         for node in 1..=3 {
@@ -616,7 +666,7 @@
     }
     let now = millis(29 * 200);
     assert_eq!(
-        first_in_order(now, &seats, &liveness, None),
+        first_in_order(now, &voters, &liveness, None),
         Some(NodeId(1))
     );
     for step in 30..45 {
@@ -625,10 +675,10 @@
         }
     }
     let now = millis(44 * 200);
-    let taker = first_in_order(now, &seats, &liveness, Some(NodeId(1)));
+    let taker = first_in_order(now, &voters, &liveness, Some(NodeId(1)));
     assert_eq!(taker, Some(NodeId(2)), "the silent holder is passed over");
     liveness.hear(now, NodeId(1));
-    let taker = first_in_order(now, &seats, &liveness, Some(NodeId(2)));
+    let taker = first_in_order(now, &voters, &liveness, Some(NodeId(2)));
     assert_eq!(
         taker,
         Some(NodeId(2)),
@@ -639,7 +689,7 @@
             liveness.hear(millis(step * 200), NodeId(node));
         }
     }
-    let taker = first_in_order(millis(69 * 200), &seats, &liveness, Some(NodeId(2)));
+    let taker = first_in_order(millis(69 * 200), &voters, &liveness, Some(NodeId(2)));
     assert_eq!(
         taker,
         Some(NodeId(1)),
@@ -659,11 +709,11 @@
         reply_to: SocketAddr::from(([127, 0, 0, 1], 7000)),
         stamp: Some(stamp),
         echo: Some(Echo { stamp, held }),
-        message: Message::Vote {
-            vote: Vote::Offer {
-                book: BookName::Cohort,
-                cohort: Edition(3),
-                edition: Edition(4),
+        message: Message::ConsensusMessage {
+            vote: ConsensusMessage::Accept {
+                map: MapName::Membership,
+                membership: Version(3),
+                version: Version(4),
                 ballot: Ballot {
                     round: 9,
                     node: NodeId(7),
@@ -691,17 +741,19 @@
 
 /// A put under a version of the operators' own; nothing drops the item.
 fn versioned(name: &str, version: u64, cap: Option<u32>) -> Put {
-    let pool = |instance_cap| Pool {
+    let service = |instance_cap| Service {
         instance_cap,
         key_cap: 1,
         cold_rate_milli: 1000,
-        ..Pool::default()
+        ..Service::default()
     };
     let text = format!("{name} {version}");
     Put {
         key: format!("pool/{name}"),
         expected: None,
-        value: cap.map(|cap| Value::Pool { pool: pool(cap) }),
+        value: cap.map(|cap| Value::Service {
+            service: service(cap),
+        }),
         written: Some(Written { version, text }),
     }
 }
@@ -709,7 +761,7 @@
 #[test]
 fn given_racing_calls_of_two_operators_when_both_are_accepted_then_each_item_is_at_its_highest() {
     for swapped in [false, true] {
-        let mut council = Council::new(3, 0);
+        let mut consensus = Consensus::new(3, 0);
         let left = vec![
             versioned("a", 5, Some(5)),
             versioned("b", 1, Some(1)),
@@ -721,68 +773,80 @@
             versioned("c", 1, Some(1)),
         ];
         let (first, second) = if swapped { (2, 1) } else { (1, 2) };
-        council.propose(first, 10, change("left", left));
-        council.propose(second, 20, change("right", right));
+        consensus.propose(first, 10, change("left", left));
+        consensus.propose(second, 20, change("right", right));
         for _ in 0..20 {
-            council.tick(1, 50);
-            council.tick(2, 50);
+            consensus.tick(1, 50);
+            consensus.tick(2, 50);
         }
         for ticket in [10, 20] {
-            let verdict = council.verdict(ticket);
-            assert!(matches!(verdict, Some(Verdict::Accepted(_))), "{verdict:?}");
+            let proposal_outcome = consensus.proposal_outcome(ticket);
+            assert!(
+                matches!(proposal_outcome, Some(ProposalOutcome::Accepted(_))),
+                "{proposal_outcome:?}"
+            );
         }
-        for seat in council.seats.values() {
-            let book = seat.book(BookName::Standing);
-            let caps: Vec<(PoolName, u32)> = book
-                .pools()
-                .map(|(name, pool)| (name, pool.instance_cap))
+        for voter in consensus.voters.values() {
+            let map = voter.map(MapName::Configuration);
+            let caps: Vec<(ServiceName, u32)> = map
+                .services()
+                .map(|(name, service)| (name, service.instance_cap))
                 .collect();
-            assert_eq!(caps, [(PoolName::new("a"), 5), (PoolName::new("b"), 3)]);
-            assert_eq!(book.items["pool/c"].value, Value::Dropped);
+            assert_eq!(
+                caps,
+                [(ServiceName::new("a"), 5), (ServiceName::new("b"), 3)]
+            );
+            assert_eq!(map.items["pool/c"].value, Value::Dropped);
         }
     }
 }
 
 #[test]
 fn given_a_call_under_versions_when_it_is_sent_again_anywhere_then_it_is_answered_as_accepted() {
-    let mut council = Council::new(3, 0);
+    let mut consensus = Consensus::new(3, 0);
     let first = change("call-1", vec![versioned("a", 5, Some(5))]);
-    council.propose(1, 1, first.clone());
-    council.tick(1, 50);
-    council.propose(1, 2, change("call-2", vec![versioned("a", 6, None)]));
-    council.tick(1, 50);
-    council.propose(2, 3, first.clone());
+    consensus.propose(1, 1, first.clone());
+    consensus.tick(1, 50);
+    consensus.propose(1, 2, change("call-2", vec![versioned("a", 6, None)]));
+    consensus.tick(1, 50);
+    consensus.propose(2, 3, first.clone());
     for _ in 0..10 {
-        council.tick(2, 50);
+        consensus.tick(2, 50);
     }
-    assert_eq!(council.verdict(3), Some(&Verdict::Repeat(Edition(1))));
+    assert_eq!(
+        consensus.proposal_outcome(3),
+        Some(&ProposalOutcome::Repeat(Version(1)))
+    );
     let another_id = Change {
         id: ChangeId::new("call-3"),
         ..first
     };
-    council.propose(3, 4, another_id);
+    consensus.propose(3, 4, another_id);
     for _ in 0..10 {
-        council.tick(3, 50);
+        consensus.tick(3, 50);
     }
-    let verdict = council.verdict(4);
-    assert!(matches!(verdict, Some(Verdict::Accepted(_))), "{verdict:?}");
-    let book = council.seats[&1].book(BookName::Standing);
-    assert_eq!(book.items["pool/a"].value, Value::Dropped, "still dropped");
+    let proposal_outcome = consensus.proposal_outcome(4);
+    assert!(
+        matches!(proposal_outcome, Some(ProposalOutcome::Accepted(_))),
+        "{proposal_outcome:?}"
+    );
+    let map = consensus.voters[&1].map(MapName::Configuration);
+    assert_eq!(map.items["pool/a"].value, Value::Dropped, "still dropped");
 }
 
 #[test]
 fn given_a_call_with_two_faults_when_it_is_proposed_then_both_are_told_and_nothing_is_in_force() {
-    let mut council = Council::new(3, 0);
+    let mut consensus = Consensus::new(3, 0);
     let dangling = |name: &str, path: &str| Put {
         key: format!("rule/{name}"),
-        value: Some(Value::Rule {
-            rule: Rule {
+        value: Some(Value::Route {
+            route: Route {
                 host: "a.example".to_string(),
                 path: path.to_string(),
-                pool: PoolName::new("nowhere"),
+                service: ServiceName::new("nowhere"),
                 deadline: millis(1000),
                 body_limit: 1,
-                ..Rule::default()
+                ..Route::default()
             },
         }),
         ..versioned("", 1, None)
@@ -792,83 +856,99 @@
         dangling("one", "/one"),
         dangling("two", "two"),
     ];
-    council.propose(1, 1, change("faulty", puts));
+    consensus.propose(1, 1, change("faulty", puts));
     for _ in 0..10 {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    let Some(Verdict::Faulty(faults)) = council.verdict(1) else {
-        panic!("it was told {:?}", council.verdict(1));
+    let Some(ProposalOutcome::Faulty(faults)) = consensus.proposal_outcome(1) else {
+        panic!("it was told {:?}", consensus.proposal_outcome(1));
     };
     let named: BTreeSet<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
     let expected = ["rule/one.pool", "rule/two.path", "rule/two.pool"];
     assert_eq!(named, BTreeSet::from(expected));
-    for seat in council.seats.values() {
-        assert_eq!(seat.book(BookName::Standing), &Book::empty());
-        assert_eq!(seat.copy(BookName::Standing).taken, None);
+    for voter in consensus.voters.values() {
+        assert_eq!(voter.map(MapName::Configuration), &ReplicatedMap::empty());
+        assert_eq!(voter.copy(MapName::Configuration).accepted, None);
     }
 }
 
-/// A council of three ledgers and two witnesses that asks for so many synced disks.
-fn council_of_disks(synced_ledgers: Option<usize>) -> Council {
-    let mut council = Council::new(3, 2);
-    for (number, proposer) in &mut council.proposers {
+/// A council of three controllers and two witnesses that asks for so many synced disks.
+fn consensus_of_disks(synced_controllers: Option<usize>) -> Consensus {
+    let mut consensus = Consensus::new(3, 2);
+    for (number, proposer) in &mut consensus.proposers {
         let options = ProposerOptions {
-            synced_ledgers,
+            synced_controllers,
             ..ProposerOptions::default()
         };
-        *proposer = Proposer::new(BookName::Standing, NodeId(*number), options);
+        *proposer = Proposer::new(MapName::Configuration, NodeId(*number), options);
     }
-    council
+    consensus
 }
 
 #[test]
-fn given_one_synced_ledger_when_two_are_asked_for_then_no_wait_makes_it_a_yes() {
+fn given_one_synced_controller_when_two_are_asked_for_then_no_wait_makes_it_a_yes() {
     let ticks = 200;
-    let mut council = council_of_disks(Some(2));
-    council.down.extend([2, 3]);
-    council.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    let mut consensus = consensus_of_disks(Some(2));
+    consensus.down.extend([2, 3]);
+    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
     for _ in 0..ticks {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(10), Some(&Verdict::Unknown));
-    for seat in council.seats.values() {
-        assert_eq!(seat.book(BookName::Standing).edition, Edition(0));
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::Unknown)
+    );
+    for voter in consensus.voters.values() {
+        assert_eq!(voter.map(MapName::Configuration).version, Version(0));
     }
-    // Where one will do in the end, the same majority of seats is a yes.
-    let mut council = council_of_disks(None);
-    council.down.extend([2, 3]);
-    council.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    // Where one will do in the end, the same majority of voters is a yes.
+    let mut consensus = consensus_of_disks(None);
+    consensus.down.extend([2, 3]);
+    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
     for _ in 0..ticks {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(10), Some(&Verdict::Accepted(Edition(1))));
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::Accepted(Version(1)))
+    );
 }
 
 #[test]
 fn given_a_change_that_waits_for_a_second_disk_when_it_comes_back_then_the_change_is_accepted() {
-    let mut council = council_of_disks(Some(2));
-    council.down.extend([2, 3]);
-    council.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    let mut consensus = consensus_of_disks(Some(2));
+    consensus.down.extend([2, 3]);
+    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
     for _ in 0..20 {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(10), None, "it waits");
-    council.down.remove(&3);
+    assert_eq!(consensus.proposal_outcome(10), None, "it waits");
+    consensus.down.remove(&3);
     for _ in 0..20 {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(10), Some(&Verdict::Accepted(Edition(1))));
-    let holds = |number: u64| council.seats[&number].book(BookName::Standing).edition;
-    assert_eq!((holds(1), holds(3)), (Edition(1), Edition(1)));
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::Accepted(Version(1)))
+    );
+    let holds = |number: u64| {
+        consensus.voters[&number]
+            .map(MapName::Configuration)
+            .version
+    };
+    assert_eq!((holds(1), holds(3)), (Version(1), Version(1)));
 }
 
 #[test]
 fn given_all_disks_are_asked_for_when_one_is_missing_then_two_are_no_yes() {
-    let mut council = council_of_disks(Some(3));
-    council.down.insert(3);
-    council.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    let mut consensus = consensus_of_disks(Some(3));
+    consensus.down.insert(3);
+    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
     for _ in 0..200 {
-        council.tick(1, 50);
+        consensus.tick(1, 50);
     }
-    assert_eq!(council.verdict(10), Some(&Verdict::Unknown));
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::Unknown)
+    );
 }
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of an order's way: the chart, the budgets, the choice, and the standing orders' check.
+//! Stories of an order's way: the chart, the budgets, the choice, and the configuration' check.
 
 use caperworks::prelude::*;
 
@@ -6,34 +6,34 @@
     Duration::from_millis(number)
 }
 
-fn rule() -> Rule {
-    Rule {
+fn route() -> Route {
+    Route {
         host: "*".to_string(),
         path: "/".to_string(),
-        pool: PoolName::new("records"),
+        service: ServiceName::new("records"),
         homes: Vec::new(),
         deadline: millis(1000),
         body_limit: 1000,
         key_header: None,
-        ..Rule::default()
+        ..Route::default()
     }
 }
 
-fn pool() -> Pool {
-    Pool {
+fn service() -> Service {
+    Service {
         keyed: false,
-        slices: 4,
+        key_ranges: 4,
         instance_cap: 4,
         key_cap: 2,
         cold_rate_milli: 12000,
         warm_span: millis(5000),
-        ..Pool::default()
+        ..Service::default()
     }
 }
 
-fn sent_chart(read: bool) -> OrderChart {
-    let mut chart = OrderChart::received(read);
-    chart.matched(millis(0), &rule());
+fn sent_chart(read: bool) -> RequestChart {
+    let mut chart = RequestChart::received(read);
+    chart.matched(millis(0), &route());
     chart.admitted(true);
     chart.chosen();
     chart.shooting();
@@ -42,47 +42,47 @@
 }
 
 #[test]
-fn given_a_write_when_its_answer_is_lost_then_it_is_never_shot_again_and_told_unknown() {
-    for end in [ShotEnd::Lost, ShotEnd::Garbage, ShotEnd::Late] {
+fn given_a_write_when_its_answer_is_lost_then_it_is_never_attempt_again_and_told_unknown() {
+    for end in [AttemptEnd::Lost, AttemptEnd::Garbage, AttemptEnd::Late] {
         let mut chart = sent_chart(false);
-        match chart.shot_ended(millis(10), end, || true) {
-            NextStep::Answer(mishap) => assert_eq!(chart.told(mishap), Told::Unknown),
+        match chart.attempt_ended(millis(10), end, || true) {
+            NextStep::Answer(failure) => assert_eq!(chart.told(failure), Told::Unknown),
             other => panic!("{end:?} led to {other:?}"),
         }
-        assert_eq!(chart.state(), OrderState::Unknown);
+        assert_eq!(chart.state(), RequestState::Unknown);
     }
 }
 
 #[test]
-fn given_a_write_when_provably_nothing_ran_then_it_may_be_shot_again_until_the_budget_ends() {
+fn given_a_write_when_provably_nothing_ran_then_it_may_be_attempt_again_until_the_budget_ends() {
     let mut chart = sent_chart(false);
-    let step = chart.shot_ended(millis(10), ShotEnd::RefusedByInstance, || true);
+    let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
     assert_eq!(step, NextStep::ShootAgain);
     chart.shooting();
-    let step = chart.shot_ended(millis(20), ShotEnd::NotOpened, || false);
-    assert_eq!(step, NextStep::Answer(Mishap::NotOpened));
-    assert_eq!(chart.told(Mishap::NotOpened), Told::NotRun);
+    let step = chart.attempt_ended(millis(20), AttemptEnd::NotOpened, || false);
+    assert_eq!(step, NextStep::Answer(Failure::NotOpened));
+    assert_eq!(chart.told(Failure::NotOpened), Told::NotRun);
 }
 
 #[test]
-fn given_a_read_in_doubt_when_no_instance_is_left_for_another_shot_then_not_run_is_not_said() {
+fn given_a_read_in_doubt_when_no_instance_is_left_for_another_attempt_then_not_run_is_not_said() {
     let mut chart = sent_chart(true);
-    let step = chart.shot_ended(millis(10), ShotEnd::Lost, || true);
+    let step = chart.attempt_ended(millis(10), AttemptEnd::Lost, || true);
     assert_eq!(step, NextStep::ShootAgain);
-    chart.refuse(Mishap::NoInstance);
-    assert_eq!(chart.told(Mishap::NoInstance), Told::Unknown);
-    assert_eq!(chart.state(), OrderState::Unknown);
+    chart.refuse(Failure::NoInstance);
+    assert_eq!(chart.told(Failure::NoInstance), Told::Unknown);
+    assert_eq!(chart.state(), RequestState::Unknown);
 }
 
 #[test]
-fn given_an_order_past_its_deadline_when_a_shot_fails_then_it_ends_at_once() {
+fn given_a_request_past_its_deadline_when_an_attempt_fails_then_it_ends_at_once() {
     let mut chart = sent_chart(true);
-    let step = chart.shot_ended(millis(1500), ShotEnd::NotOpened, || true);
-    assert_eq!(step, NextStep::Answer(Mishap::NotOpened));
+    let step = chart.attempt_ended(millis(1500), AttemptEnd::NotOpened, || true);
+    assert_eq!(step, NextStep::Answer(Failure::NotOpened));
 }
 
 #[test]
-fn given_twelve_proxies_when_every_shot_fails_then_retries_stay_within_the_brief() {
+fn given_twelve_proxies_when_every_attempt_fails_then_retries_stay_within_the_brief() {
     let mut budgets: Vec<RetryBudget> = (0..12).map(|_| RetryBudget::default()).collect();
     let mut further = VecDeque::new();
     let mut first = VecDeque::new();
@@ -97,7 +97,7 @@
         };
         if busy {
             let budget = &mut budgets[(step % 12) as usize];
-            budget.first_shot(now);
+            budget.first_attempt(now);
             first.push_back(step);
             for _ in 0..2 {
                 if budget.take(now) {
@@ -120,16 +120,16 @@
 }
 
 /// What a proxy knows of some instances.
-fn knowledge(beats: &[Beat]) -> ProxyKnowledge {
-    let mut standing = Book::empty();
-    let areas = [("e1", "east"), ("e2", "east"), ("w1", "west")];
-    let mut puts: Vec<Put> = areas
+fn knowledge(heartbeats: &[Heartbeat]) -> ProxyKnowledge {
+    let mut configuration = ReplicatedMap::empty();
+    let zones = [("e1", "east"), ("e2", "east"), ("w1", "west")];
+    let mut puts: Vec<Put> = zones
         .iter()
-        .map(|(area, region)| Put {
-            key: format!("area/{area}"),
+        .map(|(zone, region)| Put {
+            key: format!("area/{zone}"),
             expected: None,
-            value: Some(Value::Area {
-                area: AreaOrder {
+            value: Some(Value::Zone {
+                zone: ZoneSettings {
                     region: Region::new(*region),
                     closed: false,
                 },
@@ -140,7 +140,7 @@
     puts.push(Put {
         key: "pool/records".to_string(),
         expected: None,
-        value: Some(Value::Pool { pool: pool() }),
+        value: Some(Value::Service { service: service() }),
         written: None,
     });
     let change = Change {
@@ -148,7 +148,7 @@
         puts,
         guards: Vec::new(),
     };
-    standing.apply(&change);
+    configuration.apply(&change);
     let mut knowledge = ProxyKnowledge::default();
     let view = ProxyView {
         agent: NodeId(1),
@@ -156,26 +156,26 @@
         all_instances: true,
         number: 1,
         left: millis(3000),
-        news: vec![Vote::Whole {
-            book: BookName::Standing,
-            whole: standing,
+        news: vec![ConsensusMessage::Whole {
+            map: MapName::Configuration,
+            whole: configuration,
         }],
-        instances: beats.to_vec(),
+        instances: heartbeats.to_vec(),
         proxies: 12,
-        standing: Edition(1),
-        tenure: Edition(0),
+        configuration: Version(1),
+        ownership: Version(0),
     };
     knowledge.take(Duration::ZERO, &view);
     knowledge
 }
 
-fn beat(name: &str, area: &str, up: u64) -> Beat {
-    Beat {
+fn heartbeat(name: &str, zone: &str, up: u64) -> Heartbeat {
+    Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(1),
         counter: 1,
-        pool: PoolName::new("records"),
-        area: Area::new(area),
+        service: ServiceName::new("records"),
+        zone: Zone::new(zone),
         address: SocketAddr::from(([127, 0, 0, 1], 7000)),
         capacity: 10,
         state: InstanceState::Serving,
@@ -189,14 +189,14 @@
 
 #[test]
 fn given_a_cold_instance_when_twelve_proxies_want_it_then_together_they_keep_its_gentle_rate() {
-    let known = knowledge(&[beat("cold", "e1", 0), beat("warm", "e2", 60_000)]);
-    let own = Area::new("e1");
-    let mut shards: Vec<PoolShard> = (0..12).map(PoolShard::new).collect();
+    let known = knowledge(&[heartbeat("cold", "e1", 0), heartbeat("warm", "e2", 60_000)]);
+    let own = Zone::new("e1");
+    let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
     let mut sent = 0;
     for step in 0..5000_u64 {
         let now = millis(step);
         let shard = &mut shards[(step % 12) as usize];
-        if let Ok(target) = shard.choose(now, &known, &own, &rule(), None, &[]) {
+        if let Ok(target) = shard.choose(now, &known, &own, &route(), None, &[]) {
             shard.begin(now, &target);
             shard.end(now, &target, true, Some(0));
             sent += u32::from(target.instance.as_str() == "cold");
@@ -210,20 +210,20 @@
 }
 
 #[test]
-fn given_instances_near_and_far_when_chosen_then_the_area_goes_first_and_home_is_never_left() {
-    let near = beat("near", "e1", 60_000);
-    let same_region = beat("region", "e2", 60_000);
-    let far = beat("far", "w1", 60_000);
+fn given_instances_near_and_far_when_chosen_then_the_zone_goes_first_and_home_is_never_left() {
+    let near = heartbeat("near", "e1", 60_000);
+    let same_region = heartbeat("region", "e2", 60_000);
+    let far = heartbeat("far", "w1", 60_000);
     let mut known = knowledge(&[near, same_region, far]);
     known.proxies = 1;
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
-    let mut bound = rule();
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
+    let mut bound = route();
     bound.homes = vec![Region::new("east")];
-    let mut order = Vec::new();
+    let mut request = Vec::new();
     while let Ok(target) = shard.choose(millis(1), &known, &own, &bound, None, &[]) {
         shard.begin(millis(1), &target);
-        order.push(target.instance.to_string());
+        request.push(target.instance.to_string());
     }
     let expected: Vec<String> = ["near"; 4]
         .iter()
@@ -231,26 +231,26 @@
         .map(|name| (*name).to_string())
         .collect();
     assert_eq!(
-        order, expected,
+        request, expected,
         "caps of four each, and nothing in the other region"
     );
     let target = shard
-        .choose(millis(1), &known, &own, &rule(), None, &[])
+        .choose(millis(1), &known, &own, &route(), None, &[])
         .expect("unbound");
     assert_eq!(target.instance.as_str(), "far");
 }
 
 #[test]
-fn given_every_instance_put_aside_when_chosen_then_the_pool_is_not_lost_with_them() {
-    let beats: Vec<Beat> = (0..4)
-        .map(|number| beat(&format!("i{number}"), "e1", 60_000))
+fn given_every_instance_put_aside_when_chosen_then_the_service_is_not_lost_with_them() {
+    let heartbeats: Vec<Heartbeat> = (0..4)
+        .map(|number| heartbeat(&format!("i{number}"), "e1", 60_000))
         .collect();
-    let known = knowledge(&beats);
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
+    let known = knowledge(&heartbeats);
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
     for step in 0..200 {
         let target = shard
-            .choose(millis(step), &known, &own, &rule(), None, &[])
+            .choose(millis(step), &known, &own, &route(), None, &[])
             .expect("some instance is always chosen");
         shard.begin(millis(step), &target);
         shard.end(millis(step), &target, false, None);
@@ -259,65 +259,65 @@
 
 #[test]
 fn given_a_target_when_the_world_changed_before_the_first_byte_then_the_last_check_says_so() {
-    let known = knowledge(&[beat("one", "e1", 60_000)]);
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
+    let known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(1), &known, &own, &rule(), None, &[])
+        .choose(millis(1), &known, &own, &route(), None, &[])
         .expect("free");
-    assert_eq!(known.still_good(millis(1), &own, &rule(), &target), Ok(()));
-    let late = known.still_good(millis(3000), &own, &rule(), &target);
-    assert_eq!(late, Err(Mishap::Stale));
-    let mut leaving = beat("one", "e1", 60_000);
+    assert_eq!(known.still_good(millis(1), &own, &route(), &target), Ok(()));
+    let late = known.still_good(millis(3000), &own, &route(), &target);
+    assert_eq!(late, Err(Failure::Stale));
+    let mut leaving = heartbeat("one", "e1", 60_000);
     leaving.state = InstanceState::Leaving;
     let known = knowledge(&[leaving]);
     assert_eq!(
-        known.still_good(millis(1), &own, &rule(), &target),
-        Err(Mishap::NoInstance)
+        known.still_good(millis(1), &own, &route(), &target),
+        Err(Failure::NoInstance)
     );
-    let mut reborn = beat("one", "e1", 60_000);
+    let mut reborn = heartbeat("one", "e1", 60_000);
     reborn.incarnation = Incarnation(2);
     let known = knowledge(&[reborn]);
     assert_eq!(
-        known.still_good(millis(1), &own, &rule(), &target),
-        Err(Mishap::NoInstance)
+        known.still_good(millis(1), &own, &route(), &target),
+        Err(Failure::NoInstance)
     );
-    let mut known = knowledge(&[beat("one", "e1", 60_000)]);
+    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     known.closed.insert(own.clone());
     assert_eq!(
-        known.still_good(millis(1), &own, &rule(), &target),
-        Err(Mishap::AreaClosed)
+        known.still_good(millis(1), &own, &route(), &target),
+        Err(Failure::ZoneClosed)
     );
 }
 
-/// What a proxy knows of a keyed pool with one slice and one owner.
+/// What a proxy knows of a keyed service with one key range and one owner.
 fn keyed_knowledge() -> ProxyKnowledge {
-    let mut known = knowledge(&[beat("owner", "e1", 60_000)]);
-    let mut keyed = pool();
+    let mut known = knowledge(&[heartbeat("owner", "e1", 60_000)]);
+    let mut keyed = service();
     keyed.keyed = true;
-    keyed.slices = 1;
-    let owner = SliceOwner {
+    keyed.key_ranges = 1;
+    let owner = KeyRangeOwner {
         instance: InstanceId::new("owner"),
         incarnation: Incarnation(1),
         epoch: Epoch(1),
         handover: None,
     };
-    let table = SliceTable {
+    let table = KeyRangeTable {
         epoch: Epoch(1),
         owners: vec![Some(owner)],
     };
-    for (book, edition, key, value) in [
+    for (map, version, key, value) in [
         (
-            BookName::Standing,
+            MapName::Configuration,
             2,
             "pool/records",
-            Value::Pool { pool: keyed },
+            Value::Service { service: keyed },
         ),
         (
-            BookName::Tenure,
+            MapName::Ownership,
             1,
             "slices/records",
-            Value::Slices { table },
+            Value::KeyRanges { table },
         ),
     ] {
         let put = Put {
@@ -332,11 +332,11 @@
             guards: Vec::new(),
         };
         let changes = vec![NumberedChange {
-            edition: Edition(edition),
+            version: Version(version),
             change,
         }];
-        assert!(Arc::make_mut(&mut known.books)
-            .take(&Vote::News { book, changes })
+        assert!(Arc::make_mut(&mut known.maps)
+            .take(&ConsensusMessage::News { map, changes })
             .is_some());
     }
     known
@@ -346,16 +346,16 @@
 fn given_a_hot_key_when_its_owner_is_asked_again_and_again_then_other_keys_still_get_through() {
     let mut known = keyed_knowledge();
     known.proxies = 1;
-    let mut shard = PoolShard::new(1);
-    let own = Area::new("e1");
+    let mut shard = ServiceShard::new(1);
+    let own = Zone::new("e1");
     let mut choose = |key: &str| {
-        let target = shard.choose(millis(1), &known, &own, &rule(), Some(key), &[]);
+        let target = shard.choose(millis(1), &known, &own, &route(), Some(key), &[]);
         target.inspect(|target| shard.begin(millis(1), target))
     };
     assert!(choose("hot").is_ok() && choose("hot").is_ok());
     assert_eq!(
         choose("hot"),
-        Err(Mishap::NoInstance),
+        Err(Failure::NoInstance),
         "two at once are the key's cap"
     );
     assert!(
@@ -367,21 +367,21 @@
 #[test]
 fn given_twelve_proxies_when_all_want_one_key_then_together_they_keep_near_its_cap() {
     let known = keyed_knowledge();
-    let own = Area::new("e1");
-    let mut shards: Vec<PoolShard> = (0..12).map(PoolShard::new).collect();
+    let own = Zone::new("e1");
+    let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
     let mut under_way: Vec<Option<(u64, Target)>> = vec![None; 12];
     let mut busy = 0;
     for step in 0..4000_u64 {
         let now = millis(step);
         let load = under_way.iter().flatten().count() as u32;
-        for (shard, order) in shards.iter_mut().zip(&mut under_way) {
-            if let Some((_, target)) = order.take_if(|(since, _)| step - *since >= 20) {
+        for (shard, request) in shards.iter_mut().zip(&mut under_way) {
+            if let Some((_, target)) = request.take_if(|(since, _)| step - *since >= 20) {
                 shard.end(now, &target, true, Some(load));
             }
-            let chosen = shard.choose(now, &known, &own, &rule(), Some("hot"), &[]);
-            if let (None, Ok(target)) = (&order, chosen) {
+            let chosen = shard.choose(now, &known, &own, &route(), Some("hot"), &[]);
+            if let (None, Ok(target)) = (&request, chosen) {
                 shard.begin(now, &target);
-                *order = Some((step, target));
+                *request = Some((step, target));
             }
         }
         busy += under_way.iter().flatten().count();
@@ -392,22 +392,22 @@
 
 #[test]
 fn given_another_life_at_an_address_when_it_answers_then_nothing_more_goes_to_the_old_one() {
-    let known = knowledge(&[beat("one", "e1", 60_000)]);
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
+    let known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(1), &known, &own, &rule(), None, &[])
+        .choose(millis(1), &known, &own, &route(), None, &[])
         .expect("free");
     shard.begin(millis(1), &target);
     shard.end(millis(2), &target, true, None);
     shard.life_is_over(&target);
-    let again = shard.choose(millis(3), &known, &own, &rule(), None, &[]);
-    assert_eq!(again, Err(Mishap::NoInstance));
+    let again = shard.choose(millis(3), &known, &own, &route(), None, &[]);
+    assert_eq!(again, Err(Failure::NoInstance));
 }
 
 #[test]
 fn given_an_answer_of_the_agent_that_was_overtaken_when_it_comes_then_it_changes_nothing() {
-    let mut known = knowledge(&[beat("one", "e1", 60_000)]);
+    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     let view = |number: u64, state: InstanceState| ProxyView {
         agent: NodeId(1),
         instances_place: 1,
@@ -415,13 +415,13 @@
         number,
         left: millis(3000),
         news: Vec::new(),
-        instances: vec![Beat {
+        instances: vec![Heartbeat {
             state,
-            ..beat("one", "e1", 60_000)
+            ..heartbeat("one", "e1", 60_000)
         }],
         proxies: 12,
-        standing: Edition(1),
-        tenure: Edition(0),
+        configuration: Version(1),
+        ownership: Version(0),
     };
     known.take(millis(200), &view(3, InstanceState::Leaving));
     known.take(millis(100), &view(2, InstanceState::Serving));
@@ -431,27 +431,27 @@
 
 /// A proxy that knows one owner of all keys, heard as serving at first.
 fn knowledge_of_an_owner(policy: ProxyPolicy) -> ProxyKnowledge {
-    let mut known = knowledge(&[beat("one", "e1", 60_000)]);
+    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     known.policy = policy;
-    let books = [
+    let maps = [
         (
-            BookName::Standing,
+            MapName::Configuration,
             "pool/records",
-            Value::Pool {
-                pool: Pool {
+            Value::Service {
+                service: Service {
                     keyed: true,
-                    ..pool()
+                    ..service()
                 },
             },
         ),
         (
-            BookName::Tenure,
+            MapName::Ownership,
             "slices/records",
-            Value::Slices {
-                table: SliceTable {
+            Value::KeyRanges {
+                table: KeyRangeTable {
                     epoch: Epoch(3),
                     owners: vec![
-                        Some(SliceOwner {
+                        Some(KeyRangeOwner {
                             instance: InstanceId::new("one"),
                             incarnation: Incarnation(1),
                             epoch: Epoch(3),
@@ -463,8 +463,8 @@
             },
         ),
     ];
-    let news = books.map(|(name, key, value)| {
-        let mut whole = known.books.book(name).clone();
+    let news = maps.map(|(name, key, value)| {
+        let mut whole = known.maps.map(name).clone();
         whole.apply(&Change {
             id: ChangeId::new("keyed"),
             puts: vec![Put {
@@ -475,7 +475,7 @@
             }],
             guards: Vec::new(),
         });
-        Vote::Whole { book: name, whole }
+        ConsensusMessage::Whole { map: name, whole }
     });
     known.take(
         millis(50),
@@ -485,7 +485,7 @@
 }
 
 /// What an agent tells when the owner is in this state.
-fn state_view(number: u64, state: InstanceState, news: Vec<Vote>) -> ProxyView {
+fn state_view(number: u64, state: InstanceState, news: Vec<ConsensusMessage>) -> ProxyView {
     ProxyView {
         agent: NodeId(1),
         instances_place: number,
@@ -493,26 +493,26 @@
         number,
         left: millis(60_000),
         news,
-        instances: vec![Beat {
+        instances: vec![Heartbeat {
             state,
             counter: number,
-            ..beat("one", "e1", 60_000)
+            ..heartbeat("one", "e1", 60_000)
         }],
         proxies: 1,
-        standing: Edition(1),
-        tenure: Edition(1),
+        configuration: Version(1),
+        ownership: Version(1),
     }
 }
 
 /// Whether a key goes to its owner now, by the choice and by the last check alike.
 fn key_goes(known: &ProxyKnowledge, now: Duration, target: &Target) -> bool {
-    let own = Area::new("e1");
-    let chosen = PoolShard::new(1).choose(now, known, &own, &rule(), Some("k"), &[]);
-    let still = known.still_good(now, &own, &rule(), target);
+    let own = Zone::new("e1");
+    let chosen = ServiceShard::new(1).choose(now, known, &own, &route(), Some("k"), &[]);
+    let still = known.still_good(now, &own, &route(), target);
     assert_eq!(chosen.is_ok(), still.is_ok(), "{chosen:?} {still:?}");
     if chosen.is_err() {
-        assert_eq!(chosen, Err(Mishap::NoOwner));
-        assert_eq!(still, Err(Mishap::NoInstance));
+        assert_eq!(chosen, Err(Failure::NoOwner));
+        assert_eq!(still, Err(Failure::NoInstance));
     }
     chosen.is_ok()
 }
@@ -530,9 +530,9 @@
         (0, ProxyPolicy::default()),
     ] {
         let mut known = knowledge_of_an_owner(policy);
-        let own = Area::new("e1");
-        let target = PoolShard::new(1)
-            .choose(millis(60), &known, &own, &rule(), Some("k"), &[])
+        let own = Zone::new("e1");
+        let target = ServiceShard::new(1)
+            .choose(millis(60), &known, &own, &route(), Some("k"), &[])
             .expect("it serves");
         assert!(key_goes(&known, millis(90), &target));
         known.take(
@@ -571,22 +571,22 @@
 }
 
 #[test]
-fn given_a_leaving_instance_when_its_pool_has_no_keys_then_the_span_lets_nothing_go_there() {
-    let mut known = knowledge(&[beat("one", "e1", 60_000)]);
+fn given_a_leaving_instance_when_its_service_has_no_keys_then_the_span_lets_nothing_go_there() {
+    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     known.policy.leaving_owner = millis(4000);
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(60), &known, &own, &rule(), None, &[])
+        .choose(millis(60), &known, &own, &route(), None, &[])
         .expect("it serves");
     known.take(
         millis(100),
         &state_view(2, InstanceState::Leaving, Vec::new()),
     );
-    let chosen = shard.choose(millis(110), &known, &own, &rule(), None, &[]);
-    assert_eq!(chosen, Err(Mishap::NoInstance));
-    let still = known.still_good(millis(110), &own, &rule(), &target);
-    assert_eq!(still, Err(Mishap::NoInstance));
+    let chosen = shard.choose(millis(110), &known, &own, &route(), None, &[]);
+    assert_eq!(chosen, Err(Failure::NoInstance));
+    let still = known.still_good(millis(110), &own, &route(), &target);
+    assert_eq!(still, Err(Failure::NoInstance));
 }
 
 #[test]
@@ -597,31 +597,31 @@
         value: Some(value),
         written: None,
     };
-    let mut dangling = rule();
-    dangling.pool = PoolName::new("nowhere");
+    let mut dangling = route();
+    dangling.service = ServiceName::new("nowhere");
     dangling.path = "no-slash".to_string();
-    let mut homeless = rule();
+    let mut homeless = route();
     homeless.homes = vec![Region::new("moon")];
-    let mut keyed = pool();
+    let mut keyed = service();
     keyed.keyed = true;
-    let mut slow = rule();
+    let mut slow = route();
     slow.path = "/slow".to_string();
     slow.key_header = Some("x-key".to_string());
     slow.deadline = millis(5000);
-    let closed = AreaOrder {
+    let closed = ZoneSettings {
         region: Region::new("east"),
         closed: true,
     };
     let change = Change {
         id: ChangeId::new("bad"),
         puts: vec![
-            put("rule/dangling", Value::Rule { rule: dangling }),
-            put("rule/one", Value::Rule { rule: homeless }),
-            put("rule/two", Value::Rule { rule: rule() }),
-            put("rule/slow", Value::Rule { rule: slow }),
-            put("pool/records", Value::Pool { pool: keyed }),
-            put("area/e1", Value::Area { area: closed }),
-            put("rule/bad name", Value::Pool { pool: pool() }),
+            put("rule/dangling", Value::Route { route: dangling }),
+            put("rule/one", Value::Route { route: homeless }),
+            put("rule/two", Value::Route { route: route() }),
+            put("rule/slow", Value::Route { route: slow }),
+            put("pool/records", Value::Service { service: keyed }),
+            put("area/e1", Value::Zone { zone: closed }),
+            put("rule/bad name", Value::Service { service: service() }),
             Put {
                 key: "pool/absent".to_string(),
                 expected: None,
@@ -631,7 +631,7 @@
         ],
         guards: Vec::new(),
     };
-    let faults = check_standing(&Book::empty(), &change);
+    let faults = check_configuration(&ReplicatedMap::empty(), &change);
     let named: Vec<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
     for field in [
         "rule/dangling.path",
@@ -649,13 +649,13 @@
 }
 
 #[test]
-fn given_rules_when_an_order_is_matched_then_exact_hosts_and_longer_paths_go_first() {
-    let mut book = Book::empty();
-    let with = |host: &str, path: &str| Value::Rule {
-        rule: Rule {
+fn given_routes_when_a_request_is_matched_then_exact_hosts_and_longer_paths_go_first() {
+    let mut map = ReplicatedMap::empty();
+    let with = |host: &str, path: &str| Value::Route {
+        route: Route {
             host: host.to_string(),
             path: path.to_string(),
-            ..rule()
+            ..route()
         },
     };
     let puts = [
@@ -671,12 +671,12 @@
         written: None,
     })
     .collect();
-    book.apply(&Change {
+    map.apply(&Change {
         id: ChangeId::new("rules"),
         puts,
         guards: Vec::new(),
     });
-    let table = RuleTable::of(&book);
+    let table = RouteTable::of(&map);
     let found = |host: &str, path: &str| table.find(host, path).map(|(name, _)| name.to_string());
     assert_eq!(found("A.example:80", "/sign/7").as_deref(), Some("deep"));
     assert_eq!(found("a.example", "/signal").as_deref(), Some("host"));
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -6,14 +6,14 @@
     Duration::from_millis(number)
 }
 
-fn beat(id: &str, counter: u64) -> Beat {
+fn heartbeat(id: &str, counter: u64) -> Heartbeat {
     let port = 7000 + (steady_hash(id) % 1000) as u16;
-    Beat {
+    Heartbeat {
         id: InstanceId::new(id),
         incarnation: Incarnation(0),
         counter,
-        pool: PoolName::new("records"),
-        area: Area::new("e1"),
+        service: ServiceName::new("records"),
+        zone: Zone::new("e1"),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         capacity: 1,
         state: InstanceState::Serving,
@@ -25,15 +25,15 @@
     }
 }
 
-fn hears(instances: &mut Instances, now: Duration, beat: Beat) -> bool {
+fn hears(instances: &mut Instances, now: Duration, heartbeat: Heartbeat) -> bool {
     let age = Duration::ZERO;
-    instances.hear(now, &HeardBeat { beat, age })
+    instances.hear(now, &HeardHeartbeat { heartbeat, age })
 }
 
 /// The instances that a follower at this place is told of.
 fn told(instances: &Instances, now: Duration, place: u64) -> Vec<String> {
     let after = instances.after(now, place);
-    let names = after.iter().map(|heard| heard.beat.id.to_string());
+    let names = after.iter().map(|heard| heard.heartbeat.id.to_string());
     names.collect()
 }
 
@@ -44,17 +44,18 @@
 }
 
 #[test]
-fn given_beats_that_say_nothing_new_when_the_refresh_is_over_then_only_then_followers_hear_again() {
+fn given_heartbeats_that_say_nothing_new_when_the_refresh_is_over_then_only_then_followers_hear_again(
+) {
     let mut instances = refreshing();
-    assert!(hears(&mut instances, millis(1000), beat("one", 1)));
+    assert!(hears(&mut instances, millis(1000), heartbeat("one", 1)));
     let place = instances.learned();
     assert_eq!(told(&instances, millis(1000), 0), ["one"]);
     for step in 1..20 {
         let now = millis(1000 + 100 * step);
-        let quiet = Beat {
+        let quiet = Heartbeat {
             load: step as u32,
             holding: vec![step as u32],
-            ..beat("one", 1 + step)
+            ..heartbeat("one", 1 + step)
         };
         assert!(
             hears(&mut instances, now, quiet),
@@ -65,38 +66,46 @@
         // Whoever has not heard of it at all is told of the latest, and how old it is.
         let first = instances.after(now, 0);
         assert_eq!(
-            (first[0].beat.counter, first[0].age),
+            (first[0].heartbeat.counter, first[0].age),
             (1 + step, Duration::ZERO)
         );
     }
-    assert!(hears(&mut instances, millis(3000), beat("one", 30)));
+    assert!(hears(&mut instances, millis(3000), heartbeat("one", 30)));
     assert_eq!(told(&instances, millis(3000), place), ["one"]);
     // The refresh counts anew from then.
     let place = instances.learned();
-    assert!(hears(&mut instances, millis(4999), beat("one", 31)));
+    assert!(hears(&mut instances, millis(4999), heartbeat("one", 31)));
     assert_eq!(instances.learned(), place);
-    assert!(hears(&mut instances, millis(5000), beat("one", 32)));
+    assert!(hears(&mut instances, millis(5000), heartbeat("one", 32)));
     assert_eq!(told(&instances, millis(5000), place), ["one"]);
 }
 
 #[test]
-fn given_a_beat_that_says_something_new_when_the_refresh_runs_then_followers_hear_at_once() {
-    type Changes = fn(&mut Beat);
+fn given_a_heartbeat_that_says_something_new_when_the_refresh_runs_then_followers_hear_at_once() {
+    type Changes = fn(&mut Heartbeat);
     let changes: [(&str, Changes); 8] = [
-        ("leaving", |beat| beat.state = InstanceState::Leaving),
-        ("warming", |beat| beat.state = InstanceState::Warming),
-        ("address", |beat| beat.address.set_port(6999)),
-        ("capacity", |beat| beat.capacity = 2),
-        ("cold", |beat| beat.cold_left = millis(500)),
-        ("incarnation", |beat| beat.incarnation = Incarnation(1)),
-        ("pool", |beat| beat.pool = PoolName::new("other")),
-        ("zone", |beat| beat.area = Area::new("e2")),
+        ("leaving", |heartbeat| {
+            heartbeat.state = InstanceState::Leaving
+        }),
+        ("warming", |heartbeat| {
+            heartbeat.state = InstanceState::Warming
+        }),
+        ("address", |heartbeat| heartbeat.address.set_port(6999)),
+        ("capacity", |heartbeat| heartbeat.capacity = 2),
+        ("cold", |heartbeat| heartbeat.cold_left = millis(500)),
+        ("incarnation", |heartbeat| {
+            heartbeat.incarnation = Incarnation(1)
+        }),
+        ("pool", |heartbeat| {
+            heartbeat.service = ServiceName::new("other")
+        }),
+        ("zone", |heartbeat| heartbeat.zone = Zone::new("e2")),
     ];
     for (name, change) in changes {
         let mut instances = refreshing();
-        hears(&mut instances, millis(1000), beat("one", 1));
+        hears(&mut instances, millis(1000), heartbeat("one", 1));
         let place = instances.learned();
-        let mut changed = beat("one", 2);
+        let mut changed = heartbeat("one", 2);
         change(&mut changed);
         assert!(
             hears(&mut instances, millis(1001), changed.clone()),
@@ -105,18 +114,18 @@
         assert!(instances.learned() > place, "{name}");
         let after = instances.after(millis(1001), place);
         assert_eq!(after.len(), 1, "{name}");
-        assert_eq!(after[0].beat, changed, "{name}");
+        assert_eq!(after[0].heartbeat, changed, "{name}");
         // And again at once when it changes back; but not when it says the same again.
         let place = instances.learned();
-        let same = Beat {
+        let same = Heartbeat {
             counter: 3,
             ..changed.clone()
         };
         hears(&mut instances, millis(1002), same);
         assert_eq!(instances.learned(), place, "{name}");
-        let back = Beat {
+        let back = Heartbeat {
             incarnation: changed.incarnation,
-            ..beat("one", 4)
+            ..heartbeat("one", 4)
         };
         hears(&mut instances, millis(1003), back);
         let expected = u64::from(name != "incarnation");
@@ -127,9 +136,9 @@
 #[test]
 fn given_a_cold_time_that_runs_down_when_it_is_over_then_only_its_end_is_news() {
     let mut instances = refreshing();
-    let cold = |counter: u64, left: u64| Beat {
+    let cold = |counter: u64, left: u64| Heartbeat {
         cold_left: millis(left),
-        ..beat("one", counter)
+        ..heartbeat("one", counter)
     };
     hears(&mut instances, millis(1000), cold(1, 900));
     let place = instances.learned();
@@ -143,9 +152,9 @@
 #[test]
 fn given_each_kind_of_removal_when_it_happens_then_the_place_of_the_last_removal_grows() {
     let mut instances = refreshing();
-    hears(&mut instances, millis(1000), beat("one", 1));
-    hears(&mut instances, millis(1000), beat("two", 1));
-    hears(&mut instances, millis(1000), beat("three", 1));
+    hears(&mut instances, millis(1000), heartbeat("one", 1));
+    hears(&mut instances, millis(1000), heartbeat("two", 1));
+    hears(&mut instances, millis(1000), heartbeat("three", 1));
     assert_eq!(instances.removed(), 0, "nobody left yet");
     let mut places = vec![instances.learned()];
     let mut removes = |instances: &Instances, what: &str| {
@@ -159,9 +168,9 @@
     removes(&instances, "ended");
     assert!(instances.end(millis(1200), &InstanceId::new("nobody")));
     removes(&instances, "unknown");
-    let newcomer = Beat {
-        address: beat("two", 1).address,
-        ..beat("four", 1)
+    let newcomer = Heartbeat {
+        address: heartbeat("two", 1).address,
+        ..heartbeat("four", 1)
     };
     let place = instances.learned();
     assert!(hears(&mut instances, millis(1300), newcomer));
@@ -176,7 +185,7 @@
     assert_eq!(instances.removed(), instances.learned());
     // What is only heard of is no removal.
     let place = instances.removed();
-    hears(&mut instances, millis(4100), beat("five", 1));
+    hears(&mut instances, millis(4100), heartbeat("five", 1));
     assert_eq!(instances.removed(), place);
 }
 
@@ -189,13 +198,13 @@
         node: NodeId(node),
         counter,
         role: Role::Proxy,
-        area: Area::new("e1"),
+        zone: Zone::new("e1"),
         control: address,
         serving: address,
         ready: true,
         capacity: 1,
         demand: Vec::new(),
-        editions: vec![Edition(0); ALL_BOOKS.len()],
+        versions: vec![Version(0); ALL_MAPS.len()],
         leaving: false,
     }
 }
@@ -273,7 +282,7 @@
     assert_eq!(ready(&members), [1]);
 }
 
-fn view(number: u64, all: bool, instances: Vec<Beat>) -> ProxyView {
+fn view(number: u64, all: bool, instances: Vec<Heartbeat>) -> ProxyView {
     ProxyView {
         agent: NodeId(1),
         instances_place: number,
@@ -283,19 +292,19 @@
         news: Vec::new(),
         instances,
         proxies: 1,
-        standing: Edition(0),
-        tenure: Edition(0),
+        configuration: Version(0),
+        ownership: Version(0),
     }
 }
 
 /// The instances that a proxy knows, by name and count, alike in both ways that it keeps them.
 fn known(knowledge: &ProxyKnowledge) -> Vec<(String, u64)> {
-    let pair = |beat: &Beat| (beat.id.to_string(), beat.counter);
+    let pair = |heartbeat: &Heartbeat| (heartbeat.id.to_string(), heartbeat.counter);
     let by_name: Vec<(String, u64)> = knowledge.instances.values().map(pair).collect();
-    let by_pool = knowledge.by_pool.values().flatten().map(pair);
-    let mut by_pool: Vec<(String, u64)> = by_pool.collect();
-    by_pool.sort();
-    assert_eq!(by_name, by_pool);
+    let by_service = knowledge.by_service.values().flatten().map(pair);
+    let mut by_service: Vec<(String, u64)> = by_service.collect();
+    by_service.sort();
+    assert_eq!(by_name, by_service);
     by_name
 }
 
@@ -308,17 +317,17 @@
             .map(|(name, counter)| ((*name).to_string(), *counter))
             .collect()
     };
-    let all = vec![beat("a", 1), beat("b", 1), beat("c", 1)];
+    let all = vec![heartbeat("a", 1), heartbeat("b", 1), heartbeat("c", 1)];
     knowledge.take(millis(100), &view(1, true, all));
     assert_eq!(known(&knowledge), named(&[("a", 1), ("b", 1), ("c", 1)]));
-    let moved = Beat {
-        pool: PoolName::new("other"),
-        ..beat("b", 2)
+    let moved = Heartbeat {
+        service: ServiceName::new("other"),
+        ..heartbeat("b", 2)
     };
-    knowledge.take(millis(200), &view(2, false, vec![moved, beat("d", 1)]));
+    knowledge.take(millis(200), &view(2, false, vec![moved, heartbeat("d", 1)]));
     let expected = named(&[("a", 1), ("b", 2), ("c", 1), ("d", 1)]);
     assert_eq!(known(&knowledge), expected);
-    assert_eq!(knowledge.by_pool[&PoolName::new("other")].len(), 1);
+    assert_eq!(knowledge.by_service[&ServiceName::new("other")].len(), 1);
     assert_eq!(knowledge.instances_place, 2);
     // Nothing changed, and it is fresh all the same.
     knowledge.take(millis(300), &view(3, false, Vec::new()));
@@ -326,7 +335,7 @@
     assert_eq!(knowledge.instances_place, 3);
     assert_eq!(knowledge.fresh_until, millis(3300));
     // All there are: who is not named is gone.
-    knowledge.take(millis(400), &view(4, true, vec![beat("a", 2)]));
+    knowledge.take(millis(400), &view(4, true, vec![heartbeat("a", 2)]));
     assert_eq!(known(&knowledge), named(&[("a", 2)]));
     knowledge.take(millis(500), &view(5, true, Vec::new()));
     assert_eq!(known(&knowledge), []);
@@ -335,7 +344,7 @@
 #[test]
 fn given_numbers_of_proxies_when_told_then_the_most_of_the_last_ten_seconds_counts() {
     let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 6000))];
-    let mut link = CoreLink::new(NodeId(9), &[BookName::Standing], seeds, 0);
+    let mut link = CoreLink::new(NodeId(9), &[MapName::Configuration], seeds, 0);
     assert_eq!(
         link.proxies(),
         1,
@@ -350,7 +359,7 @@
             proxies,
             number,
             round_age: Duration::ZERO,
-            editions: vec![Edition(0); ALL_BOOKS.len()],
+            versions: vec![Version(0); ALL_MAPS.len()],
             instances: Vec::new(),
             instances_place: 0,
             members: Vec::new(),
--- a/crates/caperworks/tests/gone_stories.rs
+++ b/crates/caperworks/tests/gone_stories.rs
@@ -6,15 +6,15 @@
     Duration::from_millis(number)
 }
 
-fn beat(id: &str, counter: u64) -> HeardBeat {
+fn heartbeat(id: &str, counter: u64) -> HeardHeartbeat {
     let port = 7000 + (steady_hash(id) % 1000) as u16;
-    HeardBeat {
-        beat: Beat {
+    HeardHeartbeat {
+        heartbeat: Heartbeat {
             id: InstanceId::new(id),
             incarnation: Incarnation(0),
             counter,
-            pool: PoolName::new("records"),
-            area: Area::new("e1"),
+            service: ServiceName::new("records"),
+            zone: Zone::new("e1"),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             capacity: 1,
             state: InstanceState::Serving,
@@ -29,32 +29,38 @@
 }
 
 #[test]
-fn given_an_instance_that_said_it_is_gone_when_a_late_beat_comes_then_it_stays_gone() {
+fn given_an_instance_that_said_it_is_gone_when_a_late_heartbeat_comes_then_it_stays_gone() {
     let mut instances = Instances::default();
     let one = InstanceId::new("one");
-    assert!(instances.hear(millis(100), &beat("one", 1)));
+    assert!(instances.hear(millis(100), &heartbeat("one", 1)));
     assert!(instances.end(millis(200), &one), "it is news");
     assert!(!instances.end(millis(300), &one), "and only once");
     for (at, counter) in [(300, 2), (1000, 99), (10_000, 100), (29_000, 101)] {
-        assert!(!instances.hear(millis(at), &beat("one", counter)), "{at}");
+        assert!(
+            !instances.hear(millis(at), &heartbeat("one", counter)),
+            "{at}"
+        );
         instances.expire(millis(at));
         assert_eq!(instances.get(&one), None, "{at}");
     }
-    assert!(instances.hear(millis(1000), &beat("two", 1)), "others live");
+    assert!(
+        instances.hear(millis(1000), &heartbeat("two", 1)),
+        "others live"
+    );
 }
 
 #[test]
-fn given_an_instance_nobody_knew_when_it_says_it_is_gone_then_its_late_beat_is_not_taken() {
+fn given_an_instance_nobody_knew_when_it_says_it_is_gone_then_its_late_heartbeat_is_not_taken() {
     let mut instances = Instances::default();
     instances.end(millis(100), &InstanceId::new("one"));
-    assert!(!instances.hear(millis(200), &beat("one", 1)));
+    assert!(!instances.hear(millis(200), &heartbeat("one", 1)));
 }
 
 #[test]
 fn given_a_place_in_the_news_when_instances_ended_after_it_then_those_are_told() {
     let mut instances = Instances::default();
     let (one, two) = (InstanceId::new("one"), InstanceId::new("two"));
-    instances.hear(millis(100), &beat("one", 1));
+    instances.hear(millis(100), &heartbeat("one", 1));
     instances.end(millis(200), &one);
     let place = instances.learned();
     instances.end(millis(300), &two);
@@ -68,7 +74,7 @@
 
 fn link() -> CoreLink {
     let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 6000))];
-    CoreLink::new(NodeId(9), &[BookName::Standing], seeds, 0)
+    CoreLink::new(NodeId(9), &[MapName::Configuration], seeds, 0)
 }
 
 fn member() -> Member {
@@ -80,13 +86,13 @@
         node: NodeId(9),
         counter: 1,
         role: Role::Proxy,
-        area: Area::new("e1"),
+        zone: Zone::new("e1"),
         control: address,
         serving: address,
         ready: true,
         capacity: 1,
         demand: Vec::new(),
-        editions: vec![Edition(0); ALL_BOOKS.len()],
+        versions: vec![Version(0); ALL_MAPS.len()],
         leaving: false,
     }
 }
@@ -104,7 +110,7 @@
         proxies: 1,
         number,
         round_age: Duration::ZERO,
-        editions: vec![Edition(0); ALL_BOOKS.len()],
+        versions: vec![Version(0); ALL_MAPS.len()],
         instances: Vec::new(),
         instances_place: 0,
         members: Vec::new(),
@@ -116,29 +122,33 @@
 }
 
 #[test]
-fn given_an_agent_that_hears_of_an_end_by_a_grant_when_a_late_beat_comes_then_it_stays_gone() {
+fn given_an_agent_that_hears_of_an_end_by_a_grant_when_a_late_heartbeat_comes_then_it_stays_gone() {
     let mut link = link();
-    link.instances.hear(millis(50), &beat("one", 1));
+    link.instances.hear(millis(50), &heartbeat("one", 1));
     let number = renewed(&mut link, millis(100));
     let told = Granted {
-        instances: vec![beat("one", 5), beat("two", 1)],
+        instances: vec![heartbeat("one", 5), heartbeat("two", 1)],
         gone: vec![InstanceId::new("one")],
         ..grant(number, true)
     };
     link.granted(millis(120), NodeId(1), &told);
     let names = |link: &CoreLink| -> Vec<String> {
         let known = link.instances.iter();
-        known.map(|beat| beat.id.to_string()).collect()
+        known.map(|heartbeat| heartbeat.id.to_string()).collect()
     };
     assert_eq!(names(&link), ["two"]);
-    link.instances.hear(millis(130), &beat("one", 6));
+    link.instances.hear(millis(130), &heartbeat("one", 6));
     let number = renewed(&mut link, millis(400));
     let told = Granted {
-        instances: vec![beat("one", 7)],
+        instances: vec![heartbeat("one", 7)],
         ..grant(number, true)
     };
     link.granted(millis(420), NodeId(2), &told);
-    assert_eq!(names(&link), ["two"], "nor by a ledger that has not heard");
+    assert_eq!(
+        names(&link),
+        ["two"],
+        "nor by a controller that has not heard"
+    );
 }
 
 /// Renews as a daemon does: whether it is due is asked first, then the silent are taken out.
@@ -153,12 +163,12 @@
 }
 
 #[test]
-fn given_ledgers_that_answer_without_a_majority_when_time_passes_then_nobody_expires() {
+fn given_controllers_that_answer_without_a_majority_when_time_passes_then_nobody_expires() {
     for answers in [None, Some(false)] {
         let mut link = link();
         for step in 0..40 {
             let now = millis(100 * step);
-            link.instances.hear(now, &beat("one", step));
+            link.instances.hear(now, &heartbeat("one", step));
             assert_eq!(ticks(&mut link, now, Some(true)), []);
         }
         for step in 40..400 {
@@ -173,8 +183,10 @@
 fn given_a_core_that_answers_again_when_a_full_span_has_passed_then_only_then_the_silent_expire() {
     let mut link = link();
     for step in 0..40 {
-        link.instances.hear(millis(100 * step), &beat("one", step));
-        link.instances.hear(millis(100 * step), &beat("two", step));
+        link.instances
+            .hear(millis(100 * step), &heartbeat("one", step));
+        link.instances
+            .hear(millis(100 * step), &heartbeat("two", step));
         ticks(&mut link, millis(100 * step), Some(true));
     }
     for step in 40..200 {
@@ -184,7 +196,7 @@
     let mut gone_at = None;
     for step in 200..260 {
         let now = millis(100 * step);
-        link.instances.hear(now, &beat("two", step));
+        link.instances.hear(now, &heartbeat("two", step));
         let gone = ticks(&mut link, now, Some(true));
         if !gone.is_empty() {
             assert_eq!(gone, [InstanceId::new("one")]);
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -4,7 +4,7 @@
 
 fn site(name: &str, capacity: u32) -> Site {
     Site {
-        area: Area::new(name),
+        zone: Zone::new(name),
         capacity,
         proxy_capacity: capacity,
     }
@@ -13,7 +13,7 @@
 fn group(name: &str, demand: u32, list: &[(usize, u32)]) -> ClientGroup {
     ClientGroup {
         group: name.to_string(),
-        rule: RuleName::new("progress"),
+        route: RouteName::new("progress"),
         demand,
         list: list.to_vec(),
         last: Vec::new(),
@@ -114,7 +114,7 @@
                         loss(&groups[index], place) <= least_held,
                         "seed {seed}: {} would rather be at {}",
                         groups[index].group,
-                        site.area
+                        site.zone
                     );
                 }
             }
@@ -174,16 +174,16 @@
 #[test]
 fn given_a_site_in_use_when_another_is_a_little_nearer_then_the_list_keeps_it_first() {
     let sites = [site("one", 10), site("two", 10)];
-    let distance = |area: &Area| Some(if area.as_str() == "one" { 5_000 } else { 4_200 });
+    let distance = |zone: &Zone| Some(if zone.as_str() == "one" { 5_000 } else { 4_200 });
     let fresh = ranked("group", &sites, &[], distance);
     assert_eq!(fresh[0].0, 1);
     let used = ranked("group", &sites, &[0], distance);
     assert_eq!(used[0].0, 0, "a small gain must not move clients");
 }
 
-/// A small world for the solver: two regions of two areas each.
+/// A small world for the solver: two regions of two zones each.
 struct Bench {
-    standing: Book,
+    configuration: ReplicatedMap,
     instances: Instances,
     members: Members,
     counter: u64,
@@ -191,20 +191,20 @@
 
 impl Bench {
     fn new(home: Option<&str>) -> Self {
-        let mut standing = Book::empty();
-        let areas = [
+        let mut configuration = ReplicatedMap::empty();
+        let zones = [
             ("e1", "east"),
             ("e2", "east"),
             ("w1", "west"),
             ("w2", "west"),
         ];
-        let mut puts: Vec<Put> = areas
+        let mut puts: Vec<Put> = zones
             .iter()
-            .map(|(area, region)| Put {
-                key: format!("area/{area}"),
+            .map(|(zone, region)| Put {
+                key: format!("area/{zone}"),
                 expected: None,
-                value: Some(Value::Area {
-                    area: AreaOrder {
+                value: Some(Value::Zone {
+                    zone: ZoneSettings {
                         region: Region::new(*region),
                         closed: false,
                     },
@@ -215,66 +215,77 @@
         puts.push(Put {
             key: "rule/progress".to_string(),
             expected: None,
-            value: Some(Value::Rule {
-                rule: Rule {
+            value: Some(Value::Route {
+                route: Route {
                     host: "*".to_string(),
                     path: "/".to_string(),
-                    pool: PoolName::new("records"),
+                    service: ServiceName::new("records"),
                     homes: home.map(Region::new).into_iter().collect(),
                     deadline: Duration::from_secs(1),
                     body_limit: 1,
                     key_header: None,
-                    ..Rule::default()
+                    ..Route::default()
                 },
             }),
             written: None,
         });
         let id = ChangeId::new("first");
-        standing.apply(&Change {
+        configuration.apply(&Change {
             id,
             puts,
             guards: Vec::new(),
         });
         let mut bench = Self {
-            standing,
+            configuration,
             instances: Instances::default(),
             members: Members::default(),
             counter: 0,
         };
-        for (area, _) in areas {
-            bench.proxy_says(Duration::from_secs(1), area, true, 0);
-            bench.instance_says(area, InstanceState::Serving);
+        for (zone, _) in zones {
+            bench.proxy_says(Duration::from_secs(1), zone, true, 0);
+            bench.instance_says(zone, InstanceState::Serving);
         }
         bench
     }
 
-    fn proxy_says(&mut self, now: Duration, area: &str, ready: bool, orders: u32) {
-        self.proxy_measures(now, area, ready, "progress", orders);
+    fn proxy_says(&mut self, now: Duration, zone: &str, ready: bool, requests: u32) {
+        self.proxy_measures(now, zone, ready, "progress", requests);
     }
 
-    fn proxy_measures(&mut self, now: Duration, area: &str, ready: bool, rule: &str, orders: u32) {
+    fn proxy_measures(
+        &mut self,
+        now: Duration,
+        zone: &str,
+        ready: bool,
+        route: &str,
+        requests: u32,
+    ) {
         self.counter += 1;
-        let address = SocketAddr::from(([127, 0, 0, 1], 9000 + (steady_hash(area) % 900) as u16));
+        let address = SocketAddr::from(([127, 0, 0, 1], 9000 + (steady_hash(zone) % 900) as u16));
         let demand = Demand {
             group: "10.1.2.0/24".to_string(),
-            rule: RuleName::new(rule),
-            orders,
-            locality: Duration::from_millis(if area.starts_with('e') { 2 } else { 50 }),
+            route: RouteName::new(route),
+            requests,
+            locality: Duration::from_millis(if zone.starts_with('e') { 2 } else { 50 }),
         };
         let member = Member {
             stands: Vec::new(),
             same_demand: false,
             silent: false,
-            node: NodeId(steady_hash(area)),
+            node: NodeId(steady_hash(zone)),
             counter: self.counter,
             role: Role::Proxy,
-            area: Area::new(area),
+            zone: Zone::new(zone),
             control: address,
             serving: address,
             ready,
             capacity: 100,
-            demand: if orders > 0 { vec![demand] } else { Vec::new() },
-            editions: Vec::new(),
+            demand: if requests > 0 {
+                vec![demand]
+            } else {
+                Vec::new()
+            },
+            versions: Vec::new(),
             leaving: false,
         };
         self.members.hear(
@@ -286,15 +297,15 @@
         );
     }
 
-    fn instance_says(&mut self, area: &str, state: InstanceState) {
+    fn instance_says(&mut self, zone: &str, state: InstanceState) {
         self.counter += 1;
-        let beat = Beat {
-            id: InstanceId::new(format!("records-{area}")),
+        let heartbeat = Heartbeat {
+            id: InstanceId::new(format!("records-{zone}")),
             incarnation: Incarnation(1),
             counter: self.counter,
-            pool: PoolName::new("records"),
-            area: Area::new(area),
-            address: SocketAddr::from(([127, 0, 0, 1], 8000 + (steady_hash(area) % 900) as u16)),
+            service: ServiceName::new("records"),
+            zone: Zone::new(zone),
+            address: SocketAddr::from(([127, 0, 0, 1], 8000 + (steady_hash(zone) % 900) as u16)),
             capacity: 100,
             state,
             load: 0,
@@ -306,22 +317,22 @@
         let now = Duration::from_secs(1);
         self.instances.hear(
             now,
-            &HeardBeat {
-                beat,
+            &HeardHeartbeat {
+                heartbeat,
                 age: Duration::ZERO,
             },
         );
     }
 
-    fn close(&mut self, area: &str) {
-        let key = format!("area/{area}");
-        let region = Region::new(if area.starts_with('e') {
+    fn close(&mut self, zone: &str) {
+        let key = format!("area/{zone}");
+        let region = Region::new(if zone.starts_with('e') {
             "east"
         } else {
             "west"
         });
-        let value = Some(Value::Area {
-            area: AreaOrder {
+        let value = Some(Value::Zone {
+            zone: ZoneSettings {
                 region,
                 closed: true,
             },
@@ -332,8 +343,8 @@
             value,
             written: None,
         }];
-        let id = ChangeId::new(format!("close-{area}"));
-        self.standing.apply(&Change {
+        let id = ChangeId::new(format!("close-{zone}"));
+        self.configuration.apply(&Change {
             id,
             puts,
             guards: Vec::new(),
@@ -344,7 +355,7 @@
         let view = ProblemView {
             by_host: false,
             carries_home: false,
-            standing: &self.standing,
+            configuration: &self.configuration,
             instances: &self.instances,
             members: &self.members,
             last,
@@ -356,7 +367,7 @@
     }
 }
 
-/// The areas that carry units of a group.
+/// The zones that carry units of a group.
 fn carrying(mapping: &Mapping, group: &str) -> BTreeSet<String> {
     mapping
         .groups
@@ -364,7 +375,7 @@
         .filter(|placement| placement.group == group)
         .flat_map(|placement| &placement.shares)
         .filter(|share| share.units > 0)
-        .map(|share| share.area.to_string())
+        .map(|share| share.zone.to_string())
         .collect()
 }
 
@@ -409,10 +420,10 @@
     let used = carrying(&mapping, "10.1.2.0/24");
     let other = if used.contains("e1") { "e2" } else { "e1" };
     assert_eq!(used.len(), 1, "twenty orders fit one site");
-    let alive = [(Area::new(other), SocketAddr::from(([127, 0, 0, 1], 1)))];
-    let rule = RuleName::new("progress");
-    let own = Area::new("w1");
-    let found = whereabouts(&mapping, &rule, "10.1.2.0/24", &own, &alive, 7);
+    let alive = [(Zone::new(other), SocketAddr::from(([127, 0, 0, 1], 1)))];
+    let route = RouteName::new("progress");
+    let own = Zone::new("w1");
+    let found = whereabouts(&mapping, &route, "10.1.2.0/24", &own, &alive, 7);
     assert_eq!(
         found.expect("the next of its list").addresses,
         vec![alive[0].1]
@@ -420,12 +431,12 @@
 }
 
 #[test]
-fn given_a_rule_bound_to_one_region_when_others_use_all_sites_then_it_gets_its_part_of_the_two() {
+fn given_a_route_bound_to_one_region_when_others_use_all_sites_then_it_gets_its_part_of_the_two() {
     let mut bench = Bench::new(Some("east"));
-    let mut other = bench.standing.items["rule/progress"].value.clone();
-    if let Value::Rule { rule } = &mut other {
-        rule.homes.clear();
-        rule.host = "other.example".to_string();
+    let mut other = bench.configuration.items["rule/progress"].value.clone();
+    if let Value::Route { route } = &mut other {
+        route.homes.clear();
+        route.host = "other.example".to_string();
     }
     let put = Put {
         key: "rule/other".to_string(),
@@ -434,7 +445,7 @@
         written: None,
     };
     let id = ChangeId::new("other");
-    bench.standing.apply(&Change {
+    bench.configuration.apply(&Change {
         id,
         puts: vec![put],
         guards: Vec::new(),
@@ -446,7 +457,7 @@
     let bound: Vec<&GroupPlacement> = mapping
         .groups
         .iter()
-        .filter(|placement| placement.rule.as_str() == "progress" && placement.group != "*")
+        .filter(|placement| placement.route.as_str() == "progress" && placement.group != "*")
         .collect();
     let most = bound[0].shares.iter().map(|share| share.units).max();
     // Half of all sites' proxies are in its reach, and what the others bring there is a quarter.
@@ -463,18 +474,18 @@
         silent: false,
         stands: vec![GroupStand {
             group: "10.1.2.0/24".to_string(),
-            zone: Area::new(zone),
+            zone: Zone::new(zone),
         }],
         node: NodeId(7),
         counter: bench.counter,
         role: Role::Directory,
-        area: Area::new("e1"),
+        zone: Zone::new("e1"),
         control: address,
         serving: address,
         ready: true,
         capacity: 0,
         demand: Vec::new(),
-        editions: Vec::new(),
+        versions: Vec::new(),
         leaving: false,
     };
     let age = Duration::ZERO;
@@ -489,7 +500,7 @@
     let mut member = bench
         .members
         .iter()
-        .find(|member| member.area.as_str() == zone)
+        .find(|member| member.zone.as_str() == zone)
         .expect("it is a member")
         .clone();
     bench.counter += 1;
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -6,35 +6,35 @@
     Duration::from_millis(number)
 }
 
-fn route() -> Rule {
-    Rule {
+fn route() -> Route {
+    Route {
         host: "*".to_string(),
         path: "/".to_string(),
-        pool: PoolName::new("records"),
+        service: ServiceName::new("records"),
         deadline: millis(1000),
         body_limit: 1000,
-        ..Rule::default()
+        ..Route::default()
     }
 }
 
-fn pool() -> Pool {
-    Pool {
-        slices: 1,
+fn service() -> Service {
+    Service {
+        key_ranges: 1,
         instance_cap: 1000,
         key_cap: 1000,
         cold_rate_milli: 10_000,
-        ..Pool::default()
+        ..Service::default()
     }
 }
 
-fn beat(name: &str, zone: &str) -> Beat {
+fn heartbeat(name: &str, zone: &str) -> Heartbeat {
     let port = 7000 + (steady_hash(name) % 1000) as u16;
-    Beat {
+    Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(0),
         counter: 1,
-        pool: PoolName::new("records"),
-        area: Area::new(zone),
+        service: ServiceName::new("records"),
+        zone: Zone::new(zone),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         capacity: 10,
         state: InstanceState::Serving,
@@ -57,8 +57,8 @@
 
 fn zone_put(zone: &str, region: &str, closed: bool) -> Put {
     let region = Region::new(region);
-    let area = AreaOrder { region, closed };
-    put(&format!("area/{zone}"), Value::Area { area })
+    let settings = ZoneSettings { region, closed };
+    put(&format!("area/{zone}"), Value::Zone { zone: settings })
 }
 
 fn change(id: &str, puts: Vec<Put>) -> Change {
@@ -72,7 +72,7 @@
 /// A proxy in zone e1 and what it is told: e1 and e2 lie east, w1 west, n1 north.
 struct Bench {
     known: ProxyKnowledge,
-    standing: Book,
+    configuration: ReplicatedMap,
     views: u64,
 }
 
@@ -89,57 +89,57 @@
             .iter()
             .map(|(zone, region)| zone_put(zone, region, false))
             .collect();
-        puts.push(put("pool/records", Value::Pool { pool: pool() }));
-        puts.push(put("rule/any", Value::Rule { rule: route() }));
-        let mut standing = Book::empty();
-        standing.apply(&change("first", puts));
+        puts.push(put("pool/records", Value::Service { service: service() }));
+        puts.push(put("rule/any", Value::Route { route: route() }));
+        let mut configuration = ReplicatedMap::empty();
+        configuration.apply(&change("first", puts));
         let known = ProxyKnowledge {
             policy,
             ..ProxyKnowledge::default()
         };
         Self {
             known,
-            standing,
+            configuration,
             views: 0,
         }
     }
 
     fn applies(&mut self, puts: Vec<Put>) {
-        let id = format!("change-{}", self.standing.edition);
-        self.standing.apply(&change(&id, puts));
+        let id = format!("change-{}", self.configuration.version);
+        self.configuration.apply(&change(&id, puts));
     }
 
     /// The agent tells all that stands, and these instances.
-    fn told(&mut self, now: Duration, beats: &[Beat]) {
+    fn told(&mut self, now: Duration, heartbeats: &[Heartbeat]) {
         self.views += 1;
-        let whole = self.standing.clone();
+        let whole = self.configuration.clone();
         let view = ProxyView {
             agent: NodeId(1),
             instances_place: 1,
             all_instances: true,
             number: self.views,
             left: millis(3000),
-            standing: whole.edition,
-            news: vec![Vote::Whole {
-                book: BookName::Standing,
+            configuration: whole.version,
+            news: vec![ConsensusMessage::Whole {
+                map: MapName::Configuration,
                 whole,
             }],
-            instances: beats.to_vec(),
+            instances: heartbeats.to_vec(),
             proxies: 1,
-            tenure: Edition(0),
+            ownership: Version(0),
         };
         self.known.take(now, &view);
     }
 
-    fn admits(&self, now: Duration, route: &Rule) -> Result<(), Mishap> {
-        self.known.admits(now, &Area::new("e1"), route)
+    fn admits(&self, now: Duration, route: &Route) -> Result<(), Failure> {
+        self.known.admits(now, &Zone::new("e1"), route)
     }
 
     /// Which of these instances are chosen in many tries, all free again after each.
-    fn chosen(&self, now: Duration, route: &Rule) -> BTreeSet<String> {
-        let mut shard = PoolShard::new(1);
+    fn chosen(&self, now: Duration, route: &Route) -> BTreeSet<String> {
+        let mut shard = ServiceShard::new(1);
         let mut names = BTreeSet::new();
-        let own = Area::new("e1");
+        let own = Zone::new("e1");
         for _ in 0..300 {
             if let Ok(target) = shard.choose(now, &self.known, &own, route, None, &[]) {
                 let still = self.known.still_good(now, &own, route, &target);
@@ -157,13 +157,13 @@
     names.iter().map(|name| (*name).to_string()).collect()
 }
 
-fn one_everywhere() -> Vec<Beat> {
+fn one_everywhere() -> Vec<Heartbeat> {
     ["e1", "e2", "w1", "n1"]
         .iter()
         .map(|zone| {
-            let mut beat = beat(&format!("in-{zone}"), zone);
-            beat.capacity = 1;
-            beat
+            let mut heartbeat = heartbeat(&format!("in-{zone}"), zone);
+            heartbeat.capacity = 1;
+            heartbeat
         })
         .collect()
 }
@@ -187,7 +187,7 @@
         let expected = if serves_on {
             Ok(())
         } else {
-            Err(Mishap::Stale)
+            Err(Failure::Stale)
         };
         assert_eq!(bench.admits(LONG_AFTER, &route()), expected);
         if serves_on {
@@ -205,11 +205,11 @@
         },
         ..ProxyKnowledge::default()
     };
-    let admitted = known.admits(millis(10), &Area::new("e1"), &route());
-    assert_eq!(admitted, Err(Mishap::Stale));
+    let admitted = known.admits(millis(10), &Zone::new("e1"), &route());
+    assert_eq!(admitted, Err(Failure::Stale));
     let found = known.find(millis(10), "a.example", "/").map(|_| ());
-    assert_eq!(found, Err(Mishap::Stale), "not that there is no route");
-    assert_eq!(Mishap::Stale.told(), Told::NotRun);
+    assert_eq!(found, Err(Failure::Stale), "not that there is no route");
+    assert_eq!(Failure::Stale.told(), Told::NotRun);
 }
 
 #[test]
@@ -227,7 +227,7 @@
             let chosen = bench.chosen(millis(200), &route());
             assert_eq!(chosen, names(&["in-e2", "in-n1", "in-w1"]));
         } else {
-            let refused = Err(Mishap::AreaClosed);
+            let refused = Err(Failure::ZoneClosed);
             assert_eq!(bench.admits(millis(200), &route()), refused);
         }
     }
@@ -239,16 +239,16 @@
         closed_zone_carries: true,
         ..ProxyPolicy::default()
     });
-    bench.told(Duration::ZERO, &[beat("in-e1", "e1")]);
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
+    bench.told(Duration::ZERO, &[heartbeat("in-e1", "e1")]);
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
     let target = shard
         .choose(millis(1), &bench.known, &own, &route(), None, &[])
         .expect("it is free");
     bench.applies(vec![zone_put("e1", "east", true)]);
-    bench.told(millis(100), &[beat("in-e1", "e1")]);
+    bench.told(millis(100), &[heartbeat("in-e1", "e1")]);
     let still = bench.known.still_good(millis(101), &own, &route(), &target);
-    assert_eq!(still, Err(Mishap::NoInstance));
+    assert_eq!(still, Err(Failure::NoInstance));
 }
 
 #[test]
@@ -264,14 +264,14 @@
         if carries_home {
             assert_eq!(bench.admits(millis(1), &bound), Ok(()));
             assert_eq!(bench.chosen(millis(1), &bound), names(&["in-w1"]));
-            let absent: Vec<Beat> = one_everywhere()
+            let absent: Vec<Heartbeat> = one_everywhere()
                 .into_iter()
-                .filter(|beat| beat.area.as_str() != "w1")
+                .filter(|heartbeat| heartbeat.zone.as_str() != "w1")
                 .collect();
             bench.told(millis(2), &absent);
             assert_eq!(bench.chosen(millis(3), &bound), names(&[]), "never beyond");
         } else {
-            assert_eq!(bench.admits(millis(1), &bound), Err(Mishap::OutsideHome));
+            assert_eq!(bench.admits(millis(1), &bound), Err(Failure::OutsideHome));
         }
     }
 }
@@ -286,50 +286,54 @@
     let chosen = bench.chosen(millis(1), &bound);
     assert_eq!(chosen, names(&["in-e1", "in-e2", "in-n1"]));
     bound.homes = vec![Region::new("north"), Region::new("west")];
-    assert_eq!(bench.admits(millis(1), &bound), Err(Mishap::OutsideHome));
+    assert_eq!(bench.admits(millis(1), &bound), Err(Failure::OutsideHome));
 }
 
 #[test]
 fn given_a_split_by_weights_when_drawn_many_times_then_parts_come_in_proportion() {
-    let part = |pool: &str, weight: u32| SplitPart {
-        pool: PoolName::new(pool),
+    let part = |service: &str, weight: u32| SplitPart {
+        service: ServiceName::new(service),
         weight,
     };
     let mut split = route();
-    split.pool = PoolName::new("never");
+    split.service = ServiceName::new("never");
     split.split = vec![part("a", 1), part("none", 0), part("b", 30), part("c", 69)];
     let mut chance = Chance::seeded(5);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..100_000 {
-        let pool = split.pool_for(chance.draw()).to_string();
-        *counts.entry(pool).or_default() += 1;
+        let service = split.service_for(chance.draw()).to_string();
+        *counts.entry(service).or_default() += 1;
     }
     let listed: Vec<&str> = counts.keys().map(String::as_str).collect();
-    assert_eq!(listed, ["a", "b", "c"], "neither weight 0 nor another pool");
-    for (pool, expected) in [("a", 1000), ("b", 30_000), ("c", 69_000)] {
-        let off = counts[pool].abs_diff(expected);
+    assert_eq!(
+        listed,
+        ["a", "b", "c"],
+        "neither weight 0 nor another service"
+    );
+    for (service, expected) in [("a", 1000), ("b", 30_000), ("c", 69_000)] {
+        let off = counts[service].abs_diff(expected);
         assert!(
             off <= expected / 5 && off <= 1000,
-            "{pool}: {}",
-            counts[pool]
+            "{service}: {}",
+            counts[service]
         );
     }
-    let leads_to: Vec<&str> = split.pools().map(PoolName::as_str).collect();
+    let leads_to: Vec<&str> = split.services().map(ServiceName::as_str).collect();
     assert!(!leads_to.contains(&"never"));
 }
 
 #[test]
-fn given_no_split_when_drawn_then_the_routes_own_pool_takes_all() {
+fn given_no_split_when_drawn_then_the_routes_own_service_takes_all() {
     let mut chance = Chance::seeded(6);
     for _ in 0..100 {
-        assert_eq!(route().pool_for(chance.draw()).as_str(), "records");
+        assert_eq!(route().service_for(chance.draw()).as_str(), "records");
     }
 }
 
 /// A request of this kind whose first attempt is under way.
-fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> OrderChart {
-    let mut chart = OrderChart::received(reads);
-    let route = Rule {
+fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestChart {
+    let mut chart = RequestChart::received(reads);
+    let route = Route {
         kind,
         most_attempts,
         ..route()
@@ -354,18 +358,18 @@
         (RequestKind::Upload, true, false),
         (RequestKind::Upload, false, false),
     ] {
-        for end in [ShotEnd::Lost, ShotEnd::Garbage] {
+        for end in [AttemptEnd::Lost, AttemptEnd::Garbage] {
             let mut chart = sent(kind, reads, 0);
-            let step = chart.shot_ended(millis(10), end, || true);
+            let step = chart.attempt_ended(millis(10), end, || true);
             let is_again = step == NextStep::ShootAgain;
             assert_eq!(is_again, again, "{kind:?} reads {reads} {end:?}");
-            if let NextStep::Answer(mishap) = step {
-                assert_eq!(chart.told(mishap), Told::Unknown, "{kind:?} {end:?}");
+            if let NextStep::Answer(failure) = step {
+                assert_eq!(chart.told(failure), Told::Unknown, "{kind:?} {end:?}");
             }
         }
         // What provably did not run may go elsewhere, whatever it is.
         let mut chart = sent(kind, reads, 0);
-        let step = chart.shot_ended(millis(10), ShotEnd::RefusedByInstance, || true);
+        let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
         assert_eq!(step, NextStep::ShootAgain, "{kind:?} reads {reads}");
     }
 }
@@ -373,13 +377,13 @@
 #[test]
 fn given_a_refused_attempt_when_the_second_one_is_lost_then_a_once_request_ends_as_unknown() {
     let mut chart = sent(RequestKind::Once, true, 0);
-    let step = chart.shot_ended(millis(10), ShotEnd::RefusedByInstance, || true);
+    let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
     assert_eq!(step, NextStep::ShootAgain);
     chart.chosen();
     chart.shooting();
-    let step = chart.shot_ended(millis(20), ShotEnd::Lost, || true);
-    assert_eq!(step, NextStep::Answer(Mishap::LostAfterSending));
-    assert_eq!(chart.told(Mishap::LostAfterSending), Told::Unknown);
+    let step = chart.attempt_ended(millis(20), AttemptEnd::Lost, || true);
+    assert_eq!(step, NextStep::Answer(Failure::LostAfterSending));
+    assert_eq!(chart.told(Failure::LostAfterSending), Told::Unknown);
 }
 
 #[test]
@@ -387,7 +391,7 @@
     for (most, expected) in [(1, 1), (2, 2), (5, 5), (0, 3)] {
         let mut chart = sent(RequestKind::Repeatable, true, most);
         let mut attempts = 1;
-        while chart.shot_ended(millis(10), ShotEnd::RefusedByInstance, || true)
+        while chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true)
             == NextStep::ShootAgain
         {
             chart.chosen();
@@ -395,8 +399,8 @@
             attempts += 1;
         }
         assert_eq!(attempts, expected, "most {most}");
-        assert_eq!(chart.shots(), expected);
-        assert_eq!(chart.state(), OrderState::Refused);
+        assert_eq!(chart.attempts(), expected);
+        assert_eq!(chart.state(), RequestState::Refused);
     }
 }
 
@@ -411,11 +415,11 @@
         millis(300),
         "a longer one changes nothing"
     );
-    let step = chart.shot_ended(millis(299), ShotEnd::NotOpened, || true);
+    let step = chart.attempt_ended(millis(299), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::ShootAgain);
     chart.shooting();
-    let step = chart.shot_ended(millis(300), ShotEnd::NotOpened, || true);
-    assert_eq!(step, NextStep::Answer(Mishap::NotOpened));
+    let step = chart.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
+    assert_eq!(step, NextStep::Answer(Failure::NotOpened));
     let mut patient = sent(RequestKind::Repeatable, true, 0);
     patient.caller_waits(millis(5000));
     assert_eq!(patient.deadline(), millis(1000), "the route's own holds");
@@ -423,8 +427,8 @@
 
 /// How many requests of one a millisecond an instance gets over some seconds.
 fn carried(bench: &Bench, from: Duration, seconds: u64, name: &str) -> u32 {
-    let mut shard = PoolShard::new(3);
-    let own = Area::new("e1");
+    let mut shard = ServiceShard::new(3);
+    let own = Zone::new("e1");
     let mut count = 0;
     for step in 0..seconds * 1000 {
         let now = from + millis(step);
@@ -440,9 +444,9 @@
 #[test]
 fn given_an_instance_that_says_it_is_cold_when_wanted_by_all_then_it_is_held_to_its_rate() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let mut cold = beat("cold", "e1");
+    let mut cold = heartbeat("cold", "e1");
     cold.cold_left = millis(1);
-    bench.told(Duration::ZERO, &[cold.clone(), beat("warm", "e2")]);
+    bench.told(Duration::ZERO, &[cold.clone(), heartbeat("warm", "e2")]);
     let count = carried(&bench, Duration::ZERO, 10, "cold");
     // Ten a second for ten seconds, without a burst at the start.
     assert!((80..=100).contains(&count), "{count} went to the cold one");
@@ -452,7 +456,7 @@
     assert!((16..=20).contains(&count), "{count} by one proxy of five");
     cold.cold_left = Duration::ZERO;
     cold.counter += 1;
-    bench.told(millis(10_000), &[cold, beat("warm", "e2")]);
+    bench.told(millis(10_000), &[cold, heartbeat("warm", "e2")]);
     let count = carried(&bench, millis(10_000), 1, "cold");
     assert!(count > 900, "warm it takes nearly all near by, not {count}");
 }
@@ -460,11 +464,11 @@
 #[test]
 fn given_a_cold_instance_alone_when_idle_for_long_then_no_burst_was_saved_up() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let mut cold = beat("cold", "e1");
+    let mut cold = heartbeat("cold", "e1");
     cold.cold_left = millis(60_000);
     bench.told(Duration::ZERO, &[cold]);
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(3);
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(3);
     let _ = shard.choose(Duration::ZERO, &bench.known, &own, &route(), None, &[]);
     let mut count = 0;
     for _ in 0..50 {
@@ -479,12 +483,12 @@
 }
 
 #[test]
-fn given_a_zone_taken_back_when_no_later_beat_has_come_then_its_instances_count_as_cold() {
+fn given_a_zone_taken_back_when_no_later_heartbeat_has_come_then_its_instances_count_as_cold() {
     let mut bench = Bench::new(ProxyPolicy {
         closed_zone_carries: true,
         ..ProxyPolicy::default()
     });
-    let (own, other) = (beat("own", "e1"), beat("other", "w1"));
+    let (own, other) = (heartbeat("own", "e1"), heartbeat("other", "w1"));
     bench.told(Duration::ZERO, &[own.clone(), other.clone()]);
     bench.applies(vec![zone_put("e1", "east", true)]);
     bench.told(millis(1000), &[own.clone(), other.clone()]);
@@ -493,7 +497,7 @@
     bench.told(millis(2000), &[own.clone(), other.clone()]);
     let count = carried(&bench, millis(2000), 1, "own");
     assert!((8..=10).contains(&count), "{count} while it may be cold");
-    // The same beat told again says nothing new.
+    // The same heartbeat told again says nothing new.
     bench.told(millis(3000), &[own.clone(), other.clone()]);
     let count = carried(&bench, millis(3000), 1, "own");
     assert!(
@@ -515,11 +519,11 @@
 #[test]
 fn given_an_instance_that_could_not_be_reached_when_it_has_not_beaten_then_it_is_left_alone() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let one = beat("one", "e1");
+    let one = heartbeat("one", "e1");
     bench.told(Duration::ZERO, std::slice::from_ref(&one));
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
-    let choose = |shard: &mut PoolShard, bench: &Bench, now: Duration| {
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
+    let choose = |shard: &mut ServiceShard, bench: &Bench, now: Duration| {
         shard.choose(now, &bench.known, &own, &route(), None, &[])
     };
     let target = choose(&mut shard, &bench, millis(1)).expect("it is free");
@@ -528,54 +532,57 @@
     shard.end(millis(2), &target, false, None);
     for now in [3, 100, 1000, 2900] {
         let refused = choose(&mut shard, &bench, millis(now));
-        assert_eq!(refused, Err(Mishap::NoInstance), "after {now}");
+        assert_eq!(refused, Err(Failure::NoInstance), "after {now}");
     }
     let mut later = one;
     later.counter += 1;
     bench.told(millis(2901), &[later]);
-    assert!(choose(&mut shard, &bench, millis(2902)).is_ok(), "it beat");
+    assert!(
+        choose(&mut shard, &bench, millis(2902)).is_ok(),
+        "it heartbeat"
+    );
 }
 
 #[test]
-fn given_a_keyed_pool_when_its_cold_owner_is_wanted_by_all_then_it_is_held_to_its_rate() {
+fn given_a_keyed_service_when_its_cold_owner_is_wanted_by_all_then_it_is_held_to_its_rate() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let keyed = Pool {
+    let keyed = Service {
         keyed: true,
         key_space: KeySpace::Ranges,
-        ..pool()
+        ..service()
     };
-    bench.applies(vec![put("pool/records", Value::Pool { pool: keyed })]);
-    let mut owner = beat("owner", "e1");
+    bench.applies(vec![put("pool/records", Value::Service { service: keyed })]);
+    let mut owner = heartbeat("owner", "e1");
     owner.cold_left = millis(60_000);
     bench.told(Duration::ZERO, &[owner]);
-    let holder = SliceOwner {
+    let holder = KeyRangeOwner {
         instance: InstanceId::new("owner"),
         incarnation: Incarnation(0),
         epoch: Epoch(1),
         handover: None,
     };
-    let table = SliceTable {
+    let table = KeyRangeTable {
         epoch: Epoch(1),
         owners: vec![Some(holder)],
     };
-    let slices = change("t", vec![put("slices/records", Value::Slices { table })]);
-    let news = Vote::News {
-        book: BookName::Tenure,
+    let key_ranges = change("t", vec![put("slices/records", Value::KeyRanges { table })]);
+    let news = ConsensusMessage::News {
+        map: MapName::Ownership,
         changes: vec![NumberedChange {
-            edition: Edition(1),
-            change: slices,
+            version: Version(1),
+            change: key_ranges,
         }],
     };
-    assert!(Arc::make_mut(&mut bench.known.books).take(&news).is_some());
-    let own = Area::new("e1");
-    let mut shard = PoolShard::new(1);
+    assert!(Arc::make_mut(&mut bench.known.maps).take(&news).is_some());
+    let own = Zone::new("e1");
+    let mut shard = ServiceShard::new(1);
     let mut count = 0;
     for step in 0..2000 {
         let now = millis(step);
         let key = (step % 65_536).to_string();
         let chosen = shard.choose(now, &bench.known, &own, &route(), Some(&key), &[]);
         if let Ok(target) = chosen {
-            assert_eq!(target.slice, Some((0, Epoch(1))));
+            assert_eq!(target.key_range, Some((0, Epoch(1))));
             shard.begin(now, &target);
             shard.end(now, &target, true, Some(0));
             count += 1;
@@ -584,21 +591,23 @@
     assert!((16..=20).contains(&count), "{count} in two seconds");
     for key in ["65536", "-1", "x", ""] {
         let chosen = shard.choose(millis(2000), &bench.known, &own, &route(), Some(key), &[]);
-        assert_eq!(chosen, Err(Mishap::BadKey), "{key}");
+        assert_eq!(chosen, Err(Failure::BadKey), "{key}");
     }
     let missing = shard.choose(millis(2000), &bench.known, &own, &route(), None, &[]);
-    assert_eq!(missing, Err(Mishap::MissingKey));
+    assert_eq!(missing, Err(Failure::MissingKey));
 }
 
 #[test]
 fn given_many_proxies_that_see_an_instance_cold_at_once_then_they_never_send_together() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let mut cold = beat("cold", "e1");
+    let mut cold = heartbeat("cold", "e1");
     cold.cold_left = millis(60_000);
     bench.told(Duration::ZERO, &[cold]);
     bench.known.proxies = 24;
-    let own = Area::new("e1");
-    let mut shards: Vec<PoolShard> = (0..24).map(|seed| PoolShard::new(seed * 77 + 5)).collect();
+    let own = Zone::new("e1");
+    let mut shards: Vec<ServiceShard> = (0..24)
+        .map(|seed| ServiceShard::new(seed * 77 + 5))
+        .collect();
     let mut sent: Vec<u64> = Vec::new();
     for step in 0..1000 {
         let now = millis(step * 10);
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -2,7 +2,7 @@
 
 use caperworks::prelude::*;
 
-const POOL: &str = "evidence";
+const SERVICE: &str = "evidence";
 
 fn seconds(number: u64) -> Duration {
     Duration::from_secs(number)
@@ -12,36 +12,46 @@
     Duration::from_millis(number)
 }
 
-fn range_pool(slices: u32) -> Pool {
-    Pool {
+fn range_service(key_ranges: u32) -> Service {
+    Service {
         keyed: true,
-        slices,
+        key_ranges,
         key_space: KeySpace::Ranges,
-        ..Pool::default()
+        ..Service::default()
     }
 }
 
 #[test]
-fn given_every_key_when_its_slice_is_asked_then_exactly_the_slice_whose_range_holds_it() {
-    for slices in [1, 2, 3, 7, 64, 100, 1000, 1024] {
-        let pool = range_pool(slices);
+fn given_every_key_when_its_key_range_is_asked_then_exactly_the_key_range_whose_range_holds_it() {
+    for key_ranges in [1, 2, 3, 7, 64, 100, 1000, 1024] {
+        let service = range_service(key_ranges);
         let mut next = 0;
-        for slice in 0..slices {
-            let (first, last) = pool.key_range(slice);
-            assert_eq!(first, next, "slice {slice} of {slices}: no gap, no overlap");
-            assert!(last >= first, "slice {slice} of {slices} has keys");
+        for key_range in 0..key_ranges {
+            let (first, last) = service.key_bounds(key_range);
+            assert_eq!(
+                first, next,
+                "key range {key_range} of {key_ranges}: no gap, no overlap"
+            );
+            assert!(
+                last >= first,
+                "key range {key_range} of {key_ranges} has keys"
+            );
             for key in first..=last {
-                assert_eq!(pool.slice(&key.to_string()), Some(slice), "{key}");
+                assert_eq!(
+                    service.key_range_of(&key.to_string()),
+                    Some(key_range),
+                    "{key}"
+                );
             }
             next = last + 1;
         }
-        assert_eq!(u64::from(next), KEYS, "{slices} slices hold all keys");
+        assert_eq!(u64::from(next), KEYS, "{key_ranges} slices hold all keys");
     }
 }
 
 #[test]
-fn given_what_is_no_key_when_its_slice_is_asked_then_it_has_none() {
-    let pool = range_pool(64);
+fn given_what_is_no_key_when_its_key_range_is_asked_then_it_has_none() {
+    let service = range_service(64);
     for text in [
         "",
         " ",
@@ -52,7 +62,7 @@
         "a",
         "70000000000000000000",
     ] {
-        assert_eq!(pool.slice(text), None, "{text:?}");
+        assert_eq!(service.key_range_of(text), None, "{text:?}");
     }
 }
 
@@ -62,33 +72,33 @@
     state: InstanceState,
     counter: u64,
     holding: BTreeSet<u32>,
-    /// When it was last told to hold, by slice, and the handover it got.
+    /// When it was last told to hold, by key range, and the handover it got.
     told: BTreeMap<u32, (Duration, Option<String>)>,
-    /// Told in each beat until the slice is its own again.
+    /// Told in each heartbeat until the key range is its own again.
     let_go: BTreeMap<u32, String>,
     /// Whether it lets go of what it is told to.
     obeys: bool,
 }
 
 struct Bench {
-    keeper: Keeper,
+    owner_manager: OwnerManager,
     instances: Instances,
-    tenure: Book,
-    pool: Pool,
-    closed: BTreeSet<Area>,
+    ownership: ReplicatedMap,
+    service: Service,
+    closed: BTreeSet<Zone>,
     changes: u32,
     known: BTreeMap<String, Instance>,
 }
 
 impl Bench {
-    fn new(slices: u32) -> Self {
-        let mut keeper = Keeper::default();
-        keeper.take_up(Duration::ZERO, false);
+    fn new(key_ranges: u32) -> Self {
+        let mut owner_manager = OwnerManager::default();
+        owner_manager.take_up(Duration::ZERO, false);
         Self {
-            keeper,
+            owner_manager,
             instances: Instances::default(),
-            tenure: Book::empty(),
-            pool: range_pool(slices),
+            ownership: ReplicatedMap::empty(),
+            service: range_service(key_ranges),
             closed: BTreeSet::new(),
             changes: 0,
             known: BTreeMap::new(),
@@ -107,16 +117,16 @@
         })
     }
 
-    fn beat_of(&mut self, name: &str) -> Beat {
+    fn heartbeat_of(&mut self, name: &str) -> Heartbeat {
         let port = 7000 + (steady_hash(name) % 1000) as u16;
         let instance = self.instance(name);
         instance.counter += 1;
-        Beat {
+        Heartbeat {
             id: InstanceId::new(name),
             incarnation: Incarnation(0),
             counter: instance.counter,
-            pool: PoolName::new(POOL),
-            area: Area::new(instance.zone),
+            service: ServiceName::new(SERVICE),
+            zone: Zone::new(instance.zone),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             capacity: 10,
             state: instance.state,
@@ -126,8 +136,8 @@
             let_go: instance
                 .let_go
                 .iter()
-                .map(|(slice, handover)| LetGo {
-                    slice: *slice,
+                .map(|(key_range, handover)| LetGo {
+                    key_range: *key_range,
                     epoch: None,
                     handover: Some(handover.clone()),
                 })
@@ -136,32 +146,33 @@
         }
     }
 
-    /// The beat comes to the keeper; its answer is not taken in.
-    fn hears(&mut self, now: Duration, beat: &Beat) -> BeatAnswer {
-        let heard = HeardBeat {
-            beat: beat.clone(),
+    /// The heartbeat comes to the owner manager; its answer is not taken in.
+    fn hears(&mut self, now: Duration, heartbeat: &Heartbeat) -> HeartbeatAnswer {
+        let heard = HeardHeartbeat {
+            heartbeat: heartbeat.clone(),
             age: Duration::ZERO,
         };
         self.instances.hear(now, &heard);
-        self.keeper.beat(now, beat, &self.tenure)
+        self.owner_manager
+            .heartbeat(now, heartbeat, &self.ownership)
     }
 
-    fn beats(&mut self, now: Duration, name: &str) -> BeatAnswer {
-        let beat = self.beat_of(name);
-        let answer = self.hears(now, &beat);
+    fn heartbeats(&mut self, now: Duration, name: &str) -> HeartbeatAnswer {
+        let heartbeat = self.heartbeat_of(name);
+        let answer = self.hears(now, &heartbeat);
         let instance = self.instance(name);
-        let named: BTreeSet<u32> = answer.holds.iter().map(|hold| hold.slice).collect();
+        let named: BTreeSet<u32> = answer.holds.iter().map(|hold| hold.key_range).collect();
         for hold in &answer.holds {
-            instance.let_go.remove(&hold.slice);
+            instance.let_go.remove(&hold.key_range);
             instance
                 .told
-                .insert(hold.slice, (now, hold.handover.clone()));
+                .insert(hold.key_range, (now, hold.handover.clone()));
         }
         if instance.obeys {
-            // Why so: the keeper itself answered, and what it does not name is not to be held.
-            for slice in instance.holding.difference(&named) {
-                let handover = format!("from {name} of {slice}");
-                instance.let_go.insert(*slice, handover);
+            // Why so: the owner manager itself answered, and what it does not name is not to be held.
+            for key_range in instance.holding.difference(&named) {
+                let handover = format!("from {name} of {key_range}");
+                instance.let_go.insert(*key_range, handover);
             }
             instance.holding = named;
         } else {
@@ -172,13 +183,15 @@
 
     fn plans(&mut self, now: Duration) -> usize {
         self.instances.expire(now);
-        let name = PoolName::new(POOL);
-        let view = TenureView {
+        let name = ServiceName::new(SERVICE);
+        let view = OwnershipView {
             instances: &self.instances,
             closed: &self.closed,
-            tenure: &self.tenure,
+            ownership: &self.ownership,
         };
-        let planned = self.keeper.plan(now, Epoch(1), &name, &self.pool, &view);
+        let planned = self
+            .owner_manager
+            .plan(now, Epoch(1), &name, &self.service, &view);
         let Some(table) = planned else {
             return 0;
         };
@@ -187,37 +200,37 @@
         let put = Put {
             key: format!("slices/{name}"),
             expected: None,
-            value: Some(Value::Slices { table }),
+            value: Some(Value::KeyRanges { table }),
             written: None,
         };
-        self.tenure.apply(&Change {
+        self.ownership.apply(&Change {
             id: ChangeId::new(format!("plan-{}", self.changes)),
             puts: vec![put],
             guards: Vec::new(),
         });
         let owners = self.owners();
         (0..owners.len())
-            .filter(|slice| before.get(*slice) != owners.get(*slice))
+            .filter(|key_range| before.get(*key_range) != owners.get(*key_range))
             .count()
     }
 
-    fn owners(&self) -> Vec<Option<SliceOwner>> {
-        let table = self.tenure.slices(&PoolName::new(POOL));
+    fn owners(&self) -> Vec<Option<KeyRangeOwner>> {
+        let table = self.ownership.key_ranges(&ServiceName::new(SERVICE));
         table.map(|table| table.owners.clone()).unwrap_or_default()
     }
 
-    fn owner(&self, slice: usize) -> String {
-        let owner = self.owners()[slice].clone();
+    fn owner(&self, key_range: usize) -> String {
+        let owner = self.owners()[key_range].clone();
         owner.map_or_else(String::new, |owner| owner.instance.to_string())
     }
 
-    /// All beat and the keeper plans, twice a second; says whether all is quiet in the end.
+    /// All heartbeat and the owner manager plans, twice a second; says whether all is quiet in the end.
     fn runs(&mut self, from: Duration, names: &[&str], steps: u64) -> bool {
         let mut moved = 0;
         for step in 0..steps {
             let now = from + millis(500 * step);
             for name in names {
-                self.beats(now, name);
+                self.heartbeats(now, name);
             }
             moved = self.plans(now);
             self.nobody_shares(now);
@@ -225,15 +238,15 @@
         moved == 0
     }
 
-    /// No slice is held by two at once.
+    /// No key range is held by two at once.
     fn nobody_shares(&self, now: Duration) {
         let mut held: BTreeMap<u32, &str> = BTreeMap::new();
         for (name, instance) in &self.known {
-            for slice in &instance.holding {
-                let (told, _) = instance.told[slice];
+            for key_range in &instance.holding {
+                let (told, _) = instance.told[key_range];
                 if now < told + HOLD_SPAN {
-                    let other = held.insert(*slice, name);
-                    assert_eq!(other, None, "{name} shares slice {slice} at {now:?}");
+                    let other = held.insert(*key_range, name);
+                    assert_eq!(other, None, "{name} shares slice {key_range} at {now:?}");
                 }
             }
         }
@@ -251,26 +264,28 @@
         .all(|owner| owner.instance.as_str() == "a"));
     let before = bench.owners();
     assert!(bench.runs(seconds(3), &["a", "b"], 40), "it comes to rest");
-    let moved: Vec<usize> = (0..16).filter(|slice| bench.owner(*slice) == "b").collect();
+    let moved: Vec<usize> = (0..16)
+        .filter(|key_range| bench.owner(*key_range) == "b")
+        .collect();
     assert!(moved.len() >= 4, "only {moved:?} moved");
-    for slice in moved {
-        let owner = bench.owners()[slice].clone().expect("it has an owner");
-        let first = before[slice].clone().expect("it had one");
+    for key_range in moved {
+        let owner = bench.owners()[key_range].clone().expect("it has an owner");
+        let first = before[key_range].clone().expect("it had one");
         assert!(owner.epoch > first.epoch, "the fence grows");
-        let expected = Some(format!("from a of {slice}"));
+        let expected = Some(format!("from a of {key_range}"));
         assert_eq!(owner.handover, expected);
     }
-    // The handover is told as long as the slice is not held, and then no more.
-    let mut beat = bench.beat_of("b");
-    beat.holding.clear();
-    let answer = bench.hears(seconds(23), &beat);
+    // The handover is told as long as the key range is not held, and then no more.
+    let mut heartbeat = bench.heartbeat_of("b");
+    heartbeat.holding.clear();
+    let answer = bench.hears(seconds(23), &heartbeat);
     assert!(answer.holds.iter().all(|hold| hold.handover.is_some()));
-    let answer = bench.beats(seconds(24), "b");
+    let answer = bench.heartbeats(seconds(24), "b");
     assert!(answer.holds.iter().all(|hold| hold.handover.is_none()));
 }
 
 #[test]
-fn given_a_slice_that_goes_on_twice_when_the_second_owner_hands_on_then_its_word_counts() {
+fn given_a_key_range_that_goes_on_twice_when_the_second_owner_hands_on_then_its_word_counts() {
     let mut bench = Bench::new(1);
     bench.runs(seconds(1), &["a"], 2);
     bench.instance("a").state = InstanceState::Leaving;
@@ -285,45 +300,50 @@
 }
 
 #[test]
-fn given_an_owner_that_leaves_when_others_are_there_then_all_of_its_slices_move_soon() {
+fn given_an_owner_that_leaves_when_others_are_there_then_all_of_its_key_ranges_move_soon() {
     let mut bench = Bench::new(64);
     bench.runs(seconds(1), &["a", "b", "c"], 10);
-    let count = |bench: &Bench| (0..64).filter(|slice| bench.owner(*slice) == "a").count();
+    let count = |bench: &Bench| {
+        (0..64)
+            .filter(|key_range| bench.owner(*key_range) == "a")
+            .count()
+    };
     assert!(count(&bench) > 0);
     bench.instance("a").state = InstanceState::Leaving;
     bench.runs(seconds(6), &["a", "b", "c"], 5);
     assert_eq!(count(&bench), 0, "two and a half seconds later");
-    assert!((0..64).all(|slice| !bench.owner(slice).is_empty()));
+    assert!((0..64).all(|key_range| !bench.owner(key_range).is_empty()));
 }
 
 #[test]
-fn given_a_closed_zone_when_its_owners_slices_move_then_they_go_to_other_zones() {
+fn given_a_closed_zone_when_its_owners_key_ranges_move_then_they_go_to_other_zones() {
     let mut bench = Bench::new(16);
     bench.instance("a").zone = "west-1";
     bench.runs(seconds(1), &["a", "b"], 10);
-    bench.closed.insert(Area::new("west-1"));
+    bench.closed.insert(Zone::new("west-1"));
     bench.runs(seconds(6), &["a", "b"], 8);
-    assert!((0..16).all(|slice| bench.owner(slice) == "b"));
+    assert!((0..16).all(|key_range| bench.owner(key_range) == "b"));
 }
 
 #[test]
-fn given_a_beat_older_than_the_release_when_it_comes_late_then_it_does_not_count_as_letting_go() {
+fn given_a_heartbeat_older_than_the_release_when_it_comes_late_then_it_does_not_count_as_letting_go(
+) {
     let mut bench = Bench::new(1);
     bench.instance("a").obeys = false;
     bench.runs(seconds(1), &["a"], 2);
-    // A beat that speaks of an earlier time: it let go of the slice then, and holds nothing.
-    let mut late = bench.beat_of("a");
+    // A heartbeat that speaks of an earlier time: it let go of the key range then, and holds nothing.
+    let mut late = bench.heartbeat_of("a");
     late.holding.clear();
     late.let_go = vec![LetGo {
-        slice: 0,
+        key_range: 0,
         epoch: None,
         handover: Some("of an earlier time".to_string()),
     }];
     bench.instance("a").state = InstanceState::Leaving;
     for step in 0..8 {
         let now = seconds(2) + millis(500 * step);
-        bench.beats(now, "a");
-        bench.beats(now, "b");
+        bench.heartbeats(now, "a");
+        bench.heartbeats(now, "b");
         bench.plans(now);
         if step == 3 {
             let answer = bench.hears(now, &late);
@@ -337,44 +357,45 @@
 }
 
 #[test]
-fn given_several_beats_older_than_the_release_when_all_come_late_then_none_counts_as_letting_go() {
-    // Whether the keeper heard the owner itself, or took the duty up and heard of it by others.
+fn given_several_heartbeats_older_than_the_release_when_all_come_late_then_none_counts_as_letting_go(
+) {
+    // Whether the owner manager heard the owner itself, or took the leadership role up and heard of it by others.
     for taken_up in [false, true] {
         let mut bench = Bench::new(1);
         bench.instance("a").obeys = false;
         bench.runs(seconds(1), &["a"], 2);
-        // Beats of an earlier time, in which the slice had been let go of.
-        let earlier: Vec<Beat> = (0..3)
+        // Heartbeats of an earlier time, in which the key range had been let go of.
+        let earlier: Vec<Heartbeat> = (0..3)
             .map(|_| {
-                let mut beat = bench.beat_of("a");
-                beat.holding.clear();
-                beat.let_go = vec![LetGo {
-                    slice: 0,
+                let mut heartbeat = bench.heartbeat_of("a");
+                heartbeat.holding.clear();
+                heartbeat.let_go = vec![LetGo {
+                    key_range: 0,
                     epoch: None,
                     handover: None,
                 }];
-                beat
+                heartbeat
             })
             .collect();
         bench.runs(seconds(2), &["a"], 2);
         if taken_up {
-            bench.keeper = Keeper::default();
-            bench.keeper.take_up(seconds(3), false);
+            bench.owner_manager = OwnerManager::default();
+            bench.owner_manager.take_up(seconds(3), false);
         }
         bench.instance("a").state = InstanceState::Leaving;
-        let beat = bench.beat_of("a");
-        let heard = HeardBeat {
-            beat,
+        let heartbeat = bench.heartbeat_of("a");
+        let heard = HeardHeartbeat {
+            heartbeat,
             age: Duration::ZERO,
         };
         bench.instances.hear(seconds(3), &heard);
-        bench.beats(seconds(3), "b");
+        bench.heartbeats(seconds(3), "b");
         bench.plans(seconds(3));
-        for beat in &earlier {
-            let answer = bench.hears(seconds(3), beat);
+        for heartbeat in &earlier {
+            let answer = bench.hears(seconds(3), heartbeat);
             assert_eq!(answer.release.len(), 1, "it is asked to let go");
             bench.plans(seconds(3));
-            assert_eq!(bench.owner(0), "a", "it holds the slice");
+            assert_eq!(bench.owner(0), "a", "it holds the key range");
         }
         bench.instance("a").obeys = true;
         bench.runs(seconds(4), &["a", "b"], 4);
@@ -383,103 +404,104 @@
 }
 
 #[test]
-fn given_the_very_beat_that_is_told_to_let_go_when_it_names_the_slice_then_that_is_too_early() {
+fn given_the_very_heartbeat_that_is_told_to_let_go_when_it_names_the_key_range_then_that_is_too_early(
+) {
     let mut bench = Bench::new(1);
     bench.runs(seconds(1), &["a"], 2);
     bench.instance("a").state = InstanceState::Leaving;
     bench.runs(seconds(2), &["b"], 1);
-    let mut beat = bench.beat_of("a");
-    beat.holding.clear();
-    beat.let_go = vec![LetGo {
-        slice: 0,
+    let mut heartbeat = bench.heartbeat_of("a");
+    heartbeat.holding.clear();
+    heartbeat.let_go = vec![LetGo {
+        key_range: 0,
         epoch: None,
         handover: None,
     }];
-    bench.hears(seconds(2), &beat);
+    bench.hears(seconds(2), &heartbeat);
     bench.plans(seconds(2));
     // Told in the answer to this one; only one after it can speak of it.
-    let answer = bench.hears(seconds(3), &beat);
+    let answer = bench.hears(seconds(3), &heartbeat);
     assert_eq!(answer.release.len(), 1);
     bench.plans(seconds(3));
     assert_eq!(bench.owner(0), "a");
-    beat.counter += 1;
-    bench.hears(seconds(3), &beat);
+    heartbeat.counter += 1;
+    bench.hears(seconds(3), &heartbeat);
     bench.plans(seconds(3));
     assert_eq!(bench.owner(0), "b");
 }
 
 #[test]
-fn given_a_silent_owner_when_its_hold_with_the_clocks_drift_has_passed_then_its_slices_move() {
-    let spans = KeeperSpans {
-        wait_after_own: KEEPER_WAIT,
+fn given_a_silent_owner_when_its_hold_with_the_clocks_drift_has_passed_then_its_key_ranges_move() {
+    let spans = OwnerManagerSpans {
+        wait_after_own: OWNER_MANAGER_WAIT,
         hold: millis(4000),
         drift: millis(300),
         wait: millis(9000),
         uptake: millis(2000),
     };
     let mut bench = Bench::new(4);
-    bench.keeper.spans = spans;
+    bench.owner_manager.spans = spans;
     bench.runs(seconds(1), &["a"], 30);
     let last = seconds(16);
-    let answer = bench.beats(last, "a");
+    let answer = bench.heartbeats(last, "a");
     assert_eq!(answer.holds.len(), 4);
     assert!(answer.holds.iter().all(|hold| hold.left == spans.hold));
     for step in 1..100 {
         let now = last + millis(100 * step);
-        bench.beats(now, "b");
+        bench.heartbeats(now, "b");
         if bench.plans(now) > 0 {
             assert!(now >= last + spans.hold + spans.drift, "moved at {now:?}");
             assert!(now <= last + spans.hold + spans.drift + millis(200));
             return;
         }
     }
-    panic!("the slices never moved");
+    panic!("the key ranges never moved");
 }
 
 #[test]
-fn given_a_new_keeper_when_an_owner_is_silent_then_it_waits_as_long_as_it_was_told_to() {
+fn given_a_new_owner_manager_when_an_owner_is_silent_then_it_waits_as_long_as_it_was_told_to() {
     let mut bench = Bench::new(4);
     bench.runs(seconds(1), &["a"], 3);
     let wait = millis(5000);
-    bench.keeper = Keeper::default();
-    bench.keeper.spans.wait = wait;
-    bench.keeper.take_up(seconds(30), false);
+    bench.owner_manager = OwnerManager::default();
+    bench.owner_manager.spans.wait = wait;
+    bench.owner_manager.take_up(seconds(30), false);
     for step in 0..100 {
         let now = seconds(30) + millis(100 * step);
-        bench.beats(now, "b");
+        bench.heartbeats(now, "b");
         if bench.plans(now) > 0 {
             assert!(now >= seconds(30) + wait, "moved at {now:?}");
             return;
         }
     }
-    panic!("the slices never moved");
+    panic!("the key ranges never moved");
 }
 
 #[test]
-fn given_a_keeper_after_its_own_former_life_when_an_owner_is_silent_then_it_waits_the_lesser_time()
-{
+fn given_an_owner_manager_after_its_own_former_life_when_an_owner_is_silent_then_it_waits_the_lesser_time(
+) {
     for (after_own, expected) in [(true, millis(3500)), (false, millis(8000))] {
         let mut bench = Bench::new(4);
         bench.runs(seconds(1), &["a"], 3);
-        bench.keeper = Keeper::default();
-        bench.keeper.spans.wait = millis(8000);
-        bench.keeper.spans.wait_after_own = millis(3500);
-        bench.keeper.take_up(seconds(30), after_own);
+        bench.owner_manager = OwnerManager::default();
+        bench.owner_manager.spans.wait = millis(8000);
+        bench.owner_manager.spans.wait_after_own = millis(3500);
+        bench.owner_manager.take_up(seconds(30), after_own);
         let moved_at = (0..100).find_map(|step| {
             let now = seconds(30) + millis(100 * step);
-            bench.beats(now, "b");
+            bench.heartbeats(now, "b");
             (bench.plans(now) > 0).then_some(now)
         });
         assert_eq!(moved_at, Some(seconds(30) + expected), "{after_own}");
-        assert!((0..4).all(|slice| bench.owner(slice) == "b"));
+        assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
     }
 }
 
 #[test]
-fn given_an_owner_that_said_it_ended_when_half_a_second_has_passed_then_its_slices_are_free() {
+fn given_an_owner_that_said_it_ended_when_half_a_second_has_passed_then_its_key_ranges_are_free() {
     let mut bench = Bench::new(4);
     bench.runs(seconds(1), &["a"], 10);
-    assert!((0..4).all(|slice| bench.owner(slice) == "a"));
+    assert!((0..4).all(|key_range| bench.owner(key_range) == "a"));
     let ended = seconds(6);
     let id = InstanceId::new("a");
     assert_eq!(bench.instances.ended_for(ended, &id), Duration::ZERO);
@@ -490,15 +512,15 @@
     );
     for step in 1..=5 {
         let now = ended + millis(100 * step);
-        // A late beat of the one that ended brings nothing back, and its holds bind nobody.
-        let late = bench.beat_of("a");
+        // A late heartbeat of the one that ended brings nothing back, and its holds bind nobody.
+        let late = bench.heartbeat_of("a");
         bench.hears(now, &late);
         assert_eq!(bench.instances.get(&id), None);
         assert_eq!(bench.instances.ended_for(now, &id), millis(100 * step));
-        bench.beats(now, "b");
+        bench.heartbeats(now, "b");
         assert_eq!(bench.plans(now), if step < 5 { 0 } else { 4 }, "at {now:?}");
     }
-    assert!((0..4).all(|slice| bench.owner(slice) == "b"));
+    assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
     let other = InstanceId::new("b");
     assert_eq!(
         bench.instances.ended_for(seconds(20), &other),
@@ -507,7 +529,7 @@
 }
 
 #[test]
-fn given_instances_that_come_and_go_when_many_days_pass_then_no_slice_is_held_by_two() {
+fn given_instances_that_come_and_go_when_many_days_pass_then_no_key_range_is_held_by_two() {
     let names = ["a", "b", "c", "d"];
     for seed in 0..20 {
         let mut chance = Chance::seeded(seed);
@@ -531,7 +553,7 @@
             }
             for name in names {
                 if !away.contains(name) && chance.below(4) > 0 {
-                    bench.beats(now, name);
+                    bench.heartbeats(now, name);
                 }
             }
             bench.plans(now);
