--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/version_stories.rs
@@ -2,24 +2,24 @@
 
 use caperworks::prelude::*;
 
-fn pool_value(limit: u32) -> Option<Value> {
-    let pool = Pool {
+fn service_value(limit: u32) -> Option<Value> {
+    let service = Service {
         instance_cap: limit,
         key_cap: 1,
         cold_rate_milli: 1000,
-        ..Pool::default()
+        ..Service::default()
     };
-    Some(Value::Pool { pool })
+    Some(Value::Service { service })
 }
 
-fn route(host: &str, path: &str, pool: &str) -> Rule {
-    Rule {
+fn route(host: &str, path: &str, service: &str) -> Route {
+    Route {
         host: host.to_string(),
         path: path.to_string(),
-        pool: PoolName::new(pool),
+        service: ServiceName::new(service),
         deadline: Duration::from_secs(2),
         body_limit: 1000,
-        ..Rule::default()
+        ..Route::default()
     }
 }
 
@@ -42,66 +42,71 @@
     }
 }
 
-/// The version of an item and its pool's limit; no limit for one that was dropped.
-fn standing(book: &Book, key: &str) -> Option<(u64, Option<u32>)> {
-    let item = book.items.get(key)?;
+/// The version of an item and its service's limit; no limit for one that was dropped.
+fn configuration(map: &ReplicatedMap, key: &str) -> Option<(u64, Option<u32>)> {
+    let item = map.items.get(key)?;
     let version = item.written.as_ref().map_or(0, |written| written.version);
     match &item.value {
-        Value::Pool { pool } => Some((version, Some(pool.instance_cap))),
+        Value::Service { service } => Some((version, Some(service.instance_cap))),
         _ => Some((version, None)),
     }
 }
 
 const KEY: &str = "pool/records";
 
-/// The book after calls of one put each.
-fn after(puts: &[(u64, Option<u32>)]) -> Book {
-    let mut book = Book::empty();
+/// The map after calls of one put each.
+fn after(puts: &[(u64, Option<u32>)]) -> ReplicatedMap {
+    let mut map = ReplicatedMap::empty();
     for (place, (version, limit)) in puts.iter().enumerate() {
-        let put = versioned(KEY, *version, limit.and_then(pool_value));
+        let put = versioned(KEY, *version, limit.and_then(service_value));
         let change = call(&format!("call-{place}"), vec![put]);
-        assert_eq!(check_standing(&book, &change), Vec::new());
-        book.apply(&change);
+        assert_eq!(check_configuration(&map, &change), Vec::new());
+        map.apply(&change);
     }
-    book
+    map
 }
 
 #[test]
-fn given_a_standing_version_when_a_lower_or_equal_one_comes_then_nothing_of_the_item_changes() {
+fn given_a_configuration_version_when_a_lower_or_equal_one_comes_then_nothing_of_the_item_changes()
+{
     let first = after(&[(5, Some(50))]);
     for later in [1, 4, 5] {
-        let book = after(&[(5, Some(50)), (later, Some(7))]);
-        assert_eq!(standing(&book, KEY), Some((5, Some(50))), "{later}");
-        assert_eq!(book.items, first.items, "not even its version of ours");
+        let map = after(&[(5, Some(50)), (later, Some(7))]);
+        assert_eq!(configuration(&map, KEY), Some((5, Some(50))), "{later}");
+        assert_eq!(map.items, first.items, "not even its version of ours");
     }
-    let book = after(&[(5, Some(50)), (6, Some(60))]);
-    assert_eq!(standing(&book, KEY), Some((6, Some(60))));
+    let map = after(&[(5, Some(50)), (6, Some(60))]);
+    assert_eq!(configuration(&map, KEY), Some((6, Some(60))));
 }
 
 #[test]
 fn given_a_dropped_item_when_older_or_equal_puts_come_again_then_it_stays_dropped() {
     for older in [1, 4, 5] {
-        let book = after(&[(4, Some(40)), (5, None), (older, Some(7))]);
-        assert_eq!(standing(&book, KEY), Some((5, None)), "{older}");
-        assert_eq!(book.pools().count(), 0);
+        let map = after(&[(4, Some(40)), (5, None), (older, Some(7))]);
+        assert_eq!(configuration(&map, KEY), Some((5, None)), "{older}");
+        assert_eq!(map.services().count(), 0);
     }
-    let book = after(&[(4, Some(40)), (5, None), (6, Some(60))]);
-    assert_eq!(standing(&book, KEY), Some((6, Some(60))), "a later one may");
+    let map = after(&[(4, Some(40)), (5, None), (6, Some(60))]);
+    assert_eq!(
+        configuration(&map, KEY),
+        Some((6, Some(60))),
+        "a later one may"
+    );
 }
 
 #[test]
 fn given_a_lower_drop_when_a_higher_version_stands_then_the_item_stays() {
     for drop in [1, 4, 5] {
-        let book = after(&[(5, Some(50)), (drop, None)]);
-        assert_eq!(standing(&book, KEY), Some((5, Some(50))), "{drop}");
+        let map = after(&[(5, Some(50)), (drop, None)]);
+        assert_eq!(configuration(&map, KEY), Some((5, Some(50))), "{drop}");
     }
 }
 
 #[test]
 fn given_a_drop_that_comes_before_the_put_it_overtakes_when_the_put_comes_then_nothing_stands() {
-    let book = after(&[(9, None), (8, Some(80)), (3, Some(30))]);
-    assert_eq!(standing(&book, KEY), Some((9, None)));
-    assert_eq!(book.pools().count(), 0);
+    let map = after(&[(9, None), (8, Some(80)), (3, Some(30))]);
+    assert_eq!(configuration(&map, KEY), Some((9, None)));
+    assert_eq!(map.services().count(), 0);
 }
 
 #[test]
@@ -114,9 +119,13 @@
             for place in (1..drawn.len()).rev() {
                 drawn.swap(place, chance.below(place as u64 + 1) as usize);
             }
-            let book = after(&drawn);
+            let map = after(&drawn);
             let (version, limit) = puts[highest - 1];
-            assert_eq!(standing(&book, KEY), Some((version, limit)), "{drawn:?}");
+            assert_eq!(
+                configuration(&map, KEY),
+                Some((version, limit)),
+                "{drawn:?}"
+            );
         }
     }
 }
@@ -126,46 +135,50 @@
     for versions in [[2, 7], [7, 2]] {
         let puts = versions
             .iter()
-            .map(|version| versioned(KEY, *version, pool_value(*version as u32)))
+            .map(|version| versioned(KEY, *version, service_value(*version as u32)))
             .collect();
         let change = call("twice", puts);
-        let mut book = Book::empty();
-        assert_eq!(check_standing(&book, &change), Vec::new(), "{versions:?}");
-        book.apply(&change);
-        assert_eq!(standing(&book, KEY), Some((7, Some(7))), "{versions:?}");
+        let mut map = ReplicatedMap::empty();
+        assert_eq!(
+            check_configuration(&map, &change),
+            Vec::new(),
+            "{versions:?}"
+        );
+        map.apply(&change);
+        assert_eq!(configuration(&map, KEY), Some((7, Some(7))), "{versions:?}");
     }
-    let puts = vec![versioned(KEY, 7, None), versioned(KEY, 2, pool_value(2))];
-    let mut book = Book::empty();
-    book.apply(&call("drop and put", puts));
-    assert_eq!(standing(&book, KEY), Some((7, None)));
+    let puts = vec![versioned(KEY, 7, None), versioned(KEY, 2, service_value(2))];
+    let mut map = ReplicatedMap::empty();
+    map.apply(&call("drop and put", puts));
+    assert_eq!(configuration(&map, KEY), Some((7, None)));
 }
 
 #[test]
 fn given_version_zero_when_anything_stands_then_it_changes_nothing_and_else_it_stands() {
-    let book = after(&[(0, Some(10))]);
-    assert_eq!(standing(&book, KEY), Some((0, Some(10))));
+    let map = after(&[(0, Some(10))]);
+    assert_eq!(configuration(&map, KEY), Some((0, Some(10))));
     for stands in [(0, Some(10)), (1, Some(10)), (1, None)] {
-        let book = after(&[stands, (0, Some(99))]);
-        assert_eq!(standing(&book, KEY), Some(stands));
+        let map = after(&[stands, (0, Some(99))]);
+        assert_eq!(configuration(&map, KEY), Some(stands));
     }
-    let book = after(&[(0, Some(10)), (1, Some(11))]);
-    assert_eq!(standing(&book, KEY), Some((1, Some(11))));
+    let map = after(&[(0, Some(10)), (1, Some(11))]);
+    assert_eq!(configuration(&map, KEY), Some((1, Some(11))));
 }
 
 #[test]
 fn given_a_zone_closed_without_a_version_when_version_zero_comes_again_then_it_stays_closed() {
     let zone = |closed: bool| {
         let region = Region::new("east");
-        let area = AreaOrder { region, closed };
-        Some(Value::Area { area })
+        let zone = ZoneSettings { region, closed };
+        Some(Value::Zone { zone })
     };
-    let mut book = Book::empty();
-    book.apply(&call("first", vec![versioned("area/e1", 0, zone(false))]));
+    let mut map = ReplicatedMap::empty();
+    map.apply(&call("first", vec![versioned("area/e1", 0, zone(false))]));
     let mut close = versioned("area/e1", 0, zone(true));
     close.written = None;
-    book.apply(&call("close", vec![close]));
-    book.apply(&call("again", vec![versioned("area/e1", 0, zone(false))]));
-    assert!(book.areas().all(|(_, zone)| zone.closed));
+    map.apply(&call("close", vec![close]));
+    map.apply(&call("again", vec![versioned("area/e1", 0, zone(false))]));
+    assert!(map.zones().all(|(_, zone)| zone.closed));
 }
 
 #[test]
@@ -174,12 +187,12 @@
     late.deadline = Duration::from_secs(600) + Duration::from_millis(1);
     let mut endless = route("a.example", "/endless", "records");
     endless.split = vec![SplitPart {
-        pool: PoolName::new("absent"),
+        service: ServiceName::new("absent"),
         weight: 1,
     }];
-    let value = |route: Rule| Some(Value::Rule { rule: route });
+    let value = |route: Route| Some(Value::Route { route });
     let puts = vec![
-        versioned(KEY, 1, pool_value(4)),
+        versioned(KEY, 1, service_value(4)),
         versioned(
             "rule/dangling",
             1,
@@ -196,7 +209,7 @@
         ),
         versioned("rule/hostless", 1, value(route("", "/", "records"))),
     ];
-    let faults = check_standing(&Book::empty(), &call("faulty", puts));
+    let faults = check_configuration(&ReplicatedMap::empty(), &call("faulty", puts));
     let named: BTreeSet<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
     let expected = [
         "rule/dangling.pool",
@@ -210,23 +223,23 @@
 }
 
 #[test]
-fn given_a_pool_in_use_when_its_drop_comes_alone_then_the_call_is_refused() {
-    let route = Some(Value::Rule {
-        rule: route("a.example", "/", "records"),
+fn given_a_service_in_use_when_its_drop_comes_alone_then_the_call_is_refused() {
+    let route = Some(Value::Route {
+        route: route("a.example", "/", "records"),
     });
     let puts = vec![
-        versioned(KEY, 1, pool_value(4)),
+        versioned(KEY, 1, service_value(4)),
         versioned("rule/one", 1, route),
     ];
-    let mut book = Book::empty();
-    book.apply(&call("first", puts));
-    let drop_pool = versioned(KEY, 2, None);
-    let alone = call("drop", vec![drop_pool.clone()]);
-    let faults = check_standing(&book, &alone);
+    let mut map = ReplicatedMap::empty();
+    map.apply(&call("first", puts));
+    let drop_service = versioned(KEY, 2, None);
+    let alone = call("drop", vec![drop_service.clone()]);
+    let faults = check_configuration(&map, &alone);
     assert_eq!(faults.len(), 1);
     assert_eq!(faults[0].field, "rule/one.pool");
-    let both = call("both", vec![drop_pool, versioned("rule/one", 2, None)]);
-    assert_eq!(check_standing(&book, &both), Vec::new());
+    let both = call("both", vec![drop_service, versioned("rule/one", 2, None)]);
+    assert_eq!(check_configuration(&map, &both), Vec::new());
 }
 
 #[test]
@@ -234,10 +247,10 @@
     let mut longest = route("a.example", "/", "records");
     longest.deadline = Duration::from_secs(600);
     let puts = vec![
-        versioned(KEY, 1, pool_value(4)),
-        versioned("rule/longest", 1, Some(Value::Rule { rule: longest })),
+        versioned(KEY, 1, service_value(4)),
+        versioned("rule/longest", 1, Some(Value::Route { route: longest })),
     ];
-    let faults = check_standing(&Book::empty(), &call("longest", puts));
+    let faults = check_configuration(&ReplicatedMap::empty(), &call("longest", puts));
     assert_eq!(faults, Vec::new());
 }
 
@@ -245,41 +258,41 @@
 fn given_two_routes_whose_hosts_differ_in_case_alone_when_checked_then_the_second_is_a_fault() {
     let value = |host: &str| {
         let route = route(host, "/", "records");
-        Some(Value::Rule { rule: route })
+        Some(Value::Route { route })
     };
     let puts = vec![
-        versioned(KEY, 1, pool_value(4)),
+        versioned(KEY, 1, service_value(4)),
         versioned("rule/lower", 1, value("a.example")),
         versioned("rule/upper", 1, value("A.Example")),
     ];
-    let faults = check_standing(&Book::empty(), &call("case", puts));
+    let faults = check_configuration(&ReplicatedMap::empty(), &call("case", puts));
     let named: Vec<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
     assert_eq!(named, ["rule/upper"]);
 }
 
 #[test]
 fn given_an_item_in_its_writers_form_when_encoded_and_decoded_then_nothing_is_lost() {
-    let book = after(&[(1, Some(10)), (2, None)]);
-    let bytes = minicbor::to_vec(&book).expect("a book encodes");
-    let read: Book = minicbor::decode(&bytes).expect("it decodes");
-    assert_eq!(read, book);
+    let map = after(&[(1, Some(10)), (2, None)]);
+    let bytes = minicbor::to_vec(&map).expect("a map encodes");
+    let read: ReplicatedMap = minicbor::decode(&bytes).expect("it decodes");
+    assert_eq!(read, map);
 }
 
-fn table_of(routes: &[(&str, &str, &str)]) -> RuleTable {
+fn table_of(routes: &[(&str, &str, &str)]) -> RouteTable {
     let puts = routes
         .iter()
         .map(|(name, host, path)| {
             let route = route(host, path, "records");
-            let value = Some(Value::Rule { rule: route });
+            let value = Some(Value::Route { route });
             versioned(&format!("rule/{name}"), 1, value)
         })
         .collect();
-    let mut book = Book::empty();
-    book.apply(&call("routes", puts));
-    RuleTable::of(&book)
+    let mut map = ReplicatedMap::empty();
+    map.apply(&call("routes", puts));
+    RouteTable::of(&map)
 }
 
-fn found(table: &RuleTable, host: &str, path: &str) -> Option<String> {
+fn found(table: &RouteTable, host: &str, path: &str) -> Option<String> {
     table.find(host, path).map(|(name, _)| name.to_string())
 }
 
--- a/crates/ledger/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -8,100 +8,102 @@
 /// With how many agents the first roster begins; a fleet of fewer has no islands.
 const FIRST_ROSTER: usize = 3;
 
-/// The agents that are in touch, with the editions that each says it holds.
-fn in_touch(board: &Blackboard) -> BTreeMap<SocketAddr, &Member> {
-    board
+/// The agents that are in touch, with the versions that each says it holds.
+fn in_touch(state: &ControllerState) -> BTreeMap<SocketAddr, &Member> {
+    state
         .members
         .iter()
-        .filter(|member| member.role == Role::Proxy && member.editions.len() == ALL_BOOKS.len())
+        .filter(|member| member.role == Role::Proxy && member.versions.len() == ALL_MAPS.len())
         .map(|member| (member.control, member))
         .collect()
 }
 
-/// Says whether a change of the standing orders could be told yes now.
+/// Says whether a change of the configuration could be told yes now.
 ///
 /// Why before it is offered: what is refused here is surely not accepted, and can be sent again.
-pub fn could_say_yes(board: &Blackboard) -> bool {
+pub fn could_say_yes(state: &ControllerState) -> bool {
     // Why: proxies that serve on ask no agents what may have been accepted.
-    if board.options.core.proxies_serve_on {
+    if state.options.core.proxies_serve_on {
         return true;
     }
-    let agents = in_touch(board);
-    board
-        .book(BookName::Cohort)
+    let agents = in_touch(state);
+    state
+        .map(MapName::Membership)
         .roster()
         .is_none_or(|roster| roster.enough(|address| agents.contains_key(address), yes_quorum))
 }
 
-/// The highest edition of the standing orders that so many agents hold, by this roster, that every
+/// The highest version of the configuration that so many agents hold, by this roster, that every
 /// majority of it has one of them.
-fn held_by_agents(board: &Blackboard, roster: &Roster) -> Edition {
-    let agents = in_touch(board);
-    let roster_edition = board.book(BookName::Cohort).present(ROSTER);
+fn held_by_agents(state: &ControllerState, roster: &Roster) -> Version {
+    let agents = in_touch(state);
+    let roster_version = state.map(MapName::Membership).present(ROSTER);
     let held = |address: &SocketAddr| {
         agents
             .get(address)
             // Why only those that know this roster: the others may count themselves in by another.
-            .filter(|member| member.editions[BookName::Cohort.index()] >= roster_edition)
-            .map_or(Edition(0), |member| {
-                member.editions[BookName::Standing.index()]
+            .filter(|member| member.versions[MapName::Membership.index()] >= roster_version)
+            .map_or(Version(0), |member| {
+                member.versions[MapName::Configuration.index()]
             })
     };
     let by_set = |set: &Vec<SocketAddr>| {
-        let mut editions: Vec<Edition> = set.iter().map(held).collect();
-        editions.sort_by_key(|edition| Reverse(*edition));
-        editions.get(yes_quorum(set.len()) - 1).copied()
+        let mut versions: Vec<Version> = set.iter().map(held).collect();
+        versions.sort_by_key(|version| Reverse(*version));
+        versions.get(yes_quorum(set.len()) - 1).copied()
     };
-    let own = board.book(BookName::Standing).edition;
+    let own = state.map(MapName::Configuration).version;
     [&roster.members, &roster.before]
         .into_iter()
         .filter(|set| !set.is_empty())
         .filter_map(by_set)
-        .fold(own, Edition::min)
+        .fold(own, Version::min)
 }
 
 /// Brings up to date what is vouched for, and gives the answers that waited for it.
-pub fn answer_awaiting(board: &mut Blackboard) {
-    if board.awaiting.is_empty() && board.watchers.is_empty() {
+pub fn answer_awaiting(state: &mut ControllerState) {
+    if state.awaiting.is_empty() && state.watchers.is_empty() {
         return;
     }
-    let cohort = board.book(BookName::Cohort);
-    let held = match cohort.roster() {
-        _ if board.options.core.proxies_serve_on => board.book(BookName::Standing).edition,
-        _ if board.options.broken == Broken::HastyYes => board.book(BookName::Standing).edition,
-        None => board.book(BookName::Standing).edition,
-        // Why only while current: a ledger that was cut off may go by a roster that is over.
-        Some(_) if !board.is_current(BookName::Cohort) => board.vouched,
-        Some(roster) => held_by_agents(board, roster),
+    let membership = state.map(MapName::Membership);
+    let held = match membership.roster() {
+        _ if state.options.core.proxies_serve_on => state.map(MapName::Configuration).version,
+        _ if state.options.broken == Broken::HastyYes => state.map(MapName::Configuration).version,
+        None => state.map(MapName::Configuration).version,
+        // Why only while current: a controller that was cut off may go by a roster that is over.
+        Some(_) if !state.is_current(MapName::Membership) => state.vouched,
+        Some(roster) => held_by_agents(state, roster),
     };
-    board.vouched = board.vouched.max(held);
-    let (now, vouched) = (board.now, board.vouched);
-    let (done, waiting): (Vec<Awaiting>, Vec<Awaiting>) = std::mem::take(&mut board.awaiting)
+    state.vouched = state.vouched.max(held);
+    let (now, vouched) = (state.now, state.vouched);
+    let (done, waiting): (Vec<Awaiting>, Vec<Awaiting>) = std::mem::take(&mut state.awaiting)
         .into_iter()
-        .partition(|awaiting| awaiting.edition <= vouched || now >= awaiting.until);
-    board.awaiting = waiting;
+        .partition(|awaiting| awaiting.version <= vouched || now >= awaiting.until);
+    state.awaiting = waiting;
     for awaiting in done {
-        let answer = match awaiting.edition <= vouched {
+        let answer = match awaiting.version <= vouched {
             true => awaiting.answer,
             false => awaiting.otherwise,
         };
         let ticket = awaiting.ticket;
-        board.outputs.push(LedgerOutput::Answer { ticket, answer });
+        state
+            .outputs
+            .push(ControllerOutput::Answer { ticket, answer });
     }
 }
 
-/// Gives an answer as soon as enough agents hold the edition that it shows as accepted.
+/// Gives an answer as soon as enough agents hold the version that it shows as accepted.
 pub fn answer_when_held(
-    board: &mut Blackboard,
+    state: &mut ControllerState,
     ticket: u64,
-    edition: Edition,
+    version: Version,
     answer: OperatorAnswer,
     otherwise: OperatorAnswer,
 ) {
-    let until = board.now + AGENTS_SPAN;
-    board.awaiting.push(Awaiting {
+    let until = state.now + AGENTS_SPAN;
+    state.awaiting.push(Awaiting {
         ticket,
-        edition,
+        version,
         until,
         answer,
         otherwise,
@@ -109,25 +111,25 @@
 }
 
 /// Whether every majority of the roster has an agent that knows it.
-fn is_settled(board: &Blackboard, roster: &Roster) -> bool {
-    let edition = board.book(BookName::Cohort).present(ROSTER);
-    let agents = in_touch(board);
+fn is_settled(state: &ControllerState, roster: &Roster) -> bool {
+    let version = state.map(MapName::Membership).present(ROSTER);
+    let agents = in_touch(state);
     let knows = |address: &SocketAddr| {
         agents
             .get(address)
-            .is_some_and(|member| member.editions[BookName::Cohort.index()] >= edition)
+            .is_some_and(|member| member.versions[MapName::Membership.index()] >= version)
     };
     roster.enough(knows, yes_quorum)
 }
 
 /// The next roster, if it is due: agents join by themselves, one step after the other.
-pub fn next_roster(board: &Blackboard) -> Option<Roster> {
+pub fn next_roster(state: &ControllerState) -> Option<Roster> {
     // Why none: islands are for proxies that fall silent, and nobody else asks for the roster.
-    if board.options.core.proxies_serve_on {
+    if state.options.core.proxies_serve_on {
         return None;
     }
-    let agents = in_touch(board);
-    let Some(roster) = board.book(BookName::Cohort).roster() else {
+    let agents = in_touch(state);
+    let Some(roster) = state.map(MapName::Membership).roster() else {
         let members: Vec<SocketAddr> = agents.into_keys().collect();
         // Why not fewer: on the word of one or two agents alone every change would wait.
         return (members.len() >= FIRST_ROSTER).then_some(Roster {
@@ -136,7 +138,7 @@
         });
     };
     // Why settled first: two rosters a step apart always meet, those further apart need not.
-    if !is_settled(board, roster) {
+    if !is_settled(state, roster) {
         return None;
     }
     if !roster.before.is_empty() {
@@ -156,12 +158,15 @@
 }
 
 /// The roster without these agents, or why that may not be.
-pub fn roster_without(board: &Blackboard, dropped: &[SocketAddr]) -> Result<Roster, Vec<Fault>> {
+pub fn roster_without(
+    state: &ControllerState,
+    dropped: &[SocketAddr],
+) -> Result<Roster, Vec<Fault>> {
     let refuse = |field: &str, why: String| Err(vec![Fault::new(field, why)]);
-    let Some(roster) = board.book(BookName::Cohort).roster() else {
+    let Some(roster) = state.map(MapName::Membership).roster() else {
         return refuse("drop", "there is no roster yet".to_string());
     };
-    let agents = in_touch(board);
+    let agents = in_touch(state);
     for (place, address) in dropped.iter().enumerate() {
         let field = format!("drop[{place}]");
         if !roster.members.contains(address) {
@@ -172,7 +177,7 @@
             return refuse(&field, why);
         }
     }
-    if !roster.before.is_empty() || !is_settled(board, roster) {
+    if !roster.before.is_empty() || !is_settled(state, roster) {
         let why = "the roster changed a moment ago or too few agents know it: try again";
         return refuse("drop", why.to_string());
     }
@@ -189,9 +194,9 @@
 }
 
 /// The agents on the roster, and whether each is in touch.
-pub fn roster_in_touch(board: &Blackboard) -> Vec<(SocketAddr, bool)> {
-    let agents = in_touch(board);
-    let roster = board.book(BookName::Cohort).roster();
+pub fn roster_in_touch(state: &ControllerState) -> Vec<(SocketAddr, bool)> {
+    let agents = in_touch(state);
+    let roster = state.map(MapName::Membership).roster();
     let listed = roster.into_iter().flat_map(Roster::everyone);
     listed
         .map(|address| (address, agents.contains_key(&address)))
--- a/crates/ledger/src/blackboard.rs
+++ b/crates/controller/src/controller_state.rs
@@ -1,21 +1,21 @@
-//! The blackboard that the ledger's controllers read and write.
+//! The controller state that the controller's controllers read and write.
 
 use crate::prelude::*;
 
 messages! {
-    /// What a ledger keeps in a slot.
-    struct LedgerState {
+    /// What a controller keeps in a slot.
+    struct StoredState {
         0 node: NodeId,
         1 copies: Vec<Copy>,
         2 founding: Option<Founding>,
     }
 }
 
-/// A ledger's place in the world.
+/// A controller's place in the world.
 #[derive(Debug, Clone)]
-pub struct LedgerOptions {
+pub struct ControllerOptions {
     pub control: SocketAddr,
-    pub area: Area,
+    pub zone: Zone,
     pub seeds: Vec<SocketAddr>,
     pub slot_room: u64,
     pub log_room: u64,
@@ -36,12 +36,12 @@
     UnsyncedVotes,
     /// Grants are given without a round of the majority.
     LoneGrants,
-    /// Slices move without waiting out holds.
-    HastyKeeper,
-    /// Slices move when a beat does not hold them, whenever it was sent.
+    /// Key ranges move without waiting out holds.
+    HastyOwnerManager,
+    /// Key ranges move when a heartbeat does not hold them, whenever it was sent.
     TakesSilence,
     /// Holds are given for twelve seconds.
-    GenerousKeeper,
+    GenerousOwnerManager,
     /// The sound part of a faulty change set is applied.
     AppliesParts,
     /// Reads are answered without having heard a majority.
@@ -50,11 +50,11 @@
     HastyYes,
 }
 
-impl LedgerOptions {
-    pub fn new(control: SocketAddr, area: Area, seeds: Vec<SocketAddr>) -> Self {
+impl ControllerOptions {
+    pub fn new(control: SocketAddr, zone: Zone, seeds: Vec<SocketAddr>) -> Self {
         Self {
             control,
-            area,
+            zone,
             seeds,
             slot_room: 16 * 1024 * 1024,
             log_room: 8 * 1024 * 1024,
@@ -65,7 +65,7 @@
     }
 
     pub fn core(mut self, core: CorePolicy) -> Self {
-        self.proposer.synced_ledgers = core.synced_ledgers;
+        self.proposer.synced_controllers = core.synced_controllers;
         self.core = core;
         self
     }
@@ -86,60 +86,60 @@
     }
 }
 
-/// Who waits for the verdict on a proposal.
+/// Who waits for the proposal outcome on a proposal.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Asker {
     Operator(u64),
     Roster(u64),
     Solver,
-    Tenure,
-    Duty(&'static str),
-    Fence(BookName),
-    Seating,
+    Ownership,
+    Leadership(&'static str),
+    Fence(MapName),
+    VoterManagement,
 }
 
 /// A seed as last heard.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SeedSeen {
     pub node: NodeId,
-    pub area: Area,
+    pub zone: Zone,
     pub founded: bool,
 }
 
 #[derive(Debug, Clone)]
 pub struct Watcher {
     pub ticket: u64,
-    pub after: Edition,
+    pub after: Version,
     pub until: Duration,
 }
 
-/// A beat that was passed on to the keeper.
+/// A heartbeat that was passed on to the owner manager.
 #[derive(Debug, Clone)]
-pub struct WaitingBeat {
+pub struct WaitingHeartbeat {
     pub ticket: u64,
     pub number: u64,
     pub until: Duration,
 }
 
-/// An answer to an operator that may be given once enough agents hold an edition.
+/// An answer to an operator that may be given once enough agents hold a version.
 #[derive(Debug, Clone)]
 pub struct Awaiting {
     pub ticket: u64,
-    pub edition: Edition,
+    pub version: Version,
     pub until: Duration,
     pub answer: OperatorAnswer,
     /// What is said when they do not in time.
     pub otherwise: OperatorAnswer,
 }
 
-pub struct Blackboard {
-    pub options: LedgerOptions,
+pub struct ControllerState {
+    pub options: ControllerOptions,
     pub now: Duration,
     pub node: NodeId,
     pub chance: Chance,
-    pub post: Post,
+    pub envelope_clock: EnvelopeClock,
 
-    pub seat: Seat,
+    pub voter: Voter,
     pub proposers: Vec<Proposer>,
     pub askers: Slab<Asker>,
     pub behind_since: [Option<Duration>; 4],
@@ -147,7 +147,7 @@
     pub disk: SlotDisk,
     pub next_write: u64,
     /// What may leave once the write with this ticket is synced.
-    pub held: VecDeque<(u64, Vec<LedgerOutput>)>,
+    pub held: VecDeque<(u64, Vec<ControllerOutput>)>,
     /// The disk refused a write; no votes until a whole slot was written.
     pub ailing: bool,
     pub retry_write_at: Duration,
@@ -164,9 +164,9 @@
     pub next_round_at: Duration,
 
     pub instances: Instances,
-    /// Beats that wait for the keeper's answer.
-    pub beats: Vec<WaitingBeat>,
-    pub next_beat: u64,
+    /// Heartbeats that wait for the owner manager's answer.
+    pub heartbeats: Vec<WaitingHeartbeat>,
+    pub next_heartbeat: u64,
     /// When we last looked at the time.
     pub ticked_at: Duration,
     pub members: Members,
@@ -176,55 +176,55 @@
     pub shared_members: u64,
     pub share_at: Duration,
 
-    pub duties: Vec<DutyWatch>,
+    pub leaderships: Vec<LeadershipWatch>,
     pub solver: Solver,
-    pub keeper: Keeper,
-    pub keeper_epoch: Option<Epoch>,
-    pub keeper_since: Duration,
-    /// The term under which our former life kept the tenure, as the disk tells.
+    pub owner_manager: OwnerManager,
+    pub owner_manager_epoch: Option<Epoch>,
+    pub owner_manager_since: Duration,
+    /// The term under which our former life kept the key ownership, as the disk tells.
     pub former_term: Option<Epoch>,
     pub plan_at: Duration,
     /// What each node last said that it holds.
-    pub heard_editions: BTreeMap<NodeId, Vec<Edition>>,
+    pub heard_versions: BTreeMap<NodeId, Vec<Version>>,
     pub lost_since: BTreeMap<NodeId, Duration>,
-    pub refused_seat_at: Duration,
+    pub refused_voter_at: Duration,
 
-    /// Since when this ledger is about to stop.
+    /// Since when this controller is about to stop.
     pub stopping_since: Option<Duration>,
     pub watchers: Vec<Watcher>,
-    /// Up to which edition of the standing orders so many agents hold them that a yes may be said.
-    pub vouched: Edition,
+    /// Up to which version of the configuration so many agents hold them that a yes may be said.
+    pub vouched: Version,
     /// Operators whose answer waits for the agents.
     pub awaiting: Vec<Awaiting>,
-    pub outputs: Vec<LedgerOutput>,
+    pub outputs: Vec<ControllerOutput>,
 }
 
-impl Blackboard {
-    pub fn book(&self, name: BookName) -> &Book {
-        self.seat.book(name)
+impl ControllerState {
+    pub fn map(&self, name: MapName) -> &ReplicatedMap {
+        self.voter.map(name)
     }
 
-    pub fn seats(&self) -> Option<&Seats> {
-        self.book(BookName::Cohort).seats()
+    pub fn voters(&self) -> Option<&VoterSet> {
+        self.map(MapName::Membership).voters()
     }
 
-    pub fn is_seat(&self) -> bool {
-        self.seats()
-            .is_some_and(|seats| seats.holder(self.node).is_some())
+    pub fn is_voter(&self) -> bool {
+        self.voters()
+            .is_some_and(|voters| voters.holder(self.node).is_some())
     }
 
     /// Sends to another node, or to ourselves by way of the host.
     pub fn send(&mut self, to: SocketAddr, message: Message) {
-        self.outputs.push(LedgerOutput::Send { to, message });
+        self.outputs.push(ControllerOutput::Send { to, message });
     }
 
     pub fn note(&mut self, event: Event) {
-        self.outputs.push(LedgerOutput::Note { event });
+        self.outputs.push(ControllerOutput::Note { event });
     }
 
-    /// Where a node hears us: a seat's address, or a seed's.
+    /// Where a node hears us: a voter's address, or a seed's.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
-        if let Some(holder) = self.seats().and_then(|seats| seats.holder(node)) {
+        if let Some(holder) = self.voters().and_then(|voters| voters.holder(node)) {
             return Some(holder.address);
         }
         self.seeds
@@ -233,10 +233,11 @@
             .map(|(address, _)| *address)
     }
 
-    /// The other ledgers, by the cohort and by the seeds.
-    pub fn other_ledgers(&self) -> BTreeSet<SocketAddr> {
-        let cohort = self.book(BookName::Cohort);
-        let mut addresses: BTreeSet<SocketAddr> = cohort.seat_addresses(true).into_iter().collect();
+    /// The other controllers, by the membership and by the seeds.
+    pub fn other_controllers(&self) -> BTreeSet<SocketAddr> {
+        let membership = self.map(MapName::Membership);
+        let mut addresses: BTreeSet<SocketAddr> =
+            membership.voter_addresses(true).into_iter().collect();
         addresses.extend(&self.options.seeds);
         addresses.extend(self.seeds.keys());
         addresses.remove(&self.options.control);
@@ -244,9 +245,9 @@
     }
 
     pub fn state_bytes(&self) -> Vec<u8> {
-        let state = LedgerState {
+        let state = StoredState {
             node: self.node,
-            copies: self.seat.copies().to_vec(),
+            copies: self.voter.copies().to_vec(),
             founding: self.founding.clone(),
         };
         // Why an invariant: encoding into memory cannot fail for these types.
@@ -254,10 +255,11 @@
     }
 
     /// Lets outputs leave once everything up to now is synced.
-    fn hold(&mut self, writes: Vec<DiskWrite>, then: Vec<LedgerOutput>) {
+    fn hold(&mut self, writes: Vec<DiskWrite>, then: Vec<ControllerOutput>) {
         self.next_write += 1;
         let ticket = self.next_write;
-        self.outputs.push(LedgerOutput::Write { ticket, writes });
+        self.outputs
+            .push(ControllerOutput::Write { ticket, writes });
         if self.options.broken == Broken::UnsyncedVotes {
             self.outputs.extend(then);
         } else {
@@ -265,7 +267,7 @@
         }
     }
 
-    pub fn write_slot(&mut self, then: Vec<LedgerOutput>) {
+    pub fn write_slot(&mut self, then: Vec<ControllerOutput>) {
         let state = self.state_bytes();
         if !self.disk.slot_fits(state.len()) {
             // Why not write: a slot cut short would be the loss of everything.
@@ -281,7 +283,7 @@
         self.unsynced_slot = Some(self.next_write);
     }
 
-    pub fn write_records(&mut self, records: &[Record], then: Vec<LedgerOutput>) {
+    pub fn write_records(&mut self, records: &[Record], then: Vec<ControllerOutput>) {
         // Why nothing: a line was lost, so the log has a gap; the slot that mends it holds this too.
         if self.ailing {
             return;
@@ -296,10 +298,10 @@
         }
     }
 
-    pub fn propose(&mut self, book: BookName, asker: Asker, change: Change) {
+    pub fn propose(&mut self, map: MapName, asker: Asker, change: Change) {
         let now = self.now;
         let ticket = self.askers.insert(asker) as u64;
-        self.proposers[book.index()].propose(now, ticket, change);
+        self.proposers[map.index()].propose(now, ticket, change);
     }
 
     /// Whether a proposal for this asker is under way.
@@ -313,17 +315,17 @@
         ChangeId::new(format!("{what}-{}-{draw:x}", self.node))
     }
 
-    /// Until when this ledger can vouch for what it knows, by its last round.
+    /// Until when this controller can vouch for what it knows, by its last round.
     pub fn current_until(&self) -> Duration {
         let round = self.rounds.confirmed(self.now);
         round.map_or(Duration::ZERO, |round| {
-            round.started + PERMIT_SPAN - DRIFT_MARGIN
+            round.started + LEASE_SPAN - DRIFT_MARGIN
         })
     }
 
-    /// Whether this ledger knows the latest of a book, by a round of the majority.
-    pub fn is_current(&self, name: BookName) -> bool {
+    /// Whether this controller knows the latest of a map, by a round of the majority.
+    pub fn is_current(&self, name: MapName) -> bool {
         let confirmed = self.rounds.confirmed(self.now);
-        confirmed.is_some_and(|round| round.editions[name.index()] <= self.book(name).edition)
+        confirmed.is_some_and(|round| round.versions[name.index()] <= self.map(name).version)
     }
 }
--- a/crates/ledger/src/daemon.rs
+++ b/crates/controller/src/daemon.rs
@@ -1,91 +1,95 @@
 //! The core process: its state machine at a desk, its disk, and its answers over HTTP.
 
 use crate::prelude::*;
-use toolroom::prelude::*;
+use runtime::prelude::*;
 
 struct Worker {
-    machine: LedgerMachine,
+    machine: ControllerMachine,
     port: ControlPort,
     disk: std::sync::mpsc::Sender<(u64, Vec<DiskWrite>)>,
     tickets: Arc<Tickets<OperatorAnswer>>,
-    /// Until when the last round lets this ledger vouch for what it knows.
+    /// Until when the last round lets this controller vouch for what it knows.
     ready_until: Arc<ReadyUntil>,
     stopped: Arc<Notify>,
 }
 
 impl Worker {
     /// Does what follows from an input; what the machine says to itself comes next.
-    fn act(&mut self, outputs: Vec<LedgerOutput>, next: &mut VecDeque<LedgerInput>) {
+    fn act(&mut self, outputs: Vec<ControllerOutput>, next: &mut VecDeque<ControllerInput>) {
         for output in outputs {
             match output {
-                LedgerOutput::Send { to, message } => {
+                ControllerOutput::Send { to, message } => {
                     let envelope = self.machine.seal(to, message);
                     if to == self.port.own() {
-                        next.push_back(LedgerInput::Heard { envelope });
+                        next.push_back(ControllerInput::Heard { envelope });
                     } else {
                         self.port.forward(to, &envelope);
                     }
                 }
-                LedgerOutput::Write { ticket, writes } => {
+                ControllerOutput::Write { ticket, writes } => {
                     if self.disk.send((ticket, writes)).is_err() {
-                        next.push_back(LedgerInput::WriteFailed { ticket });
+                        next.push_back(ControllerInput::WriteFailed { ticket });
                     }
                 }
-                LedgerOutput::Answer { ticket, answer } => self.tickets.answer(ticket, answer),
-                LedgerOutput::Note { event } => tell(&event),
-                LedgerOutput::Stopped => self.stopped.notify_one(),
+                ControllerOutput::Answer { ticket, answer } => self.tickets.answer(ticket, answer),
+                ControllerOutput::Note { event } => tell(&event),
+                ControllerOutput::Stopped => self.stopped.notify_one(),
             }
         }
     }
 }
 
 impl Host for Worker {
-    type Input = LedgerInput;
+    type Input = ControllerInput;
 
-    fn tick() -> LedgerInput {
-        LedgerInput::Tick
+    fn tick() -> ControllerInput {
+        ControllerInput::Tick
     }
 
-    fn take(&mut self, now: Duration, input: LedgerInput) {
+    fn take(&mut self, now: Duration, input: ControllerInput) {
         let mut next = VecDeque::from([input]);
         while let Some(input) = next.pop_front() {
             let outputs = self.machine.input(now, input);
             self.act(outputs, &mut next);
         }
-        self.ready_until.set(self.machine.board.current_until());
+        self.ready_until.set(self.machine.state.current_until());
     }
 }
 
 fn tell(what: &Event) {
     match what {
         Event::Founded => event(FOUNDED, ""),
-        Event::BookMoved { book, edition } => event(BOOK_MOVED, format!("{book} at {edition}")),
-        Event::DutyWanted { duty, epoch } => event(DUTY_WANTED, format!("{duty} under {epoch}")),
-        Event::KeeperTookUp { epoch } => event(KEEPER_TOOK_UP, format!("epoch {epoch}")),
+        Event::MapMoved { map, version } => event(MAP_MOVED, format!("{map} at {version}")),
+        Event::LeadershipWanted { leadership, epoch } => {
+            event(LEADERSHIP_WANTED, format!("{leadership} under {epoch}"))
+        }
+        Event::OwnerManagerTookUp { epoch } => {
+            event(OWNER_MANAGER_TOOK_UP, format!("epoch {epoch}"))
+        }
         Event::StateTooLarge { bytes } => event(STATE_TOO_LARGE, format!("{bytes} bytes")),
         Event::DiskRefused => event(DISK_REFUSED, ""),
         Event::DiskWell => event(DISK_WELL, ""),
         Event::Damaged { why } => event(DISK_DAMAGED, why),
         Event::InstanceGone { id } => event(INSTANCE_GONE, id),
         Event::MemberGone { node } => event(MEMBER_GONE, node),
-        Event::SeatWanted { why } => event(SEAT_WANTED, why),
-        Event::SeatRefused { why } => event(SEAT_REFUSED, why),
+        Event::VoterWanted { why } => event(VOTER_WANTED, why),
+        Event::VoterRefused { why } => event(VOTER_REFUSED, why),
         Event::FencedOff { what } => event(FENCED_OFF, what),
     }
 }
 
 /// The way from a call over HTTP to the machine.
 #[derive(Clone)]
-pub struct CoreDesk {
-    inbox: Inbox<LedgerInput>,
+pub struct ControllerHandle {
+    inbox: Inbox<ControllerInput>,
     tickets: Arc<Tickets<OperatorAnswer>>,
     clock: Clock,
     ready_until: Arc<ReadyUntil>,
     stopping: Arc<AtomicBool>,
 }
 
-impl CoreDesk {
-    async fn ask(&self, input: impl FnOnce(u64) -> LedgerInput) -> Option<OperatorAnswer> {
+impl ControllerHandle {
+    async fn ask(&self, input: impl FnOnce(u64) -> ControllerInput) -> Option<OperatorAnswer> {
         let (ticket, answer) = self.tickets.draw();
         if !self.inbox.give(input(ticket)) {
             self.tickets.forget(ticket);
@@ -95,61 +99,65 @@
     }
 
     pub async fn call(&self, call: OperatorCall) -> Option<OperatorAnswer> {
-        self.ask(|ticket| LedgerInput::Operator { ticket, call })
+        self.ask(|ticket| ControllerInput::Operator { ticket, call })
             .await
     }
 
-    /// Whether this ledger hears a majority and is not about to stop.
+    /// Whether this controller hears a majority and is not about to stop.
     pub fn is_ready(&self) -> bool {
         self.ready_until.is_ready(self.clock.now()) && !self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Whether this ledger is about to stop.
+    /// Whether this controller is about to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Hands a beat in; nothing when the ledger has too much to do.
-    pub async fn beat(&self, beat: Beat, echo: Option<Echo>) -> Option<DatedAnswer> {
-        let give = |ticket| LedgerInput::Beat { ticket, beat, echo };
+    /// Hands a heartbeat in; nothing when the controller has too much to do.
+    pub async fn heartbeat(&self, heartbeat: Heartbeat, echo: Option<Echo>) -> Option<DatedAnswer> {
+        let give = |ticket| ControllerInput::Heartbeat {
+            ticket,
+            heartbeat,
+            echo,
+        };
         match self.ask(give).await {
-            Some(OperatorAnswer::Beat { answer }) => Some(answer),
+            Some(OperatorAnswer::Heartbeat { answer }) => Some(answer),
             _ => None,
         }
     }
 
     /// Takes an instance's word that this life of it is over.
     pub async fn gone(&self, id: InstanceId) -> bool {
-        let give = |ticket| LedgerInput::Gone { ticket, id };
+        let give = |ticket| ControllerInput::Gone { ticket, id };
         self.ask(give).await.is_some()
     }
 
     /// The product's own interface.
-    pub async fn answer(&self, order: Request<Incoming>) -> Response<Body> {
-        let path = order.uri().path().to_string();
-        let query = order.uri().query().unwrap_or_default().to_string();
-        let method = order.method().clone();
+    pub async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
+        let path = request.uri().path().to_string();
+        let query = request.uri().query().unwrap_or_default().to_string();
+        let method = request.method().clone();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (&method, parts.as_slice()) {
             (&Method::GET, ["ready"]) => ready_answer(self.is_ready()),
-            (&Method::POST, ["v1", "standing"]) => self.apply(order).await,
+            (&Method::POST, ["v1", "standing"]) => self.apply(request).await,
             (&Method::GET, ["v1", "standing"]) => self.read(None).await,
             (&Method::GET, ["v1", "standing", kind, name]) => {
                 self.read(Some(format!("{kind}/{name}"))).await
             }
-            (&Method::POST, ["v1", "roster"]) => self.retire(order).await,
+            (&Method::POST, ["v1", "roster"]) => self.retire(request).await,
             (&Method::GET, ["v1", "changes"]) => self.watch(&query).await,
             (&Method::GET, ["v1", "status"]) => match self.call(OperatorCall::Status).await {
                 Some(OperatorAnswer::Status { status }) => json_answer(200, &status_json(&status)),
                 _ => not_current(),
             },
-            (&Method::POST, ["beats"]) => self.hear_beat(order).await,
+            (&Method::POST, ["beats"]) => self.hear_heartbeat(request).await,
             _ => json_answer(404, &jzon::object! { why: "there is no such resource" }),
         }
     }
 
-    async fn apply(&self, order: Request<Incoming>) -> Response<Body> {
-        let body = match small_body(order.into_body(), MOST_BYTES).await {
+    async fn apply(&self, request: Request<Incoming>) -> Response<Body> {
+        let body = match small_body(request.into_body(), MOST_BYTES).await {
             Ok(body) => body,
             Err(status) => {
                 let why = if status == 413 {
@@ -158,7 +166,10 @@
                     "the body broke off".to_string()
                 };
                 let fault = [Fault::new("body", why)];
-                return json_answer(400, &verdict_json(&Verdict::Faulty(fault.to_vec())).1);
+                return json_answer(
+                    400,
+                    &proposal_outcome_json(&ProposalOutcome::Faulty(fault.to_vec())).1,
+                );
             }
         };
         let (change, mut faults) = read_form(&String::from_utf8_lossy(&body));
@@ -168,44 +179,45 @@
             // Why checked all the same: one answer is to name every fault, of form and of sense.
             OperatorCall::Check { change }
         };
-        let verdict = match self.call(call).await {
-            Some(OperatorAnswer::Verdict {
-                verdict: Verdict::Faulty(more),
+        let proposal_outcome = match self.call(call).await {
+            Some(OperatorAnswer::ProposalOutcome {
+                proposal_outcome: ProposalOutcome::Faulty(more),
             }) => {
                 faults.extend(more);
-                Verdict::Faulty(faults)
+                ProposalOutcome::Faulty(faults)
             }
-            Some(OperatorAnswer::Verdict { verdict }) => verdict,
+            Some(OperatorAnswer::ProposalOutcome { proposal_outcome }) => proposal_outcome,
             Some(OperatorAnswer::Leaving) => return leaving(),
-            _ => Verdict::Unknown,
+            _ => ProposalOutcome::Unknown,
         };
-        let (status, json) = verdict_json(&verdict);
+        let (status, json) = proposal_outcome_json(&proposal_outcome);
         json_answer(status, &json)
     }
 
-    async fn retire(&self, order: Request<Incoming>) -> Response<Body> {
-        let body = small_body(order.into_body(), 64 * 1024).await;
+    async fn retire(&self, request: Request<Incoming>) -> Response<Body> {
+        let body = small_body(request.into_body(), 64 * 1024).await;
         let text = body.unwrap_or_default();
-        let verdict = match read_drop(&String::from_utf8_lossy(&text)) {
-            Err(faults) => Verdict::Faulty(faults),
+        let proposal_outcome = match read_drop(&String::from_utf8_lossy(&text)) {
+            Err(faults) => ProposalOutcome::Faulty(faults),
             Ok(dropped) => match self.call(OperatorCall::Retire { dropped }).await {
-                Some(OperatorAnswer::Verdict { verdict }) => verdict,
+                Some(OperatorAnswer::ProposalOutcome { proposal_outcome }) => proposal_outcome,
                 Some(OperatorAnswer::Leaving) => return leaving(),
-                _ => Verdict::Unknown,
+                _ => ProposalOutcome::Unknown,
             },
         };
-        let (status, json) = verdict_json(&verdict);
+        let (status, json) = proposal_outcome_json(&proposal_outcome);
         json_answer(status, &json)
     }
 
     async fn read(&self, key: Option<String>) -> Response<Body> {
-        let Some(OperatorAnswer::Standing { book }) = self.call(OperatorCall::Read).await else {
+        let Some(OperatorAnswer::Configuration { map }) = self.call(OperatorCall::Read).await
+        else {
             return not_current();
         };
         match key {
-            None => json_answer(200, &book_json(&book)),
-            Some(key) => match book.items.get(&key) {
-                Some(item) => json_answer(200, &item_json(&key, item.edition, &item.value)),
+            None => json_answer(200, &map_json(&map)),
+            Some(key) => match map.items.get(&key) {
+                Some(item) => json_answer(200, &item_json(&key, item.version, &item.value)),
                 None => json_answer(404, &jzon::object! { why: format!("there is no {key}") }),
             },
         }
@@ -224,24 +236,24 @@
             return json_answer(400, &jzon::object! { why: why });
         };
         let wait = Duration::from_millis(field("wait_ms").unwrap_or(0).min(30_000));
-        let after = Edition(after);
+        let after = Version(after);
         match self.call(OperatorCall::Watch { after, wait }).await {
-            Some(OperatorAnswer::Changes { edition, news }) => {
-                json_answer(200, &news_json(edition, news))
+            Some(OperatorAnswer::Changes { version, news }) => {
+                json_answer(200, &news_json(version, news))
             }
             _ => not_current(),
         }
     }
 
-    async fn hear_beat(&self, order: Request<Incoming>) -> Response<Body> {
-        let beat = match small_body(order.into_body(), 64 * 1024).await {
-            Ok(body) => beats::read_dated(&String::from_utf8_lossy(&body)),
+    async fn hear_heartbeat(&self, request: Request<Incoming>) -> Response<Body> {
+        let heartbeat = match small_body(request.into_body(), 64 * 1024).await {
+            Ok(body) => heartbeats::read_dated(&String::from_utf8_lossy(&body)),
             Err(_) => Err("the body is too large or broke off".to_string()),
         };
-        match beat {
+        match heartbeat {
             Err(why) => json_answer(400, &jzon::object! { why: why }),
-            Ok((beat, echo)) => match self.beat(beat, echo).await {
-                Some(answer) => json_answer(200, &beats::write_dated(&answer)),
+            Ok((heartbeat, echo)) => match self.heartbeat(heartbeat, echo).await {
+                Some(answer) => json_answer(200, &heartbeats::write_dated(&answer)),
                 None => not_current(),
             },
         }
@@ -249,19 +261,19 @@
 }
 
 fn leaving() -> Response<Body> {
-    let why = "this ledger is about to stop: ask another; nothing was applied";
+    let why = "this controller is about to stop: ask another; nothing was applied";
     json_answer(503, &jzon::object! { outcome: "refused", why: why })
 }
 
 fn not_current() -> Response<Body> {
-    let why = "this ledger cannot vouch for what it knows: no majority was heard of late";
+    let why = "this controller cannot vouch for what it knows: no majority was heard of late";
     json_answer(503, &jzon::object! { why: why })
 }
 
-fn news_json(edition: Edition, news: Option<Vote>) -> JsonValue {
-    let mut json = jzon::object! { edition: edition.0 };
+fn news_json(version: Version, news: Option<ConsensusMessage>) -> JsonValue {
+    let mut json = jzon::object! { edition: version.0 };
     match news {
-        Some(Vote::News { changes, .. }) => {
+        Some(ConsensusMessage::News { changes, .. }) => {
             let list: Vec<JsonValue> = changes
                 .iter()
                 .map(|numbered| {
@@ -270,12 +282,12 @@
                         .puts
                         .iter()
                         .map(|put| match &put.value {
-                            Some(value) => item_json(&put.key, numbered.edition, value),
+                            Some(value) => item_json(&put.key, numbered.version, value),
                             None => jzon::object! { dropped: put.key.as_str() },
                         })
                         .collect();
                     jzon::object! {
-                        edition: numbered.edition.0,
+                        edition: numbered.version.0,
                         id: numbered.change.id.as_str(),
                         items: puts,
                     }
@@ -283,7 +295,7 @@
                 .collect();
             json["changes"] = list.into();
         }
-        Some(Vote::Whole { whole, .. }) => json["snapshot"] = book_json(&whole),
+        Some(ConsensusMessage::Whole { whole, .. }) => json["snapshot"] = map_json(&whole),
         _ => json["changes"] = JsonValue::new_array(),
     }
     json
@@ -291,24 +303,24 @@
 
 /// What answers calls over HTTP: the product's own interface, or another that stands in for it.
 pub type Interface =
-    Arc<dyn Fn(CoreDesk, Request<Incoming>) -> BoxedAnswer + Send + Sync + 'static>;
+    Arc<dyn Fn(ControllerHandle, Request<Incoming>) -> BoxedAnswer + Send + Sync + 'static>;
 
 /// The product's own interface.
 pub fn own_interface() -> Interface {
-    Arc::new(|desk, request| Box::pin(async move { desk.answer(request).await }))
+    Arc::new(|handle, request| Box::pin(async move { handle.answer(request).await }))
 }
 
-/// Runs a ledger until it is asked to stop.
+/// Runs a controller until it is asked to stop.
 pub async fn run(place: Place, reread: Reread, interface: Interface) -> anyhow::Result<()> {
     let clock = Clock::start();
     let slot_room = place.slot_megabytes * 1024 * 1024;
     let log_room = place.log_megabytes * 1024 * 1024;
     outlive_file_limits()?;
     let folder = DataFolder::open(&place.data, slot_room, log_room)?;
-    let options = LedgerOptions::new(place.advertise, place.area.clone(), place.seeds.clone())
+    let options = ControllerOptions::new(place.advertise, place.zone.clone(), place.seeds.clone())
         .disk_room(slot_room, log_room)
         .core(place.terms.core.clone());
-    let (machine, outputs) = LedgerMachine::start(options, &folder.image()?, fresh_seed());
+    let (machine, outputs) = ControllerMachine::start(options, &folder.image()?, fresh_seed());
     let (inbox, receiver) = Inbox::open();
     let heard = inbox.clone();
     let port = ControlPort::open(
@@ -316,7 +328,7 @@
         place.control,
         place.advertise,
         move |envelope| {
-            heard.give(LedgerInput::Heard { envelope });
+            heard.give(ControllerInput::Heard { envelope });
         },
     )
     .await?;
@@ -324,9 +336,9 @@
     let disk = folder.start_writer(move |ticket, well| {
         // Why surely: without this word nothing more would ever leave.
         written.give_surely(if well {
-            LedgerInput::Synced { ticket }
+            ControllerInput::Synced { ticket }
         } else {
-            LedgerInput::WriteFailed { ticket }
+            ControllerInput::WriteFailed { ticket }
         });
     });
     let tickets = Arc::new(Tickets::default());
@@ -336,11 +348,11 @@
     event(
         STARTED,
         format!(
-            "ledger {} control {} serving {} area {}",
+            "controller {} control {} serving {} zone {}",
             machine.node(),
             place.control,
             place.serving,
-            place.area
+            place.zone
         ),
     );
     let mut worker = Worker {
@@ -355,9 +367,9 @@
     worker.act(outputs, &mut next);
     next.into_iter()
         .for_each(|input| worker.take(clock.now(), input));
-    open_desk(worker, clock, receiver, place.terms.tick);
+    open_actor(worker, clock, receiver, place.terms.tick);
     let asked = inbox.clone();
-    let desk = CoreDesk {
+    let handle = ControllerHandle {
         inbox,
         tickets,
         clock,
@@ -366,18 +378,18 @@
     };
     let listener = listen(place.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
-    tokio::spawn(serve_http(listener, stop, move |_, order| {
-        let answering = interface(desk.clone(), order);
+    tokio::spawn(serve_http(listener, stop, move |_, request| {
+        let answering = interface(handle.clone(), request);
         async move { Ok(answering.await) }
     }));
     let told = asked.clone();
     follow_settings(reread, move |seeds| {
-        told.give(LedgerInput::Seeds { seeds });
+        told.give(ControllerInput::Seeds { seeds });
     });
     asked_to_stop().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
-    stop_politely(&asked, LedgerInput::Stop, &stopped).await;
+    stop_politely(&asked, ControllerInput::Stop, &stopped).await;
     event(STOPPED, "");
     Ok(())
 }
--- /dev/null
+++ b/crates/controller/src/machine.rs
@@ -0,0 +1,851 @@
+//! The controller's state machine: takes inputs, returns what to send, write and answer.
+
+use crate::prelude::*;
+
+const SHARE_PERIOD: Duration = Duration::from_millis(150);
+
+#[derive(Debug, Clone, PartialEq)]
+pub enum ControllerInput {
+    Tick,
+    Heard {
+        envelope: Envelope,
+    },
+    Synced {
+        ticket: u64,
+    },
+    WriteFailed {
+        ticket: u64,
+    },
+    Operator {
+        ticket: u64,
+        call: OperatorCall,
+    },
+    /// The platform asks for a stop.
+    Stop,
+    /// A heartbeat that an instance sent straight to us, with the last stamp that it had from us.
+    Heartbeat {
+        ticket: u64,
+        heartbeat: Heartbeat,
+        echo: Option<Echo>,
+    },
+    /// An instance says that this life of it is over.
+    Gone {
+        ticket: u64,
+        id: InstanceId,
+    },
+    /// The seeds that the settings name now.
+    Seeds {
+        seeds: Vec<SocketAddr>,
+    },
+}
+
+#[derive(Debug, Clone, PartialEq)]
+pub enum ControllerOutput {
+    Send {
+        to: SocketAddr,
+        message: Message,
+    },
+    Write {
+        ticket: u64,
+        writes: Vec<DiskWrite>,
+    },
+    Answer {
+        ticket: u64,
+        answer: OperatorAnswer,
+    },
+    Note {
+        event: Event,
+    },
+    /// Everything is handed on: the process may end.
+    Stopped,
+}
+
+#[derive(Debug, Clone, PartialEq)]
+pub enum OperatorCall {
+    Apply {
+        change: Change,
+    },
+    /// Only says what is wrong with the change, and applies nothing.
+    Check {
+        change: Change,
+    },
+    Read,
+    Watch {
+        after: Version,
+        wait: Duration,
+    },
+    /// Takes agents that are gone for good off the roster.
+    Retire {
+        dropped: Vec<SocketAddr>,
+    },
+    Status,
+}
+
+#[derive(Debug, Clone, PartialEq)]
+pub enum OperatorAnswer {
+    ProposalOutcome {
+        proposal_outcome: ProposalOutcome,
+    },
+    Configuration {
+        map: ReplicatedMap,
+    },
+    Changes {
+        version: Version,
+        news: Option<ConsensusMessage>,
+    },
+    Status {
+        status: Box<ControllerStatus>,
+    },
+    Heartbeat {
+        answer: DatedAnswer,
+    },
+    /// This controller cannot vouch for what it knows.
+    NotCurrent,
+    /// This controller is about to stop: another will answer.
+    Leaving,
+}
+
+#[derive(Debug, Clone, PartialEq)]
+pub struct ControllerStatus {
+    pub node: NodeId,
+    pub zone: Zone,
+    pub versions: Vec<Version>,
+    pub current: bool,
+    pub ailing: bool,
+    pub voters: Vec<(VoterEntry, bool)>,
+    pub leaderships: Vec<(&'static str, Option<LeadershipTerm>)>,
+    pub members: Vec<Member>,
+    pub instances: Vec<Heartbeat>,
+    pub mapping: Option<Mapping>,
+    /// Agents on the roster, and whether each is in touch.
+    pub roster: Vec<(SocketAddr, bool)>,
+    /// Up to which version operators were or could be told yes.
+    pub vouched: Version,
+}
+
+/// What is worth a line in the log; the daemon numbers them after the catalogue.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Event {
+    Founded,
+    MapMoved {
+        map: MapName,
+        version: Version,
+    },
+    LeadershipWanted {
+        leadership: &'static str,
+        epoch: Epoch,
+    },
+    OwnerManagerTookUp {
+        epoch: Epoch,
+    },
+    StateTooLarge {
+        bytes: u64,
+    },
+    DiskRefused,
+    DiskWell,
+    Damaged {
+        why: String,
+    },
+    InstanceGone {
+        id: InstanceId,
+    },
+    MemberGone {
+        node: NodeId,
+    },
+    VoterWanted {
+        why: String,
+    },
+    VoterRefused {
+        why: String,
+    },
+    FencedOff {
+        what: String,
+    },
+}
+
+pub struct ControllerMachine {
+    pub state: ControllerState,
+}
+
+impl ControllerMachine {
+    /// Starts from what lay on disk.
+    pub fn start(
+        options: ControllerOptions,
+        image: &DiskImage,
+        seed: u64,
+    ) -> (Self, Vec<ControllerOutput>) {
+        let mut chance = Chance::seeded(seed);
+        let mut disk = SlotDisk::new(options.slot_room, options.log_room);
+        let mut events = Vec::new();
+        let mut founding = None;
+        let mut node = NodeId(chance.draw() >> 1);
+        let mut voter = Voter::default();
+        let mut fresh = true;
+        match disk.recover(image) {
+            Recovery::Empty => {}
+            Recovery::Found { state, lines } => match minicbor::decode::<StoredState>(&state) {
+                Ok(state) if state.copies.len() == ALL_MAPS.len() => {
+                    fresh = false;
+                    node = state.node;
+                    founding = state.founding;
+                    voter = Voter::restored(state.copies);
+                    for line in lines {
+                        match minicbor::decode::<Record>(&line) {
+                            Ok(record) => voter.replay(record),
+                            Err(_) => events.push(Event::Damaged {
+                                why: "a log line cannot be read".to_string(),
+                            }),
+                        }
+                    }
+                }
+                _ => events.push(Event::Damaged {
+                    why: "the slot's contents cannot be read".to_string(),
+                }),
+            },
+            // Why as empty: half of what was promised is worse than nothing; under a new name it
+            // holds no voter and copies the maps from the others.
+            Recovery::Damaged(why) => events.push(Event::Damaged { why }),
+        }
+        if !events.is_empty() {
+            fresh = true;
+            node = NodeId(chance.draw() >> 1);
+            voter = Voter::default();
+            founding = None;
+            disk = SlotDisk::new(options.slot_room, options.log_room);
+            disk.skip_generations(image);
+        }
+        let proposers = ALL_MAPS
+            .iter()
+            .map(|name| Proposer::new(*name, node, options.proposer.clone()))
+            .collect();
+        let mut machine = Self {
+            state: ControllerState {
+                options,
+                now: Duration::ZERO,
+                node,
+                chance,
+                envelope_clock: EnvelopeClock::new(node),
+                voter,
+                proposers,
+                askers: Slab::new(),
+                behind_since: [None; 4],
+                disk,
+                next_write: 0,
+                held: VecDeque::new(),
+                ailing: false,
+                retry_write_at: Duration::ZERO,
+                unsynced_slot: None,
+                founding,
+                found_took: BTreeSet::new(),
+                seeds: BTreeMap::new(),
+                ask_seeds_at: Duration::ZERO,
+                rounds: Rounds::default(),
+                liveness: Liveness::default(),
+                next_round_at: Duration::ZERO,
+                instances: Instances::default(),
+                heartbeats: Vec::new(),
+                next_heartbeat: 0,
+                ticked_at: Duration::ZERO,
+                members: Members::default(),
+                renewed: BTreeMap::new(),
+                shared_instances: 0,
+                shared_members: 0,
+                share_at: Duration::ZERO,
+                leaderships: LEADERSHIPS
+                    .iter()
+                    .map(|name| LeadershipWatch::new(name))
+                    .collect(),
+                solver: Solver::default(),
+                owner_manager: OwnerManager::default(),
+                owner_manager_epoch: None,
+                owner_manager_since: Duration::ZERO,
+                former_term: None,
+                plan_at: Duration::ZERO,
+                heard_versions: BTreeMap::new(),
+                lost_since: BTreeMap::new(),
+                refused_voter_at: Duration::ZERO,
+                stopping_since: None,
+                watchers: Vec::new(),
+                vouched: Version(0),
+                awaiting: Vec::new(),
+                outputs: Vec::new(),
+            },
+        };
+        machine.state.instances.span = machine.state.options.core.instance_span;
+        machine.state.members.refresh = machine.state.options.core.member_refresh;
+        machine.state.instances.refresh = machine.state.options.core.heartbeat_refresh;
+        let former = machine
+            .state
+            .map(MapName::Membership)
+            .leadership(OWNERSHIP)
+            .cloned();
+        let former = former.filter(|term| term.holder == machine.state.node);
+        machine.state.former_term = former.map(|term| term.epoch);
+        for event in events {
+            machine.state.note(event);
+        }
+        if fresh {
+            machine.state.write_slot(Vec::new());
+        }
+        let outputs = std::mem::take(&mut machine.state.outputs);
+        (machine, outputs)
+    }
+
+    pub fn node(&self) -> NodeId {
+        self.state.node
+    }
+
+    /// Makes a message ready to leave for another process.
+    pub fn seal(&self, to: SocketAddr, message: Message) -> Envelope {
+        let state = &self.state;
+        state
+            .envelope_clock
+            .seal(state.now, state.options.control, to, message)
+    }
+
+    pub fn input(&mut self, now: Duration, input: ControllerInput) -> Vec<ControllerOutput> {
+        let state = &mut self.state;
+        state.now = now;
+        match input {
+            ControllerInput::Tick => tick(state),
+            ControllerInput::Heard { envelope } => hear(state, envelope),
+            ControllerInput::Synced { ticket } => synced(state, ticket),
+            ControllerInput::WriteFailed { ticket } => write_failed(state, ticket),
+            ControllerInput::Stop => {
+                state.stopping_since.get_or_insert(now);
+            }
+            ControllerInput::Operator { ticket, call } => operator(state, ticket, call),
+            ControllerInput::Heartbeat {
+                ticket,
+                heartbeat,
+                echo,
+            } => hear_instance(state, ticket, heartbeat, echo),
+            ControllerInput::Gone { ticket, id } => {
+                state.instances.end(now, &id);
+                answer_instance(state, ticket, HeartbeatAnswer::default(), false);
+            }
+            ControllerInput::Seeds { seeds } => state.options.seeds = seeds,
+        }
+        agents::answer_awaiting(state);
+        answer_watchers(state);
+        std::mem::take(&mut state.outputs)
+    }
+}
+
+fn tick(state: &mut ControllerState) {
+    if state.ailing && state.now >= state.retry_write_at {
+        state.retry_write_at = state.now + Duration::from_secs(1);
+        state.write_slot(Vec::new());
+    }
+    consensus::tick_founding(state);
+    consensus::tick_rounds(state);
+    for id in state.instances.expire(state.now) {
+        state.note(Event::InstanceGone { id });
+    }
+    for node in state.members.expire(state.now) {
+        state.note(Event::MemberGone { node });
+    }
+    count_silent_members(state);
+    answer_late_heartbeats(state);
+    share_facts(state);
+    leadership_roles::tick_leaderships(state);
+    consensus::tick_proposers(state);
+    stop_when_done(state);
+}
+
+/// How long a polite stop waits for leadership roles and operators' calls to be settled.
+const STOP_PATIENCE: Duration = Duration::from_secs(5);
+
+/// Ends a polite stop once nobody waits for us and no leadership role is ours.
+fn stop_when_done(state: &mut ControllerState) {
+    let Some(since) = state.stopping_since else {
+        return;
+    };
+    let membership = state.map(MapName::Membership);
+    let on_leadership = LEADERSHIPS
+        .iter()
+        .filter_map(|name| membership.leadership(name))
+        .any(|term| term.holder == state.node);
+    let asked = state
+        .askers
+        .iter()
+        .any(|(_, asker)| matches!(asker, Asker::Operator(_) | Asker::Roster(_)));
+    let busy = on_leadership || asked || !state.awaiting.is_empty();
+    if !busy || state.now.saturating_sub(since) >= STOP_PATIENCE {
+        state.outputs.push(ControllerOutput::Stopped);
+    }
+}
+
+fn share_facts(state: &mut ControllerState) {
+    if state.now < state.share_at {
+        return;
+    }
+    state.share_at = state.now + SHARE_PERIOD;
+    let instances = state.instances.after(state.now, state.shared_instances);
+    let gone = state
+        .instances
+        .ended_after(state.now, state.shared_instances);
+    let members = state.members.after(state.now, state.shared_members);
+    state.shared_instances = state.instances.learned();
+    state.shared_members = state.members.learned();
+    if instances.is_empty() && members.is_empty() && gone.is_empty() {
+        return;
+    }
+    for to in state.other_controllers() {
+        let message = Message::Facts {
+            instances: instances.clone(),
+            members: members.clone(),
+            gone: gone.clone(),
+        };
+        state.send(to, message);
+    }
+}
+
+/// How long a heartbeat waits for the owner manager's answer.
+const HEARTBEAT_PATIENCE: Duration = Duration::from_millis(500);
+
+/// Takes a heartbeat in that an instance sent here, and sees to its answer.
+fn hear_instance(
+    state: &mut ControllerState,
+    ticket: u64,
+    heartbeat: Heartbeat,
+    echo: Option<Echo>,
+) {
+    let now = state.now;
+    let lain = match state.options.core.stamped_heartbeats {
+        true => echo.and_then(|echo| echo.lain(now, state.node)),
+        // Why as if it had just left: nothing dates it, and its counter keeps it in its place.
+        false => Some(Duration::ZERO),
+    };
+    let heard = HeardHeartbeat {
+        heartbeat,
+        age: Duration::ZERO,
+    };
+    let answer = hear_heartbeat(state, heard.clone(), lain);
+    let keyed = state
+        .map(MapName::Configuration)
+        .services()
+        .any(|(name, service)| service.keyed && name == heard.heartbeat.service);
+    let owner_manager = answer.owner_manager.filter(|owner_manager| {
+        keyed
+            && !answer.by_owner_manager
+            && lain.is_some()
+            && *owner_manager != state.options.control
+    });
+    // Why passed on: only the owner manager renews holds, and the instance need not know who that is.
+    if let Some(to) = owner_manager.filter(|_| !state.options.core.stamped_heartbeats) {
+        state.next_heartbeat += 1;
+        state.heartbeats.push(WaitingHeartbeat {
+            ticket,
+            number: state.next_heartbeat,
+            until: now + HEARTBEAT_PATIENCE,
+        });
+        let ticket = state.next_heartbeat;
+        state.send(to, Message::HeartbeatForward { ticket, heard });
+        return;
+    }
+    answer_instance(state, ticket, answer, lain.is_none());
+}
+
+fn answer_instance(state: &mut ControllerState, ticket: u64, answer: HeartbeatAnswer, again: bool) {
+    let answer = OperatorAnswer::Heartbeat {
+        answer: DatedAnswer {
+            answer,
+            stamp: state.envelope_clock.stamp(state.now),
+            again,
+        },
+    };
+    state
+        .outputs
+        .push(ControllerOutput::Answer { ticket, answer });
+}
+
+/// Counts members that fell silent here as not ready.
+fn count_silent_members(state: &mut ControllerState) {
+    let (now, silence) = (state.now, state.options.core.member_silence);
+    let silent: Vec<NodeId> = state
+        .renewed
+        .iter()
+        .filter(|(_, renewed)| now.saturating_sub(**renewed) >= silence)
+        .map(|(node, _)| *node)
+        .collect();
+    // Why not after a gap of our own: then it was we who did not listen.
+    let listened = now.saturating_sub(state.ticked_at) < silence / 2;
+    state.ticked_at = now;
+    for node in silent {
+        state.renewed.remove(&node);
+        if listened {
+            state.members.count_silent(now, node);
+        }
+    }
+}
+
+/// Answers the heartbeats whose owner manager was silent: they were heard, only no hold is renewed.
+fn answer_late_heartbeats(state: &mut ControllerState) {
+    let now = state.now;
+    let (over, waiting): (Vec<WaitingHeartbeat>, Vec<WaitingHeartbeat>) =
+        std::mem::take(&mut state.heartbeats)
+            .into_iter()
+            .partition(|heartbeat| now >= heartbeat.until);
+    state.heartbeats = waiting;
+    for heartbeat in over {
+        answer_instance(state, heartbeat.ticket, HeartbeatAnswer::default(), false);
+    }
+}
+
+/// Takes a heartbeat in and answers it.
+///
+/// Why nothing of one whose age cannot be told: it may be of an instance that is long gone.
+fn hear_heartbeat(
+    state: &mut ControllerState,
+    heard: HeardHeartbeat,
+    lain: Option<Duration>,
+) -> HeartbeatAnswer {
+    let heard = lain.map(|lain| heard.aged(lain));
+    let span = state.instances.span;
+    let young = heard.filter(|heard| heard.age < span);
+    let Some(heard) = young else {
+        return HeartbeatAnswer::default();
+    };
+    state.instances.hear(state.now, &heard);
+    // Why no answer of ours: it said that it ended, and a late heartbeat must not prolong its holds.
+    if state.instances.has_ended(&heard.heartbeat.id) {
+        return HeartbeatAnswer::default();
+    }
+    leadership_roles::answer_heartbeat(state, &heard.heartbeat)
+}
+
+fn hear(state: &mut ControllerState, envelope: Envelope) {
+    let lain = state.envelope_clock.open(state.now, &envelope);
+    let Envelope {
+        from,
+        reply_to,
+        message,
+        ..
+    } = envelope;
+    match message {
+        Message::ConsensusMessage { vote } => consensus::hear_vote(state, from, reply_to, vote),
+        Message::RoundAsk { number } => consensus::hear_round_ask(state, reply_to, number),
+        Message::RoundAnswer { number, versions } => {
+            consensus::hear_round_answer(state, from, reply_to, number, versions);
+        }
+        Message::SeedAsk { zone, founded } => {
+            let seen = SeedSeen {
+                node: from,
+                zone,
+                founded,
+            };
+            consensus::hear_seed_ask(state, reply_to, seen);
+        }
+        Message::SeedAnswer { zone, founded } => {
+            let seen = SeedSeen {
+                node: from,
+                zone,
+                founded,
+            };
+            consensus::hear_seed_answer(state, reply_to, seen);
+        }
+        Message::FoundAsk { founding } => consensus::hear_found_ask(state, reply_to, founding),
+        Message::FoundTook { attempt } => consensus::hear_found_took(state, from, attempt),
+        Message::Facts {
+            instances,
+            members,
+            gone,
+        } => {
+            // Why nothing when its age cannot be told: every fact is soon told again.
+            let Some(lain) = lain else {
+                return;
+            };
+            for heard in instances {
+                state.instances.hear(state.now, &heard.aged(lain));
+            }
+            for id in gone {
+                state.instances.end(state.now, &id);
+            }
+            for heard in members {
+                state.members.hear(state.now, &heard.aged(lain));
+            }
+        }
+        Message::Renew { renewal } => hear_renewal(state, reply_to, renewal, lain),
+        Message::HeartbeatForward { ticket, heard } => {
+            let answer = hear_heartbeat(state, heard, lain);
+            state.send(reply_to, Message::HeartbeatReply { ticket, answer });
+        }
+        Message::HeartbeatReply { ticket, answer } => {
+            let place = state
+                .heartbeats
+                .iter()
+                .position(|heartbeat| heartbeat.number == ticket);
+            if let Some(place) = place {
+                let waiting = state.heartbeats.swap_remove(place);
+                answer_instance(state, waiting.ticket, answer, false);
+            }
+        }
+        // Why nothing: these are for followers, and a controller is none.
+        Message::Grant { .. }
+        | Message::Pull { .. }
+        | Message::View { .. }
+        | Message::IslandAsk { .. }
+        | Message::IslandTell { .. } => {}
+    }
+}
+
+fn hear_renewal(
+    state: &mut ControllerState,
+    reply_to: SocketAddr,
+    renewal: Renewal,
+    lain: Option<Duration>,
+) {
+    let now = state.now;
+    let member = renewal.member;
+    // Why answered all the same: the grant counts from when the member asked, and only whether it
+    // is alive now hangs on the age of its question.
+    if let Some(age) = lain {
+        let heard = HeardMember {
+            member: member.clone(),
+            age,
+        };
+        state.members.hear(now, &heard);
+        state.renewed.insert(member.node, now.saturating_sub(age));
+    }
+    // Why the place only counts under our own name: another controller numbers its facts otherwise.
+    let (instances_after, members_after) = if renewal.controller == state.node {
+        (renewal.instances_after, renewal.members_after)
+    } else {
+        (0, 0)
+    };
+    let news: Vec<ConsensusMessage> = renewal
+        .wants
+        .iter()
+        .filter_map(|name| {
+            let held = member
+                .versions
+                .get(name.index())
+                .copied()
+                .unwrap_or_default();
+            state.voter.news_after(*name, held)
+        })
+        .collect();
+    let round = match state.options.broken {
+        Broken::LoneGrants => Some((
+            Duration::ZERO,
+            ALL_MAPS.map(|name| state.map(name).version).to_vec(),
+        )),
+        _ => state
+            .rounds
+            .latest(now)
+            .map(|round| (now.saturating_sub(round.started), round.versions.clone())),
+    };
+    // Why members only for directories: agents need no more than their number, and with many nodes
+    // the list would be most of what a node hears.
+    let members = match member.role {
+        Role::Directory => state.members.after(now, members_after),
+        Role::Proxy => Vec::new(),
+    };
+    let members = members
+        .into_iter()
+        .map(|mut heard| {
+            heard.member.demand.clear();
+            heard
+        })
+        .collect();
+    let written = state.map(MapName::Placement).mapping();
+    let written = written.map_or(0, |mapping| mapping.proxies);
+    let proxies = written.max(state.members.ready_proxies().count() as u32);
+    let assured = round.is_some();
+    let (round_age, versions) = round.unwrap_or((LEASE_SPAN, Vec::new()));
+    let granted = Granted {
+        number: renewal.number,
+        round_age,
+        versions,
+        // Why none for directories: they name proxies only.
+        instances: match member.role {
+            Role::Proxy => state.instances.after(now, instances_after),
+            Role::Directory => Vec::new(),
+        },
+        instances_place: state.instances.learned(),
+        gone: state.instances.ended_after(now, instances_after),
+        proxies,
+        members,
+        members_place: state.members.learned(),
+        news,
+        assured,
+    };
+    state.send(reply_to, Message::Grant { granted });
+}
+
+fn synced(state: &mut ControllerState, ticket: u64) {
+    while state.held.front().is_some_and(|(held, _)| *held <= ticket) {
+        if let Some((_, outputs)) = state.held.pop_front() {
+            state.outputs.extend(outputs);
+        }
+    }
+    state.unsynced_slot.take_if(|slot| *slot <= ticket);
+    if state.ailing && ticket == state.next_write {
+        state.ailing = false;
+        state.note(Event::DiskWell);
+    }
+}
+
+fn write_failed(state: &mut ControllerState, ticket: u64) {
+    if state
+        .unsynced_slot
+        .take_if(|slot| *slot >= ticket)
+        .is_some()
+    {
+        state.disk.same_slot_again();
+    }
+    // Why all of them: what was to be written after a lost line has a gap before it.
+    state.held.clear();
+    state.next_write += 1;
+    state.retry_write_at = state.now + Duration::from_secs(1);
+    if !state.ailing {
+        state.ailing = true;
+        state.note(Event::DiskRefused);
+    }
+}
+
+fn operator(state: &mut ControllerState, ticket: u64, call: OperatorCall) {
+    let answer = match call {
+        OperatorCall::Apply { .. } | OperatorCall::Retire { .. }
+            if state.stopping_since.is_some() =>
+        {
+            OperatorAnswer::Leaving
+        }
+        // Why first: a repeat of what was accepted long ago is answered all the same.
+        OperatorCall::Apply { change }
+            if !agents::could_say_yes(state) && is_news(state, &change) =>
+        {
+            OperatorAnswer::ProposalOutcome {
+                proposal_outcome: ProposalOutcome::TooFewAgents,
+            }
+        }
+        OperatorCall::Apply { change } => {
+            state.propose(MapName::Configuration, Asker::Operator(ticket), change);
+            consensus::tick_proposers(state);
+            return;
+        }
+        OperatorCall::Check { change } => OperatorAnswer::ProposalOutcome {
+            proposal_outcome: ProposalOutcome::Faulty(check_configuration(
+                state.map(MapName::Configuration),
+                &change,
+            )),
+        },
+        OperatorCall::Read => {
+            let careless = state.options.broken == Broken::LoneReads;
+            if state.is_current(MapName::Configuration) || careless {
+                let map = state.map(MapName::Configuration).clone();
+                let version = map.version;
+                let answer = OperatorAnswer::Configuration { map };
+                // Why it waits: a read must not show as accepted what was not told yes.
+                let otherwise = OperatorAnswer::NotCurrent;
+                agents::answer_when_held(state, ticket, version, answer, otherwise);
+                return;
+            } else {
+                OperatorAnswer::NotCurrent
+            }
+        }
+        OperatorCall::Watch { after, wait } => {
+            let until = state.now + wait;
+            state.watchers.push(Watcher {
+                ticket,
+                after,
+                until,
+            });
+            return;
+        }
+        OperatorCall::Retire { dropped } => match agents::roster_without(state, &dropped) {
+            Ok(roster) => {
+                let value = Value::Roster { roster };
+                let change = leadership_roles::roster_change(state, value);
+                state.propose(MapName::Membership, Asker::Roster(ticket), change);
+                consensus::tick_proposers(state);
+                return;
+            }
+            Err(faults) => OperatorAnswer::ProposalOutcome {
+                proposal_outcome: ProposalOutcome::Faulty(faults),
+            },
+        },
+        OperatorCall::Status => OperatorAnswer::Status {
+            status: Box::new(status(state)),
+        },
+    };
+    state
+        .outputs
+        .push(ControllerOutput::Answer { ticket, answer });
+}
+
+fn is_news(state: &ControllerState, change: &Change) -> bool {
+    !matches!(
+        state.map(MapName::Configuration).weigh(change),
+        Standpoint::Repeat(_)
+    )
+}
+
+fn status(state: &ControllerState) -> ControllerStatus {
+    let membership = state.map(MapName::Membership);
+    ControllerStatus {
+        node: state.node,
+        zone: state.options.zone.clone(),
+        versions: ALL_MAPS.map(|name| state.map(name).version).to_vec(),
+        current: state.is_current(MapName::Configuration),
+        ailing: state.ailing,
+        voters: membership
+            .voters()
+            .iter()
+            .flat_map(|voters| &voters.holders)
+            .map(|holder| {
+                let alive =
+                    holder.node == state.node || state.liveness.alive(state.now, holder.node);
+                (holder.clone(), alive)
+            })
+            .collect(),
+        leaderships: LEADERSHIPS
+            .map(|name| (name, membership.leadership(name).cloned()))
+            .to_vec(),
+        members: state.members.iter().cloned().collect(),
+        instances: state.instances.iter().cloned().collect(),
+        mapping: state.map(MapName::Placement).mapping().cloned(),
+        roster: agents::roster_in_touch(state),
+        vouched: state.vouched,
+    }
+}
+
+/// News without what is beyond a version; a whole map that is ahead of it waits.
+fn news_up_to(news: ConsensusMessage, version: Version) -> Option<ConsensusMessage> {
+    match news {
+        ConsensusMessage::News { map, mut changes } => {
+            changes.retain(|numbered| numbered.version <= version);
+            Some(ConsensusMessage::News { map, changes })
+        }
+        ConsensusMessage::Whole { map, whole } if whole.version <= version => {
+            Some(ConsensusMessage::Whole { map, whole })
+        }
+        _ => None,
+    }
+}
+
+fn answer_watchers(state: &mut ControllerState) {
+    if state.watchers.is_empty() {
+        return;
+    }
+    let now = state.now;
+    let vouched = state.vouched;
+    // Why no further: what is ahead of it may not have been told yes.
+    let version = state.map(MapName::Configuration).version.min(vouched);
+    let (ready, waiting): (Vec<Watcher>, Vec<Watcher>) = std::mem::take(&mut state.watchers)
+        .into_iter()
+        .partition(|watcher| watcher.after < version || now >= watcher.until);
+    state.watchers = waiting;
+    for watcher in ready {
+        let news = state
+            .voter
+            .news_after(MapName::Configuration, watcher.after)
+            .and_then(|news| news_up_to(news, version));
+        let answer = OperatorAnswer::Changes { version, news };
+        state.outputs.push(ControllerOutput::Answer {
+            ticket: watcher.ticket,
+            answer,
+        });
+    }
+}
--- a/crates/ledger/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,9 +1,10 @@
-//! `ledger`: one of the core processes.
+//! `controller`: one of the core processes.
 
-use ledger::prelude::*;
-use toolroom::prelude::*;
+use controller::prelude::*;
+use runtime::prelude::*;
 
-const HELP: &str = "The core of caperworks: keeps the books, grants permits, does the duties, \
+const HELP: &str =
+    "The core of caperworks: keeps the maps, grants leases, does the leadership roles, \
 and answers operators over HTTP";
 const NEEDS: [&str; 5] = ["control", "serving", "area", "seeds", "data"];
 
@@ -14,6 +15,6 @@
     let reread: Reread = Arc::new(move || Place::read(&flags, &NEEDS).ok());
     run_daemon(
         place.terms.workers,
-        ledger::daemon::run(place, reread, own_interface()),
+        controller::daemon::run(place, reread, own_interface()),
     )
 }
--- a/crates/ledger/src/orders.rs
+++ b/crates/controller/src/operator_json.rs
@@ -146,14 +146,14 @@
     }
 }
 
-/// Reads the pools that a rule's requests are split over, by weight.
+/// Reads the services that a rule's requests are split over, by weight.
 fn read_split(path: &str, reader: &mut Reader<'_>, faults: &mut Vec<Fault>) -> Vec<SplitPart> {
     let mut split = Vec::new();
     for (place, item) in reader.list("split", faults).iter().enumerate() {
         let part_path = format!("{path}.split[{place}]");
         if let Some(mut part) = Reader::new(part_path, item, faults) {
             split.push(SplitPart {
-                pool: PoolName::new(part.needed_text("pool", faults)),
+                service: ServiceName::new(part.needed_text("pool", faults)),
                 weight: part.small("weight", 0, faults),
             });
             part.finish(faults);
@@ -177,20 +177,20 @@
     }
 }
 
-fn read_rule(path: &str, value: &JsonValue, faults: &mut Vec<Fault>) -> Option<Value> {
+fn read_route(path: &str, value: &JsonValue, faults: &mut Vec<Fault>) -> Option<Value> {
     let mut reader = Reader::new(path, value, faults)?;
     let split = read_split(path, &mut reader, faults);
-    let rule = Rule {
+    let route = Route {
         host: reader.needed_text("host", faults),
         path: reader.needed_text("path", faults),
-        // Why not needed beside a split: the parts name the pools then.
-        pool: match split.first() {
-            Some(part) => PoolName::new(
+        // Why not needed beside a split: the parts name the services then.
+        service: match split.first() {
+            Some(part) => ServiceName::new(
                 reader
                     .text("pool", faults)
-                    .unwrap_or_else(|| part.pool.to_string()),
+                    .unwrap_or_else(|| part.service.to_string()),
             ),
-            None => PoolName::new(reader.needed_text("pool", faults)),
+            None => ServiceName::new(reader.needed_text("pool", faults)),
         },
         homes: {
             let home = reader.text("home", faults);
@@ -213,14 +213,14 @@
         most_attempts: reader.small("most_attempts", 0, faults),
     };
     reader.finish(faults);
-    Some(Value::Rule { rule })
+    Some(Value::Route { route })
 }
 
-fn read_pool(path: &str, value: &JsonValue, faults: &mut Vec<Fault>) -> Option<Value> {
+fn read_service(path: &str, value: &JsonValue, faults: &mut Vec<Fault>) -> Option<Value> {
     let mut reader = Reader::new(path, value, faults)?;
-    let pool = Pool {
+    let service = Service {
         keyed: reader.truth("keyed", faults).unwrap_or(false),
-        slices: reader.small("slices", 64, faults),
+        key_ranges: reader.small("slices", 64, faults),
         instance_cap: reader.small("instance_cap", 64, faults),
         key_cap: reader.small("key_cap", 8, faults),
         cold_rate_milli: reader.thousandths("gentle_per_second", 6, faults),
@@ -238,24 +238,24 @@
         health_path: reader.text("health_path", faults).unwrap_or_default(),
     };
     reader.finish(faults);
-    Some(Value::Pool { pool })
+    Some(Value::Service { service })
 }
 
-fn read_area(path: &str, value: &JsonValue, faults: &mut Vec<Fault>) -> Option<Value> {
+fn read_zone(path: &str, value: &JsonValue, faults: &mut Vec<Fault>) -> Option<Value> {
     let mut reader = Reader::new(path, value, faults)?;
-    let area = AreaOrder {
+    let zone = ZoneSettings {
         region: Region::new(reader.needed_text("region", faults)),
         closed: reader.truth("closed", faults).unwrap_or(false),
     };
     reader.finish(faults);
-    Some(Value::Area { area })
+    Some(Value::Zone { zone })
 }
 
 fn read_put(path: &str, value: &JsonValue, drops: bool, faults: &mut Vec<Fault>) -> Option<Put> {
     let mut reader = Reader::new(path, value, faults)?;
     let kind = reader.needed_text("kind", faults);
     let name = reader.needed_text("name", faults);
-    let expected = reader.number("edition", faults).map(Edition);
+    let expected = reader.number("edition", faults).map(Version);
     let known = ["rule", "pool", "area"]
         .into_iter()
         .find(|known| *known == kind);
@@ -263,7 +263,7 @@
         (_, None) => {
             faults.push(Fault::new(
                 format!("{path}.kind"),
-                "must be rule, pool or area",
+                "must be rule, service or zone",
             ));
             None
         }
@@ -276,9 +276,9 @@
                     faults.push(Fault::new(inner_path, "is missing"));
                     None
                 }
-                (Some(inner), "rule") => read_rule(&inner_path, inner, faults),
-                (Some(inner), "pool") => read_pool(&inner_path, inner, faults),
-                (Some(inner), _) => read_area(&inner_path, inner, faults),
+                (Some(inner), "rule") => read_route(&inner_path, inner, faults),
+                (Some(inner), "pool") => read_service(&inner_path, inner, faults),
+                (Some(inner), _) => read_zone(&inner_path, inner, faults),
             }
         }
     };
@@ -367,8 +367,8 @@
 }
 
 /// Writes what a rule says beyond where its requests go, as far as it says anything.
-fn write_terms(rule: &Rule, json: &mut JsonValue) {
-    let kind = match rule.kind {
+fn write_terms(route: &Route, json: &mut JsonValue) {
+    let kind = match route.kind {
         RequestKind::ByMethod => None,
         RequestKind::Repeatable => Some("repeatable"),
         RequestKind::Once => Some("once"),
@@ -377,37 +377,37 @@
     if let Some(kind) = kind {
         json["kind"] = kind.into();
     }
-    if !rule.split.is_empty() {
-        let parts: Vec<JsonValue> = rule
+    if !route.split.is_empty() {
+        let parts: Vec<JsonValue> = route
             .split
             .iter()
-            .map(|part| jzon::object! { pool: part.pool.as_str(), weight: part.weight })
+            .map(|part| jzon::object! { pool: part.service.as_str(), weight: part.weight })
             .collect();
         json["split"] = parts.into();
     }
-    if !rule.target_latency.is_zero() {
-        json["target_latency_ms"] = (rule.target_latency.as_millis() as u64).into();
+    if !route.target_latency.is_zero() {
+        json["target_latency_ms"] = (route.target_latency.as_millis() as u64).into();
     }
-    if rule.priority > 0 {
-        json["priority"] = rule.priority.into();
+    if route.priority > 0 {
+        json["priority"] = route.priority.into();
     }
-    if rule.most_attempts > 0 {
-        json["most_attempts"] = rule.most_attempts.into();
+    if route.most_attempts > 0 {
+        json["most_attempts"] = route.most_attempts.into();
     }
 }
 
-/// Writes one value of the standing book as the operators write it.
+/// Writes one value of the configuration map as the operators write it.
 pub fn value_json(value: &Value) -> JsonValue {
     match value {
-        Value::Rule { rule } => {
+        Value::Route { route } => {
             let mut json = jzon::object! {
-                host: rule.host.as_str(),
-                path: rule.path.as_str(),
-                pool: rule.pool.as_str(),
-                deadline_ms: rule.deadline.as_millis() as u64,
-                body_limit: rule.body_limit,
+                host: route.host.as_str(),
+                path: route.path.as_str(),
+                pool: route.service.as_str(),
+                deadline_ms: route.deadline.as_millis() as u64,
+                body_limit: route.body_limit,
             };
-            match rule.homes.as_slice() {
+            match route.homes.as_slice() {
                 [] => {}
                 [home] => json["home"] = home.as_str().into(),
                 homes => {
@@ -415,49 +415,49 @@
                     json["homes"] = homes.into();
                 }
             }
-            write_terms(rule, &mut json);
-            if let Some(header) = &rule.key_header {
+            write_terms(route, &mut json);
+            if let Some(header) = &route.key_header {
                 json["key_header"] = header.as_str().into();
             }
             json
         }
-        Value::Pool { pool } => jzon::object! {
-            keyed: pool.keyed,
-            slices: pool.slices,
-            instance_cap: pool.instance_cap,
-            key_cap: pool.key_cap,
-            gentle_per_second: pool.cold_rate(),
-            warm_ms: pool.warm_span.as_millis() as u64,
-            key_space: match pool.key_space {
+        Value::Service { service } => jzon::object! {
+            keyed: service.keyed,
+            slices: service.key_ranges,
+            instance_cap: service.instance_cap,
+            key_cap: service.key_cap,
+            gentle_per_second: service.cold_rate(),
+            warm_ms: service.warm_span.as_millis() as u64,
+            key_space: match service.key_space {
                 KeySpace::Hashed => "hashed",
                 KeySpace::Ranges => "ranges",
             },
-            connection_limit: pool.connection_limit,
-            health_path: pool.health_path.as_str(),
+            connection_limit: service.connection_limit,
+            health_path: service.health_path.as_str(),
         },
-        Value::Area { area } => jzon::object! {
-            region: area.region.as_str(),
-            closed: area.closed,
+        Value::Zone { zone } => jzon::object! {
+            region: zone.region.as_str(),
+            closed: zone.closed,
         },
         _ => JsonValue::Null,
     }
 }
 
-/// Writes one item with its kind, name and edition.
-pub fn item_json(key: &str, edition: Edition, value: &Value) -> JsonValue {
+/// Writes one item with its kind, name and version.
+pub fn item_json(key: &str, version: Version, value: &Value) -> JsonValue {
     let (kind, name) = key.split_once('/').unwrap_or((key, ""));
-    let mut json = jzon::object! { kind: kind, name: name, edition: edition.0 };
+    let mut json = jzon::object! { kind: kind, name: name, edition: version.0 };
     json[kind] = value_json(value);
     json
 }
 
-pub fn book_json(book: &Book) -> JsonValue {
-    let items: Vec<JsonValue> = book
+pub fn map_json(map: &ReplicatedMap) -> JsonValue {
+    let items: Vec<JsonValue> = map
         .items
         .iter()
-        .map(|(key, item)| item_json(key, item.edition, &item.value))
+        .map(|(key, item)| item_json(key, item.version, &item.value))
         .collect();
-    jzon::object! { edition: book.edition.0, items: items }
+    jzon::object! { edition: map.version.0, items: items }
 }
 
 pub fn faults_json(faults: &[Fault]) -> JsonValue {
@@ -469,25 +469,25 @@
 }
 
 /// The status and body of the answer to a proposed change.
-pub fn verdict_json(verdict: &Verdict) -> (u16, JsonValue) {
-    match verdict {
-        Verdict::Accepted(edition) => (
+pub fn proposal_outcome_json(proposal_outcome: &ProposalOutcome) -> (u16, JsonValue) {
+    match proposal_outcome {
+        ProposalOutcome::Accepted(version) => (
             200,
-            jzon::object! { outcome: "accepted", edition: edition.0 },
+            jzon::object! { outcome: "accepted", edition: version.0 },
         ),
-        Verdict::Repeat(edition) => (
+        ProposalOutcome::Repeat(version) => (
             200,
-            jzon::object! { outcome: "accepted", edition: edition.0, repeat: true },
+            jzon::object! { outcome: "accepted", edition: version.0, repeat: true },
         ),
-        Verdict::IdTaken(edition) => (
+        ProposalOutcome::IdTaken(version) => (
             409,
             jzon::object! {
                 outcome: "refused",
                 why: "this id was used for another change set",
-                edition: edition.0,
+                edition: version.0,
             },
         ),
-        Verdict::Conflicts(conflicts) => {
+        ProposalOutcome::Conflicts(conflicts) => {
             let list: Vec<JsonValue> = conflicts
                 .iter()
                 .map(|conflict| {
@@ -500,25 +500,25 @@
                 .collect();
             (409, jzon::object! { outcome: "refused", conflicts: list })
         }
-        Verdict::Faulty(faults) => (
+        ProposalOutcome::Faulty(faults) => (
             400,
             jzon::object! { outcome: "refused", faults: faults_json(faults) },
         ),
-        Verdict::NoMajority => (
+        ProposalOutcome::NoMajority => (
             503,
             jzon::object! {
                 outcome: "refused",
-                why: "no majority of the seats could be reached; nothing was applied",
+                why: "no majority of the voters could be reached; nothing was applied",
             },
         ),
-        Verdict::TooFewAgents => (
+        ProposalOutcome::TooFewAgents => (
             503,
             jzon::object! {
                 outcome: "refused",
                 why: "too few agents of the roster are in touch; nothing was applied",
             },
         ),
-        Verdict::Unknown => (
+        ProposalOutcome::Unknown => (
             503,
             jzon::object! {
                 outcome: "unknown",
@@ -529,27 +529,27 @@
     }
 }
 
-pub fn status_json(status: &LedgerStatus) -> JsonValue {
-    let editions: Vec<JsonValue> = ALL_BOOKS
+pub fn status_json(status: &ControllerStatus) -> JsonValue {
+    let versions: Vec<JsonValue> = ALL_MAPS
         .iter()
-        .zip(&status.editions)
-        .map(|(name, edition)| jzon::object! { book: name.to_string(), edition: edition.0 })
+        .zip(&status.versions)
+        .map(|(name, version)| jzon::object! { book: name.to_string(), edition: version.0 })
         .collect();
-    let seats: Vec<JsonValue> = status
-        .seats
+    let voters: Vec<JsonValue> = status
+        .voters
         .iter()
         .map(|(holder, alive)| {
             jzon::object! {
                 node: holder.node.0,
                 address: holder.address.to_string(),
-                area: holder.area.as_str(),
-                ledger: holder.ledger,
+                area: holder.zone.as_str(),
+                ledger: holder.controller,
                 alive: *alive,
             }
         })
         .collect();
-    let duties: Vec<JsonValue> = status
-        .duties
+    let leaderships: Vec<JsonValue> = status
+        .leaderships
         .iter()
         .map(|(name, term)| {
             let mut json = jzon::object! { duty: *name };
@@ -564,13 +564,13 @@
         .members
         .iter()
         .map(|member| {
-            let lag = status.editions[0]
+            let lag = status.versions[0]
                 .0
-                .saturating_sub(member.editions.first().copied().unwrap_or_default().0);
+                .saturating_sub(member.versions.first().copied().unwrap_or_default().0);
             jzon::object! {
                 node: member.node.0,
                 role: if member.role == Role::Proxy { "proxy" } else { "directory" },
-                area: member.area.as_str(),
+                area: member.zone.as_str(),
                 serving: member.serving.to_string(),
                 ready: member.ready,
                 feed_lag: lag,
@@ -580,14 +580,14 @@
     let instances: Vec<JsonValue> = status
         .instances
         .iter()
-        .map(|beat| {
+        .map(|heartbeat| {
             jzon::object! {
-                id: beat.id.as_str(),
-                incarnation: beat.incarnation.0,
-                pool: beat.pool.as_str(),
-                area: beat.area.as_str(),
-                address: beat.address.to_string(),
-                state: match beat.state {
+                id: heartbeat.id.as_str(),
+                incarnation: heartbeat.incarnation.0,
+                pool: heartbeat.service.as_str(),
+                area: heartbeat.zone.as_str(),
+                address: heartbeat.address.to_string(),
+                state: match heartbeat.state {
                     InstanceState::Warming => "warming",
                     InstanceState::Serving => "serving",
                     InstanceState::Leaving => "leaving",
@@ -614,12 +614,12 @@
         .map_or(0, |mapping| mapping.groups.len());
     jzon::object! {
         node: status.node.0,
-        area: status.area.as_str(),
+        area: status.zone.as_str(),
         current: status.current,
         disk: if status.ailing { "refusing" } else { "well" },
-        editions: editions,
-        seats: seats,
-        duties: duties,
+        editions: versions,
+        seats: voters,
+        duties: leaderships,
         members: members,
         instances: instances,
         placed_groups: groups,
--- /dev/null
+++ b/crates/controller/src/prelude.rs
@@ -0,0 +1,13 @@
+//! The one module that each file of this crate imports.
+
+pub use caperworks::messages;
+pub use caperworks::prelude::*;
+pub use jzon::JsonValue;
+
+pub use crate::agents;
+pub use crate::consensus;
+pub use crate::controller_state::*;
+pub use crate::daemon::{own_interface, ControllerHandle, Interface};
+pub use crate::leadership_roles;
+pub use crate::machine::*;
+pub use crate::operator_json::*;
--- a/crates/ledger/tests/fleet_stories.rs
+++ b/crates/controller/tests/fleet_stories.rs
@@ -1,18 +1,18 @@
-//! Stories of whole ledgers in memory: disks that are lost, founding, beats and instances' ends.
+//! Stories of whole controllers in memory: disks that are lost, founding, heartbeats and instances' ends.
 
-use ledger::prelude::*;
+use controller::prelude::*;
 
 const STEP: Duration = Duration::from_millis(25);
 
 struct Place {
-    machine: Option<LedgerMachine>,
+    machine: Option<ControllerMachine>,
     image: DiskImage,
     /// Writes are taken in and never carried out.
     disk_hangs: bool,
     core: CorePolicy,
 }
 
-/// Ledgers in one process: messages are carried by hand, writes are synced at once.
+/// Controllers in one process: messages are carried by hand, writes are synced at once.
 struct Fleet {
     places: Vec<Place>,
     now: Duration,
@@ -32,10 +32,10 @@
 fn policy() -> CorePolicy {
     CorePolicy {
         proxies_serve_on: true,
-        synced_ledgers: Some(2),
-        ledger_seats: 3,
-        witness_seats: 0,
-        stamped_beats: false,
+        synced_controllers: Some(2),
+        controller_voters: 3,
+        witness_voters: 0,
+        stamped_heartbeats: false,
         ..CorePolicy::default()
     }
 }
@@ -88,12 +88,12 @@
     fn starts(&mut self, place: usize) {
         self.seeds_drawn += 1;
         let seeds = (0..3).map(address).collect();
-        let zone = Area::new(format!("zone-{place}"));
-        let options = LedgerOptions::new(address(place), zone, seeds)
+        let zone = Zone::new(format!("zone-{place}"));
+        let options = ControllerOptions::new(address(place), zone, seeds)
             .disk_room(1 << 20, 1 << 16)
             .core(self.places[place].core.clone());
         let image = self.places[place].image.clone();
-        let (machine, outputs) = LedgerMachine::start(options, &image, self.seeds_drawn);
+        let (machine, outputs) = ControllerMachine::start(options, &image, self.seeds_drawn);
         self.places[place].machine = Some(machine);
         self.acts(place, outputs);
     }
@@ -108,41 +108,41 @@
         }
     }
 
-    fn acts(&mut self, place: usize, outputs: Vec<LedgerOutput>) {
+    fn acts(&mut self, place: usize, outputs: Vec<ControllerOutput>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
             match output {
-                LedgerOutput::Send { to, message } => {
+                ControllerOutput::Send { to, message } => {
                     let machine = self.places[place].machine.as_ref().expect("it runs");
                     self.wire.push_back((to, machine.seal(to, message)));
                 }
-                LedgerOutput::Write { ticket, writes } => {
+                ControllerOutput::Write { ticket, writes } => {
                     if self.places[place].disk_hangs {
                         continue;
                     }
                     for write in &writes {
                         lay(&mut self.places[place].image, write);
                     }
-                    outputs.extend(self.takes(place, LedgerInput::Synced { ticket }));
+                    outputs.extend(self.takes(place, ControllerInput::Synced { ticket }));
                 }
-                LedgerOutput::Answer { ticket, answer } => {
+                ControllerOutput::Answer { ticket, answer } => {
                     self.answers.insert(ticket, answer);
                 }
-                LedgerOutput::Note { event } => {
+                ControllerOutput::Note { event } => {
                     self.founded += u32::from(event == Event::Founded);
                 }
-                LedgerOutput::Stopped => {}
+                ControllerOutput::Stopped => {}
             }
         }
     }
 
-    fn takes(&mut self, place: usize, input: LedgerInput) -> Vec<LedgerOutput> {
+    fn takes(&mut self, place: usize, input: ControllerInput) -> Vec<ControllerOutput> {
         let now = self.now;
         let machine = self.places[place].machine.as_mut();
         machine.map_or_else(Vec::new, |machine| machine.input(now, input))
     }
 
-    fn inputs(&mut self, place: usize, input: LedgerInput) {
+    fn inputs(&mut self, place: usize, input: ControllerInput) {
         let outputs = self.takes(place, input);
         self.acts(place, outputs);
         self.carries();
@@ -161,7 +161,7 @@
             if is_cut && !own {
                 continue;
             }
-            let outputs = self.takes(place, LedgerInput::Heard { envelope });
+            let outputs = self.takes(place, ControllerInput::Heard { envelope });
             self.acts(place, outputs);
         }
     }
@@ -171,7 +171,7 @@
         while self.now < until {
             self.now += STEP;
             for place in 0..3 {
-                self.inputs(place, LedgerInput::Tick);
+                self.inputs(place, ControllerInput::Tick);
             }
         }
     }
@@ -179,13 +179,13 @@
     fn calls(&mut self, place: usize, call: OperatorCall) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
-        self.inputs(place, LedgerInput::Operator { ticket, call });
+        self.inputs(place, ControllerInput::Operator { ticket, call });
         ticket
     }
 
-    fn verdict(&self, ticket: u64) -> Option<&Verdict> {
+    fn proposal_outcome(&self, ticket: u64) -> Option<&ProposalOutcome> {
         match self.answers.get(&ticket)? {
-            OperatorAnswer::Verdict { verdict } => Some(verdict),
+            OperatorAnswer::ProposalOutcome { proposal_outcome } => Some(proposal_outcome),
             other => panic!("{other:?} is no verdict"),
         }
     }
@@ -201,41 +201,49 @@
             OperatorAnswer::Status { status } => status
                 .instances
                 .iter()
-                .map(|beat| beat.id.to_string())
+                .map(|heartbeat| heartbeat.id.to_string())
                 .collect(),
             other => panic!("{other:?} is no status"),
         }
     }
 
-    fn beats(&mut self, place: usize, beat: Beat) -> u64 {
+    fn heartbeats(&mut self, place: usize, heartbeat: Heartbeat) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
         let echo = None;
-        self.inputs(place, LedgerInput::Beat { ticket, beat, echo });
+        self.inputs(
+            place,
+            ControllerInput::Heartbeat {
+                ticket,
+                heartbeat,
+                echo,
+            },
+        );
         ticket
     }
 
-    fn beat_answer(&self, ticket: u64) -> Option<&BeatAnswer> {
+    fn heartbeat_answer(&self, ticket: u64) -> Option<&HeartbeatAnswer> {
         match self.answers.get(&ticket)? {
-            OperatorAnswer::Beat { answer } => Some(&answer.answer),
+            OperatorAnswer::Heartbeat { answer } => Some(&answer.answer),
             other => panic!("{other:?} is no answer to a beat"),
         }
     }
 
-    fn keeper(&self) -> usize {
-        let board = &self.places[0].machine.as_ref().expect("it runs").board;
-        let keeper = duties::keeper_address(board).expect("someone has the duty");
+    fn owner_manager(&self) -> usize {
+        let state = &self.places[0].machine.as_ref().expect("it runs").state;
+        let owner_manager = leadership_roles::owner_manager_address(state)
+            .expect("someone has the leadership role");
         (0..3)
-            .find(|place| address(*place) == keeper)
+            .find(|place| address(*place) == owner_manager)
             .expect("it is one of us")
     }
 }
 
-fn pool_put(name: &str, version: u64, value: Option<Pool>) -> Put {
+fn service_put(name: &str, version: u64, value: Option<Service>) -> Put {
     Put {
         key: format!("pool/{name}"),
         expected: None,
-        value: value.map(|pool| Value::Pool { pool }),
+        value: value.map(|service| Value::Service { service }),
         written: Some(Written {
             version,
             text: String::new(),
@@ -243,15 +251,15 @@
     }
 }
 
-fn pool() -> Pool {
-    Pool {
+fn service() -> Service {
+    Service {
         keyed: true,
-        slices: 8,
+        key_ranges: 8,
         instance_cap: 4,
         key_cap: 4,
         cold_rate_milli: u32::MAX,
         key_space: KeySpace::Ranges,
-        ..Pool::default()
+        ..Service::default()
     }
 }
 
@@ -264,13 +272,13 @@
     OperatorCall::Apply { change }
 }
 
-fn beat(id: &str, counter: u64) -> Beat {
-    Beat {
+fn heartbeat(id: &str, counter: u64) -> Heartbeat {
+    Heartbeat {
         id: InstanceId::new(id),
         incarnation: Incarnation(0),
         counter,
-        pool: PoolName::new("records"),
-        area: Area::new("zone-0"),
+        service: ServiceName::new("records"),
+        zone: Zone::new("zone-0"),
         address: SocketAddr::from(([127, 0, 0, 2], 8000)),
         capacity: 4,
         state: InstanceState::Serving,
@@ -288,11 +296,14 @@
         for absent in (0..3).filter(|absent| *absent != answering) {
             let mut fleet = Fleet::founded(1 + answering as u64 * 3 + absent as u64);
             fleet.cut.insert(absent);
-            let call = apply("call-1", vec![pool_put("records", 3, Some(pool()))]);
+            let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
             let ticket = fleet.calls(answering, call);
             fleet.runs(Duration::from_millis(500));
-            let verdict = fleet.verdict(ticket);
-            assert!(matches!(verdict, Some(Verdict::Accepted(_))), "{verdict:?}");
+            let proposal_outcome = fleet.proposal_outcome(ticket);
+            assert!(
+                matches!(proposal_outcome, Some(ProposalOutcome::Accepted(_))),
+                "{proposal_outcome:?}"
+            );
             // Right after the yes the one that gave it is lost for good, and all lose power.
             for place in 0..3 {
                 fleet.stops(place, place == answering);
@@ -306,15 +317,15 @@
             fleet.runs(Duration::from_secs(20));
             for place in 0..3 {
                 match fleet.reads(place) {
-                    OperatorAnswer::Standing { book } => {
-                        let versions: Vec<(&String, u64)> = book
+                    OperatorAnswer::Configuration { map } => {
+                        let versions: Vec<(&String, u64)> = map
                             .items
                             .iter()
                             .filter_map(|(key, item)| Some((key, item.written.as_ref()?.version)))
                             .collect();
                         assert_eq!(versions, [(&"pool/records".to_string(), 3)]);
                     }
-                    other => panic!("{answering} {absent}: ledger {place} says {other:?}"),
+                    other => panic!("{answering} {absent}: controller {place} says {other:?}"),
                 }
             }
         }
@@ -329,17 +340,23 @@
     }
     let ticket = fleet.calls(
         0,
-        apply("call-1", vec![pool_put("records", 1, Some(pool()))]),
+        apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
     for _ in 0..400 {
         fleet.runs(STEP * 4);
-        let verdict = fleet.verdict(ticket);
+        let proposal_outcome = fleet.proposal_outcome(ticket);
         assert!(
-            !matches!(verdict, Some(Verdict::Accepted(_) | Verdict::Repeat(_))),
-            "{verdict:?}"
+            !matches!(
+                proposal_outcome,
+                Some(ProposalOutcome::Accepted(_) | ProposalOutcome::Repeat(_))
+            ),
+            "{proposal_outcome:?}"
         );
     }
-    assert!(fleet.verdict(ticket).is_some(), "and it is told so");
+    assert!(
+        fleet.proposal_outcome(ticket).is_some(),
+        "and it is told so"
+    );
 }
 
 #[test]
@@ -356,10 +373,13 @@
     }
     let ticket = fleet.calls(
         0,
-        apply("call-1", vec![pool_put("records", 1, Some(pool()))]),
+        apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
     fleet.runs(Duration::from_secs(10));
-    assert_eq!(fleet.verdict(ticket), Some(&Verdict::NoMajority));
+    assert_eq!(
+        fleet.proposal_outcome(ticket),
+        Some(&ProposalOutcome::NoMajority)
+    );
 }
 
 #[test]
@@ -369,7 +389,7 @@
         policies[wary].may_found = false;
         let mut fleet = Fleet::new(policies, 60 + wary as u64);
         fleet.runs(Duration::from_secs(30));
-        assert_eq!(fleet.founded, 0, "ledger {wary} may not");
+        assert_eq!(fleet.founded, 0, "controller {wary} may not");
     }
 }
 
@@ -391,96 +411,107 @@
 }
 
 #[test]
-fn given_racing_calls_at_two_ledgers_when_both_end_then_both_are_yes_and_the_highest_stand() {
+fn given_racing_calls_at_two_controllers_when_both_end_then_both_are_yes_and_the_highest_stand() {
     let mut fleet = Fleet::founded(80);
     let limited = |limit: u32| {
-        Some(Pool {
+        Some(Service {
             instance_cap: limit,
-            ..pool()
+            ..service()
         })
     };
-    let left = vec![pool_put("a", 2, limited(2)), pool_put("b", 1, limited(1))];
-    let right = vec![pool_put("a", 1, limited(1)), pool_put("b", 2, None)];
+    let left = vec![
+        service_put("a", 2, limited(2)),
+        service_put("b", 1, limited(1)),
+    ];
+    let right = vec![service_put("a", 1, limited(1)), service_put("b", 2, None)];
     let tickets = [
         fleet.calls(1, apply("left", left)),
         fleet.calls(2, apply("right", right)),
     ];
     fleet.runs(Duration::from_secs(3));
     for ticket in tickets {
-        let verdict = fleet.verdict(ticket);
-        assert!(matches!(verdict, Some(Verdict::Accepted(_))), "{verdict:?}");
+        let proposal_outcome = fleet.proposal_outcome(ticket);
+        assert!(
+            matches!(proposal_outcome, Some(ProposalOutcome::Accepted(_))),
+            "{proposal_outcome:?}"
+        );
     }
     for place in 0..3 {
-        let OperatorAnswer::Standing { book } = fleet.reads(place) else {
-            panic!("ledger {place} cannot vouch");
+        let OperatorAnswer::Configuration { map } = fleet.reads(place) else {
+            panic!("controller {place} cannot vouch");
         };
-        let caps: Vec<(String, u32)> = book
-            .pools()
-            .map(|(name, pool)| (name.to_string(), pool.instance_cap))
+        let caps: Vec<(String, u32)> = map
+            .services()
+            .map(|(name, service)| (name.to_string(), service.instance_cap))
             .collect();
         assert_eq!(caps, [("a".to_string(), 2)]);
     }
 }
 
 #[test]
-fn given_a_beat_at_any_ledger_when_its_pool_is_keyed_then_the_keepers_answer_comes_back() {
+fn given_a_heartbeat_at_any_controller_when_its_service_is_keyed_then_the_owner_managers_answer_comes_back(
+) {
     let mut fleet = Fleet::founded(90);
     fleet.calls(
         0,
-        apply("call-1", vec![pool_put("records", 1, Some(pool()))]),
+        apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
     fleet.runs(Duration::from_secs(2));
-    let keeper = fleet.keeper();
-    let other = (keeper + 1) % 3;
+    let owner_manager = fleet.owner_manager();
+    let other = (owner_manager + 1) % 3;
     let mut counter = 0;
-    let mut answered = BeatAnswer::default();
+    let mut answered = HeartbeatAnswer::default();
     for _ in 0..6 {
         counter += 1;
-        let ticket = fleet.beats(other, beat("one", counter));
+        let ticket = fleet.heartbeats(other, heartbeat("one", counter));
         fleet.runs(Duration::from_millis(600));
-        let answer = fleet.beat_answer(ticket).expect("it is answered");
+        let answer = fleet.heartbeat_answer(ticket).expect("it is answered");
         answered = answer.clone();
     }
-    assert!(answered.by_keeper);
-    assert_eq!(answered.keeper, Some(address(keeper)));
-    let slices: Vec<u32> = answered.holds.iter().map(|hold| hold.slice).collect();
-    assert_eq!(slices, (0..8).collect::<Vec<u32>>());
-    // Without the keeper the beat is heard all the same, and nothing is said of what it holds.
-    fleet.cut.insert(keeper);
-    let ticket = fleet.beats(other, beat("one", counter + 1));
-    assert_eq!(fleet.beat_answer(ticket), None, "it waits a while");
+    assert!(answered.by_owner_manager);
+    assert_eq!(answered.owner_manager, Some(address(owner_manager)));
+    let key_ranges: Vec<u32> = answered.holds.iter().map(|hold| hold.key_range).collect();
+    assert_eq!(key_ranges, (0..8).collect::<Vec<u32>>());
+    // Without the owner manager the heartbeat is heard all the same, and nothing is said of what it holds.
+    fleet.cut.insert(owner_manager);
+    let ticket = fleet.heartbeats(other, heartbeat("one", counter + 1));
+    assert_eq!(fleet.heartbeat_answer(ticket), None, "it waits a while");
     fleet.runs(Duration::from_millis(600));
-    let answer = fleet.beat_answer(ticket).expect("it is answered");
-    assert!(!answer.by_keeper && answer.holds.is_empty() && answer.release.is_empty());
+    let answer = fleet.heartbeat_answer(ticket).expect("it is answered");
+    assert!(!answer.by_owner_manager && answer.holds.is_empty() && answer.release.is_empty());
 }
 
 #[test]
-fn given_an_instance_that_is_gone_when_a_late_beat_comes_anywhere_then_no_ledger_revives_it() {
+fn given_an_instance_that_is_gone_when_a_late_heartbeat_comes_anywhere_then_no_controller_revives_it(
+) {
     let mut fleet = Fleet::founded(100);
-    fleet.beats(0, beat("one", 5));
+    fleet.heartbeats(0, heartbeat("one", 5));
     fleet.runs(Duration::from_millis(500));
     for place in 0..3 {
-        assert_eq!(fleet.instances(place), ["one"], "ledger {place}");
+        assert_eq!(fleet.instances(place), ["one"], "controller {place}");
     }
     fleet.tickets += 1;
     let (ticket, id) = (fleet.tickets, InstanceId::new("one"));
-    fleet.inputs(1, LedgerInput::Gone { ticket, id });
-    assert!(fleet.beat_answer(ticket).is_some(), "its word is taken");
+    fleet.inputs(1, ControllerInput::Gone { ticket, id });
+    assert!(
+        fleet.heartbeat_answer(ticket).is_some(),
+        "its word is taken"
+    );
     fleet.runs(Duration::from_millis(500));
     for place in 0..3 {
-        fleet.beats(place, beat("one", 6 + place as u64));
+        fleet.heartbeats(place, heartbeat("one", 6 + place as u64));
         fleet.runs(Duration::from_millis(500));
         for seen in 0..3 {
             assert!(fleet.instances(seen).is_empty(), "{place} {seen}");
         }
     }
     // Another may live at its address at once.
-    fleet.beats(2, beat("two", 1));
+    fleet.heartbeats(2, heartbeat("two", 1));
     fleet.runs(Duration::from_millis(500));
     assert_eq!(fleet.instances(0), ["two"]);
 }
 
-/// What instances beat and hold, each taking up what it is told to.
+/// What instances heartbeat and hold, each taking up what it is told to.
 #[derive(Default)]
 struct Holders {
     counter: u64,
@@ -488,65 +519,69 @@
 }
 
 impl Holders {
-    fn beats(&mut self, fleet: &mut Fleet, place: usize, id: &'static str) -> BeatAnswer {
+    fn heartbeats(&mut self, fleet: &mut Fleet, place: usize, id: &'static str) -> HeartbeatAnswer {
         self.counter += 1;
-        let mut said = beat(id, self.counter);
+        let mut said = heartbeat(id, self.counter);
         said.address.set_port(8000 + u16::from(id == "two"));
         let held = self.held.entry(id).or_default();
         said.holding = held.iter().copied().collect();
-        let ticket = fleet.beats(place, said);
-        let answer = fleet.beat_answer(ticket).expect("it is answered").clone();
-        *held = answer.holds.iter().map(|hold| hold.slice).collect();
+        let ticket = fleet.heartbeats(place, said);
+        let answer = fleet
+            .heartbeat_answer(ticket)
+            .expect("it is answered")
+            .clone();
+        *held = answer.holds.iter().map(|hold| hold.key_range).collect();
         answer
     }
 }
 
-/// A fleet whose keyed pool two instances share, and the place of the keeper.
+/// A fleet whose keyed service two instances share, and the place of the owner manager.
 fn shared_by_two(seed: u64) -> (Fleet, Holders, usize) {
     let mut fleet = Fleet::founded(seed);
     fleet.calls(
         0,
-        apply("call-1", vec![pool_put("records", 1, Some(pool()))]),
+        apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
     fleet.runs(Duration::from_secs(2));
-    let keeper = fleet.keeper();
+    let owner_manager = fleet.owner_manager();
     let mut holders = Holders::default();
     for _ in 0..40 {
-        holders.beats(&mut fleet, (keeper + 1) % 3, "one");
-        holders.beats(&mut fleet, (keeper + 1) % 3, "two");
+        holders.heartbeats(&mut fleet, (owner_manager + 1) % 3, "one");
+        holders.heartbeats(&mut fleet, (owner_manager + 1) % 3, "two");
         fleet.runs(Duration::from_millis(250));
     }
     let (one, two) = (&holders.held["one"], &holders.held["two"]);
     assert!(one.len() >= 3 && two.len() >= 3, "{one:?} {two:?}");
     assert_eq!(one.len() + two.len(), 8);
-    (fleet, holders, keeper)
+    (fleet, holders, owner_manager)
 }
 
 fn ends(fleet: &mut Fleet, place: usize, id: &str) {
     fleet.tickets += 1;
     let (ticket, id) = (fleet.tickets, InstanceId::new(id));
-    fleet.inputs(place, LedgerInput::Gone { ticket, id });
+    fleet.inputs(place, ControllerInput::Gone { ticket, id });
 }
 
 #[test]
-fn given_an_owner_that_ended_when_late_beats_of_it_come_then_nothing_is_prolonged_and_others_own() {
-    // Whether the keeper hears it itself, or another ledger that tells it within a moment.
+fn given_an_owner_that_ended_when_late_heartbeats_of_it_come_then_nothing_is_prolonged_and_others_own(
+) {
+    // Whether the owner manager hears it itself, or another controller that tells it within a moment.
     for (told, moment) in [(0, Duration::ZERO), (1, Duration::from_millis(150))] {
-        let (mut fleet, mut holders, keeper) = shared_by_two(120);
+        let (mut fleet, mut holders, owner_manager) = shared_by_two(120);
         let owned = holders.held["one"].clone();
         let ended = fleet.now;
-        ends(&mut fleet, (keeper + told) % 3, "one");
+        ends(&mut fleet, (owner_manager + told) % 3, "one");
         loop {
             fleet.runs(Duration::from_millis(50));
             let span = fleet.now - ended;
-            assert!(span < Duration::from_secs(2), "its slices never moved");
+            assert!(span < Duration::from_secs(2), "its key ranges never moved");
             for place in (0..3).filter(|_| span > moment) {
-                let late = holders.beats(&mut fleet, place, "one");
+                let late = holders.heartbeats(&mut fleet, place, "one");
                 let named = format!("{told} {place} after {span:?}: {late:?}");
                 assert!(late.holds.is_empty(), "{named}");
                 assert!(late.release.is_empty(), "{named}");
             }
-            holders.beats(&mut fleet, (keeper + 1) % 3, "two");
+            holders.heartbeats(&mut fleet, (owner_manager + 1) % 3, "two");
             let two = &holders.held["two"];
             if !two.is_disjoint(&owned) {
                 assert!(span >= Duration::from_millis(500), "moved after {span:?}");
@@ -558,25 +593,26 @@
 }
 
 #[test]
-fn given_an_owner_that_ended_when_its_late_beat_comes_in_the_same_instant_then_it_holds_nothing() {
-    let (mut fleet, mut holders, keeper) = shared_by_two(130);
-    ends(&mut fleet, keeper, "one");
-    let late = holders.beats(&mut fleet, keeper, "one");
+fn given_an_owner_that_ended_when_its_late_heartbeat_comes_in_the_same_instant_then_it_holds_nothing(
+) {
+    let (mut fleet, mut holders, owner_manager) = shared_by_two(130);
+    ends(&mut fleet, owner_manager, "one");
+    let late = holders.heartbeats(&mut fleet, owner_manager, "one");
     assert!(late.holds.is_empty(), "{late:?}");
 }
 
 #[test]
-fn given_a_ledger_about_to_stop_when_a_call_comes_then_it_sends_the_caller_elsewhere() {
+fn given_a_controller_about_to_stop_when_a_call_comes_then_it_sends_the_caller_elsewhere() {
     let mut fleet = Fleet::founded(110);
-    fleet.inputs(0, LedgerInput::Stop);
+    fleet.inputs(0, ControllerInput::Stop);
     let ticket = fleet.calls(
         0,
-        apply("call-1", vec![pool_put("records", 1, Some(pool()))]),
+        apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
     assert_eq!(fleet.answers[&ticket], OperatorAnswer::Leaving);
     fleet.runs(Duration::from_secs(1));
-    let OperatorAnswer::Standing { book } = fleet.reads(1) else {
+    let OperatorAnswer::Configuration { map } = fleet.reads(1) else {
         panic!("the others go on");
     };
-    assert_eq!(book.pools().count(), 0, "and nothing is in force");
+    assert_eq!(map.services().count(), 0, "and nothing is in force");
 }
--- a/crates/cuesheet/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -1,30 +1,30 @@
 //! The directory's process: its state machine at a desk, and its answers over HTTP.
 
 use crate::prelude::*;
-use toolroom::prelude::*;
+use runtime::prelude::*;
 
 struct Worker {
-    machine: Arc<Mutex<CuesheetMachine>>,
+    machine: Arc<Mutex<DirectoryMachine>>,
     port: ControlPort,
 }
 
 impl Host for Worker {
-    type Input = CuesheetInput;
+    type Input = DirectoryInput;
 
-    fn tick() -> CuesheetInput {
-        CuesheetInput::Tick
+    fn tick() -> DirectoryInput {
+        DirectoryInput::Tick
     }
 
-    fn take(&mut self, now: Duration, input: CuesheetInput) {
+    fn take(&mut self, now: Duration, input: DirectoryInput) {
         let outputs = locked(&self.machine).input(now, input);
         for output in outputs {
             match output {
-                CuesheetOutput::Send { to, message } => {
+                DirectoryOutput::Send { to, message } => {
                     let envelope = locked(&self.machine).seal(now, to, message);
                     self.port.forward(to, &envelope);
                 }
-                CuesheetOutput::Moved { book, edition } => {
-                    event(BOOK_MOVED, format!("{book} at {edition}"));
+                DirectoryOutput::Moved { map, version } => {
+                    event(MAP_MOVED, format!("{map} at {version}"));
                 }
             }
         }
@@ -32,14 +32,14 @@
 }
 
 fn answer(
-    machine: &Mutex<CuesheetMachine>,
+    machine: &Mutex<DirectoryMachine>,
     caller: SocketAddr,
-    order: &Request<Incoming>,
+    request: &Request<Incoming>,
 ) -> Response<Body> {
-    match (order.method(), order.uri().path()) {
+    match (request.method(), request.uri().path()) {
         (&Method::GET, "/ready") => ready_answer(locked(machine).has_mapping()),
         (&Method::GET, "/where") => {
-            let query = order.uri().query().unwrap_or_default();
+            let query = request.uri().query().unwrap_or_default();
             let field = |name: &str| {
                 query
                     .split('&')
@@ -57,13 +57,15 @@
                     json_answer(
                         200,
                         &jzon::object! {
-                            rule: found.rule.as_str(),
+                            rule: found.route.as_str(),
                             addresses: addresses,
                             lifetime_ms: found.lifetime.as_millis() as u64,
                         },
                     )
                 }
-                Err(Nowhere::NoRule) => json_answer(404, &jzon::object! { why: "no rule matches" }),
+                Err(Nowhere::NoRoute) => {
+                    json_answer(404, &jzon::object! { why: "no rule matches" })
+                }
                 Err(Nowhere::NoPlace) => {
                     json_answer(503, &jzon::object! { why: "there is no proxy to name yet" })
                 }
@@ -75,7 +77,9 @@
 
 /// What answers clients over HTTP: the product's own interface, or another that stands in for it.
 pub type Interface = Arc<
-    dyn Fn(&Mutex<CuesheetMachine>, SocketAddr, &Request<Incoming>) -> Response<Body> + Send + Sync,
+    dyn Fn(&Mutex<DirectoryMachine>, SocketAddr, &Request<Incoming>) -> Response<Body>
+        + Send
+        + Sync,
 >;
 
 /// The product's own interface.
@@ -86,25 +90,25 @@
 /// Runs a directory until it is asked to stop.
 pub async fn run(place: Place, reread: Reread, interface: Interface) -> anyhow::Result<()> {
     let clock = Clock::start();
-    let options = CuesheetOptions {
+    let options = DirectoryOptions {
         control: place.advertise,
         serving: place.serving,
-        area: place.area.clone(),
+        zone: place.zone.clone(),
         seeds: place.seeds.clone(),
         member_refresh: place.terms.core.member_refresh,
     };
-    let machine = CuesheetMachine::start(options, fresh_seed());
+    let machine = DirectoryMachine::start(options, fresh_seed());
     let node = machine.node();
     let machine = Arc::new(Mutex::new(machine));
     let (inbox, receiver) = Inbox::open();
     let port = ControlPort::open(node, place.control, place.advertise, move |envelope| {
-        inbox.give(CuesheetInput::Heard { envelope });
+        inbox.give(DirectoryInput::Heard { envelope });
     })
     .await?;
     event(
         STARTED,
         format!(
-            "cuesheet {node} control {} serving {}",
+            "directory {node} control {} serving {}",
             place.control, place.serving
         ),
     );
@@ -112,13 +116,13 @@
         machine: machine.clone(),
         port,
     };
-    open_desk(worker, clock, receiver, place.terms.tick);
+    open_actor(worker, clock, receiver, place.terms.tick);
     let listener = listen(place.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
     let (answering, told) = (machine.clone(), machine.clone());
-    tokio::spawn(serve_http(listener, stop, move |far_end, order| {
-        let answer = interface(&answering, far_end.address, &order);
+    tokio::spawn(serve_http(listener, stop, move |far_end, request| {
+        let answer = interface(&answering, far_end.address, &request);
         async move { Ok(answer) }
     }));
     follow_settings(reread, move |seeds| locked(&told).follow_seeds(seeds));
--- a/crates/cuesheet/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -2,58 +2,62 @@
 
 use crate::prelude::*;
 
-/// The books that a directory follows.
-const FOLLOWED: [BookName; 3] = [BookName::Standing, BookName::Placement, BookName::Cohort];
+/// The maps that a directory follows.
+const FOLLOWED: [MapName; 3] = [
+    MapName::Configuration,
+    MapName::Placement,
+    MapName::Membership,
+];
 
 /// Of how many groups a directory remembers where they stand.
 const MOST_STANDS: usize = 512;
 
 #[derive(Debug, Clone)]
-pub struct CuesheetOptions {
+pub struct DirectoryOptions {
     pub control: SocketAddr,
     pub serving: SocketAddr,
-    pub area: Area,
+    pub zone: Zone,
     pub seeds: Vec<SocketAddr>,
     /// How long a member that says nothing new need not be told again.
     pub member_refresh: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum CuesheetInput {
+pub enum DirectoryInput {
     Tick,
     Heard { envelope: Envelope },
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum CuesheetOutput {
+pub enum DirectoryOutput {
     Send { to: SocketAddr, message: Message },
-    Moved { book: BookName, edition: Edition },
+    Moved { map: MapName, version: Version },
 }
 
 /// Why the directory cannot say where to go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Nowhere {
-    NoRule,
+    NoRoute,
     /// No mapping yet, or nothing in it is alive.
     NoPlace,
 }
 
-pub struct CuesheetMachine {
-    options: CuesheetOptions,
+pub struct DirectoryMachine {
+    options: DirectoryOptions,
     node: NodeId,
     link: CoreLink,
     counter: u64,
-    table: RuleTable,
+    table: RouteTable,
     /// The proxies as last heard: kept when the core falls silent.
-    proxies: Vec<(Area, SocketAddr)>,
+    proxies: Vec<(Zone, SocketAddr)>,
     chance: Chance,
     /// Where groups of clients said that they stand.
-    stands: BTreeMap<String, Area>,
+    stands: BTreeMap<String, Zone>,
     ready: bool,
 }
 
-impl CuesheetMachine {
-    pub fn start(options: CuesheetOptions, seed: u64) -> Self {
+impl DirectoryMachine {
+    pub fn start(options: DirectoryOptions, seed: u64) -> Self {
         let mut chance = Chance::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw());
@@ -63,7 +67,7 @@
             node,
             link,
             counter: 0,
-            table: RuleTable::default(),
+            table: RouteTable::default(),
             proxies: Vec::new(),
             chance,
             stands: BTreeMap::new(),
@@ -78,7 +82,7 @@
     /// Makes a message ready to leave for another process.
     pub fn seal(&self, now: Duration, to: SocketAddr, message: Message) -> Envelope {
         let control = self.options.control;
-        self.link.post.seal(now, control, to, message)
+        self.link.envelope_clock.seal(now, control, to, message)
     }
 
     /// Takes the seeds that the settings name now.
@@ -91,53 +95,53 @@
     }
 
     pub fn has_mapping(&self) -> bool {
-        let placement = self.link.shelf.follower().book(BookName::Placement);
+        let placement = self.link.feed_cache.follower().map(MapName::Placement);
         placement.mapping().is_some() && self.ready
     }
 
-    pub fn input(&mut self, now: Duration, input: CuesheetInput) -> Vec<CuesheetOutput> {
+    pub fn input(&mut self, now: Duration, input: DirectoryInput) -> Vec<DirectoryOutput> {
         let mut outputs = Vec::new();
         match input {
-            CuesheetInput::Tick => {
+            DirectoryInput::Tick => {
                 if self.link.due(now) {
                     self.counter += 1;
                     let member = Member {
                         node: self.node,
                         counter: self.counter,
                         role: Role::Directory,
-                        area: self.options.area.clone(),
+                        zone: self.options.zone.clone(),
                         control: self.options.control,
                         serving: self.options.serving,
                         ready: self.ready,
                         capacity: 0,
                         demand: Vec::new(),
-                        editions: self.link.editions(),
+                        versions: self.link.versions(),
                         leaving: !self.ready,
                         same_demand: false,
                         silent: false,
                         stands: self
                             .stands
                             .iter()
-                            .map(|(group, area)| GroupStand {
+                            .map(|(group, zone)| GroupStand {
                                 group: group.clone(),
-                                zone: area.clone(),
+                                zone: zone.clone(),
                             })
                             .collect(),
                     };
                     let (to, message) = self.link.renew(now, member);
-                    outputs.push(CuesheetOutput::Send { to, message });
+                    outputs.push(DirectoryOutput::Send { to, message });
                 }
             }
-            CuesheetInput::Heard { envelope } => {
-                self.link.post.open(now, &envelope);
+            DirectoryInput::Heard { envelope } => {
+                self.link.envelope_clock.open(now, &envelope);
                 if let Message::Grant { granted } = envelope.message {
-                    for book in self.link.granted(now, envelope.from, &granted) {
-                        if book == BookName::Standing {
-                            let standing = self.link.shelf.follower().book(book);
-                            self.table = RuleTable::of(standing);
+                    for map in self.link.granted(now, envelope.from, &granted) {
+                        if map == MapName::Configuration {
+                            let configuration = self.link.feed_cache.follower().map(map);
+                            self.table = RouteTable::of(configuration);
                         }
-                        let edition = self.link.shelf.follower().book(book).edition;
-                        outputs.push(CuesheetOutput::Moved { book, edition });
+                        let version = self.link.feed_cache.follower().map(map).version;
+                        outputs.push(DirectoryOutput::Moved { map, version });
                     }
                     self.heard_members(now, granted.assured);
                 }
@@ -152,13 +156,13 @@
         if assured {
             self.link.members.expire(now);
         }
-        let proxies: Vec<(Area, SocketAddr)> = self
+        let proxies: Vec<(Zone, SocketAddr)> = self
             .link
             .members
             .ready_proxies()
-            .map(|member| (member.area.clone(), member.serving))
+            .map(|member| (member.zone.clone(), member.serving))
             .collect();
-        // Why half without assurance: a zone may be lost together with most of the core, but a ledger
+        // Why half without assurance: a zone may be lost together with most of the core, but a controller
         // that is cut off itself misses nearly everyone.
         let enough = match assured {
             true => !proxies.is_empty(),
@@ -169,48 +173,48 @@
         }
     }
 
-    /// Where a client that stands in an area should take its requests for a host, by the shares of
+    /// Where a client that stands in a zone should take its requests for a host, by the shares of
     /// all rules of that host together.
     pub fn find_host(
         &mut self,
         host: &str,
-        area: &Area,
+        zone: &Zone,
         client: IpAddr,
     ) -> Result<Whereabouts, Nowhere> {
         let group = group_of(client);
         // Why bounded: a directory's memory is small, and the clients that it hears are few.
         if self.stands.len() < MOST_STANDS || self.stands.contains_key(&group) {
-            self.stands.insert(group.clone(), area.clone());
+            self.stands.insert(group.clone(), zone.clone());
         }
         let draw = self.chance.draw();
-        let shelf = self.link.shelf.follower();
-        let rules: Vec<&RuleName> = self.table.of_host(host).map(|(name, _)| name).collect();
-        let mapping = shelf.book(BookName::Placement).mapping();
-        whereabouts_of_host(mapping, &rules, &group, area, &self.proxies, draw)
+        let feed_cache = self.link.feed_cache.follower();
+        let routes: Vec<&RouteName> = self.table.of_host(host).map(|(name, _)| name).collect();
+        let mapping = feed_cache.map(MapName::Placement).mapping();
+        whereabouts_of_host(mapping, &routes, &group, zone, &self.proxies, draw)
             .ok_or(Nowhere::NoPlace)
     }
 
     /// Where a client at this address should take an order for this host and path.
     pub fn find(&mut self, host: &str, path: &str, client: IpAddr) -> Result<Whereabouts, Nowhere> {
-        let standing = self.link.shelf.follower().book(BookName::Standing);
+        let configuration = self.link.feed_cache.follower().map(MapName::Configuration);
         // Why not "no rule" before any orders were heard: there may be one for all we know.
-        let otherwise = match standing.edition {
-            Edition(0) => Nowhere::NoPlace,
-            _ => Nowhere::NoRule,
+        let otherwise = match configuration.version {
+            Version(0) => Nowhere::NoPlace,
+            _ => Nowhere::NoRoute,
         };
-        let (rule, _) = self.table.find(host, path).ok_or(otherwise)?;
+        let (route, _) = self.table.find(host, path).ok_or(otherwise)?;
         let draw = self.chance.draw();
         self.link
-            .shelf
+            .feed_cache
             .follower()
-            .book(BookName::Placement)
+            .map(MapName::Placement)
             .mapping()
             .and_then(|mapping| {
                 whereabouts(
                     mapping,
-                    rule,
+                    route,
                     &group_of(client),
-                    &self.options.area,
+                    &self.options.zone,
                     &self.proxies,
                     draw,
                 )
--- a/crates/cuesheet/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -1,6 +1,6 @@
-//! `cuesheet`: a directory process.
+//! `directory`: a directory process.
 
-use toolroom::prelude::*;
+use runtime::prelude::*;
 
 const HELP: &str = "The directory: tells callers which proxies to use, from the last placement";
 const NEEDS: [&str; 4] = ["control", "serving", "area", "seeds"];
@@ -12,6 +12,6 @@
     let reread: Reread = Arc::new(move || Place::read(&flags, &NEEDS).ok());
     run_daemon(
         place.terms.workers,
-        cuesheet::daemon::run(place, reread, cuesheet::daemon::own_interface()),
+        directory::daemon::run(place, reread, directory::daemon::own_interface()),
     )
 }
--- a/crates/caller/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -1,6 +1,6 @@
-//! `caller`: stand-in callers that ask the directory, send orders, and check what they get.
+//! `load-generator`: stand-in callers that ask the directory, send orders, and check what they get.
 
-use toolroom::prelude::*;
+use runtime::prelude::*;
 
 const HELP: &str =
     "Stand-in callers: asks the directory where to go, sends the scenario's traffic, \
@@ -120,7 +120,7 @@
         Vec::new()
     }
 
-    async fn order(self: Arc<Self>, kind: usize, number: u64) {
+    async fn request(self: Arc<Self>, kind: usize, number: u64) {
         let traffic = &self.traffic[kind];
         let group = (number % u64::from(self.flags.groups)) as u8;
         let id = format!("{:x}-{number}", self.run);
@@ -135,7 +135,7 @@
         let started = self.clock.now();
         let mut told = "not-opened";
         for address in &addresses {
-            // Why the next address: a circuit that never opened cannot have carried the order.
+            // Why the next address: a connection that never opened cannot have carried the order.
             if tokio::net::TcpStream::connect(address).await.is_err() {
                 continue;
             }
@@ -178,21 +178,21 @@
         }
         drop(count);
         if let Some(record) = self.record.as_ref().filter(|_| write) {
-            if let Err(mishap) = writeln!(locked(record), "{id} {told}") {
-                log::error!("the record cannot be written: {mishap}");
+            if let Err(failure) = writeln!(locked(record), "{id} {told}") {
+                log::error!("the record cannot be written: {failure}");
             }
         }
     }
 
     async fn send_kind(self: Arc<Self>, kind: usize) {
         let rate = (self.traffic[kind].per_second * u64::from(self.flags.percent)).max(1);
-        let mut beat = tokio::time::interval(Duration::from_nanos(100_000_000_000 / rate));
-        beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Burst);
+        let mut heartbeat = tokio::time::interval(Duration::from_nanos(100_000_000_000 / rate));
+        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Burst);
         let until = self.clock.now() + Duration::from_secs(self.flags.seconds);
         while self.clock.now() < until {
-            beat.tick().await;
+            heartbeat.tick().await;
             let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-            tokio::spawn(self.clone().order(kind, number));
+            tokio::spawn(self.clone().request(kind, number));
         }
     }
 
--- a/crates/workshop/src/drill.rs
+++ b/crates/local-fleet/src/drill.rs
@@ -15,7 +15,7 @@
         mode: String,
         late: Duration,
     },
-    /// The disk of a running ledger refuses every write, until it is mended.
+    /// The disk of a running controller refuses every write, until it is mended.
     Disk {
         refuses: bool,
     },
@@ -27,7 +27,7 @@
         kind: String,
         count: u32,
     },
-    Area {
+    Zone {
         closed: bool,
     },
 }
@@ -74,8 +74,8 @@
             kind: step["kind"].as_str()?.to_string(),
             count: step["count"].as_u32().unwrap_or(1),
         },
-        "close-area" => Act::Area { closed: true },
-        "open-area" => Act::Area { closed: false },
+        "close-area" => Act::Zone { closed: true },
+        "open-area" => Act::Zone { closed: false },
         _ => return None,
     })
 }
@@ -128,7 +128,7 @@
             for name in &targets {
                 let found = hands
                     .iter()
-                    .any(|hand| hand.name == *name || hand.program == *name || hand.area == *name);
+                    .any(|hand| hand.name == *name || hand.program == *name || hand.zone == *name);
                 if !found {
                     let remedy = format!("{name} is no process, program or area of the scenario");
                     fault(format!("steps[{place}].targets"), remedy);
@@ -173,30 +173,30 @@
     unknown: u64,
 }
 
-/// Tweaks one rule again and again, at one ledger after the other.
+/// Tweaks one rule again and again, at one controller after the other.
 async fn keep_changing(
-    ledgers: Vec<SocketAddr>,
-    pool: String,
+    controllers: Vec<SocketAddr>,
+    service: String,
     stop: Arc<AtomicBool>,
     changes: Arc<Mutex<Changes>>,
 ) {
     let mut number = 0;
     while !stop.load(Ordering::SeqCst) {
         number += 1;
-        let ledger = ledgers[(number % ledgers.len() as u64) as usize];
-        let rule = jzon::object! {
-            host: "drill.example", path: "/", pool: pool.as_str(), deadline_ms: 1000 + number,
+        let controller = controllers[(number % controllers.len() as u64) as usize];
+        let route = jzon::object! {
+            host: "drill.example", path: "/", pool: service.as_str(), deadline_ms: 1000 + number,
         };
-        let put = jzon::object! { kind: "rule", name: "drill", rule: rule };
+        let put = jzon::object! { kind: "rule", name: "drill", rule: route };
         let change = jzon::object! { id: format!("drill-{number}"), put: [put] };
-        let sent = Fetch::post(ledger, "/v1/standing", change.dump())
+        let sent = Fetch::post(controller, "/v1/standing", change.dump())
             .patience(Duration::from_secs(4))
             .send()
             .await;
         match sent {
             Ok(fetched) if fetched.status == 200 => {
-                let edition = fetched.json()["edition"].as_u64().unwrap_or(0);
-                locked(&changes).accepted.push((edition, number));
+                let version = fetched.json()["edition"].as_u64().unwrap_or(0);
+                locked(&changes).accepted.push((version, number));
             }
             Ok(fetched) if fetched.status == 400 => {
                 event(
@@ -212,13 +212,15 @@
 }
 
 /// Whether the last accepted change reads back: it, or a later one whose answer was lost.
-async fn reads_back(ledgers: &[SocketAddr], changes: &Changes) -> bool {
-    let Some((edition, number)) = changes.accepted.iter().max().copied() else {
+async fn reads_back(controllers: &[SocketAddr], changes: &Changes) -> bool {
+    let Some((version, number)) = changes.accepted.iter().max().copied() else {
         return false;
     };
     let mut read = 0;
-    for ledger in ledgers {
-        let fetch = Fetch::get(*ledger, "/v1/standing/rule/drill").send().await;
+    for controller in controllers {
+        let fetch = Fetch::get(*controller, "/v1/standing/rule/drill")
+            .send()
+            .await;
         let Ok(fetched) = fetch else {
             continue;
         };
@@ -228,10 +230,10 @@
         let json = fetched.json();
         let found = json["edition"].as_u64().unwrap_or(0);
         let value = json["rule"]["deadline_ms"].as_u64().unwrap_or(0);
-        let same = found == edition && value == 1000 + number;
-        if !same && (found <= edition || changes.unknown == 0) {
+        let same = found == version && value == 1000 + number;
+        if !same && (found <= version || changes.unknown == 0) {
             println!(
-                "{ledger} reads {value} at {found}, accepted was {} at {edition}",
+                "{controller} reads {value} at {found}, accepted was {} at {version}",
                 1000 + number
             );
             return false;
@@ -301,19 +303,19 @@
                 let _ = Fetch::post(to, "/understudy/ail", body).send().await;
             }
         }
-        Act::Area { closed } => {
+        Act::Zone { closed } => {
             let scenario =
                 Scenario::read(&fleet.scenario).map_err(|faults| anyhow!("{faults:?}"))?;
-            for (area, region) in &scenario.areas {
-                if !step.targets.contains(area) {
+            for (zone, region) in &scenario.zones {
+                if !step.targets.contains(zone) {
                     continue;
                 }
-                let order = jzon::object! { region: region.as_str(), closed: *closed };
-                let put = jzon::object! { kind: "area", name: area.as_str(), area: order };
-                let id = format!("turn-{area}-{closed}-{}", step.at.as_millis());
+                let request = jzon::object! { region: region.as_str(), closed: *closed };
+                let put = jzon::object! { kind: "area", name: zone.as_str(), area: request };
+                let id = format!("turn-{zone}-{closed}-{}", step.at.as_millis());
                 let change = jzon::object! { id: id, put: [put] }.dump();
-                for ledger in fleet.of("ledger") {
-                    let sent = Fetch::post(ledger, "/v1/standing", change.clone())
+                for controller in fleet.of("controller") {
+                    let sent = Fetch::post(controller, "/v1/standing", change.clone())
                         .send()
                         .await;
                     if sent.is_ok_and(|fetched| fetched.status == 200) {
@@ -328,15 +330,15 @@
 
 /// Probes a ready proxy, more than once if need be.
 ///
-/// Why again: after the harm a slice may be between owners for some seconds, and an order for it is
+/// Why again: after the harm a key range may be between owners for some seconds, and an order for it is
 /// then rightly refused; what is wrong of itself stays wrong.
 async fn probe_patiently(fleet: &Fleet, scenario: &Scenario) -> Vec<String> {
     let mut odd = vec!["no proxy was ready to be probed".to_string()];
     for _ in 0..15 {
-        for proxy in fleet.of("playout") {
+        for proxy in fleet.of("proxy") {
             let ready = status_of(proxy, "/caperworks/ready").await;
             if ready.is_some_and(|fetched| fetched.status == 200) {
-                odd = crate::probe::probe(proxy, scenario, &fleet.of("understudy")).await;
+                odd = crate::probe::probe(proxy, scenario, &fleet.of("test-instance")).await;
                 break;
             }
         }
@@ -351,7 +353,7 @@
 /// How many orders all agents together say were served.
 async fn counted_served(fleet: &Fleet) -> u64 {
     let mut served = 0;
-    for agent in fleet.of("mentor") {
+    for agent in fleet.of("agent") {
         if let Some(fetched) = status_of(agent, "/usage").await {
             let json = fetched.json();
             let lines = json["lines"].members();
@@ -402,8 +404,8 @@
         .parent()
         .context("no folder")?
         .to_path_buf();
-    let mut calling = std::process::Command::new(programs.join("caller"));
-    for directory in fleet.of("cuesheet") {
+    let mut calling = std::process::Command::new(programs.join("load-generator"));
+    for directory in fleet.of("directory") {
         calling.args(["--directory", &directory.to_string()]);
     }
     calling.arg("--scenario").arg(&drill.scenario);
@@ -416,11 +418,11 @@
         .context("cannot start caller")?;
     let stop = Arc::new(AtomicBool::new(false));
     let changes: Arc<Mutex<Changes>> = Arc::default();
-    let ledgers = fleet.of("ledger");
+    let controllers = fleet.of("controller");
     let scenario = Scenario::read(&drill.scenario).map_err(|faults| anyhow!("{faults:?}"))?;
     let changing = tokio::spawn(keep_changing(
-        ledgers.clone(),
-        scenario.pools[0].name.clone(),
+        controllers.clone(),
+        scenario.services[0].name.clone(),
         stop.clone(),
         changes.clone(),
     ));
@@ -439,11 +441,11 @@
     stop.store(true, Ordering::SeqCst);
     changing.await?;
     until(
-        "the ledgers agree again",
+        "the controllers agree again",
         Duration::from_secs(30),
         async || {
-            for ledger in &ledgers {
-                let read = status_of(*ledger, "/v1/standing").await;
+            for controller in &controllers {
+                let read = status_of(*controller, "/v1/standing").await;
                 if read.is_none_or(|fetched| fetched.status != 200) {
                     return false;
                 }
@@ -474,7 +476,7 @@
             changes.accepted.len(),
             changes.unknown
         );
-        reads_back(&ledgers, &changes).await
+        reads_back(&controllers, &changes).await
     };
     let wrong: u64 = summary["kinds"]
         .members()
@@ -489,10 +491,14 @@
     let good = judge(&fleet, &[record])? && seen;
     down(&fleet).await;
     let enough = sent > 0 && served * 100 >= sent * drill.served_at_least;
-    let verdict = good && odd.is_empty() && kept && enough && wrong == 0;
+    let proposal_outcome = good && odd.is_empty() && kept && enough && wrong == 0;
     event(
-        if verdict { RUN_STEP } else { RUN_FAILED },
-        format!("drill good: {verdict}"),
+        if proposal_outcome {
+            RUN_STEP
+        } else {
+            RUN_FAILED
+        },
+        format!("drill good: {proposal_outcome}"),
     );
-    Ok(verdict)
+    Ok(proposal_outcome)
 }
--- a/crates/workshop/src/fleet.rs
+++ b/crates/local-fleet/src/fleet.rs
@@ -7,11 +7,11 @@
     pub name: String,
     pub program: String,
     pub arguments: Vec<String>,
-    pub area: String,
+    pub zone: String,
     pub serving: SocketAddr,
     /// Where others reach its control port when a relay stands before it.
     pub advertise: Option<SocketAddr>,
-    /// Where its HTTP circuits go by the relay.
+    /// Where its HTTP connections go by the relay.
     pub http: Option<SocketAddr>,
     pub process: i32,
 }
@@ -81,7 +81,7 @@
 }
 
 impl Fleet {
-    /// Where a ledger keeps its data.
+    /// Where a controller keeps its data.
     pub fn data_of(&self, place: usize) -> PathBuf {
         self.folder.join(&self.hands[place].name)
     }
@@ -102,94 +102,94 @@
             next += 1;
             next
         };
-        let ledgers: Vec<(u16, u16, &String)> = scenario
-            .ledgers
+        let controllers: Vec<(u16, u16, &String)> = scenario
+            .controllers
             .iter()
-            .map(|area| (port(), port(), area))
+            .map(|zone| (port(), port(), zone))
             .collect();
-        let seeds: Vec<String> = ledgers
+        let seeds: Vec<String> = controllers
             .iter()
             .take(3)
             .flat_map(|(control, _, _)| ["--seed".to_string(), loopback(*control).to_string()])
             .collect();
-        let place = |control: u16, serving: u16, area: &str| -> Vec<String> {
+        let place = |control: u16, serving: u16, zone: &str| -> Vec<String> {
             let mut arguments = vec![
                 "--control".to_string(),
                 loopback(control).to_string(),
                 "--serving".to_string(),
                 loopback(serving).to_string(),
                 "--area".to_string(),
-                area.to_string(),
+                zone.to_string(),
             ];
             arguments.extend(seeds.iter().cloned());
             arguments
         };
         let mut hands = Vec::new();
-        let mut add = |name: String, program: &str, area: &str, serving: u16, arguments| {
+        let mut add = |name: String, program: &str, zone: &str, serving: u16, arguments| {
             hands.push(Hand {
                 name,
                 program: program.to_string(),
                 arguments,
-                area: area.to_string(),
+                zone: zone.to_string(),
                 serving: loopback(serving),
                 advertise: None,
                 http: None,
                 process: 0,
             });
         };
-        for (place_number, (control, serving, area)) in ledgers.iter().enumerate() {
-            let name = format!("ledger-{}", place_number + 1);
-            let mut arguments = place(*control, *serving, area);
+        for (place_number, (control, serving, zone)) in controllers.iter().enumerate() {
+            let name = format!("controller-{}", place_number + 1);
+            let mut arguments = place(*control, *serving, zone);
             arguments.push("--data".to_string());
             arguments.push(folder.join(&name).display().to_string());
-            add(name, "ledger", area, *serving, arguments);
+            add(name, "controller", zone, *serving, arguments);
         }
         let mut agents = Vec::new();
-        for (area, _) in &scenario.areas {
-            for number in 1..=scenario.proxies_per_area {
+        for (zone, _) in &scenario.zones {
+            for number in 1..=scenario.proxies_per_zone {
                 let (control, serving) = (port(), port());
                 agents.push(("--agent".to_string(), loopback(serving).to_string()));
-                let name = format!("mentor-{area}-{number}");
-                add(name, "mentor", area, serving, place(control, serving, area));
+                let name = format!("agent-{zone}-{number}");
+                add(name, "agent", zone, serving, place(control, serving, zone));
                 let (own_control, own_serving) = (port(), port());
-                let name = format!("playout-{area}-{number}");
+                let name = format!("proxy-{zone}-{number}");
                 let options = folder.join(format!("{name}.json"));
                 let json = jzon::object! {
                     control: loopback(own_control).to_string(),
                     serving: loopback(own_serving).to_string(),
-                    area: area.as_str(),
+                    area: zone.as_str(),
                     agent: loopback(control).to_string(),
                     capacity: scenario.proxy_capacity,
                 };
                 // Why ignored here: the process that reads it says what is wrong.
                 let _ = std::fs::write(&options, json.pretty(2));
                 let arguments = vec!["--options".to_string(), options.display().to_string()];
-                add(name, "playout", area, own_serving, arguments);
+                add(name, "proxy", zone, own_serving, arguments);
             }
         }
-        for (number, area) in scenario.directories.iter().enumerate() {
+        for (number, zone) in scenario.directories.iter().enumerate() {
             let (control, serving) = (port(), port());
-            let name = format!("cuesheet-{}", number + 1);
+            let name = format!("directory-{}", number + 1);
             add(
                 name,
-                "cuesheet",
-                area,
+                "directory",
+                zone,
                 serving,
-                place(control, serving, area),
+                place(control, serving, zone),
             );
         }
-        for pool in &scenario.pools {
-            for number in 0..pool.instances {
-                let area = &scenario.areas[number as usize % scenario.areas.len()].0;
+        for service in &scenario.services {
+            for number in 0..service.instances {
+                let zone = &scenario.zones[number as usize % scenario.zones.len()].0;
                 let serving = port();
-                let name = format!("{}-{}", pool.name, number + 1);
+                let name = format!("{}-{}", service.name, number + 1);
                 let mut arguments: Vec<String> =
-                    ["--id", &name, "--pool", &pool.name, "--area", area]
+                    ["--id", &name, "--pool", &service.name, "--area", zone]
                         .map(str::to_string)
                         .to_vec();
                 arguments.extend(["--serving".to_string(), loopback(serving).to_string()]);
-                arguments.extend(["--capacity".to_string(), pool.capacity.to_string()]);
-                arguments.extend(["--work-ms".to_string(), pool.work_ms.to_string()]);
+                arguments.extend(["--capacity".to_string(), service.capacity.to_string()]);
+                arguments.extend(["--work-ms".to_string(), service.work_ms.to_string()]);
                 let journal = folder.join(format!("{name}.journal"));
                 arguments.extend(["--journal".to_string(), journal.display().to_string()]);
                 // Why three of them in turn: an instance knows a few agents, not all.
@@ -197,7 +197,7 @@
                     let (flag, agent) = &agents[(number as usize + turn * 3) % agents.len()];
                     arguments.extend([flag.clone(), agent.clone()]);
                 }
-                add(name, "understudy", area, serving, arguments);
+                add(name, "test-instance", zone, serving, arguments);
             }
         }
         Self {
@@ -213,7 +213,7 @@
         let mut moved: BTreeMap<String, String> = BTreeMap::new();
         let mut pairs = Vec::new();
         for hand in &mut self.hands {
-            if !["ledger", "mentor", "cuesheet"].contains(&hand.program.as_str()) {
+            if !["controller", "agent", "directory"].contains(&hand.program.as_str()) {
                 continue;
             }
             // Why the second: the first two arguments are --control and its address.
@@ -251,9 +251,9 @@
         arguments.extend(pairs);
         let relay = Hand {
             name: "relay".to_string(),
-            program: "workshop".to_string(),
+            program: "local-fleet".to_string(),
             arguments,
-            area: String::new(),
+            zone: String::new(),
             serving,
             advertise: None,
             http: None,
@@ -268,7 +268,7 @@
         let mut pairs = Vec::new();
         let mut agents: BTreeMap<String, String> = BTreeMap::new();
         for hand in &mut self.hands {
-            if !["understudy", "mentor"].contains(&hand.program.as_str()) {
+            if !["test-instance", "agent"].contains(&hand.program.as_str()) {
                 continue;
             }
             *next += 1;
@@ -278,7 +278,7 @@
                 "--http".to_string(),
                 format!("{advertise}={}", hand.serving),
             ]);
-            if hand.program == "mentor" {
+            if hand.program == "agent" {
                 agents.insert(hand.serving.to_string(), advertise.to_string());
             } else {
                 let advertise = ["--advertise".to_string(), advertise.to_string()];
@@ -286,7 +286,7 @@
             }
         }
         for hand in &mut self.hands {
-            if hand.program == "understudy" {
+            if hand.program == "test-instance" {
                 for argument in &mut hand.arguments {
                     if let Some(advertised) = agents.get(argument) {
                         argument.clone_from(advertised);
@@ -297,7 +297,7 @@
         pairs
     }
 
-    /// Sets what happens to the HTTP circuits of these processes.
+    /// Sets what happens to the HTTP connections of these processes.
     pub async fn trouble_http(
         &self,
         places: &[usize],
@@ -360,7 +360,7 @@
                     name: hand.name.as_str(),
                     program: hand.program.as_str(),
                     arguments: hand.arguments.clone(),
-                    area: hand.area.as_str(),
+                    area: hand.zone.as_str(),
                     serving: hand.serving.to_string(),
                     advertise: hand.advertise.map(|address| address.to_string()),
                     http: hand.http.map(|address| address.to_string()),
@@ -389,7 +389,7 @@
                         .members()
                         .filter_map(|argument| Some(argument.as_str()?.to_string()))
                         .collect(),
-                    area: hand["area"].as_str()?.to_string(),
+                    zone: hand["area"].as_str()?.to_string(),
                     serving: hand["serving"].as_str()?.parse().ok()?,
                     advertise: hand["advertise"]
                         .as_str()
@@ -408,12 +408,12 @@
         })
     }
 
-    /// The hands that a name means: one hand, a whole program, or an area.
+    /// The hands that a name means: one hand, a whole program, or a zone.
     pub fn named(&self, name: &str) -> Vec<usize> {
         (0..self.hands.len())
             .filter(|place| {
                 let hand = &self.hands[*place];
-                hand.name == name || hand.program == name || hand.area == name
+                hand.name == name || hand.program == name || hand.zone == name
             })
             .collect()
     }
--- a/crates/workshop/src/flows.rs
+++ b/crates/local-fleet/src/flows.rs
@@ -5,18 +5,18 @@
 /// The parts whose traffic is told apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Part {
-    Ledger,
-    Mentor,
-    Cuesheet,
+    Controller,
+    Agent,
+    Directory,
     HollowAgent,
     HollowInstance,
     Operator,
 }
 
 pub const PARTS: [Part; 6] = [
-    Part::Ledger,
-    Part::Mentor,
-    Part::Cuesheet,
+    Part::Controller,
+    Part::Agent,
+    Part::Directory,
     Part::HollowAgent,
     Part::HollowInstance,
     Part::Operator,
@@ -26,9 +26,9 @@
     /// The part that a program's control port belongs to; none for programs without counted ones.
     pub fn of_program(program: &str) -> Option<Self> {
         match program {
-            "ledger" => Some(Self::Ledger),
-            "mentor" => Some(Self::Mentor),
-            "cuesheet" => Some(Self::Cuesheet),
+            "controller" => Some(Self::Controller),
+            "agent" => Some(Self::Agent),
+            "directory" => Some(Self::Directory),
             _ => None,
         }
     }
--- a/crates/workshop/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -1,27 +1,31 @@
 //! Hollow agents and instances: many in one process, without traffic, counted by the core as any.
 //!
 //! A hollow agent says what an agent with a ready proxy says, from a control port of its own, and
-//! keeps of the answers only the editions. A hollow instance beats over HTTP as instances do.
+//! keeps of the answers only the versions. A hollow instance heartbeats over HTTP as instances do.
 
 use crate::prelude::*;
 
-/// How often an instance beats.
-const BEAT_PERIOD: Duration = Duration::from_millis(500);
-const BEAT_PATIENCE: Duration = Duration::from_millis(1200);
-/// A ledger that has not answered for this long is left for another, as real agents do.
-const LEDGER_PATIENCE: Duration = Duration::from_millis(800);
+/// How often an instance heartbeats.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+const HEARTBEAT_PATIENCE: Duration = Duration::from_millis(1200);
+/// A controller that has not answered for this long is left for another, as real agents do.
+const CONTROLLER_PATIENCE: Duration = Duration::from_millis(800);
 /// How soon an agent asks again that lacks what its grant names.
 const BEHIND_PERIOD: Duration = Duration::from_millis(50);
-/// The books that a hollow agent follows: those of a real one.
-const FOLLOWED: [BookName; 3] = [BookName::Standing, BookName::Tenure, BookName::Cohort];
+/// The maps that a hollow agent follows: those of a real one.
+const FOLLOWED: [MapName; 3] = [
+    MapName::Configuration,
+    MapName::Ownership,
+    MapName::Membership,
+];
 /// How many answers may wait at one hollow agent.
 const MOST_WAITING: usize = 64;
 /// For how many routes each hollow proxy tells demand.
 const DEMANDS: u64 = 4;
 
-/// One ledger as the hollow ones reach it.
+/// One controller as the hollow ones reach it.
 #[derive(Debug, Clone, Copy)]
-pub struct LedgerPlace {
+pub struct ControllerPlace {
     /// What it calls itself to others.
     pub advertised: SocketAddr,
     /// Where its control port is: what hollow ones send need not go by the relay to be counted.
@@ -32,9 +36,9 @@
 /// What all hollow ones of a fleet share.
 pub struct HollowFleet {
     pub clock: Clock,
-    pub ledgers: Vec<LedgerPlace>,
+    pub controllers: Vec<ControllerPlace>,
     pub zones: Vec<String>,
-    pub pools: u32,
+    pub services: u32,
     pub routes: u32,
     /// How long the first words of all are spread over.
     pub spread: Duration,
@@ -45,8 +49,8 @@
 }
 
 impl HollowFleet {
-    fn zone_of(&self, number: u32) -> Area {
-        Area::new(&self.zones[number as usize % self.zones.len()])
+    fn zone_of(&self, number: u32) -> Zone {
+        Zone::new(&self.zones[number as usize % self.zones.len()])
     }
 
     pub fn in_first_zone(&self, number: u32) -> bool {
@@ -66,8 +70,8 @@
     SocketAddr::from(([127, high, middle, low], port))
 }
 
-/// Since when each hollow agent has held which edition of the standing orders.
-pub type HeldSince = Arc<Mutex<Vec<(Edition, Duration)>>>;
+/// Since when each hollow agent has held which version of the configuration.
+pub type HeldSince = Arc<Mutex<Vec<(Version, Duration)>>>;
 
 pub struct HollowAgent {
     pub held_since: HeldSince,
@@ -93,15 +97,15 @@
     port: ControlPort,
     control: SocketAddr,
     node: NodeId,
-    post: Post,
+    envelope_clock: EnvelopeClock,
     counter: u64,
-    ledger: usize,
-    ledger_node: NodeId,
+    controller: usize,
+    controller_node: NodeId,
     answered_at: Duration,
     renew_at: Duration,
     instances_place: u64,
     members_place: u64,
-    editions: Vec<Edition>,
+    versions: Vec<Version>,
     held_since: HeldSince,
 }
 
@@ -129,15 +133,15 @@
         port: opened,
         control,
         node: NodeId(0),
-        post: Post::new(NodeId(0)),
+        envelope_clock: EnvelopeClock::new(NodeId(0)),
         counter: 0,
-        ledger: number as usize % fleet.ledgers.len(),
-        ledger_node: NodeId(0),
+        controller: number as usize % fleet.controllers.len(),
+        controller_node: NodeId(0),
         answered_at: Duration::ZERO,
         renew_at: Duration::ZERO,
         instances_place: 0,
         members_place: 0,
-        editions: Vec::new(),
+        versions: Vec::new(),
         held_since: held_since.clone(),
     };
     life.begin_anew();
@@ -168,12 +172,12 @@
     fn begin_anew(&mut self) {
         let now = self.fleet.clock.now();
         self.node = NodeId(fresh_seed() >> 1);
-        self.post = Post::new(self.node);
+        self.envelope_clock = EnvelopeClock::new(self.node);
         self.counter = 0;
-        self.ledger_node = NodeId(0);
+        self.controller_node = NodeId(0);
         self.instances_place = 0;
         self.members_place = 0;
-        self.editions = vec![Edition(0); ALL_BOOKS.len()];
+        self.versions = vec![Version(0); ALL_MAPS.len()];
         self.answered_at = now;
         self.renew_at = now;
     }
@@ -185,8 +189,8 @@
         let demand = (0..DEMANDS.min(u64::from(self.fleet.routes)))
             .map(|turn| Demand {
                 group: format!("10.{}.{}.0/24", number / 250 % 250, number % 250),
-                rule: route_name((number * DEMANDS + turn) % u64::from(self.fleet.routes)),
-                orders: 40,
+                route: route_name((number * DEMANDS + turn) % u64::from(self.fleet.routes)),
+                requests: 40,
                 locality: Duration::from_millis(20),
             })
             .collect();
@@ -197,35 +201,35 @@
             node: self.node,
             counter: self.counter,
             role: Role::Proxy,
-            area: self.fleet.zone_of(self.number),
+            zone: self.fleet.zone_of(self.number),
             control: self.control,
             serving: SocketAddr::new(self.control.ip(), self.control.port() + 1),
             ready: true,
             capacity: 200,
             demand,
-            editions: self.editions.clone(),
+            versions: self.versions.clone(),
             leaving: false,
         }
     }
 
-    /// Sends a message to one of the ledgers, or to an agent that asked.
+    /// Sends a message to one of the controllers, or to an agent that asked.
     fn send(&self, to: SocketAddr, message: Message) {
         let now = self.fleet.clock.now();
-        let envelope = self.post.seal(now, self.control, to, message);
-        let ledger = self
+        let envelope = self.envelope_clock.seal(now, self.control, to, message);
+        let controller = self
             .fleet
-            .ledgers
+            .controllers
             .iter()
             .find(|place| place.advertised == to);
-        // Why only to ledgers: what goes to others passes the relay, which counts it.
-        if ledger.is_some() {
+        // Why only to controllers: what goes to others passes the relay, which counts it.
+        if controller.is_some() {
             let bytes = frame_bytes(&envelope);
             self.fleet
                 .flows
-                .count(Part::HollowAgent, Part::Ledger, bytes);
+                .count(Part::HollowAgent, Part::Controller, bytes);
         }
         self.port
-            .forward(ledger.map_or(to, |place| place.listened), &envelope);
+            .forward(controller.map_or(to, |place| place.listened), &envelope);
     }
 
     fn renew(&mut self) {
@@ -234,8 +238,8 @@
             self.renew_at = now + RENEW_PERIOD;
             return;
         }
-        if now.saturating_sub(self.answered_at) >= LEDGER_PATIENCE {
-            self.ledger = (self.ledger + 1) % self.fleet.ledgers.len();
+        if now.saturating_sub(self.answered_at) >= CONTROLLER_PATIENCE {
+            self.controller = (self.controller + 1) % self.fleet.controllers.len();
             self.answered_at = now;
         }
         self.renew_at = now + RENEW_PERIOD;
@@ -243,12 +247,12 @@
         let renewal = Renewal {
             number: self.counter,
             member,
-            ledger: self.ledger_node,
+            controller: self.controller_node,
             instances_after: self.instances_place,
             members_after: self.members_place,
             wants: FOLLOWED.to_vec(),
         };
-        let to = self.fleet.ledgers[self.ledger].advertised;
+        let to = self.fleet.controllers[self.controller].advertised;
         self.send(to, Message::Renew { renewal });
     }
 
@@ -257,7 +261,7 @@
         if self.fleet.is_silent(self.number) {
             return;
         }
-        self.post.open(now, &envelope);
+        self.envelope_clock.open(now, &envelope);
         match envelope.message {
             // Why by number: an answer to a life before this one says nothing to this one.
             Message::Grant { granted } if granted.number <= self.counter => {
@@ -267,7 +271,7 @@
                 // Why no word under any roster: hollow agents are to keep nobody fresh.
                 let tell = IslandTell {
                     number: ask.number,
-                    editions: self.editions.clone(),
+                    versions: self.versions.clone(),
                     news: Vec::new(),
                     fit_under: None,
                 };
@@ -278,25 +282,25 @@
     }
 
     fn granted(&mut self, now: Duration, from: NodeId, granted: &Granted) {
-        self.ledger_node = from;
+        self.controller_node = from;
         self.instances_place = granted.instances_place;
         self.members_place = granted.members_place;
-        let before = self.editions.clone();
+        let before = self.versions.clone();
         for news in &granted.news {
             self.take(news);
         }
-        let moved = |name: BookName| self.editions[name.index()] > before[name.index()];
-        if moved(BookName::Standing) {
-            let edition = self.editions[BookName::Standing.index()];
-            locked(&self.held_since).push((edition, now));
+        let moved = |name: MapName| self.versions[name.index()] > before[name.index()];
+        if moved(MapName::Configuration) {
+            let version = self.versions[MapName::Configuration.index()];
+            locked(&self.held_since).push((version, now));
         }
-        if ISLAND_BOOKS.into_iter().any(moved) {
+        if ISLAND_MAPS.into_iter().any(moved) {
             // Why at once: as a real agent, for an operator waits for its word.
             self.renew_at = now;
         }
         let holds = FOLLOWED.iter().all(|name| {
-            let named = granted.editions.get(name.index()).copied();
-            self.editions[name.index()] >= named.unwrap_or_default()
+            let named = granted.versions.get(name.index()).copied();
+            self.versions[name.index()] >= named.unwrap_or_default()
         });
         if granted.assured && holds {
             self.answered_at = now;
@@ -305,32 +309,32 @@
         }
     }
 
-    /// Moves an edition on as the book itself would move.
-    fn take(&mut self, news: &Vote) {
+    /// Moves a version on as the map itself would move.
+    fn take(&mut self, news: &ConsensusMessage) {
         match news {
-            Vote::News { book, changes } => {
-                let held = &mut self.editions[book.index()];
+            ConsensusMessage::News { map, changes } => {
+                let held = &mut self.versions[map.index()];
                 for numbered in changes {
-                    if numbered.edition == held.next() {
-                        *held = numbered.edition;
+                    if numbered.version == held.next() {
+                        *held = numbered.version;
                     }
                 }
             }
-            Vote::Whole { book, whole } => {
-                let held = &mut self.editions[book.index()];
-                *held = (*held).max(whole.edition);
+            ConsensusMessage::Whole { map, whole } => {
+                let held = &mut self.versions[map.index()];
+                *held = (*held).max(whole.version);
             }
             _ => {}
         }
     }
 }
 
-pub fn route_name(number: u64) -> RuleName {
-    RuleName::new(format!("rule-{number}"))
+pub fn route_name(number: u64) -> RouteName {
+    RouteName::new(format!("rule-{number}"))
 }
 
-pub fn pool_name(number: u64) -> PoolName {
-    PoolName::new(format!("service-{number}"))
+pub fn service_name(number: u64) -> ServiceName {
+    ServiceName::new(format!("service-{number}"))
 }
 
 pub struct HollowInstance {
@@ -338,7 +342,7 @@
 }
 
 impl HollowInstance {
-    /// Begins a new life with the next beat.
+    /// Begins a new life with the next heartbeat.
     pub fn restart(&self) {
         self.restart.store(true, Ordering::SeqCst);
     }
@@ -352,7 +356,7 @@
     since: Duration,
     counter: u64,
     holdings: Holdings,
-    /// The last stamp of each ledger, and since when we have it.
+    /// The last stamp of each controller, and since when we have it.
     stamps: HashMap<SocketAddr, (Stamp, Duration)>,
 }
 
@@ -375,11 +379,11 @@
             .spread
             .mul_f64(f64::from(number * 7 % 1000) / 1000.0);
         tokio::time::sleep(first).await;
-        let mut beat = tokio::time::interval(BEAT_PERIOD);
-        beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut place = number as usize % life.fleet.ledgers.len();
+        let mut heartbeat = tokio::time::interval(HEARTBEAT_PERIOD);
+        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut place = number as usize % life.fleet.controllers.len();
         loop {
-            beat.tick().await;
+            heartbeat.tick().await;
             if life.fleet.is_silent(life.zone_number()) {
                 continue;
             }
@@ -390,11 +394,11 @@
                 life.holdings = Holdings::default();
                 life.stamps.clear();
             }
-            for _ in 0..life.fleet.ledgers.len() {
-                if life.beat_until_dated(place).await {
+            for _ in 0..life.fleet.controllers.len() {
+                if life.heartbeat_until_dated(place).await {
                     break;
                 }
-                place = (place + 1) % life.fleet.ledgers.len();
+                place = (place + 1) % life.fleet.controllers.len();
             }
         }
     });
@@ -402,22 +406,22 @@
 }
 
 impl InstanceLife {
-    /// Why by the pool's turn: each pool is to have instances in every zone.
+    /// Why by the service's turn: each service is to have instances in every zone.
     fn zone_number(&self) -> u32 {
-        self.number / self.fleet.pools
+        self.number / self.fleet.services
     }
 
     /// What a hollow instance says of itself.
-    fn beat(&mut self) -> Beat {
+    fn heartbeat(&mut self) -> Heartbeat {
         self.counter += 1;
         let now = self.fleet.clock.now();
-        Beat {
+        Heartbeat {
             cold_left: Duration::ZERO,
             id: InstanceId::new(format!("hollow-{}", self.number)),
             incarnation: Incarnation(self.incarnation),
             counter: self.counter,
-            pool: pool_name(u64::from(self.number % self.fleet.pools)),
-            area: self.fleet.zone_of(self.zone_number()),
+            service: service_name(u64::from(self.number % self.fleet.services)),
+            zone: self.fleet.zone_of(self.zone_number()),
             address: self.address,
             capacity: 50,
             state: InstanceState::Serving,
@@ -428,21 +432,21 @@
         }
     }
 
-    /// Beats, and again at once if the ledger has no stamp of ours to date the beat by.
-    async fn beat_until_dated(&mut self, place: usize) -> bool {
-        match self.beat_once(place).await {
-            Some(true) => self.beat_once(place).await == Some(false),
+    /// Heartbeats, and again at once if the controller has no stamp of ours to date the heartbeat by.
+    async fn heartbeat_until_dated(&mut self, place: usize) -> bool {
+        match self.heartbeat_once(place).await {
+            Some(true) => self.heartbeat_once(place).await == Some(false),
             once => once.is_some(),
         }
     }
 
-    async fn beat_once(&mut self, place: usize) -> Option<bool> {
-        let to = self.fleet.ledgers[place].serving;
+    async fn heartbeat_once(&mut self, place: usize) -> Option<bool> {
+        let to = self.fleet.controllers[place].serving;
         let sent_at = self.fleet.clock.now();
-        let mut json = beats::write(&self.beat());
+        let mut json = heartbeats::write(&self.heartbeat());
         if let Some((stamp, since)) = self.stamps.get(&to) {
             let held = sent_at.saturating_sub(*since);
-            json["stamp"] = beats::write_echo(&Echo {
+            json["stamp"] = heartbeats::write_echo(&Echo {
                 stamp: *stamp,
                 held,
             });
@@ -451,21 +455,25 @@
         let flows = &self.fleet.flows;
         flows.count(
             Part::HollowInstance,
-            Part::Ledger,
+            Part::Controller,
             request_bytes("/beats", to, body.len()),
         );
         let fetched = Fetch::post(to, "/beats", body)
             // Why from its own address: all of them together would run out of ports on one.
             .from(self.address.ip())
-            .patience(BEAT_PATIENCE)
+            .patience(HEARTBEAT_PATIENCE)
             .send()
             .await
             .ok()?;
-        flows.count(Part::Ledger, Part::HollowInstance, response_bytes(&fetched));
+        flows.count(
+            Part::Controller,
+            Part::HollowInstance,
+            response_bytes(&fetched),
+        );
         if fetched.status != 200 {
             return None;
         }
-        let dated = beats::read_dated_answer(&fetched.json())?;
+        let dated = heartbeats::read_dated_answer(&fetched.json())?;
         self.holdings.answered(sent_at, &dated.answer);
         self.stamps
             .insert(to, (dated.stamp, self.fleet.clock.now()));
--- a/crates/workshop/src/http_relay.rs
+++ b/crates/local-fleet/src/http_relay.rs
@@ -1,8 +1,8 @@
-//! A relay for HTTP circuits: what passes may be stalled, delayed or broken at any moment.
+//! A relay for HTTP connections: what passes may be stalled, delayed or broken at any moment.
 
 use crate::prelude::*;
 
-/// What happens to the circuits of one address, and to those that are opened meanwhile.
+/// What happens to the connections of one address, and to those that are opened meanwhile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum HttpMode {
     #[default]
@@ -11,7 +11,7 @@
     Stall,
     /// What is asked passes, the answers do not.
     StallAnswers,
-    /// Every circuit is broken.
+    /// Every connection is broken.
     Break,
     /// Everything is late by this span.
     Delay(Duration),
@@ -33,10 +33,10 @@
 /// The modes by address; one that is not there is open.
 pub type HttpModes = Arc<Mutex<HashMap<SocketAddr, HttpMode>>>;
 
-/// How often a circuit that is stalled looks whether it still is.
+/// How often a connection that is stalled looks whether it still is.
 const LOOK_PERIOD: Duration = Duration::from_millis(10);
 
-/// Waits until bytes may pass; says whether the circuit is to be broken instead.
+/// Waits until bytes may pass; says whether the connection is to be broken instead.
 async fn may_pass(modes: &HttpModes, address: SocketAddr, answer: bool) -> bool {
     loop {
         let mode = locked(modes).get(&address).copied().unwrap_or_default();
@@ -65,7 +65,7 @@
     loop {
         let count = tokio::select! {
             read = from.read(&mut bytes) => read.unwrap_or(0),
-            // Why also while nothing comes: idle circuits break as well.
+            // Why also while nothing comes: idle connections break as well.
             () = until_broken(&modes, address) => return true,
         };
         if !may_pass(&modes, address, answer).await {
@@ -100,7 +100,7 @@
                 let _ = (near.set_nodelay(true), far.set_nodelay(true));
                 let (near_read, near_write) = near.into_split();
                 let (far_read, far_write) = far.into_split();
-                // Why both ends at once: when one way is over, so is the circuit.
+                // Why both ends at once: when one way is over, so is the connection.
                 tokio::select! {
                     _ = carry(near_read, far_write, modes.clone(), advertised, false) => {}
                     _ = carry(far_read, near_write, modes, advertised, true) => {}
