--- a/crates/workshop/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! `workshop`: a whole fleet on one machine, for trying things out and for doing it harm.
+//! `local-fleet`: a whole fleet on one machine, for trying things out and for doing it harm.
 
 mod drill;
 mod fit;
@@ -27,7 +27,7 @@
     },
     Down,
     Status,
-    Harm {
+    FaultStep {
         signal: i32,
         names: Vec<String>,
     },
@@ -62,8 +62,8 @@
 
 fn names_of() -> impl Parser<Vec<String>> {
     positional::<String>("NAME")
-        .help("A process, a program or an area")
-        .some("name at least one process, program or area")
+        .help("A process, a program or a zone")
+        .some("name at least one process, program or zone")
 }
 
 fn flags() -> OptionParser<Flags> {
@@ -86,7 +86,7 @@
         relay
     })
     .to_options()
-    .descr("Start a fleet, give it its standing orders, and wait until it serves")
+    .descr("Start a fleet, give it its configuration, and wait until it serves")
     .command("up");
     let down = bpaf::pure(Command::Down)
         .to_options()
@@ -96,18 +96,18 @@
         .to_options()
         .descr("Say which processes live")
         .command("status");
-    let harm = |word: &'static str, text: &'static str, signal: i32| {
+    let fault_step = |word: &'static str, text: &'static str, signal: i32| {
         let signal = bpaf::pure(signal);
         let names = names_of();
-        construct!(Command::Harm { signal, names })
+        construct!(Command::FaultStep { signal, names })
             .to_options()
             .descr(text)
             .command(word)
     };
-    let kill = harm("kill", "Kill processes at once", libc::SIGKILL);
-    let stop = harm("stop", "Ask processes to stop politely", libc::SIGTERM);
-    let freeze = harm("freeze", "Freeze processes", libc::SIGSTOP);
-    let wake = harm("wake", "Wake frozen processes", libc::SIGCONT);
+    let kill = fault_step("kill", "Kill processes at once", libc::SIGKILL);
+    let stop = fault_step("stop", "Ask processes to stop politely", libc::SIGTERM);
+    let freeze = fault_step("freeze", "Freeze processes", libc::SIGSTOP);
+    let wake = fault_step("wake", "Wake frozen processes", libc::SIGCONT);
     let names = names_of();
     let start = construct!(Command::Start { names })
         .to_options()
@@ -187,7 +187,7 @@
     let nodes = number("nodes", "Hollow agents, each with its proxy (24)", 24);
     let instances = number("instances", "Hollow instances (100)", 100);
     let routes = number("routes", "Routes (100)", 100);
-    let pools = number("pools", "Pools, that is services (10)", 10);
+    let services = number("pools", "Services, that is services (10)", 10);
     let changes = rate("changes", "Configuration changes a second (1)", 1.0);
     let restarts = rate(
         "restarts",
@@ -227,7 +227,7 @@
         nodes,
         instances,
         routes,
-        pools,
+        services,
         changes,
         restarts,
         seconds,
@@ -283,24 +283,27 @@
     fleet.save()?;
     println!("{} processes started", fleet.hands.len());
     let span = Duration::from_secs(60);
-    let ledgers = fleet.of("ledger");
-    until("the ledgers agree", span, async || {
-        status_of(ledgers[0], "/v1/standing")
+    let controllers = fleet.of("controller");
+    until("the controllers agree", span, async || {
+        status_of(controllers[0], "/v1/standing")
             .await
             .is_some_and(|fetched| fetched.status == 200)
     })
     .await?;
-    let standing = scenario.standing().dump();
-    std::fs::write(run.join("standing.json"), scenario.standing().pretty(2))?;
-    let applied = Fetch::post(ledgers[0], "/v1/standing", standing)
+    let configuration = scenario.configuration().dump();
+    std::fs::write(
+        run.join("standing.json"),
+        scenario.configuration().pretty(2),
+    )?;
+    let applied = Fetch::post(controllers[0], "/v1/standing", configuration)
         .send()
         .await?;
     println!(
-        "standing orders: {} {}",
+        "configuration: {} {}",
         applied.status,
         applied.json().dump()
     );
-    let proxies = fleet.of("playout");
+    let proxies = fleet.of("proxy");
     until("all proxies are ready", span, async || {
         for proxy in &proxies {
             let ready = status_of(*proxy, "/caperworks/ready").await;
@@ -311,14 +314,18 @@
         true
     })
     .await?;
-    let instances: u32 = scenario.pools.iter().map(|pool| pool.instances).sum();
+    let instances: u32 = scenario
+        .services
+        .iter()
+        .map(|service| service.instances)
+        .sum();
     until("all instances are known", span, async || {
-        status_of(ledgers[0], "/v1/status")
+        status_of(controllers[0], "/v1/status")
             .await
             .is_some_and(|fetched| fetched.json()["instances"].len() == instances as usize)
     })
     .await?;
-    let directories = fleet.of("cuesheet");
+    let directories = fleet.of("directory");
     until("the directories answer", span, async || {
         for directory in &directories {
             let ready = status_of(*directory, "/ready").await;
@@ -336,8 +343,8 @@
     {
         // Why wait: instances are cold at first and take no more than their gentle rate.
         until("orders are served", span, async || {
-            let order = Fetch::get(proxies[0], read.path.clone()).header("host", &read.host);
-            order
+            let request = Fetch::get(proxies[0], read.path.clone()).header("host", &read.host);
+            request
                 .send()
                 .await
                 .is_ok_and(|fetched| fetched.status == 200)
@@ -351,7 +358,7 @@
             .collect::<Vec<_>>()
             .join(" ")
     };
-    println!("ledgers     {}", word(&ledgers));
+    println!("controllers     {}", word(&controllers));
     println!("directories {}", word(&directories));
     println!("proxies     {}", word(&proxies));
     Ok(())
@@ -370,9 +377,9 @@
 
 /// One line of an instance's journal.
 struct Ran {
-    order: String,
+    request: String,
     write: bool,
-    slice: Option<(String, u64)>,
+    key_range: Option<(String, u64)>,
     from: u128,
     to: u128,
     instance: String,
@@ -390,9 +397,9 @@
             .unwrap_or_default()
             .to_string_lossy()
             .to_string();
-        let pool = instance
+        let service = instance
             .rsplit_once('-')
-            .map_or("", |(pool, _)| pool)
+            .map_or("", |(service, _)| service)
             .to_string();
         for line in std::fs::read_to_string(&path)?.lines() {
             let parts: Vec<&str> = line.split(' ').collect();
@@ -402,16 +409,16 @@
                     .find_map(|part| part.strip_prefix(name))
                     .unwrap_or_default()
             };
-            let (Some(order), Some(method)) = (parts.get(1), parts.get(2)) else {
+            let (Some(request), Some(method)) = (parts.get(1), parts.get(2)) else {
                 continue;
             };
-            let slice = field("slice=")
-                .split_once('/')
-                .map(|(slice, epoch)| (format!("{pool}/{slice}"), epoch.parse().unwrap_or(0)));
+            let key_range = field("slice=").split_once('/').map(|(key_range, epoch)| {
+                (format!("{service}/{key_range}"), epoch.parse().unwrap_or(0))
+            });
             runs.push(Ran {
-                order: (*order).to_string(),
+                request: (*request).to_string(),
                 write: *method != "GET",
-                slice,
+                key_range,
                 from: field("from=").parse().unwrap_or(0),
                 to: field("to=").parse().unwrap_or(0),
                 instance: instance.clone(),
@@ -421,7 +428,7 @@
     Ok(runs)
 }
 
-/// Judges a run: nothing twice, nothing after "not run", no two owners of a slice at once.
+/// Judges a run: nothing twice, nothing after "not run", no two owners of a key range at once.
 pub fn judge(fleet: &Fleet, records: &[PathBuf]) -> anyhow::Result<bool> {
     let runs = read_journals(&fleet.folder)?;
     let mut told: HashMap<String, String> = HashMap::new();
@@ -429,32 +436,32 @@
         let text = std::fs::read_to_string(record)
             .with_context(|| format!("cannot read the record {}", record.display()))?;
         for line in text.lines() {
-            if let Some((order, word)) = line.split_once(' ') {
-                told.insert(order.to_string(), word.to_string());
+            if let Some((request, word)) = line.split_once(' ') {
+                told.insert(request.to_string(), word.to_string());
             }
         }
     }
     let mut writes: HashMap<&str, u32> = HashMap::new();
     for ran in runs.iter().filter(|ran| ran.write) {
-        *writes.entry(&ran.order).or_default() += 1;
+        *writes.entry(&ran.request).or_default() += 1;
     }
     let twice = writes.values().filter(|count| **count > 1).count();
     let after_not_run = writes
         .keys()
-        .filter(|order| told.get(**order).is_some_and(|word| word == "not-run"))
+        .filter(|request| told.get(**request).is_some_and(|word| word == "not-run"))
         .count();
     let served_not_run = told
         .iter()
-        .filter(|(order, word)| *word == "served" && !writes.contains_key(order.as_str()))
+        .filter(|(request, word)| *word == "served" && !writes.contains_key(request.as_str()))
         .count();
-    let mut by_slice: HashMap<&str, Vec<&Ran>> = HashMap::new();
+    let mut by_key_range: HashMap<&str, Vec<&Ran>> = HashMap::new();
     for ran in &runs {
-        if let Some((slice, _)) = &ran.slice {
-            by_slice.entry(slice).or_default().push(ran);
+        if let Some((key_range, _)) = &ran.key_range {
+            by_key_range.entry(key_range).or_default().push(ran);
         }
     }
     let mut overlaps = 0;
-    for runs in by_slice.values_mut() {
+    for runs in by_key_range.values_mut() {
         runs.sort_by_key(|ran| ran.from);
         for (place, ran) in runs.iter().enumerate() {
             overlaps += runs[place + 1..]
@@ -467,9 +474,9 @@
     // Why apart: a half order is in nobody's record, and must be in no instance's either.
     let halves = runs
         .iter()
-        .filter(|ran| ran.order == probe::HALF_ORDER)
+        .filter(|ran| ran.request == probe::HALF_REQUEST)
         .count();
-    let verdict = halves + twice + after_not_run + served_not_run + overlaps == 0;
+    let proposal_outcome = halves + twice + after_not_run + served_not_run + overlaps == 0;
     let json = jzon::object! {
         orders_told: told.len(),
         runs: runs.len(),
@@ -479,10 +486,10 @@
         served_without_a_run: served_not_run,
         two_owners_at_once: overlaps,
         half_orders_run: halves,
-        good: verdict,
+        good: proposal_outcome,
     };
     println!("{}", json.pretty(2));
-    Ok(verdict && !told.is_empty())
+    Ok(proposal_outcome && !told.is_empty())
 }
 
 fn named_or_end(fleet: &Fleet, names: &[String]) -> Vec<usize> {
@@ -493,7 +500,7 @@
             end_over(&[OptionsFault {
                 file: "command line".to_string(),
                 field: name.clone(),
-                remedy: "is no process, program or area of this fleet: see workshop status"
+                remedy: "is no process, program or zone of this fleet: see local fleet status"
                     .to_string(),
             }]);
         }
@@ -547,7 +554,7 @@
             match outcome {
                 Ok(Ok(true)) => return Ok(()),
                 Ok(Ok(false)) => std::process::exit(1),
-                Ok(Err(mishap)) => return Err(mishap),
+                Ok(Err(failure)) => return Err(failure),
                 Err(_) => bail!("the run broke an invariant"),
             }
         }
@@ -567,11 +574,11 @@
                 let word = if hand.lives() { "lives" } else { "ended" };
                 println!(
                     "{word} {:>8} {} {} {}",
-                    hand.process, hand.name, hand.area, hand.serving
+                    hand.process, hand.name, hand.zone, hand.serving
                 );
             }
         }
-        Command::Harm { signal, names } => {
+        Command::FaultStep { signal, names } => {
             for place in named_or_end(&fleet, names) {
                 let hand = &fleet.hands[place];
                 let done = hand.signal(*signal);
@@ -624,8 +631,8 @@
         good
     }
 
-    fn ran(order: &str, slice: &str, from: u32, to: u32) -> String {
-        format!("ran {order} POST /x key=k slice={slice} digest=0 from={from} to={to}\n")
+    fn ran(request: &str, key_range: &str, from: u32, to: u32) -> String {
+        format!("ran {request} POST /x key=k slice={key_range} digest=0 from={from} to={to}\n")
     }
 
     #[test]
@@ -651,7 +658,7 @@
             &[("desk-1", &once)],
             "a served\nb served\n"
         ));
-        let half = ran(crate::probe::HALF_ORDER, "-", 10, 20);
+        let half = ran(crate::probe::HALF_REQUEST, "-", 10, 20);
         assert!(!judged("half", &[("desk-1", &half)], "a not-run\n"));
         let (one, other) = (ran("a", "3/1", 10, 30), ran("b", "3/2", 20, 40));
         let journals = [("burn-1", one.as_str()), ("burn-2", other.as_str())];
--- a/crates/workshop/src/prelude.rs
+++ b/crates/local-fleet/src/prelude.rs
@@ -2,7 +2,7 @@
 
 pub use std::process::{Command, Stdio};
 
-pub use toolroom::prelude::*;
+pub use runtime::prelude::*;
 
 pub use crate::drill::Drill;
 pub use crate::fit::*;
--- a/crates/workshop/src/probe.rs
+++ b/crates/local-fleet/src/probe.rs
@@ -3,9 +3,9 @@
 use crate::prelude::*;
 
 /// The name under which half orders are sent: no instance may ever have run one.
-pub const HALF_ORDER: &str = "probe-half";
+pub const HALF_REQUEST: &str = "probe-half";
 
-/// Sends bytes on a circuit of its own and reads the head of the answer.
+/// Sends bytes on a connection of its own and reads the head of the answer.
 async fn raw(to: SocketAddr, bytes: &[u8], half: bool) -> anyhow::Result<String> {
     let mut stream = TcpStream::connect(to).await?;
     stream.write_all(bytes).await?;
@@ -22,16 +22,16 @@
 /// How long the long answers are: more than the proxy holds whole.
 const LONG: usize = 300_000;
 
-/// Asks for a long answer on a circuit of its own; says how much of its body came.
+/// Asks for a long answer on a connection of its own; says how much of its body came.
 async fn long_answer(to: SocketAddr, read: &Traffic) -> anyhow::Result<usize> {
     let mut stream = TcpStream::connect(to).await?;
-    let order = format!(
+    let request = format!(
         "GET {} HTTP/1.1\r\nhost: {}\r\nx-answer-bytes: {LONG}\r\nconnection: close\r\n\r\n",
         read.path, read.host
     );
-    stream.write_all(order.as_bytes()).await?;
+    stream.write_all(request.as_bytes()).await?;
     let mut answer = Vec::new();
-    // Why ignored: a circuit that breaks is one of the ends that are looked for.
+    // Why ignored: a connection that breaks is one of the ends that are looked for.
     let _ = tokio::time::timeout(Duration::from_secs(8), stream.read_to_end(&mut answer)).await;
     let head = answer
         .windows(4)
@@ -65,7 +65,7 @@
     truncate(instances, 4).await;
     match long_answer(proxy, read).await {
         Ok(length) if length < LONG => println!("a long answer broke off after {length} bytes"),
-        Err(mishap) if mishap.to_string().starts_with("HTTP/1.1 502") => {
+        Err(failure) if failure.to_string().starts_with("HTTP/1.1 502") => {
             println!("a long answer broke off before any of it was sent on");
         }
         other => wrong.push(format!("a long answer broken off: got {other:?}")),
@@ -96,7 +96,7 @@
     };
     let host = format!("host: {}\r\n", read.host);
     let post = |path: &str, rest: &str| {
-        format!("POST {path} HTTP/1.1\r\n{host}x-caller-order: {HALF_ORDER}\r\n{rest}")
+        format!("POST {path} HTTP/1.1\r\n{host}x-caller-order: {HALF_REQUEST}\r\n{rest}")
     };
     let get = |version: &str, rest: &str| format!("GET {} {version}\r\n{rest}\r\n", read.path);
     let (path, keyed) = (write.path.as_str(), upload.path.as_str());
@@ -192,8 +192,8 @@
     for (name, bytes, half, wanted) in probes {
         let answer = match raw(proxy, bytes.as_bytes(), half).await {
             Ok(answer) => answer,
-            Err(mishap) => {
-                wrong.push(format!("{name}: {mishap}"));
+            Err(failure) => {
+                wrong.push(format!("{name}: {failure}"));
                 continue;
             }
         };
--- a/crates/workshop/src/relay.rs
+++ b/crates/local-fleet/src/relay.rs
@@ -50,11 +50,11 @@
     }
     let listener = listen(serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
-    serve_http(listener, stop, move |_, order: Request<Incoming>| {
+    serve_http(listener, stop, move |_, request: Request<Incoming>| {
         let (cut, modes) = (cut.clone(), modes.clone());
         async move {
-            let path = order.uri().path().to_string();
-            let body = small_body(order.into_body(), 1024 * 1024)
+            let path = request.uri().path().to_string();
+            let body = small_body(request.into_body(), 1024 * 1024)
                 .await
                 .unwrap_or_default();
             let value = jzon::parse(&String::from_utf8_lossy(&body)).unwrap_or(JsonValue::Null);
--- a/crates/workshop/src/scale.rs
+++ b/crates/local-fleet/src/scale.rs
@@ -8,7 +8,7 @@
     pub nodes: u32,
     pub instances: u32,
     pub routes: u32,
-    pub pools: u32,
+    pub services: u32,
     pub changes: f64,
     pub restarts: f64,
     pub seconds: u64,
@@ -30,17 +30,17 @@
 const MIB: u64 = 1024 * KIB;
 /// What a real process is reckoned to take before it knows anything.
 const PROCESS_BYTES: u64 = 16 * MIB;
-/// What a hollow agent is reckoned to take in our process and at the ledgers: sockets, buffers.
+/// What a hollow agent is reckoned to take in our process and at the controllers: sockets, buffers.
 const AGENT_BYTES: u64 = 160 * KIB;
-/// What a hollow instance is reckoned to take: its task, and a beat on its way.
+/// What a hollow instance is reckoned to take: its task, and a heartbeat on its way.
 const INSTANCE_BYTES: u64 = 32 * KIB;
 /// What one rule is reckoned to take in each real process, with copies of late and on disk.
 const ROUTE_BYTES: u64 = 4 * KIB;
 /// What one fact is reckoned to take at each hollow agent while a grant is read.
 const FACT_BYTES: u64 = 512;
-/// Open files of one hollow agent at most: its port, and a way to and from each ledger.
+/// Open files of one hollow agent at most: its port, and a way to and from each controller.
 const AGENT_FILES: u64 = 7;
-/// Open files of our process besides, and of beats under way.
+/// Open files of our process besides, and of heartbeats under way.
 const OTHER_FILES: u64 = 1024;
 
 impl ScaleOptions {
@@ -52,9 +52,9 @@
     fn memory(&self) -> u64 {
         let (nodes, instances) = (u64::from(self.nodes), u64::from(self.instances));
         let facts = nodes * (nodes + instances) * FACT_BYTES;
-        let books = u64::from(self.routes + self.pools) * ROUTE_BYTES * self.processes();
+        let maps = u64::from(self.routes + self.services) * ROUTE_BYTES * self.processes();
         let hollow = nodes * AGENT_BYTES + instances * INSTANCE_BYTES;
-        self.processes() * PROCESS_BYTES + facts + books + hollow
+        self.processes() * PROCESS_BYTES + facts + maps + hollow
     }
 
     /// What is wrong with the sizes on a machine with so much memory and so many open files.
@@ -67,10 +67,10 @@
                 remedy,
             });
         };
-        if self.pools == 0 || self.routes == 0 || self.zones == 0 || self.seconds == 0 {
+        if self.services == 0 || self.routes == 0 || self.zones == 0 || self.seconds == 0 {
             fault(
                 "--pools",
-                "give at least 1 of pools, routes, zones and seconds".to_string(),
+                "give at least 1 of services, routes, zones and seconds".to_string(),
             );
             return faults;
         }
@@ -90,8 +90,8 @@
                 ),
             );
         }
-        if self.routes + self.pools + self.zones > MOST_ITEMS as u32 {
-            let most = (MOST_ITEMS as u32).saturating_sub(self.pools + self.zones);
+        if self.routes + self.services + self.zones > MOST_ITEMS as u32 {
+            let most = (MOST_ITEMS as u32).saturating_sub(self.services + self.zones);
             fault(
                 "--routes",
                 format!(
@@ -178,7 +178,7 @@
 
     /// The real processes, as a scenario of the fleet.
     fn scenario(&self) -> Scenario {
-        // Why zones of their own, first by name: the seats of witnesses must go to real agents.
+        // Why zones of their own, first by name: the voters of witnesses must go to real agents.
         let zones: Vec<(String, String)> = (0..self.agents)
             .map(|number| (format!("real-{number:03}"), "real".to_string()))
             .collect();
@@ -186,17 +186,17 @@
         Scenario {
             file: PathBuf::new(),
             name: "scale".to_string(),
-            ledgers: (0..3)
+            controllers: (0..3)
                 .map(|number| format!("zone-{}", number % self.zones))
                 .collect(),
-            proxies_per_area: 1,
+            proxies_per_zone: 1,
             proxy_capacity: 100,
             directories: (0..self.directories).map(named).collect(),
-            pools: Vec::new(),
-            rules: JsonValue::new_array(),
+            services: Vec::new(),
+            routes: JsonValue::new_array(),
             traffic: Vec::new(),
             region_distance: Duration::ZERO,
-            areas: zones,
+            zones,
         }
     }
 
@@ -210,9 +210,9 @@
                 kind: "area", name: name, area: { region: region, closed: false },
             });
         }
-        for number in 0..self.pools {
+        for number in 0..self.services {
             puts.push(jzon::object! {
-                kind: "pool", name: pool_name(u64::from(number)).as_str(), pool: {},
+                kind: "pool", name: service_name(u64::from(number)).as_str(), pool: {},
             });
         }
         for number in 0..self.routes {
@@ -225,14 +225,14 @@
     }
 
     fn route_put(&self, number: u32, deadline: u64) -> JsonValue {
-        let pool = pool_name(u64::from(number % self.pools));
+        let service = service_name(u64::from(number % self.services));
         jzon::object! {
             kind: "rule",
             name: route_name(u64::from(number)).as_str(),
             rule: {
                 host: format!("tenant-{number}.example"),
                 path: "/",
-                pool: pool.as_str(),
+                service: service.as_str(),
                 deadline_ms: deadline,
             },
         }
@@ -329,7 +329,7 @@
     pub node_bytes: f64,
     pub members_counted: usize,
     pub instances_counted: usize,
-    pub hollow_seats: usize,
+    pub hollow_voters: usize,
     /// The core counted every one before the measuring began.
     pub settled: bool,
     /// What the operator's tool was sent for its changes, a second, and for one look at the status.
@@ -358,7 +358,7 @@
             nodes: options.nodes,
             instances: options.instances,
             routes: options.routes,
-            pools: options.pools,
+            pools: options.services,
             changes_per_second: options.changes,
             restarts_per_minute: options.restarts,
             seconds: options.seconds,
@@ -368,7 +368,7 @@
             node_bytes_per_second: rounded(self.node_bytes),
             members_counted: self.members_counted,
             instances_counted: self.instances_counted,
-            hollow_seats: self.hollow_seats,
+            hollow_seats: self.hollow_voters,
             settled: self.settled,
             operator_bytes_per_second: rounded(self.operator_bytes),
             status_bytes: self.status_bytes,
@@ -389,7 +389,7 @@
             options.nodes,
             options.instances,
             options.routes,
-            options.pools,
+            options.services,
             options.changes,
             options.restarts,
             options.seconds
@@ -465,10 +465,10 @@
     }
 }
 
-/// Asks ledgers in turn until one answers well.
-async fn ask_any(ledgers: &[LedgerPlace], path: &str) -> Option<JsonValue> {
-    for ledger in ledgers {
-        let fetched = Fetch::get(ledger.serving, path).patience(Duration::from_secs(5));
+/// Asks controllers in turn until one answers well.
+async fn ask_any(controllers: &[ControllerPlace], path: &str) -> Option<JsonValue> {
+    for controller in controllers {
+        let fetched = Fetch::get(controller.serving, path).patience(Duration::from_secs(5));
         if let Ok(fetched) = fetched.send().await {
             if fetched.status == 200 {
                 return Some(fetched.json());
@@ -493,13 +493,13 @@
     bail!("{what}: not within {span:?}")
 }
 
-/// A change that was told yes: its edition, and when.
-type Accepted = Arc<Mutex<Vec<(Edition, Duration)>>>;
+/// A change that was told yes: its version, and when.
+type Accepted = Arc<Mutex<Vec<(Version, Duration)>>>;
 
 /// Offers changes at a steady rate, each answered by itself.
 async fn keep_changing(
     options: ScaleOptions,
-    ledgers: Vec<LedgerPlace>,
+    controllers: Vec<ControllerPlace>,
     clock: Clock,
     flows: Arc<Flows>,
     accepted: Accepted,
@@ -517,22 +517,22 @@
             2001 + number % 5000,
         );
         let body = jzon::object! { id: format!("change-{number}"), put: [put] }.dump();
-        let to = ledgers[(number % ledgers.len() as u64) as usize].serving;
+        let to = controllers[(number % controllers.len() as u64) as usize].serving;
         let (accepted, flows) = (accepted.clone(), flows.clone());
         tokio::spawn(async move {
             flows.count(
                 Part::Operator,
-                Part::Ledger,
+                Part::Controller,
                 request_bytes("/v1/standing", to, body.len()),
             );
             let Ok(fetched) = Fetch::post(to, "/v1/standing", body).send().await else {
                 return;
             };
             let now = clock.now();
-            flows.count(Part::Ledger, Part::Operator, response_bytes(&fetched));
+            flows.count(Part::Controller, Part::Operator, response_bytes(&fetched));
             if fetched.status == 200 {
-                let edition = Edition(fetched.json()["edition"].as_u64().unwrap_or(0));
-                locked(&accepted).push((edition, now));
+                let version = Version(fetched.json()["edition"].as_u64().unwrap_or(0));
+                locked(&accepted).push((version, now));
             }
         });
     }
@@ -561,20 +561,20 @@
 }
 
 /// How long after its yes each change was held by the last hollow node; and how many were not.
-fn held_delays(accepted: &[(Edition, Duration)], agents: &[HollowAgent]) -> (Vec<Duration>, u64) {
-    let held: Vec<Vec<(Edition, Duration)>> = agents
+fn held_delays(accepted: &[(Version, Duration)], agents: &[HollowAgent]) -> (Vec<Duration>, u64) {
+    let held: Vec<Vec<(Version, Duration)>> = agents
         .iter()
         .map(|agent| locked(&agent.held_since).clone())
         .collect();
     let mut unheld = 0;
     let mut delays = Vec::new();
-    for (edition, told) in accepted {
+    for (version, told) in accepted {
         let last = held
             .iter()
             .map(|moves| {
                 moves
                     .iter()
-                    .find(|(moved, _)| moved >= edition)
+                    .find(|(moved, _)| moved >= version)
                     .map(|(_, at)| *at)
             })
             .collect::<Option<Vec<Duration>>>();
@@ -593,21 +593,23 @@
 async fn tell_first(
     options: &ScaleOptions,
     zones: &[(String, String)],
-    ledgers: &[LedgerPlace],
+    controllers: &[ControllerPlace],
 ) -> anyhow::Result<()> {
     for change in options.first_changes(zones) {
         let body = change.dump();
         let said = Mutex::new(String::new());
         let told = wait_until(
-            "the first standing orders",
+            "the first configuration",
             Duration::from_secs(30),
             async || {
-                let fetched = Fetch::post(ledgers[0].serving, "/v1/standing", body.clone())
+                let fetched = Fetch::post(controllers[0].serving, "/v1/standing", body.clone())
                     .send()
                     .await;
                 let good = fetched.as_ref().is_ok_and(|fetched| fetched.status == 200);
-                *locked(&said) = fetched
-                    .map_or_else(|mishap| mishap.to_string(), |fetched| fetched.json().dump());
+                *locked(&said) = fetched.map_or_else(
+                    |failure| failure.to_string(),
+                    |fetched| fetched.json().dump(),
+                );
                 good
             },
         );
@@ -619,7 +621,7 @@
 /// Runs one size, from the first process to the last.
 async fn run_size(options: &ScaleOptions, folder: &Path) -> anyhow::Result<Report> {
     let folder = folder.join("scale");
-    // Why anew: a fleet that finds the books of an earlier run is not the one that was asked for.
+    // Why anew: a fleet that finds the maps of an earlier run is not the one that was asked for.
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder)?;
     let folder = folder.canonicalize()?;
@@ -630,7 +632,7 @@
     fleet.hands.remove(0);
     let mut addresses = HashMap::new();
     let mut pairs = Vec::new();
-    let mut ledgers = Vec::new();
+    let mut controllers = Vec::new();
     for hand in &fleet.hands {
         let (Some(part), Some(advertised)) = (Part::of_program(&hand.program), hand.advertise)
         else {
@@ -639,8 +641,8 @@
         let listened: SocketAddr = hand.arguments[1].parse()?;
         addresses.insert(advertised, part);
         pairs.push((advertised, listened));
-        if part == Part::Ledger {
-            ledgers.push(LedgerPlace {
+        if part == Part::Controller {
+            controllers.push(ControllerPlace {
                 advertised,
                 listened,
                 serving: hand.serving,
@@ -655,22 +657,22 @@
         fleet.0.start(place)?;
     }
     let span = Duration::from_secs(60);
-    // Why before any hollow agent comes: the seats of witnesses go to the real ones.
-    wait_until("five seats", span, async || {
-        let status = ask_any(&ledgers, "/v1/status").await;
+    // Why before any hollow agent comes: the voters of witnesses go to the real ones.
+    wait_until("five voters", span, async || {
+        let status = ask_any(&controllers, "/v1/status").await;
         status.is_some_and(|status| {
             status["seats"].len() == 5
                 && status["members"].len() >= (options.agents + options.directories) as usize
         })
     })
     .await?;
-    tell_first(options, &scenario.areas, &ledgers).await?;
+    tell_first(options, &scenario.zones, &controllers).await?;
     let clock = Clock::start();
     let hollow = Arc::new(HollowFleet {
         clock,
-        ledgers: ledgers.clone(),
+        controllers: controllers.clone(),
         zones: options.zones(),
-        pools: options.pools,
+        services: options.services,
         routes: options.routes,
         spread: Duration::from_millis(300 + u64::from(options.nodes)),
         first_zone_silent: AtomicBool::new(false),
@@ -686,7 +688,7 @@
         .collect();
     let members = (options.nodes + options.agents + options.directories) as usize;
     let counted = async || {
-        let status = ask_any(&ledgers, "/v1/status")
+        let status = ask_any(&controllers, "/v1/status")
             .await
             .unwrap_or(JsonValue::Null);
         (status["members"].len(), status["instances"].len())
@@ -717,14 +719,14 @@
     tokio::select! {
         () = tokio::time::sleep(Duration::from_secs(options.seconds)) => {}
         () = keep_changing(
-            options.clone(), ledgers.clone(), clock, flows.clone(), accepted.clone(), offered.clone(),
+            options.clone(), controllers.clone(), clock, flows.clone(), accepted.clone(), offered.clone(),
         ) => {}
         () = keep_restarting(options.restarts, &agents, &instances, &restarted) => {}
         () = lose_zone(options, &hollow, &counted, &spans) => {}
     }
     let took = before.0.elapsed().as_secs_f64();
     let (after, went) = (samples(&fleet.0), flows.so_far().since(&before.2));
-    let status = ask_any(&ledgers, "/v1/status")
+    let status = ask_any(&controllers, "/v1/status")
         .await
         .unwrap_or(JsonValue::Null);
     let (zone_out, zone_back) = *locked(&spans);
@@ -732,7 +734,7 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     let accepted = locked(&accepted).clone();
     let (delays, unheld) = held_delays(&accepted, &agents);
-    let roles = ["ledger", "mentor", "playout", "cuesheet"]
+    let roles = ["controller", "agent", "proxy", "directory"]
         .map(|role| role_figures(role, &fleet.0, &before.1, &after, &went, took));
     let nodes = f64::from(options.nodes.max(1));
     let (sent, got) = (
@@ -746,7 +748,7 @@
         node_bytes: (sent.bytes + got.bytes) as f64 / nodes / took,
         members_counted: status["members"].len(),
         instances_counted: status["instances"].len(),
-        hollow_seats: hollow_seats(&status, &pairs),
+        hollow_voters: hollow_voters(&status, &pairs),
         settled: settled.is_ok(),
         operator_bytes: went.received_by(Part::Operator).bytes as f64 / took,
         status_bytes: status.dump().len(),
@@ -760,11 +762,11 @@
     })
 }
 
-/// How many seats are held by others than real processes: such a run measures something else.
-fn hollow_seats(status: &JsonValue, pairs: &[(SocketAddr, SocketAddr)]) -> usize {
+/// How many voters are held by others than real processes: such a run measures something else.
+fn hollow_voters(status: &JsonValue, pairs: &[(SocketAddr, SocketAddr)]) -> usize {
     status["seats"]
         .members()
-        .filter_map(|seat| seat["address"].as_str()?.parse::<SocketAddr>().ok())
+        .filter_map(|voter| voter["address"].as_str()?.parse::<SocketAddr>().ok())
         .filter(|address| !pairs.iter().any(|(advertised, _)| advertised == address))
         .count()
 }
@@ -788,7 +790,7 @@
     let all = counted().await;
     let lost_nodes = (0..options.nodes).filter(|number| hollow.in_first_zone(*number));
     let lost_instances =
-        (0..options.instances).filter(|number| hollow.in_first_zone(number / options.pools));
+        (0..options.instances).filter(|number| hollow.in_first_zone(number / options.services));
     let left = (
         all.0.saturating_sub(lost_nodes.count()),
         all.1.saturating_sub(lost_instances.count()),
@@ -918,7 +920,7 @@
 }
 
 /// The figures that only the number of facts told explains, through runs of all dimensions.
-const BY_FACTS_TOLD: [&str; 2] = ["ledger.processor", "ledger.bytes_out"];
+const BY_FACTS_TOLD: [&str; 2] = ["controller.processor", "controller.bytes_out"];
 
 fn fits_json(points: &[(f64, Report)], wanted: impl Fn(&str) -> bool) -> JsonValue {
     let mut json = JsonValue::new_object();
@@ -1006,8 +1008,8 @@
         };
         let report = run_apart(&sized, folder)?;
         report.print();
-        // Why no verdict: a core that does not count them, or is made of them, shows nothing.
-        if !report.settled || report.hollow_seats > 0 || report.accepted == 0 {
+        // Why no proposal outcome: a core that does not count them, or is made of them, shows nothing.
+        if !report.settled || report.hollow_voters > 0 || report.accepted == 0 {
             bail!("the core did not count the hollow nodes as any others: nothing was checked");
         }
         counts.push(report.node_messages);
--- a/crates/workshop/src/scale_tests.rs
+++ b/crates/local-fleet/src/scale_tests.rs
@@ -1,4 +1,4 @@
-//! Stories of what `workshop scale` reckons, refuses and concludes.
+//! Stories of what `local-fleet scale` reckons, refuses and concludes.
 
 use crate::prelude::*;
 
@@ -9,7 +9,7 @@
         nodes,
         instances,
         routes: 100,
-        pools: 10,
+        services: 10,
         changes: 1.0,
         restarts: 0.0,
         seconds: 1,
@@ -94,15 +94,15 @@
 #[test]
 fn given_counts_at_two_moments_when_subtracted_then_what_went_between_is_left() {
     let flows = Flows::default();
-    flows.count(Part::Ledger, Part::Mentor, 10);
+    flows.count(Part::Controller, Part::Agent, 10);
     let before = flows.so_far();
-    flows.count(Part::Ledger, Part::Mentor, 30);
-    flows.count(Part::Mentor, Part::Ledger, 5);
+    flows.count(Part::Controller, Part::Agent, 30);
+    flows.count(Part::Agent, Part::Controller, 5);
     let went = flows.so_far().since(&before);
     let amount = |messages, bytes| Amount { messages, bytes };
-    assert_eq!(went.received_by(Part::Mentor), amount(1, 30));
-    assert_eq!(went.sent_by(Part::Mentor), amount(1, 5));
-    assert_eq!(went.received_by(Part::Cuesheet), amount(0, 0));
+    assert_eq!(went.received_by(Part::Agent), amount(1, 30));
+    assert_eq!(went.sent_by(Part::Agent), amount(1, 5));
+    assert_eq!(went.received_by(Part::Directory), amount(0, 0));
 }
 
 #[test]
--- a/crates/playout/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// Bodies and answers up to this size are held whole, so that a shot can be repeated and a
+/// Bodies and answers up to this size are held whole, so that an attempt can be repeated and a
 /// truncated answer never reaches the caller.
 const SMALL: u64 = 64 * 1024;
 const METER_SHARDS: usize = 8;
@@ -19,7 +19,7 @@
 pub struct Carrier {
     pub clock: Clock,
     pub dialect: Dialect,
-    pub area: Area,
+    pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
     held_body: u64,
@@ -27,17 +27,17 @@
     /// Set when even new orders are refused, just before the end.
     pub closed: AtomicBool,
     pub under_way: AtomicU32,
-    pub circuits: InstanceCircuits,
-    pub usage: UsageBook,
-    orders: AtomicU64,
+    pub connections: InstanceConnections,
+    pub usage: UsageAccounts,
+    requests: AtomicU64,
     seed: u64,
     knowledge: RwLock<Arc<ProxyKnowledge>>,
-    shards: RwLock<HashMap<PoolName, Arc<Mutex<PoolShard>>>>,
-    meter: [Mutex<HashMap<(String, RuleName), Metered>>; METER_SHARDS],
+    shards: RwLock<HashMap<ServiceName, Arc<Mutex<ServiceShard>>>>,
+    meter: [Mutex<HashMap<(String, RouteName), Metered>>; METER_SHARDS],
 }
 
 /// The caller's body, in the form it can be sent in.
-enum OrderBody {
+enum RequestBody {
     Held(Bytes),
     Streaming(Option<Body>),
 }
@@ -48,10 +48,10 @@
     tokio::time::error::Elapsed,
 >;
 
-/// What one shot brought back.
-enum ShotAnswer {
-    Ended(ShotEnd),
-    Refused(Mishap),
+/// What one attempt brought back.
+enum AttemptAnswer {
+    Ended(AttemptEnd),
+    Refused(Failure),
     Answered(Response<Body>),
 }
 
@@ -64,16 +64,16 @@
         Self {
             clock,
             dialect,
-            area: place.area.clone(),
+            zone: place.zone.clone(),
             serving: place.serving,
             capacity: place.capacity,
             held_body: place.terms.held_body,
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             under_way: AtomicU32::new(0),
-            circuits: InstanceCircuits::default(),
-            usage: UsageBook::default(),
-            orders: AtomicU64::new(0),
+            connections: InstanceConnections::default(),
+            usage: UsageAccounts::default(),
+            requests: AtomicU64::new(0),
             seed: fresh_seed(),
             knowledge: RwLock::new(Arc::new(knowledge)),
             shards: RwLock::default(),
@@ -88,12 +88,12 @@
             .clone()
     }
 
-    pub fn shard(&self, pool: &PoolName) -> Arc<Mutex<PoolShard>> {
+    pub fn shard(&self, service: &ServiceName) -> Arc<Mutex<ServiceShard>> {
         let read = self
             .shards
             .read()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        if let Some(shard) = read.get(pool) {
+        if let Some(shard) = read.get(service) {
             return shard.clone();
         }
         drop(read);
@@ -101,18 +101,18 @@
             .shards
             .write()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let seed = self.seed ^ steady_hash(pool.as_str());
+        let seed = self.seed ^ steady_hash(service.as_str());
         write
-            .entry(pool.clone())
-            .or_insert_with(|| Arc::new(Mutex::new(PoolShard::new(seed))))
+            .entry(service.clone())
+            .or_insert_with(|| Arc::new(Mutex::new(ServiceShard::new(seed))))
             .clone()
     }
 
-    /// Takes what the agent told; circuits to lives that are over are closed.
+    /// Takes what the agent told; connections to lives that are over are closed.
     pub fn take(&self, asked_at: Duration, view: &ProxyView) {
         let mut next = (*self.knowledge()).clone();
         next.take(asked_at, view);
-        self.circuits.keep_only(&next.instances);
+        self.connections.keep_only(&next.instances);
         let shards = self
             .shards
             .read()
@@ -131,14 +131,14 @@
         let knowledge = self.knowledge();
         !self.stopping.load(Ordering::SeqCst)
             && knowledge.is_usable(self.clock.now())
-            && (knowledge.policy.closed_zone_carries || !knowledge.closed.contains(&self.area))
+            && (knowledge.policy.closed_zone_carries || !knowledge.closed.contains(&self.zone))
     }
 
-    fn measure(&self, now: Duration, far_end: &FarEnd, rule: &RuleName) {
+    fn measure(&self, now: Duration, far_end: &FarEnd, route: &RouteName) {
         let group = group_of(far_end.address.ip());
         let shard = (steady_hash(&group) % METER_SHARDS as u64) as usize;
         let mut meter = locked(&self.meter[shard]);
-        let metered = meter.entry((group, rule.clone())).or_default();
+        let metered = meter.entry((group, route.clone())).or_default();
         let second = now.as_secs();
         match metered.seconds.back_mut() {
             Some(last) if last.0 == second => last.1 += 1,
@@ -160,7 +160,7 @@
         let mut demand = Vec::new();
         for shard in &self.meter {
             let mut meter = locked(shard);
-            meter.retain(|(group, rule), metered| {
+            meter.retain(|(group, route), metered| {
                 while metered
                     .seconds
                     .front()
@@ -168,16 +168,16 @@
                 {
                     metered.seconds.pop_front();
                 }
-                let orders: u32 = metered.seconds.iter().map(|second| second.1).sum();
-                if orders > 0 {
+                let requests: u32 = metered.seconds.iter().map(|second| second.1).sum();
+                if requests > 0 {
                     demand.push(Demand {
                         group: group.clone(),
-                        rule: rule.clone(),
-                        orders: orders.div_ceil(METER_SPAN.as_secs() as u32),
+                        route: route.clone(),
+                        requests: requests.div_ceil(METER_SPAN.as_secs() as u32),
                         locality: metered.nearest,
                     });
                 }
-                orders > 0
+                requests > 0
             });
         }
         demand
@@ -187,30 +187,30 @@
     pub async fn carry(
         self: Arc<Self>,
         far_end: FarEnd,
-        order: Request<Incoming>,
+        request: Request<Incoming>,
     ) -> Result<Response<Body>, std::io::Error> {
-        if order.uri().path() == self.dialect.ready_path {
+        if request.uri().path() == self.dialect.ready_path {
             return Ok(ready_answer(self.is_ready()));
         }
         let under_way = UnderWay::begin(&self);
-        let read = matches!(*order.method(), Method::GET | Method::HEAD);
-        let mut chart = OrderChart::received(read);
+        let read = matches!(*request.method(), Method::GET | Method::HEAD);
+        let mut chart = RequestChart::received(read);
         let mut counted = None;
         let worked = self
-            .work(far_end, order, &mut chart, under_way, &mut counted)
+            .work(far_end, request, &mut chart, under_way, &mut counted)
             .await;
         let (answer, end) = match worked {
             // Why by the chart: an answer of ours to a body that was too long is no success.
-            Ok(answer) if chart.state() != OrderState::Done => (answer, CountedEnd::Unknown),
+            Ok(answer) if chart.state() != RequestState::Done => (answer, CountedEnd::Unknown),
             Ok(answer) => (answer, CountedEnd::Served),
-            Err(mishap) => {
-                chart.refuse(mishap);
-                let told = chart.told(mishap);
+            Err(failure) => {
+                chart.refuse(failure);
+                let told = chart.told(failure);
                 let end = match told {
                     Told::NotRun => CountedEnd::NotRun,
                     Told::Unknown => CountedEnd::Unknown,
                 };
-                (self.mishap_answer(mishap, told), end)
+                (self.failure_answer(failure, told), end)
             }
         };
         if let Some(key) = counted {
@@ -227,75 +227,77 @@
     async fn work(
         self: &Arc<Self>,
         far_end: FarEnd,
-        order: Request<Incoming>,
-        chart: &mut OrderChart,
+        request: Request<Incoming>,
+        chart: &mut RequestChart,
         under_way: UnderWay,
         counted: &mut Option<UsageKey>,
-    ) -> Result<Response<Body>, Mishap> {
+    ) -> Result<Response<Body>, Failure> {
         if self.closed.load(Ordering::SeqCst) {
-            return Err(Mishap::Leaving);
+            return Err(Failure::Leaving);
         }
-        let (head, body) = order.into_parts();
+        let (head, body) = request.into_parts();
         let host = checked_framing(&head)?;
         let knowledge = self.knowledge();
         let now = self.clock.now();
         let path = head.uri.path();
-        let (name, rule) = knowledge.find(now, &host, path)?;
-        chart.matched(now, &rule);
+        let (name, route) = knowledge.find(now, &host, path)?;
+        chart.matched(now, &route);
         if self.dialect.callers_tell_deadline {
             let told = header_text(&head.headers, self.dialect.deadline.as_str());
             if let Some(millis) = told.and_then(|told| told.parse().ok()) {
                 chart.caller_waits(now + Duration::from_millis(millis));
             }
         }
-        let pool = rule.pool_for(fresh_seed()).clone();
-        let usage_key = UsageKey::of(&name, &pool);
+        let service = route.service_for(fresh_seed()).clone();
+        let usage_key = UsageKey::of(&name, &service);
         *counted = Some(usage_key.clone());
         self.measure(now, &far_end, &name);
-        knowledge.admits(now, &self.area, &rule)?;
-        // Why only for keyed pools: of a split rule's requests some may go where keys mean nothing.
-        let keyed = knowledge.pool(&pool).is_some_and(|pool| pool.keyed);
-        let key = match rule.key_header.as_ref().filter(|_| keyed) {
+        knowledge.admits(now, &self.zone, &route)?;
+        // Why only for keyed services: of a split rule's requests some may go where keys mean nothing.
+        let keyed = knowledge
+            .service(&service)
+            .is_some_and(|service| service.keyed);
+        let key = match route.key_header.as_ref().filter(|_| keyed) {
             None => None,
             Some(header) => {
                 let mut values = head.headers.get_all(header.as_str()).iter();
                 let key = values.next().and_then(|value| value.to_str().ok());
                 match (key, values.next()) {
                     (Some(key), None) if !key.is_empty() => Some(key.to_string()),
-                    _ => return Err(Mishap::MissingKey),
+                    _ => return Err(Failure::MissingKey),
                 }
             }
         };
         let over = Arc::new(AtomicBool::new(false));
         let mut body = self
-            .hold_body(body, &rule, &over, chart, &usage_key)
+            .hold_body(body, &route, &over, chart, &usage_key)
             .await?;
-        chart.admitted(matches!(body, OrderBody::Held(_)));
+        chart.admitted(matches!(body, RequestBody::Held(_)));
         drop(knowledge);
-        let number = self.orders.fetch_add(1, Ordering::Relaxed);
+        let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let named = header_text(&head.headers, self.dialect.request_id.as_str());
-        let order_id = match named.filter(|_| self.dialect.callers_name_requests) {
+        let request_id = match named.filter(|_| self.dialect.callers_name_requests) {
             Some(named) => named.to_string(),
             None => format!("{:x}-{number:x}", mix(self.seed)),
         };
-        let shard = self.shard(&pool);
+        let shard = self.shard(&service);
         let mut tried: Vec<InstanceId> = Vec::new();
         let mut under_way = Some(under_way);
         loop {
             let now = self.clock.now();
             if now >= chart.deadline() {
-                return Err(Mishap::LateBeforeSending);
+                return Err(Failure::LateBeforeSending);
             }
             let knowledge = self.knowledge();
-            knowledge.admits(now, &self.area, &rule)?;
+            knowledge.admits(now, &self.zone, &route)?;
             let target = {
                 let mut shard = locked(&shard);
                 let target = shard.choose_in(
                     now,
                     &knowledge,
-                    &self.area,
-                    &rule,
-                    &pool,
+                    &self.zone,
+                    &route,
+                    &service,
                     key.as_deref(),
                     &tried,
                 )?;
@@ -303,47 +305,47 @@
                 target
             };
             chart.chosen();
-            let guard = ShotGuard {
+            let guard = AttemptGuard {
                 proxy: self.clone(),
-                pool: pool.clone(),
+                service: service.clone(),
                 target: target.clone(),
                 good: false,
                 load: None,
                 over: false,
                 usage_key: usage_key.clone(),
             };
-            let order = Outgoing {
+            let request = Outgoing {
                 head: &head,
                 far_end: &far_end,
-                rule: &rule,
-                order_id: &order_id,
+                route: &route,
+                request_id: &request_id,
                 dialect: &self.dialect,
             };
-            let shot = self
-                .shoot(order, guard, &mut body, chart, &mut under_way)
+            let attempt = self
+                .shoot(request, guard, &mut body, chart, &mut under_way)
                 .await;
-            let end = match shot {
-                ShotAnswer::Answered(answer) => {
-                    chart.shot_ended(self.clock.now(), ShotEnd::Answered, || false);
+            let end = match attempt {
+                AttemptAnswer::Answered(answer) => {
+                    chart.attempt_ended(self.clock.now(), AttemptEnd::Answered, || false);
                     chart.done();
                     return Ok(answer);
                 }
-                ShotAnswer::Refused(mishap) => return Err(mishap),
-                ShotAnswer::Ended(end) => end,
+                AttemptAnswer::Refused(failure) => return Err(failure),
+                AttemptAnswer::Ended(end) => end,
             };
             if over.load(Ordering::SeqCst) {
                 // Why unknown: bytes have left, though the instance cannot have had all of them.
-                chart.refuse(Mishap::LostAfterSending);
-                return Ok(self.told_answer(413, "unknown", Mishap::BodyTooLarge.word(), None));
+                chart.refuse(Failure::LostAfterSending);
+                return Ok(self.told_answer(413, "unknown", Failure::BodyTooLarge.word(), None));
             }
             if target.is_used_up(end) {
                 tried.push(target.instance);
             }
             let now = self.clock.now();
-            match chart.shot_ended(now, end, || locked(&shard).take_retry(now)) {
+            match chart.attempt_ended(now, end, || locked(&shard).take_retry(now)) {
                 NextStep::ShootAgain => {}
-                NextStep::Answer(mishap) => return Err(mishap),
-                NextStep::PassOn => return Err(Mishap::Garbage),
+                NextStep::Answer(failure) => return Err(failure),
+                NextStep::PassOn => return Err(Failure::Garbage),
             }
         }
     }
@@ -352,34 +354,34 @@
     async fn hold_body(
         self: &Arc<Self>,
         body: Incoming,
-        rule: &Rule,
+        route: &Route,
         over: &Arc<AtomicBool>,
-        chart: &OrderChart,
+        chart: &RequestChart,
         usage_key: &UsageKey,
-    ) -> Result<OrderBody, Mishap> {
+    ) -> Result<RequestBody, Failure> {
         match body.size_hint().exact() {
-            Some(length) if length > rule.body_limit => Err(Mishap::BodyTooLarge),
+            Some(length) if length > route.body_limit => Err(Failure::BodyTooLarge),
             Some(length) if length <= self.held_body => {
                 let left = chart.deadline().saturating_sub(self.clock.now());
                 match tokio::time::timeout(left, body.collect()).await {
                     Ok(Ok(collected)) => {
                         let bytes = collected.to_bytes();
                         self.usage.took_in(usage_key, bytes.len() as u64);
-                        Ok(OrderBody::Held(bytes))
+                        Ok(RequestBody::Held(bytes))
                     }
-                    Ok(Err(_)) => Err(Mishap::BadFraming),
-                    Err(_) => Err(Mishap::LateBeforeSending),
+                    Ok(Err(_)) => Err(Failure::BadFraming),
+                    Err(_) => Err(Failure::LateBeforeSending),
                 }
             }
             _ => {
                 let counted = Counted {
                     inner: body,
-                    left: rule.body_limit,
+                    left: route.body_limit,
                     over: over.clone(),
                     proxy: self.clone(),
                     usage_key: usage_key.clone(),
                 };
-                Ok(OrderBody::Streaming(Some(counted.boxed())))
+                Ok(RequestBody::Streaming(Some(counted.boxed())))
             }
         }
     }
@@ -387,61 +389,62 @@
     async fn shoot(
         self: &Arc<Self>,
         outgoing: Outgoing<'_>,
-        mut guard: ShotGuard,
-        body: &mut OrderBody,
-        chart: &mut OrderChart,
+        mut guard: AttemptGuard,
+        body: &mut RequestBody,
+        chart: &mut RequestChart,
         under_way: &mut Option<UnderWay>,
-    ) -> ShotAnswer {
+    ) -> AttemptAnswer {
         let target = guard.target.clone();
         let key = (target.instance.clone(), target.incarnation, target.address);
         let patience = chart.deadline().saturating_sub(self.clock.now());
-        let Some(mut circuit) = self.circuits.open(&key, patience, chart.is_read()).await else {
+        let Some(mut connection) = self.connections.open(&key, patience, chart.is_read()).await
+        else {
             let now = self.clock.now();
             let knowledge = self.knowledge();
-            if let Some(beat) = knowledge.instances.get(&target.instance) {
-                let shard = self.shard(&target.pool);
-                locked(&shard).not_opened(now, &target, beat.counter);
+            if let Some(heartbeat) = knowledge.instances.get(&target.instance) {
+                let shard = self.shard(&target.service);
+                locked(&shard).not_opened(now, &target, heartbeat.counter);
             }
-            return ShotAnswer::Ended(ShotEnd::NotOpened);
+            return AttemptAnswer::Ended(AttemptEnd::NotOpened);
         };
         let sending = match body {
-            OrderBody::Held(bytes) => whole(bytes.clone()),
-            OrderBody::Streaming(stream) => match stream.take() {
+            RequestBody::Held(bytes) => whole(bytes.clone()),
+            RequestBody::Streaming(stream) => match stream.take() {
                 Some(stream) => stream,
-                None => return ShotAnswer::Ended(ShotEnd::Lost),
+                None => return AttemptAnswer::Ended(AttemptEnd::Lost),
             },
         };
         // The last moment before the first byte: everything that may have changed is asked again.
         let now = self.clock.now();
         let good = self
             .knowledge()
-            .still_good(now, &self.area, outgoing.rule, &target);
-        if let Err(mishap) = good {
-            self.circuits.give_back(key, circuit);
+            .still_good(now, &self.zone, outgoing.route, &target);
+        if let Err(failure) = good {
+            self.connections.give_back(key, connection);
             guard.good = true;
-            return ShotAnswer::Refused(mishap);
+            return AttemptAnswer::Refused(failure);
         }
-        circuit
+        connection
             .gate
-            .arm(self.last_check(outgoing.rule, &target, chart.deadline()));
+            .arm(self.last_check(outgoing.route, &target, chart.deadline()));
         let left = chart.deadline().saturating_sub(now);
         let request = match outgoing.request(&target, left, sending) {
             Ok(request) => request,
-            Err(mishap) => return ShotAnswer::Refused(mishap),
+            Err(failure) => return AttemptAnswer::Refused(failure),
         };
         chart.shooting();
         chart.sent();
-        if chart.shots() == 1 {
-            // Why only now: orders that were refused without a shot must not make room for retries.
-            locked(&self.shard(&target.pool)).first_shot(now);
+        if chart.attempts() == 1 {
+            // Why only now: orders that were refused without an attempt must not make room for retries.
+            locked(&self.shard(&target.service)).first_attempt(now);
         }
-        let sent = tokio::time::timeout(left, circuit.sender.try_send_request(request)).await;
+        let sent = tokio::time::timeout(left, connection.sender.try_send_request(request)).await;
         let answer = match sent {
             Ok(Ok(answer)) => answer,
             failed => {
                 // Why shut first: only then is it settled for good whether a byte has left.
-                let passage = circuit.gate.shut();
-                return self.lost_shot(failed, passage, circuit.reused, body, &mut guard);
+                let passage = connection.gate.shut();
+                return self.lost_attempt(failed, passage, connection.reused, body, &mut guard);
             }
         };
         let dialect = &self.dialect;
@@ -449,11 +452,11 @@
         let echoed = header_text(answer.headers(), dialect.request_id.as_str());
         let refused = (dialect.told_not_run)(answer.status(), answer.headers());
         let another = match echoed {
-            Some(echoed) => echoed != outgoing.order_id,
+            Some(echoed) => echoed != outgoing.request_id,
             None => dialect.callers_name_requests,
         };
         if another {
-            return ShotAnswer::Ended(ShotEnd::Garbage);
+            return AttemptAnswer::Ended(AttemptEnd::Garbage);
         }
         guard.load = (dialect.load)(answer.headers());
         if refused {
@@ -464,7 +467,7 @@
             let told = told.and_then(|name| header_text(answer.headers(), name.as_str()));
             guard.over = life.is_some_and(|life| life != target.incarnation.to_string())
                 || told.is_some_and(|told| told != target.instance.as_str());
-            return ShotAnswer::Ended(ShotEnd::RefusedByInstance);
+            return AttemptAnswer::Ended(AttemptEnd::RefusedByInstance);
         }
         let unsealed = answer.status().is_success()
             && dialect
@@ -474,64 +477,64 @@
         // Why no promise of ours: the instance did not say that it ran nothing.
         let false_promise = dialect.promises.contains(&answer.status().as_u16());
         if unsealed || false_promise || !well_framed(&answer) {
-            return ShotAnswer::Ended(ShotEnd::Garbage);
+            return AttemptAnswer::Ended(AttemptEnd::Garbage);
         }
-        self.pass_on(answer, circuit, key, guard, chart, under_way)
+        self.pass_on(answer, connection, key, guard, chart, under_way)
             .await
     }
 
     /// The check that is made once more where the first byte of an order is written.
     fn last_check(
         self: &Arc<Self>,
-        rule: &Arc<Rule>,
+        route: &Arc<Route>,
         target: &Target,
         deadline: Duration,
     ) -> LastCheck {
-        let (proxy, rule, target) = (self.clone(), rule.clone(), target.clone());
+        let (proxy, route, target) = (self.clone(), route.clone(), target.clone());
         Box::new(move || {
             let now = proxy.clock.now();
             if now >= deadline {
-                return Err(Mishap::LateBeforeSending);
+                return Err(Failure::LateBeforeSending);
             }
             proxy
                 .knowledge()
-                .still_good(now, &proxy.area, &rule, &target)
+                .still_good(now, &proxy.zone, &route, &target)
         })
     }
 
-    /// What a shot that brought no answer was: nothing sent, or lost.
-    fn lost_shot(
+    /// What an attempt that brought no answer was: nothing sent, or lost.
+    fn lost_attempt(
         &self,
         failed: SendOutcome,
         passage: Passage,
         reused: bool,
-        body: &mut OrderBody,
-        guard: &mut ShotGuard,
-    ) -> ShotAnswer {
+        body: &mut RequestBody,
+        guard: &mut AttemptGuard,
+    ) -> AttemptAnswer {
         let mut failed = failed;
-        if let (Ok(Err(mishap)), OrderBody::Streaming(stream)) = (&mut failed, body) {
-            *stream = mishap.take_message().map(Request::into_body);
+        if let (Ok(Err(failure)), RequestBody::Streaming(stream)) = (&mut failed, body) {
+            *stream = failure.take_message().map(Request::into_body);
         }
         match (passage, failed) {
-            (Passage::Nothing(Some(mishap)), _) => {
+            (Passage::Nothing(Some(failure)), _) => {
                 guard.good = true;
-                ShotAnswer::Refused(mishap)
+                AttemptAnswer::Refused(failure)
             }
-            (Passage::Nothing(None), Err(_)) => ShotAnswer::Refused(Mishap::LateBeforeSending),
+            (Passage::Nothing(None), Err(_)) => AttemptAnswer::Refused(Failure::LateBeforeSending),
             (Passage::Nothing(None), Ok(_)) => {
                 guard.good = true;
-                ShotAnswer::Ended(ShotEnd::NotOpened)
+                AttemptAnswer::Ended(AttemptEnd::NotOpened)
             }
-            (Passage::Begun, Err(_)) => ShotAnswer::Ended(ShotEnd::Late),
-            (Passage::Begun, Ok(Err(mishap))) if mishap.error().is_parse() => {
-                ShotAnswer::Ended(ShotEnd::Garbage)
+            (Passage::Begun, Err(_)) => AttemptAnswer::Ended(AttemptEnd::Late),
+            (Passage::Begun, Ok(Err(failure))) if failure.error().is_parse() => {
+                AttemptAnswer::Ended(AttemptEnd::Garbage)
             }
             (Passage::Begun, Ok(_)) => {
                 if reused {
-                    // Why noted: most likely the instance closed the circuit as it was taken up.
+                    // Why noted: most likely the instance closed the connection as it was taken up.
                     event(REUSED_LOST, &guard.target.instance);
                 }
-                ShotAnswer::Ended(ShotEnd::Lost)
+                AttemptAnswer::Ended(AttemptEnd::Lost)
             }
         }
     }
@@ -539,12 +542,12 @@
     async fn pass_on(
         self: &Arc<Self>,
         answer: Response<Incoming>,
-        circuit: Circuit,
+        connection: Connection,
         key: InstanceKey,
-        mut guard: ShotGuard,
-        chart: &OrderChart,
+        mut guard: AttemptGuard,
+        chart: &RequestChart,
         under_way: &mut Option<UnderWay>,
-    ) -> ShotAnswer {
+    ) -> AttemptAnswer {
         let (mut head, body) = answer.into_parts();
         strip_hop_by_hop(&mut head.headers);
         strip_own(&mut head.headers, self.dialect.own_prefix);
@@ -557,35 +560,35 @@
             return match tokio::time::timeout(left, body.collect()).await {
                 Ok(Ok(collected)) => {
                     guard.good = true;
-                    self.circuits.give_back(key, circuit);
+                    self.connections.give_back(key, connection);
                     let body = whole(collected.to_bytes());
-                    ShotAnswer::Answered(Response::from_parts(head, body))
+                    AttemptAnswer::Answered(Response::from_parts(head, body))
                 }
-                Ok(Err(_)) => ShotAnswer::Ended(ShotEnd::Garbage),
-                Err(_) => ShotAnswer::Ended(ShotEnd::Late),
+                Ok(Err(_)) => AttemptAnswer::Ended(AttemptEnd::Garbage),
+                Err(_) => AttemptAnswer::Ended(AttemptEnd::Late),
             };
         }
         let Some(under_way) = under_way.take() else {
-            return ShotAnswer::Ended(ShotEnd::Lost);
+            return AttemptAnswer::Ended(AttemptEnd::Lost);
         };
         let passing = Passing {
             inner: body,
-            circuit: Some(circuit),
+            connection: Some(connection),
             key,
             guard,
             deadline: Box::pin(tokio::time::sleep(left)),
             under_way,
         };
-        ShotAnswer::Answered(Response::from_parts(head, passing.boxed()))
+        AttemptAnswer::Answered(Response::from_parts(head, passing.boxed()))
     }
 }
 
-/// What goes to an instance with every shot.
+/// What goes to an instance with every attempt.
 struct Outgoing<'order> {
     head: &'order hyper::http::request::Parts,
     far_end: &'order FarEnd,
-    rule: &'order Arc<Rule>,
-    order_id: &'order str,
+    route: &'order Arc<Route>,
+    request_id: &'order str,
     dialect: &'order Dialect,
 }
 
@@ -595,7 +598,7 @@
         target: &Target,
         left: Duration,
         body: Body,
-    ) -> Result<Request<Body>, Mishap> {
+    ) -> Result<Request<Body>, Failure> {
         let path = self
             .head
             .uri
@@ -605,7 +608,7 @@
             .method(self.head.method.clone())
             .uri(path)
             .body(body)
-            .map_err(|_| Mishap::BadFraming)?;
+            .map_err(|_| Failure::BadFraming)?;
         let mut headers = self.head.headers.clone();
         strip_hop_by_hop(&mut headers);
         strip_own(&mut headers, self.dialect.own_prefix);
@@ -614,8 +617,8 @@
         // caller's word.
         headers.remove("content-length");
         let dialect = self.dialect;
-        let mut set = |name: &HeaderName, text: String| -> Result<(), Mishap> {
-            let value = HeaderValue::from_str(&text).map_err(|_| Mishap::BadFraming)?;
+        let mut set = |name: &HeaderName, text: String| -> Result<(), Failure> {
+            let value = HeaderValue::from_str(&text).map_err(|_| Failure::BadFraming)?;
             headers.insert(name.clone(), value);
             Ok(())
         };
@@ -623,14 +626,14 @@
         if let Some(name) = &dialect.incarnation {
             set(name, target.incarnation.to_string())?;
         }
-        set(&dialect.request_id, self.order_id.to_string())?;
+        set(&dialect.request_id, self.request_id.to_string())?;
         set(&dialect.deadline, left.as_millis().to_string())?;
         if let Some(name) = &dialect.forwarded_for {
             set(name, self.far_end.address.ip().to_string())?;
         }
-        if let Some((slice, epoch)) = target.slice {
-            if let Some(name) = &dialect.slice {
-                set(name, slice.to_string())?;
+        if let Some((key_range, epoch)) = target.key_range {
+            if let Some(name) = &dialect.key_range {
+                set(name, key_range.to_string())?;
             }
             if let Some(name) = &dialect.epoch {
                 set(name, epoch.to_string())?;
@@ -642,7 +645,7 @@
 }
 
 /// Refuses what could be read in two ways; says the host.
-fn checked_framing(head: &hyper::http::request::Parts) -> Result<String, Mishap> {
+fn checked_framing(head: &hyper::http::request::Parts) -> Result<String, Failure> {
     let count = |name: &str| head.headers.get_all(name).iter().count();
     let twice = head.extensions.get::<AmbiguousFraming>().is_some();
     let bad = twice
@@ -655,7 +658,7 @@
     let host = header_text(&head.headers, "host");
     match host {
         Some(host) if !bad => Ok(host.to_string()),
-        _ => Err(Mishap::BadFraming),
+        _ => Err(Failure::BadFraming),
     }
 }
 
@@ -718,17 +721,17 @@
 
 impl Carrier {
     /// The final answer for an order that was refused or lost, given at once.
-    fn mishap_answer(&self, mishap: Mishap, told: Told) -> Response<Body> {
+    fn failure_answer(&self, failure: Failure, told: Told) -> Response<Body> {
         let told = match told {
             Told::NotRun => "not-run",
             Told::Unknown => "unknown",
         };
         // Why another status in doubt: one that promises would be a lie.
-        let status = match (told, mishap.status()) {
+        let status = match (told, failure.status()) {
             ("unknown", status) if self.dialect.promises.contains(&status) => 502,
             (_, status) => status,
         };
-        self.told_answer(status, told, mishap.word(), mishap.retry_after())
+        self.told_answer(status, told, failure.word(), failure.retry_after())
     }
 
     fn told_answer(
--- a/crates/playout/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -13,11 +13,11 @@
     tokio::spawn(async move {
         let mut number = 0;
         let life = fresh_seed();
-        let mut beat = tokio::time::interval(period);
-        beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut heartbeat = tokio::time::interval(period);
+        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut was_ready = false;
         loop {
-            beat.tick().await;
+            heartbeat.tick().await;
             number += 1;
             let ready = carrier.is_ready();
             if ready != was_ready {
@@ -27,11 +27,11 @@
             let knowledge = carrier.knowledge();
             let pull = Pull {
                 number,
-                standing: knowledge.books.book(BookName::Standing).edition,
-                tenure: knowledge.books.book(BookName::Tenure).edition,
+                configuration: knowledge.maps.map(MapName::Configuration).version,
+                ownership: knowledge.maps.map(MapName::Ownership).version,
                 serving: carrier.serving,
                 // Why not the readiness itself: a stale proxy must be able to become fresh again,
-                // and the core judges staleness by the permit.
+                // and the core judges staleness by the lease.
                 ready: !carrier.stopping.load(Ordering::SeqCst),
                 capacity: carrier.capacity,
                 demand: carrier.demand(),
@@ -83,16 +83,16 @@
     event(
         STARTED,
         format!(
-            "playout serving {} agent {agent} area {}",
-            place.serving, place.area
+            "proxy serving {} agent {agent} zone {}",
+            place.serving, place.zone
         ),
     );
     start_pulling(carrier.clone(), port, agent, asked, place.terms.pull);
     let listener = listen(place.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let (stopping, carrying) = (stop.clone(), carrier.clone());
-    tokio::spawn(serve_http(listener, stop, move |far_end, order| {
-        carrying.clone().carry(far_end, order)
+    tokio::spawn(serve_http(listener, stop, move |far_end, request| {
+        carrying.clone().carry(far_end, request)
     }));
     if let Some(readiness) = place.terms.readiness {
         let listener = listen(readiness).await?;
--- a/crates/playout/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -18,7 +18,7 @@
     /// By which an instance that is another than was meant tells who it is.
     pub instance_told: Option<HeaderName>,
     pub incarnation: Option<HeaderName>,
-    pub slice: Option<HeaderName>,
+    pub key_range: Option<HeaderName>,
     pub epoch: Option<HeaderName>,
     /// Without it an instance's success is none.
     pub seal: Option<HeaderName>,
@@ -54,14 +54,14 @@
     pub fn own() -> Self {
         let name = HeaderName::from_static;
         Self {
-            request_id: name(ORDER_HEADER),
+            request_id: name(REQUEST_HEADER),
             callers_name_requests: false,
             deadline: name(DEADLINE_HEADER),
             callers_tell_deadline: false,
             instance: name(INSTANCE_HEADER),
             instance_told: None,
             incarnation: Some(name(INCARNATION_HEADER)),
-            slice: Some(name(SLICE_HEADER)),
+            key_range: Some(name(KEY_RANGE_HEADER)),
             epoch: Some(name(EPOCH_HEADER)),
             seal: None,
             outcome: Some(name(OUTCOME_HEADER)),
--- a/crates/playout/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -7,13 +7,13 @@
 use crate::prelude::*;
 
 /// Says whether an order may still leave.
-pub type LastCheck = Box<dyn Fn() -> Result<(), Mishap> + Send>;
+pub type LastCheck = Box<dyn Fn() -> Result<(), Failure> + Send>;
 
 #[derive(Default)]
 struct GateState {
     check: Option<LastCheck>,
     written: bool,
-    refused: Option<Mishap>,
+    refused: Option<Failure>,
     shut: bool,
 }
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Passage {
     /// No byte left and none will.
-    Nothing(Option<Mishap>),
+    Nothing(Option<Failure>),
     /// At least one byte left.
     Begun,
 }
@@ -60,8 +60,8 @@
         if state.shut {
             return Poll::Ready(Err(std::io::Error::other("the gate is shut")));
         }
-        if let Some(mishap) = state.check.as_ref().and_then(|check| check().err()) {
-            state.refused = Some(mishap);
+        if let Some(failure) = state.check.as_ref().and_then(|check| check().err()) {
+            state.refused = Some(failure);
             state.shut = true;
             return Poll::Ready(Err(std::io::Error::other("the last check failed")));
         }
@@ -104,10 +104,10 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        slices: &[std::io::IoSlice<'_>],
+        key_ranges: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let gate = self.gate.clone();
-        gate.pass(|| Pin::new(&mut self.socket).poll_write_vectored(context, slices))
+        gate.pass(|| Pin::new(&mut self.socket).poll_write_vectored(context, key_ranges))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -134,23 +134,23 @@
     use crate::prelude::*;
 
     /// An order by the HTTP library over a gate whose check says this; what came out behind it.
-    async fn sent(check: impl Fn() -> Result<(), Mishap> + Send + 'static) -> (Passage, usize) {
+    async fn sent(check: impl Fn() -> Result<(), Failure> + Send + 'static) -> (Passage, usize) {
         let (near, mut far) = tokio::io::duplex(4096);
         let gate = Arc::new(Gate::default());
         let gated = Gated {
             socket: near,
             gate: gate.clone(),
         };
-        let (mut sender, circuit) = hyper::client::conn::http1::handshake(TokioIo::new(gated))
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(gated))
             .await
             .expect("a handshake writes nothing");
-        let driver = tokio::spawn(circuit);
+        let driver = tokio::spawn(connection);
         gate.arm(Box::new(check));
-        let order = Request::builder()
+        let request = Request::builder()
             .uri("/")
             .body(whole(""))
             .expect("an order");
-        let answering = sender.try_send_request(order);
+        let answering = sender.try_send_request(request);
         let mut bytes = vec![0; 4096];
         let count = tokio::select! {
             _ = answering => 0,
@@ -165,12 +165,15 @@
 
     #[tokio::test]
     async fn given_a_check_that_fails_when_the_head_is_written_then_no_byte_leaves() {
-        let (passage, count) = sent(|| Err(Mishap::Stale)).await;
-        assert_eq!((passage, count), (Passage::Nothing(Some(Mishap::Stale)), 0));
+        let (passage, count) = sent(|| Err(Failure::Stale)).await;
+        assert_eq!(
+            (passage, count),
+            (Passage::Nothing(Some(Failure::Stale)), 0)
+        );
     }
 
     #[tokio::test]
-    async fn given_a_check_that_holds_when_the_head_is_written_then_the_order_has_begun() {
+    async fn given_a_check_that_holds_when_the_head_is_written_then_the_request_has_begun() {
         let (passage, count) = sent(|| Ok(())).await;
         assert_eq!(passage, Passage::Begun);
         assert!(count > 0);
--- /dev/null
+++ b/crates/proxy/src/instance_connections.rs
@@ -0,0 +1,118 @@
+//! Connections to instances: each carries one order at a time, and none is used twice in doubt.
+
+use crate::prelude::*;
+
+const OPEN_PATIENCE: Duration = Duration::from_millis(400);
+const IDLE_SPAN: Duration = Duration::from_secs(10);
+/// A write takes no connection that has been idle for longer.
+///
+/// Why: an instance may be closing an idle connection just as it is taken up again, and an order lost
+/// that way cannot be told from one that ran. A read may be attempt again; a write may not.
+const IDLE_SPAN_FOR_WRITES: Duration = Duration::from_secs(1);
+const MOST_IDLE: usize = 32;
+
+pub type InstanceKey = (InstanceId, Incarnation, SocketAddr);
+
+/// One open connection. Dropping it breaks it at once, whatever is under way.
+pub struct Connection {
+    pub sender: hyper::client::conn::http1::SendRequest<Body>,
+    pub gate: Arc<Gate>,
+    /// It has carried an order before.
+    pub reused: bool,
+    driver: tokio::task::JoinHandle<()>,
+    idle_since: Instant,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        // Why abort: a half-sent order must end as a broken connection and never as a whole order.
+        self.driver.abort();
+    }
+}
+
+#[derive(Default)]
+pub struct InstanceConnections {
+    idle: Mutex<HashMap<InstanceKey, Vec<Connection>>>,
+}
+
+impl InstanceConnections {
+    /// An idle connection that is still whole, or a new one.
+    pub async fn open(
+        &self,
+        key: &InstanceKey,
+        patience: Duration,
+        read: bool,
+    ) -> Option<Connection> {
+        let idle_span = if read {
+            IDLE_SPAN
+        } else {
+            IDLE_SPAN_FOR_WRITES
+        };
+        let pooled = locked(&self.idle).get_mut(key).and_then(|idle| {
+            while let Some(connection) = idle.pop() {
+                if connection.sender.is_ready() && connection.idle_since.elapsed() < idle_span {
+                    return Some(connection);
+                }
+            }
+            None
+        });
+        if pooled.is_some() {
+            return pooled;
+        }
+        let opening = async {
+            let stream = TcpStream::connect(key.2).await.ok()?;
+            let _ = stream.set_nodelay(true);
+            let gate = Arc::new(Gate::default());
+            let gated = Gated {
+                socket: stream,
+                gate: gate.clone(),
+            };
+            let (sender, connection) = hyper::client::conn::http1::Builder::new()
+                .max_buf_size(64 * 1024)
+                .handshake(TokioIo::new(gated))
+                .await
+                .ok()?;
+            let driver = tokio::spawn(async move {
+                // Why ignored: whoever holds the sender learns of it there.
+                let _ = connection.await;
+            });
+            Some(Connection {
+                sender,
+                gate,
+                reused: false,
+                driver,
+                idle_since: Instant::now(),
+            })
+        };
+        tokio::time::timeout(patience.min(OPEN_PATIENCE), opening)
+            .await
+            .ok()
+            .flatten()
+    }
+
+    /// Takes back a connection whose order and answer are both complete.
+    pub fn give_back(&self, key: InstanceKey, mut connection: Connection) {
+        if connection.sender.is_closed() {
+            return;
+        }
+        connection.idle_since = Instant::now();
+        connection.reused = true;
+        let mut idle = locked(&self.idle);
+        let connections = idle.entry(key).or_default();
+        if connections.len() < MOST_IDLE {
+            connections.push(connection);
+        }
+    }
+
+    /// Closes the idle connections to every life of an instance but the present ones.
+    pub fn keep_only(&self, instances: &BTreeMap<InstanceId, Heartbeat>) {
+        locked(&self.idle).retain(|(id, incarnation, address), connections| {
+            connections.retain(|connection| {
+                !connection.sender.is_closed() && connection.idle_since.elapsed() < IDLE_SPAN
+            });
+            instances.get(id).is_some_and(|heartbeat| {
+                heartbeat.incarnation == *incarnation && heartbeat.address == *address
+            }) && !connections.is_empty()
+        });
+    }
+}
--- a/crates/playout/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod daemon;
 pub mod dialect;
 pub mod gate;
-pub mod instance_circuits;
+pub mod instance_connections;
 pub mod passing;
 pub mod prelude;
 pub mod usage;
--- a/crates/playout/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,6 +1,6 @@
-//! `playout`: the proxy.
+//! `proxy`: the proxy.
 
-use playout::prelude::*;
+use proxy::prelude::*;
 
 const HELP: &str = "The proxy: carries orders from callers to instances, as its agent tells it";
 const NEEDS: [&str; 4] = ["control", "serving", "area", "agent"];
@@ -12,6 +12,6 @@
     let reread: Reread = Arc::new(move || Place::read(&flags, &NEEDS).ok());
     run_daemon(
         place.terms.workers,
-        playout::daemon::run(place, reread, Dialect::own()),
+        proxy::daemon::run(place, reread, Dialect::own()),
     )
 }
--- a/crates/playout/src/passing.rs
+++ b/crates/proxy/src/passing.rs
@@ -2,10 +2,10 @@
 
 use crate::prelude::*;
 
-/// One shot under way; tells the pool's shard when it is over, however that comes about.
-pub struct ShotGuard {
+/// One attempt under way; tells the service's shard when it is over, however that comes about.
+pub struct AttemptGuard {
     pub proxy: Arc<Carrier>,
-    pub pool: PoolName,
+    pub service: ServiceName,
     pub target: Target,
     pub good: bool,
     pub load: Option<u32>,
@@ -14,10 +14,10 @@
     pub usage_key: UsageKey,
 }
 
-impl Drop for ShotGuard {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let now = self.proxy.clock.now();
-        let shard = self.proxy.shard(&self.pool);
+        let shard = self.proxy.shard(&self.service);
         let mut shard = locked(&shard);
         shard.end(now, &self.target, self.good, self.load);
         if self.over {
@@ -45,9 +45,9 @@
 /// The body of an instance's answer, streamed to the caller.
 pub struct Passing {
     pub inner: Incoming,
-    pub circuit: Option<Circuit>,
+    pub connection: Option<Connection>,
     pub key: InstanceKey,
-    pub guard: ShotGuard,
+    pub guard: AttemptGuard,
     pub deadline: Pin<Box<tokio::time::Sleep>>,
     pub under_way: UnderWay,
 }
@@ -69,24 +69,24 @@
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
-            Poll::Ready(Some(Err(mishap))) => {
-                // Why an error and not an end: the caller must see a broken circuit, not a success.
-                event(BODY_BROKEN, &mishap);
-                self.circuit = None;
+            Poll::Ready(Some(Err(failure))) => {
+                // Why an error and not an end: the caller must see a broken connection, not a success.
+                event(BODY_BROKEN, &failure);
+                self.connection = None;
                 broken("the instance's answer broke off")
             }
             Poll::Ready(None) => {
                 self.guard.good = true;
-                if let Some(circuit) = self.circuit.take() {
+                if let Some(connection) = self.connection.take() {
                     let key = self.key.clone();
-                    self.under_way.0.circuits.give_back(key, circuit);
+                    self.under_way.0.connections.give_back(key, connection);
                 }
                 Poll::Ready(None)
             }
             Poll::Pending => {
                 if self.deadline.as_mut().poll(context).is_ready() {
                     event(BODY_BROKEN, "the deadline passed");
-                    self.circuit = None;
+                    self.connection = None;
                     return broken("the deadline passed");
                 }
                 Poll::Pending
@@ -95,7 +95,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // Why not the inner's word: the circuit is only given back when the end was polled.
+        // Why not the inner's word: the connection is only given back when the end was polled.
         false
     }
 
@@ -126,14 +126,16 @@
                 let length = frame.data_ref().map_or(0, Bytes::len) as u64;
                 if length > self.left {
                     self.over.store(true, Ordering::SeqCst);
-                    // Why an error: it breaks the circuit, so the instance never has a whole order.
+                    // Why an error: it breaks the connection, so the instance never has a whole order.
                     return Poll::Ready(Some(Err(std::io::Error::other("over the body limit"))));
                 }
                 self.left -= length;
                 self.proxy.usage.took_in(&self.usage_key, length);
                 Poll::Ready(Some(Ok(frame)))
             }
-            Poll::Ready(Some(Err(mishap))) => Poll::Ready(Some(Err(std::io::Error::other(mishap)))),
+            Poll::Ready(Some(Err(failure))) => {
+                Poll::Ready(Some(Err(std::io::Error::other(failure))))
+            }
             Poll::Ready(None) => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
         }
--- a/crates/playout/src/usage.rs
+++ b/crates/proxy/src/usage.rs
@@ -1,4 +1,4 @@
-//! What was carried, counted by hour, rule and pool, for the operators' export.
+//! What was carried, counted by hour, rule and service, for the operators' export.
 
 use crate::prelude::*;
 
@@ -16,16 +16,16 @@
 #[derive(Debug, Clone)]
 pub struct UsageKey {
     hour: u64,
-    rule: RuleName,
-    pool: PoolName,
+    route: RouteName,
+    service: ServiceName,
 }
 
 impl UsageKey {
-    pub fn of(rule: &RuleName, pool: &PoolName) -> Self {
+    pub fn of(route: &RouteName, service: &ServiceName) -> Self {
         Self {
             hour: present_hour(),
-            rule: rule.clone(),
-            pool: pool.clone(),
+            route: route.clone(),
+            service: service.clone(),
         }
     }
 }
@@ -39,18 +39,18 @@
 }
 
 #[derive(Default)]
-pub struct UsageBook {
-    lines: Mutex<BTreeMap<(u64, RuleName, PoolName), UsageLine>>,
+pub struct UsageAccounts {
+    lines: Mutex<BTreeMap<(u64, RouteName, ServiceName), UsageLine>>,
 }
 
-impl UsageBook {
+impl UsageAccounts {
     fn change(&self, key: &UsageKey, change: impl FnOnce(&mut UsageLine)) {
         let mut lines = locked(&self.lines);
-        let place = (key.hour, key.rule.clone(), key.pool.clone());
+        let place = (key.hour, key.route.clone(), key.service.clone());
         let line = lines.entry(place).or_insert_with(|| UsageLine {
             hour: key.hour,
-            rule: key.rule.clone(),
-            pool: key.pool.clone(),
+            route: key.route.clone(),
+            service: key.service.clone(),
             ..UsageLine::default()
         });
         change(line);
@@ -63,7 +63,7 @@
 
     pub fn ended(&self, key: &UsageKey, end: CountedEnd) {
         self.change(key, |line| {
-            line.orders += 1;
+            line.requests += 1;
             match end {
                 CountedEnd::Served => line.served += 1,
                 CountedEnd::NotRun => line.not_run += 1,
--- a/crates/runsheet/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -1,6 +1,6 @@
-//! `runsheet`: runs written runbooks step by step.
+//! `runbook-runner`: runs written runbooks step by step.
 
-use runsheet::prelude::*;
+use runbook_runner::prelude::*;
 
 const HELP: &str = "Runs a written runbook step by step: does what each step says, checks that it \
 came about, and stops with what to do next when it did not";
@@ -8,15 +8,15 @@
 
 #[derive(Debug, Clone)]
 struct Flags {
-    ledgers: Vec<SocketAddr>,
+    controllers: Vec<SocketAddr>,
     inputs: Vec<String>,
     dry: bool,
     file: PathBuf,
 }
 
 fn flags() -> OptionParser<Flags> {
-    let ledgers = long("ledger")
-        .help("HTTP address of a ledger; give several and they are tried in turn")
+    let controllers = long("ledger")
+        .help("HTTP address of a controller; give several and they are tried in turn")
         .argument::<SocketAddr>("ADDRESS")
         .many();
     let inputs = long("set")
@@ -28,7 +28,7 @@
         .switch();
     let file = positional::<PathBuf>("RUNBOOK").help("A runbook's file");
     construct!(Flags {
-        ledgers,
+        controllers,
         inputs,
         dry,
         file
@@ -37,12 +37,12 @@
     .descr(HELP)
 }
 
-/// Reads status and standing orders at the first ledger that can vouch for them.
-async fn look(ledgers: &[SocketAddr]) -> Option<(JsonValue, JsonValue)> {
+/// Reads status and configuration at the first controller that can vouch for them.
+async fn look(controllers: &[SocketAddr]) -> Option<(JsonValue, JsonValue)> {
     let mut fallback = None;
-    for ledger in ledgers {
+    for controller in controllers {
         let ask = |path: &'static str| {
-            Fetch::get(*ledger, path)
+            Fetch::get(*controller, path)
                 .patience(Duration::from_secs(2))
                 .send()
         };
@@ -51,7 +51,9 @@
         };
         let status = status.json();
         match ask("/v1/standing").await {
-            Ok(standing) if standing.status == 200 => return Some((status, standing.json())),
+            Ok(configuration) if configuration.status == 200 => {
+                return Some((status, configuration.json()))
+            }
             // Why kept: a runbook for a lost majority must see what there is.
             _ => fallback = Some((status, JsonValue::new_object())),
         }
@@ -59,10 +61,10 @@
     fallback
 }
 
-async fn apply(ledgers: &[SocketAddr], change: &str) -> (u16, JsonValue) {
-    let mut last = (503, jzon::object! { why: "no ledger could be reached" });
-    for ledger in ledgers {
-        let sent = Fetch::post(*ledger, "/v1/standing", change.to_string())
+async fn apply(controllers: &[SocketAddr], change: &str) -> (u16, JsonValue) {
+    let mut last = (503, jzon::object! { why: "no controller could be reached" });
+    for controller in controllers {
+        let sent = Fetch::post(*controller, "/v1/standing", change.to_string())
             .patience(Duration::from_secs(5))
             .send()
             .await;
@@ -79,10 +81,10 @@
 fn show_plan(runner: &Runner) {
     for (place, step) in runner.steps().iter().enumerate() {
         println!("{}. {}", place + 1, runner.filled(&step.say));
-        match &step.deed {
-            Deed::Nothing => {}
-            Deed::ByHand(text) => println!("   by hand: {}", runner.filled(text)),
-            deed => println!("   do: {}", runner.filled(&format!("{deed:?}"))),
+        match &step.action {
+            Action::Nothing => {}
+            Action::ByHand(text) => println!("   by hand: {}", runner.filled(text)),
+            action => println!("   do: {}", runner.filled(&format!("{action:?}"))),
         }
         for check in &step.checks {
             println!("   check: {}", runner.filled(&format!("{check:?}")));
@@ -93,7 +95,7 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> anyhow::Result<()> {
     let flags = read_flags(&flags());
-    let book = Runbook::read(&flags.file).unwrap_or_else(|faults| end_over(&faults));
+    let runbook = Runbook::read(&flags.file).unwrap_or_else(|faults| end_over(&faults));
     let on_command_line = |field: &str, remedy: String| OptionsFault {
         file: "command line".to_string(),
         field: field.to_string(),
@@ -109,9 +111,9 @@
             )]),
         };
     }
-    let name = book.name.clone();
-    println!("{name}: {}", book.about);
-    let mut runner = Runner::start(book, inputs, fresh_seed()).unwrap_or_else(|wrong| {
+    let name = runbook.name.clone();
+    println!("{name}: {}", runbook.about);
+    let mut runner = Runner::start(runbook, inputs, fresh_seed()).unwrap_or_else(|wrong| {
         let faults: Vec<OptionsFault> = wrong
             .into_iter()
             .map(|remedy| on_command_line("--set", remedy))
@@ -122,7 +124,7 @@
         show_plan(&runner);
         return Ok(());
     }
-    if flags.ledgers.is_empty() {
+    if flags.controllers.is_empty() {
         end_over(&[on_command_line(
             "--ledger",
             "is missing: name at least one".to_string(),
@@ -134,7 +136,7 @@
         if let Some((number, step)) = runner.step().filter(|(number, _)| *number > shown) {
             shown = number;
             println!("{number}. {}", runner.filled(&step.say));
-            if let Deed::ByHand(text) = &step.deed {
+            if let Action::ByHand(text) = &step.action {
                 println!("   now, by hand: {}", runner.filled(text));
             }
         }
@@ -149,25 +151,25 @@
                 std::process::exit(1);
             }
             Wish::Apply { change } => {
-                let (status, answer) = apply(&flags.ledgers, &change.dump()).await;
+                let (status, answer) = apply(&flags.controllers, &change.dump()).await;
                 runner.applied(clock.now(), status, &answer);
             }
             Wish::ApplyFile { file } => match std::fs::read_to_string(&file) {
                 Ok(text) => {
-                    let (status, answer) = apply(&flags.ledgers, &text).await;
+                    let (status, answer) = apply(&flags.controllers, &text).await;
                     runner.applied(clock.now(), status, &answer);
                 }
-                Err(mishap) => {
-                    let why = jzon::object! { why: format!("{file} cannot be read: {mishap}") };
+                Err(failure) => {
+                    let why = jzon::object! { why: format!("{file} cannot be read: {failure}") };
                     runner.applied(clock.now(), 0, &why);
                 }
             },
             Wish::Look => {
                 let nothing = (JsonValue::new_object(), JsonValue::new_object());
-                let (status, standing) = look(&flags.ledgers).await.unwrap_or(nothing);
+                let (status, configuration) = look(&flags.controllers).await.unwrap_or(nothing);
                 let seen = Seen {
                     status: &status,
-                    standing: &standing,
+                    configuration: &configuration,
                 };
                 runner.saw(clock.now(), &seen);
                 tokio::time::sleep(LOOK_PERIOD).await;
--- a/crates/runsheet/src/prelude.rs
+++ b/crates/runbook-runner/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The one module that each file of this crate imports.
 
-pub use toolroom::prelude::*;
+pub use runtime::prelude::*;
 
 pub use crate::runbook::*;
 pub use crate::runner::*;
--- a/crates/runsheet/src/runbook.rs
+++ b/crates/runbook-runner/src/runbook.rs
@@ -4,13 +4,13 @@
 
 /// What a step does before it checks.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Deed {
+pub enum Action {
     /// Only looks.
     Nothing,
     /// The operator does something that this tool must not; the check tells when it is done.
     ByHand(String),
-    CloseArea(String),
-    OpenArea(String),
+    CloseZone(String),
+    OpenZone(String),
     /// Applies a change set from a file.
     Apply(String),
     /// Keeps an item as it is now, for a later step back.
@@ -24,23 +24,23 @@
 pub enum Check {
     Current,
     DiskWell,
-    DutiesHeld,
-    LivingSeats(u64),
-    LivingLedgers(u64),
+    LeadershipsHeld,
+    LivingVoters(u64),
+    LivingControllers(u64),
     ReadyProxies(u64),
     FeedLag(u64),
     Unplaced(u64),
     Instances(u64),
-    AreaClosed(String),
-    AreaOpen(String),
-    SeatAt(String),
-    NoSeatAt(String),
+    ZoneClosed(String),
+    ZoneOpen(String),
+    VoterAt(String),
+    NoVoterAt(String),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
     pub say: String,
-    pub deed: Deed,
+    pub action: Action,
     pub checks: Vec<Check>,
     pub within: Duration,
     /// How long the checks must hold in a row.
@@ -57,11 +57,11 @@
     pub steps: Vec<Step>,
 }
 
-const DEEDS: &str = "by-hand, close-area, open-area, apply, remember or restore";
+const ACTIONS: &str = "by-hand, close-area, open-area, apply, remember or restore";
 
-fn read_deed(value: &JsonValue) -> Option<Deed> {
+fn read_action(value: &JsonValue) -> Option<Action> {
     if value.is_null() {
-        return Some(Deed::Nothing);
+        return Some(Action::Nothing);
     }
     let (name, argument) = value.entries().next()?;
     let argument = argument.as_str()?.to_string();
@@ -69,12 +69,12 @@
         return None;
     }
     Some(match name {
-        "by-hand" => Deed::ByHand(argument),
-        "close-area" => Deed::CloseArea(argument),
-        "open-area" => Deed::OpenArea(argument),
-        "apply" => Deed::Apply(argument),
-        "remember" => Deed::Remember(argument),
-        "restore" => Deed::Restore(argument),
+        "by-hand" => Action::ByHand(argument),
+        "close-area" => Action::CloseZone(argument),
+        "open-area" => Action::OpenZone(argument),
+        "apply" => Action::Apply(argument),
+        "remember" => Action::Remember(argument),
+        "restore" => Action::Restore(argument),
         _ => return None,
     })
 }
@@ -85,17 +85,17 @@
     Some(match name {
         "current" => truth().map(|_| Check::Current)?,
         "disk-well" => truth().map(|_| Check::DiskWell)?,
-        "duties-held" => truth().map(|_| Check::DutiesHeld)?,
-        "living-seats-at-least" => Check::LivingSeats(value.as_u64()?),
-        "living-ledgers-at-least" => Check::LivingLedgers(value.as_u64()?),
+        "duties-held" => truth().map(|_| Check::LeadershipsHeld)?,
+        "living-seats-at-least" => Check::LivingVoters(value.as_u64()?),
+        "living-ledgers-at-least" => Check::LivingControllers(value.as_u64()?),
         "ready-proxies-at-least" => Check::ReadyProxies(value.as_u64()?),
         "feed-lag-at-most" => Check::FeedLag(value.as_u64()?),
         "unplaced-at-most" => Check::Unplaced(value.as_u64()?),
         "instances-at-least" => Check::Instances(value.as_u64()?),
-        "area-closed" => Check::AreaClosed(text()?),
-        "area-open" => Check::AreaOpen(text()?),
-        "seat-at" => Check::SeatAt(text()?),
-        "no-seat-at" => Check::NoSeatAt(text()?),
+        "area-closed" => Check::ZoneClosed(text()?),
+        "area-open" => Check::ZoneOpen(text()?),
+        "seat-at" => Check::VoterAt(text()?),
+        "no-seat-at" => Check::NoVoterAt(text()?),
         _ => return None,
     })
 }
@@ -148,9 +148,12 @@
             if say.is_empty() {
                 fault(at("say"), "is missing: say what the step is for");
             }
-            let deed = read_deed(&item["do"]).unwrap_or_else(|| {
-                fault(at("do"), &format!("must be one of {DEEDS}, with a string"));
-                Deed::Nothing
+            let action = read_action(&item["do"]).unwrap_or_else(|| {
+                fault(
+                    at("do"),
+                    &format!("must be one of {ACTIONS}, with a string"),
+                );
+                Action::Nothing
             });
             let mut checks = Vec::new();
             for (name, argument) in item["check"].entries() {
@@ -162,13 +165,13 @@
                     ),
                 }
             }
-            if checks.is_empty() && deed == Deed::Nothing {
+            if checks.is_empty() && action == Action::Nothing {
                 fault(
                     at("check"),
                     "is missing: a step that does nothing must check something",
                 );
             }
-            if matches!(deed, Deed::ByHand(_)) && checks.is_empty() {
+            if matches!(action, Action::ByHand(_)) && checks.is_empty() {
                 fault(
                     at("check"),
                     "is missing: it tells when the hand's work is done",
@@ -188,7 +191,7 @@
             }
             steps.push(Step {
                 say,
-                deed,
+                action,
                 checks,
                 within: Duration::from_millis(item["within_ms"].as_u64().unwrap_or(10_000)),
                 steady: Duration::from_millis(item["steady_ms"].as_u64().unwrap_or(0)),
--- a/crates/runsheet/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -5,7 +5,7 @@
 /// What the runner wants done next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Wish {
-    /// Read status and standing orders, and hand them in.
+    /// Read status and configuration, and hand them in.
     Look,
     /// Apply this change set, and hand the answer in.
     Apply { change: JsonValue },
@@ -35,7 +35,7 @@
 }
 
 pub struct Runner {
-    book: Runbook,
+    runbook: Runbook,
     inputs: BTreeMap<String, String>,
     place: usize,
     phase: Phase,
@@ -43,15 +43,15 @@
     seed: u64,
 }
 
-/// What a ledger last told.
+/// What a controller last told.
 pub struct Seen<'seen> {
     pub status: &'seen JsonValue,
-    pub standing: &'seen JsonValue,
+    pub configuration: &'seen JsonValue,
 }
 
-fn item<'json>(standing: &'json JsonValue, key: &str) -> Option<&'json JsonValue> {
+fn item<'json>(configuration: &'json JsonValue, key: &str) -> Option<&'json JsonValue> {
     let (kind, name) = key.split_once('/')?;
-    standing["items"]
+    configuration["items"]
         .members()
         .find(|item| item["kind"] == kind && item["name"] == name)
 }
@@ -59,10 +59,12 @@
 /// Whether a check holds; if not, what was seen instead.
 pub fn holds(check: &Check, seen: &Seen<'_>) -> Result<(), String> {
     let status = seen.status;
-    let seats = |ledgers_only: bool| {
+    let voters = |controllers_only: bool| {
         let count = status["seats"]
             .members()
-            .filter(|seat| seat["alive"] == true && (!ledgers_only || seat["ledger"] == true))
+            .filter(|voter| {
+                voter["alive"] == true && (!controllers_only || voter["ledger"] == true)
+            })
             .count();
         count as u64
     };
@@ -80,36 +82,39 @@
             Err(format!("{what}: {found}, wanted at most {wanted}"))
         }
     };
-    let seat_at = |address: &str| {
+    let voter_at = |address: &str| {
         status["seats"]
             .members()
-            .any(|seat| seat["address"] == address)
+            .any(|voter| voter["address"] == address)
     };
-    let closed = |area: &str| {
-        item(seen.standing, &format!("area/{area}"))
+    let closed = |zone: &str| {
+        item(seen.configuration, &format!("area/{zone}"))
             .and_then(|item| item["area"]["closed"].as_bool())
     };
     let truth = |holds: bool, why: &str| if holds { Ok(()) } else { Err(why.to_string()) };
     match check {
-        Check::Current => truth(status["current"] == true, "no ledger hears a majority"),
-        Check::DiskWell => truth(status["disk"] == "well", "a ledger's disk refuses writes"),
-        Check::DutiesHeld => {
+        Check::Current => truth(status["current"] == true, "no controller hears a majority"),
+        Check::DiskWell => truth(
+            status["disk"] == "well",
+            "a controller's disk refuses writes",
+        ),
+        Check::LeadershipsHeld => {
             let living: Vec<u64> = status["seats"]
                 .members()
-                .filter(|seat| seat["alive"] == true)
-                .filter_map(|seat| seat["node"].as_u64())
+                .filter(|voter| voter["alive"] == true)
+                .filter_map(|voter| voter["node"].as_u64())
                 .collect();
             let held = !status["duties"].is_empty()
-                && status["duties"].members().all(|duty| {
-                    duty["holder"]
+                && status["duties"].members().all(|leadership| {
+                    leadership["holder"]
                         .as_u64()
                         .is_some_and(|node| living.contains(&node))
                 });
-            truth(held, "a duty has no living holder")
+            truth(held, "a leadership role has no living holder")
         }
-        Check::LivingSeats(wanted) => at_least("living seats", seats(false), *wanted),
-        Check::LivingLedgers(wanted) => {
-            at_least("living ledgers with a seat", seats(true), *wanted)
+        Check::LivingVoters(wanted) => at_least("living voters", voters(false), *wanted),
+        Check::LivingControllers(wanted) => {
+            at_least("living controllers with a voter", voters(true), *wanted)
         }
         Check::ReadyProxies(wanted) => {
             let ready = status["members"]
@@ -133,28 +138,28 @@
         Check::Instances(wanted) => {
             at_least("instances", status["instances"].len() as u64, *wanted)
         }
-        Check::AreaClosed(area) => truth(closed(area) == Some(true), "the area is not closed"),
-        Check::AreaOpen(area) => truth(closed(area) == Some(false), "the area is not open"),
-        Check::SeatAt(address) => truth(seat_at(address), "no seat has this address"),
-        Check::NoSeatAt(address) => truth(!seat_at(address), "a seat still has this address"),
+        Check::ZoneClosed(zone) => truth(closed(zone) == Some(true), "the zone is not closed"),
+        Check::ZoneOpen(zone) => truth(closed(zone) == Some(false), "the zone is not open"),
+        Check::VoterAt(address) => truth(voter_at(address), "no voter has this address"),
+        Check::NoVoterAt(address) => truth(!voter_at(address), "a voter still has this address"),
     }
 }
 
 impl Runner {
     /// Takes a runbook and its inputs; lists the inputs that are missing or unknown.
     pub fn start(
-        book: Runbook,
+        runbook: Runbook,
         inputs: BTreeMap<String, String>,
         seed: u64,
     ) -> Result<Self, Vec<String>> {
-        let mut wrong: Vec<String> = book
+        let mut wrong: Vec<String> = runbook
             .inputs
             .iter()
             .filter(|(name, _)| !inputs.contains_key(name))
             .map(|(name, meaning)| format!("{name} is missing: give --set {name}=… ({meaning})"))
             .collect();
         for name in inputs.keys() {
-            if !book.inputs.iter().any(|(known, _)| known == name) {
+            if !runbook.inputs.iter().any(|(known, _)| known == name) {
                 wrong.push(format!("{name} is no input of this runbook: remove it"));
             }
         }
@@ -162,7 +167,7 @@
             return Err(wrong);
         }
         Ok(Self {
-            book,
+            runbook,
             inputs,
             place: 0,
             phase: Phase::Entering,
@@ -181,35 +186,35 @@
 
     fn filled_check(&self, check: &Check) -> Check {
         match check {
-            Check::AreaClosed(area) => Check::AreaClosed(self.filled(area)),
-            Check::AreaOpen(area) => Check::AreaOpen(self.filled(area)),
-            Check::SeatAt(address) => Check::SeatAt(self.filled(address)),
-            Check::NoSeatAt(address) => Check::NoSeatAt(self.filled(address)),
+            Check::ZoneClosed(zone) => Check::ZoneClosed(self.filled(zone)),
+            Check::ZoneOpen(zone) => Check::ZoneOpen(self.filled(zone)),
+            Check::VoterAt(address) => Check::VoterAt(self.filled(address)),
+            Check::NoVoterAt(address) => Check::NoVoterAt(self.filled(address)),
             other => other.clone(),
         }
     }
 
     pub fn steps(&self) -> &[Step] {
-        &self.book.steps
+        &self.runbook.steps
     }
 
     /// The step under way, counted from one, if there is one left.
     pub fn step(&self) -> Option<(usize, &Step)> {
-        Some((self.place + 1, self.book.steps.get(self.place)?))
+        Some((self.place + 1, self.runbook.steps.get(self.place)?))
     }
 
     /// What is to be done next.
     pub fn next(&self) -> Wish {
-        let Some(step) = self.book.steps.get(self.place) else {
+        let Some(step) = self.runbook.steps.get(self.place) else {
             return Wish::Done;
         };
-        match (&self.phase, &step.deed) {
+        match (&self.phase, &step.action) {
             (Phase::Stopped { why }, _) => Wish::Stopped {
                 step: self.place + 1,
                 why: why.clone(),
                 remedy: self.filled(&step.otherwise),
             },
-            (Phase::Applying, Deed::Apply(file)) => Wish::ApplyFile {
+            (Phase::Applying, Action::Apply(file)) => Wish::ApplyFile {
                 file: self.filled(file),
             },
             (Phase::Applying, _) => match self.remembered.get("") {
@@ -222,9 +227,9 @@
         }
     }
 
-    /// Takes what a ledger told; the machine may move on.
+    /// Takes what a controller told; the machine may move on.
     pub fn saw(&mut self, now: Duration, seen: &Seen<'_>) {
-        let Some(step) = self.book.steps.get(self.place).cloned() else {
+        let Some(step) = self.runbook.steps.get(self.place).cloned() else {
             return;
         };
         match self.phase.clone() {
@@ -268,28 +273,28 @@
             since: now,
             held_since: None,
         };
-        let turn = |runner: &mut Self, area: &str, closed: bool| {
-            let area = runner.filled(area);
-            match item(seen.standing, &format!("area/{area}")).cloned() {
+        let turn = |runner: &mut Self, zone: &str, closed: bool| {
+            let zone = runner.filled(zone);
+            match item(seen.configuration, &format!("area/{zone}")).cloned() {
                 None => Phase::Stopped {
-                    why: format!("there is no area {area}"),
+                    why: format!("there is no zone {zone}"),
                 },
                 Some(mut found) => {
                     found["area"]["closed"] = closed.into();
                     let word = if closed { "close" } else { "open" };
-                    runner.prepare(&format!("{word}-{area}"), found);
+                    runner.prepare(&format!("{word}-{zone}"), found);
                     Phase::Applying
                 }
             }
         };
-        self.phase = match &step.deed {
-            Deed::Nothing | Deed::ByHand(_) => checking,
-            Deed::CloseArea(area) => turn(self, area, true),
-            Deed::OpenArea(area) => turn(self, area, false),
-            Deed::Apply(_) => Phase::Applying,
-            Deed::Remember(key) => {
+        self.phase = match &step.action {
+            Action::Nothing | Action::ByHand(_) => checking,
+            Action::CloseZone(zone) => turn(self, zone, true),
+            Action::OpenZone(zone) => turn(self, zone, false),
+            Action::Apply(_) => Phase::Applying,
+            Action::Remember(key) => {
                 let key = self.filled(key);
-                match item(seen.standing, &key).cloned() {
+                match item(seen.configuration, &key).cloned() {
                     None => Phase::Stopped {
                         why: format!("there is no {key}"),
                     },
@@ -299,19 +304,19 @@
                     }
                 }
             }
-            Deed::Restore(key) => {
+            Action::Restore(key) => {
                 let key = self.filled(key);
                 match (
                     self.remembered.get(&key).cloned(),
-                    item(seen.standing, &key),
+                    item(seen.configuration, &key),
                 ) {
                     (None, _) => Phase::Stopped {
                         why: format!("{key} was not remembered before"),
                     },
                     (Some(mut before), present) => {
-                        // Why the present edition: whoever changed it since we looked must win.
-                        let edition = present.and_then(|item| item["edition"].as_u64());
-                        before["edition"] = edition.unwrap_or(0).into();
+                        // Why the present version: whoever changed it since we looked must win.
+                        let version = present.and_then(|item| item["edition"].as_u64());
+                        before["edition"] = version.unwrap_or(0).into();
                         self.prepare(&format!("restore-{}", key.replace('/', "-")), before);
                         Phase::Applying
                     }
--- a/crates/runsheet/tests/runbooks.rs
+++ b/crates/runbook-runner/tests/runbooks.rs
@@ -1,15 +1,15 @@
 //! Every runbook that we ship reads and can be started with its inputs.
 
-use runsheet::prelude::*;
+use runbook_runner::prelude::*;
 
 fn reads(path: &Path) -> datatest_stable::Result<()> {
-    let book = Runbook::read(path).map_err(|faults| format!("{faults:?}"))?;
-    let inputs = book
+    let runbook = Runbook::read(path).map_err(|faults| format!("{faults:?}"))?;
+    let inputs = runbook
         .inputs
         .iter()
         .map(|(name, _)| (name.clone(), "x".to_string()))
         .collect();
-    let runner = Runner::start(book, inputs, 1).map_err(|wrong| format!("{wrong:?}"))?;
+    let runner = Runner::start(runbook, inputs, 1).map_err(|wrong| format!("{wrong:?}"))?;
     if runner
         .steps()
         .iter()
--- a/crates/toolroom/src/desk.rs
+++ b/crates/runtime/src/actor.rs
@@ -10,7 +10,7 @@
 
 /// Time since the machine was booted, with all the time that it was suspended.
 ///
-/// Why not the library's monotonic clock: it stands still while a machine sleeps, and a permit or a
+/// Why not the library's monotonic clock: it stands still while a machine sleeps, and a lease or a
 /// hold would live on after the nap as if it had not happened.
 fn boot_time() -> Duration {
     let mut time = libc::timespec {
@@ -50,7 +50,7 @@
     fn take(&mut self, now: Duration, input: Self::Input);
 }
 
-pub struct Desk<Worker: Host> {
+pub struct MachineActor<Worker: Host> {
     worker: Worker,
     clock: Clock,
 }
@@ -58,7 +58,7 @@
 /// One input on its way to a desk.
 pub struct Given<Input>(pub Input);
 
-impl<Worker: Host> kameo::Actor for Desk<Worker> {
+impl<Worker: Host> kameo::Actor for MachineActor<Worker> {
     type Args = Self;
     type Error = std::convert::Infallible;
 
@@ -67,7 +67,7 @@
     }
 }
 
-impl<Worker: Host> kameo::message::Message<Given<Worker::Input>> for Desk<Worker> {
+impl<Worker: Host> kameo::message::Message<Given<Worker::Input>> for MachineActor<Worker> {
     type Reply = ();
 
     async fn handle(
@@ -130,19 +130,19 @@
 }
 
 /// Spawns the actor, its ticker, and the task that carries the inbox to it.
-pub fn open_desk<Worker: Host>(
+pub fn open_actor<Worker: Host>(
     worker: Worker,
     clock: Clock,
     mut inbox: mpsc::Receiver<Worker::Input>,
     period: Duration,
 ) {
-    let desk = Desk::spawn(Desk { worker, clock });
-    let ticking = desk.clone();
+    let handle = MachineActor::spawn(MachineActor { worker, clock });
+    let ticking = handle.clone();
     tokio::spawn(async move {
-        let mut beat = tokio::time::interval(period);
-        beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut heartbeat = tokio::time::interval(period);
+        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            beat.tick().await;
+            heartbeat.tick().await;
             if ticking.tell(Given(Worker::tick())).send().await.is_err() {
                 // Why: the desk only ends by a broken invariant, and that stops the process.
                 log::error!("the desk has ended");
@@ -152,7 +152,7 @@
     });
     tokio::spawn(async move {
         while let Some(input) = inbox.recv().await {
-            if desk.tell(Given(input)).send().await.is_err() {
+            if handle.tell(Given(input)).send().await.is_err() {
                 break;
             }
         }
--- a/crates/toolroom/src/circuits.rs
+++ b/crates/runtime/src/connections.rs
@@ -1,4 +1,4 @@
-//! Circuits between our own processes: frames of `minicbor` over TCP.
+//! Connections between our own processes: frames of `minicbor` over TCP.
 //!
 //! Messages may be lost, as the machines expect; they are never changed or doubled.
 
@@ -35,13 +35,13 @@
                     Ok((stream, from)) => {
                         let hear = hear.clone();
                         tokio::spawn(async move {
-                            if let Err(mishap) = read_frames(stream, hear).await {
-                                event(GARBLED, format!("from {from}: {mishap}"));
+                            if let Err(failure) = read_frames(stream, hear).await {
+                                event(GARBLED, format!("from {from}: {failure}"));
                             }
                         });
                     }
-                    Err(mishap) => {
-                        event(PORT_MISHAP, mishap);
+                    Err(failure) => {
+                        event(PORT_FAILURE, failure);
                         tokio::time::sleep(Duration::from_millis(50)).await;
                     }
                 }
@@ -111,7 +111,7 @@
     loop {
         let length = match reader.read_u32().await {
             Ok(length) => length as usize,
-            // Why no mishap: the other side may close or die between frames.
+            // Why no failure: the other side may close or die between frames.
             Err(_) => return Ok(()),
         };
         if length == 0 || length > MOST_FRAME {
--- a/crates/toolroom/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -9,7 +9,7 @@
 
 /// Turns the signal that a write beyond a file size limit brings into that write's error.
 ///
-/// Why: it ends the process otherwise, and a disk that refuses must only end this ledger's voting.
+/// Why: it ends the process otherwise, and a disk that refuses must only end this controller's voting.
 pub fn outlive_file_limits() -> anyhow::Result<()> {
     // Why dropped at once: once it was asked for, the signal no longer ends the process.
     drop(signal(SignalKind::from_raw(libc::SIGXFSZ))?);
--- a/crates/toolroom/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -8,11 +8,11 @@
 pub const OUTCOME_HEADER: &str = "caperworks-outcome";
 pub const INSTANCE_HEADER: &str = "caperworks-instance";
 pub const INCARNATION_HEADER: &str = "caperworks-incarnation";
-pub const SLICE_HEADER: &str = "caperworks-slice";
+pub const KEY_RANGE_HEADER: &str = "caperworks-slice";
 pub const EPOCH_HEADER: &str = "caperworks-epoch";
 pub const DEADLINE_HEADER: &str = "caperworks-deadline-ms";
 pub const LOAD_HEADER: &str = "caperworks-load";
-pub const ORDER_HEADER: &str = "caperworks-order";
+pub const REQUEST_HEADER: &str = "caperworks-order";
 
 /// An answer that is still being worked on.
 pub type BoxedAnswer = std::pin::Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
@@ -37,14 +37,14 @@
     answer
 }
 
-/// Who is at the other end of a circuit, and how far away by the kernel's own measure.
+/// Who is at the other end of a connection, and how far away by the kernel's own measure.
 #[derive(Debug, Clone, Copy)]
 pub struct FarEnd {
     pub address: SocketAddr,
     pub round_trip: Duration,
 }
 
-/// The kernel's smoothed round trip of a circuit; zero when it does not say.
+/// The kernel's smoothed round trip of a connection; zero when it does not say.
 fn round_trip(stream: &TcpStream) -> Duration {
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
     let mut length = std::mem::size_of::<libc::tcp_info>() as libc::socklen_t;
@@ -116,9 +116,9 @@
     fn poll_write_vectored(
         mut self: std::pin::Pin<&mut Self>,
         context: &mut std::task::Context<'_>,
-        slices: &[std::io::IoSlice<'_>],
+        key_ranges: &[std::io::IoSlice<'_>],
     ) -> std::task::Poll<std::io::Result<usize>> {
-        std::pin::Pin::new(&mut self.inner).poll_write_vectored(context, slices)
+        std::pin::Pin::new(&mut self.inner).poll_write_vectored(context, key_ranges)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -141,13 +141,13 @@
 }
 
 /// Whether the head that was read last names both a length and a coding.
-fn tells_length_twice(read: &[u8], order: &Request<Incoming>) -> bool {
+fn tells_length_twice(read: &[u8], request: &Request<Incoming>) -> bool {
     // Why only then: without a coding there is nothing for the library to have preferred.
-    if !order.headers().contains_key("transfer-encoding") {
+    if !request.headers().contains_key("transfer-encoding") {
         return false;
     }
     let text = String::from_utf8_lossy(read);
-    let line = format!("{} {} HTTP/1.1", order.method(), order.uri());
+    let line = format!("{} {} HTTP/1.1", request.method(), request.uri());
     let Some(start) = text.rfind(&line) else {
         return true;
     };
@@ -171,8 +171,8 @@
     loop {
         let (stream, address) = match listener.accept().await {
             Ok(accepted) => accepted,
-            Err(mishap) => {
-                event(PORT_MISHAP, mishap);
+            Err(failure) => {
+                event(PORT_FAILURE, failure);
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
@@ -193,17 +193,17 @@
                 inner: stream,
                 read: read.clone(),
             };
-            let service = hyper::service::service_fn(move |mut order: Request<Incoming>| {
+            let service = hyper::service::service_fn(move |mut request: Request<Incoming>| {
                 {
                     let mut read = locked(&read);
-                    if tells_length_twice(&read.bytes, &order) {
-                        order.extensions_mut().insert(AmbiguousFraming);
+                    if tells_length_twice(&read.bytes, &request) {
+                        request.extensions_mut().insert(AmbiguousFraming);
                     }
                     read.bytes.clear();
                     read.awaited = false;
                 }
                 let read = read.clone();
-                let answering = handler(far_end, order);
+                let answering = handler(far_end, request);
                 let stop = stop.clone();
                 async move {
                     let mut answer = answering.await?;
@@ -211,7 +211,7 @@
                     // that came sooner is not seen, and is refused if it names a coding.
                     locked(&read).awaited = true;
                     if stop.load(Ordering::Relaxed) {
-                        // Why: a process that is about to stop takes nothing more on a circuit.
+                        // Why: a process that is about to stop takes nothing more on a connection.
                         answer
                             .headers_mut()
                             .insert("connection", HeaderValue::from_static("close"));
@@ -248,7 +248,7 @@
     }
 }
 
-/// One request on a circuit of its own, with everything that shapes it.
+/// One request on a connection of its own, with everything that shapes it.
 #[derive(Debug, Clone)]
 pub struct Fetch {
     pub to: SocketAddr,
@@ -313,18 +313,18 @@
         }
         let stream = socket.connect(self.to).await?;
         stream.set_nodelay(true)?;
-        let (mut sender, circuit) =
+        let (mut sender, connection) =
             hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        tokio::spawn(circuit);
-        let mut order = Request::builder().method(self.method).uri(&self.path);
+        tokio::spawn(connection);
+        let mut request = Request::builder().method(self.method).uri(&self.path);
         if !self.headers.iter().any(|(name, _)| name == "host") {
-            order = order.header("host", self.to.to_string());
+            request = request.header("host", self.to.to_string());
         }
         for (name, value) in &self.headers {
-            order = order.header(name, value);
+            request = request.header(name, value);
         }
         let answer = sender
-            .send_request(order.body(Full::new(self.body))?)
+            .send_request(request.body(Full::new(self.body))?)
             .await?;
         let (head, body) = answer.into_parts();
         let body = body.collect().await?.to_bytes();
@@ -340,21 +340,21 @@
 pub async fn small_body(body: Incoming, most: usize) -> Result<Bytes, u16> {
     match Limited::new(body, most).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(mishap) if mishap.is::<http_body_util::LengthLimitError>() => Err(413),
+        Err(failure) if failure.is::<http_body_util::LengthLimitError>() => Err(413),
         Err(_) => Err(400),
     }
 }
 
 /// What was carried beside one agent, as operators read it.
-pub fn usage_json(area: &Area, lines: &[UsageLine]) -> JsonValue {
+pub fn usage_json(zone: &Zone, lines: &[UsageLine]) -> JsonValue {
     let lines: Vec<JsonValue> = lines
         .iter()
         .map(|line| {
             jzon::object! {
                 hour: line.hour,
-                rule: line.rule.as_str(),
-                pool: line.pool.as_str(),
-                orders: line.orders,
+                rule: line.route.as_str(),
+                pool: line.service.as_str(),
+                orders: line.requests,
                 served: line.served,
                 not_run: line.not_run,
                 unknown: line.unknown,
@@ -363,7 +363,7 @@
             }
         })
         .collect();
-    jzon::object! { area: area.as_str(), lines: lines }
+    jzon::object! { area: zone.as_str(), lines: lines }
 }
 
 /// The answer to a probe of readiness.
@@ -372,32 +372,32 @@
     json_answer(status, &jzon::object! { ready: ready })
 }
 
-/// Reads an instance's beat from JSON, and writes the answer; both by hand.
-pub mod beats {
+/// Reads an instance's heartbeat from JSON, and writes the answer; both by hand.
+pub mod heartbeats {
     use crate::prelude::*;
 
-    pub fn write(beat: &Beat) -> JsonValue {
+    pub fn write(heartbeat: &Heartbeat) -> JsonValue {
         jzon::object! {
-            id: beat.id.as_str(),
-            incarnation: beat.incarnation.0,
-            counter: beat.counter,
-            pool: beat.pool.as_str(),
-            area: beat.area.as_str(),
-            address: beat.address.to_string(),
-            capacity: beat.capacity,
-            state: match beat.state {
+            id: heartbeat.id.as_str(),
+            incarnation: heartbeat.incarnation.0,
+            counter: heartbeat.counter,
+            pool: heartbeat.service.as_str(),
+            area: heartbeat.zone.as_str(),
+            address: heartbeat.address.to_string(),
+            capacity: heartbeat.capacity,
+            state: match heartbeat.state {
                 InstanceState::Warming => "warming",
                 InstanceState::Serving => "serving",
                 InstanceState::Leaving => "leaving",
             },
-            load: beat.load,
-            up_ms: beat.up.as_millis() as u64,
-            holding: beat.holding.clone(),
-            let_go: beat
+            load: heartbeat.load,
+            up_ms: heartbeat.up.as_millis() as u64,
+            holding: heartbeat.holding.clone(),
+            let_go: heartbeat
                 .let_go
                 .iter()
                 .map(|given| {
-                    let mut json = jzon::object! { slice: given.slice };
+                    let mut json = jzon::object! { slice: given.key_range };
                     if let Some(epoch) = given.epoch {
                         json["epoch"] = epoch.0.into();
                     }
@@ -410,8 +410,8 @@
         }
     }
 
-    fn read(text: &str) -> Result<Beat, String> {
-        let value = jzon::parse(text).map_err(|mishap| format!("is no JSON: {mishap}"))?;
+    fn read(text: &str) -> Result<Heartbeat, String> {
+        let value = jzon::parse(text).map_err(|failure| format!("is no JSON: {failure}"))?;
         let text = |name: &str| -> Result<String, String> {
             match value[name].as_str() {
                 Some(text) if !text.is_empty() && text.len() <= 128 => Ok(text.to_string()),
@@ -438,31 +438,35 @@
             JsonValue::Null => Vec::new(),
             JsonValue::Array(list) => list
                 .iter()
-                .map(|slice| slice.as_u32().ok_or("holding must list slice numbers"))
+                .map(|key_range| {
+                    key_range
+                        .as_u32()
+                        .ok_or("holding must list key range numbers")
+                })
                 .collect::<Result<_, _>>()?,
             _ => return Err("holding must be a list".to_string()),
         };
         let let_go = value["let_go"]
             .members()
             .map(|given| {
-                let slice = given["slice"].as_u32();
+                let key_range = given["slice"].as_u32();
                 let epoch = given["epoch"].as_u64().map(Epoch);
-                match (slice, epoch) {
-                    (Some(slice), Some(epoch)) => Ok(LetGo {
-                        slice,
+                match (key_range, epoch) {
+                    (Some(key_range), Some(epoch)) => Ok(LetGo {
+                        key_range,
                         epoch: Some(epoch),
                         handover: given["handover"].as_str().map(str::to_string),
                     }),
-                    _ => Err("let_go must list slices with their epochs"),
+                    _ => Err("let_go must list key ranges with their epochs"),
                 }
             })
             .collect::<Result<_, _>>()?;
-        Ok(Beat {
+        Ok(Heartbeat {
             id: InstanceId::new(text("id")?),
             incarnation: Incarnation(number("incarnation")?),
             counter: number("counter")?,
-            pool: PoolName::new(text("pool")?),
-            area: Area::new(text("area")?),
+            service: ServiceName::new(text("pool")?),
+            zone: Zone::new(text("area")?),
             address: text("address")?
                 .parse()
                 .map_err(|_| "address must be an IP number and port".to_string())?,
@@ -476,11 +480,11 @@
         })
     }
 
-    /// Reads a beat with the stamp that its instance gives back.
-    pub fn read_dated(text: &str) -> Result<(Beat, Option<Echo>), String> {
-        let beat = read(text)?;
-        let value = jzon::parse(text).map_err(|mishap| format!("is no JSON: {mishap}"))?;
-        Ok((beat, read_echo(&value["stamp"])?))
+    /// Reads a heartbeat with the stamp that its instance gives back.
+    pub fn read_dated(text: &str) -> Result<(Heartbeat, Option<Echo>), String> {
+        let heartbeat = read(text)?;
+        let value = jzon::parse(text).map_err(|failure| format!("is no JSON: {failure}"))?;
+        Ok((heartbeat, read_echo(&value["stamp"])?))
     }
 
     fn read_echo(value: &JsonValue) -> Result<Option<Echo>, String> {
@@ -533,7 +537,7 @@
             .iter()
             .map(|hold| {
                 let mut json = jzon::object! {
-                    slice: hold.slice,
+                    slice: hold.key_range,
                     epoch: hold.epoch.0,
                     left_ms: hold.left.as_millis() as u64,
                 };
@@ -545,20 +549,20 @@
             .collect()
     }
 
-    fn write_answer(answer: &BeatAnswer) -> JsonValue {
+    fn write_answer(answer: &HeartbeatAnswer) -> JsonValue {
         jzon::object! {
             holds: holds_json(&answer.holds),
             release: holds_json(&answer.release),
         }
     }
 
-    fn read_answer(value: &JsonValue) -> BeatAnswer {
+    fn read_answer(value: &JsonValue) -> HeartbeatAnswer {
         let list = |name: &str| -> Vec<HoldAnswer> {
             value[name]
                 .members()
                 .filter_map(|hold| {
                     Some(HoldAnswer {
-                        slice: hold["slice"].as_u32()?,
+                        key_range: hold["slice"].as_u32()?,
                         epoch: Epoch(hold["epoch"].as_u64()?),
                         left: Duration::from_millis(hold["left_ms"].as_u64()?),
                         handover: hold["handover"].as_str().map(str::to_string),
@@ -566,10 +570,10 @@
                 })
                 .collect()
         };
-        BeatAnswer {
+        HeartbeatAnswer {
             holds: list("holds"),
             release: list("release"),
-            ..BeatAnswer::default()
+            ..HeartbeatAnswer::default()
         }
     }
 }
@@ -579,13 +583,13 @@
     use crate::prelude::*;
 
     #[test]
-    fn given_beats_and_answers_when_written_and_read_then_nothing_changes() {
-        let beat = Beat {
+    fn given_heartbeats_and_answers_when_written_and_read_then_nothing_changes() {
+        let heartbeat = Heartbeat {
             id: InstanceId::new("evidence-1"),
             incarnation: Incarnation(1_800_000_000_123),
             counter: 17,
-            pool: PoolName::new("evidence"),
-            area: Area::new("east-1"),
+            service: ServiceName::new("evidence"),
+            zone: Zone::new("east-1"),
             address: SocketAddr::from(([127, 0, 0, 1], 7000)),
             capacity: 30,
             state: InstanceState::Leaving,
@@ -593,7 +597,7 @@
             up: Duration::from_millis(8500),
             holding: vec![4, 17],
             let_go: vec![LetGo {
-                slice: 5,
+                key_range: 5,
                 epoch: Some(Epoch(12)),
                 handover: Some("5c0e".to_string()),
             }],
@@ -604,32 +608,32 @@
             at: Duration::from_micros(8_123_456),
         };
         let held = Duration::from_micros(498_000);
-        let mut json = beats::write(&beat);
-        json["stamp"] = beats::write_echo(&Echo { stamp, held });
-        let read = beats::read_dated(&json.dump()).expect("it reads");
-        assert_eq!(read, (beat, Some(Echo { stamp, held })));
+        let mut json = heartbeats::write(&heartbeat);
+        json["stamp"] = heartbeats::write_echo(&Echo { stamp, held });
+        let read = heartbeats::read_dated(&json.dump()).expect("it reads");
+        assert_eq!(read, (heartbeat, Some(Echo { stamp, held })));
         let hold = HoldAnswer {
-            slice: 4,
+            key_range: 4,
             epoch: Epoch(9),
             left: Duration::from_millis(6000),
             handover: None,
         };
         let dated = DatedAnswer {
-            answer: BeatAnswer {
+            answer: HeartbeatAnswer {
                 holds: vec![hold],
                 release: Vec::new(),
-                ..BeatAnswer::default()
+                ..HeartbeatAnswer::default()
             },
             stamp,
             again: true,
         };
-        let json = jzon::parse(&beats::write_dated(&dated).dump()).expect("it is JSON");
-        assert_eq!(beats::read_dated_answer(&json), Some(dated));
+        let json = jzon::parse(&heartbeats::write_dated(&dated).dump()).expect("it is JSON");
+        assert_eq!(heartbeats::read_dated_answer(&json), Some(dated));
         for (field, garbled) in [("stamp", "\"none\""), ("let_go", "[7]"), ("state", "4")] {
-            let mut json = beats::write(&read.0);
+            let mut json = heartbeats::write(&read.0);
             json[field] = jzon::parse(garbled).expect("it is JSON");
             assert!(
-                beats::read_dated(&json.dump()).is_err(),
+                heartbeats::read_dated(&json.dump()).is_err(),
                 "{field} {garbled}"
             );
         }
--- /dev/null
+++ b/crates/runtime/src/lib.rs
@@ -0,0 +1,10 @@
+//! What the caperworks daemons share: connections between them, HTTP, disk, options, events.
+
+pub mod actor;
+pub mod connections;
+pub mod disk;
+pub mod events;
+pub mod http;
+pub mod options;
+pub mod prelude;
+pub mod scenario;
--- a/crates/toolroom/src/options.rs
+++ b/crates/runtime/src/options.rs
@@ -43,7 +43,7 @@
     pub control: Option<String>,
     pub advertise: Option<String>,
     pub serving: Option<String>,
-    pub area: Option<String>,
+    pub zone: Option<String>,
     pub seeds: Vec<String>,
     pub data: Option<PathBuf>,
     pub capacity: Option<u32>,
@@ -66,8 +66,8 @@
         .help("Address for HTTP, IP:PORT")
         .argument::<String>("ADDRESS")
         .optional();
-    let area = long("area")
-        .help("The area (zone) that this machine stands in")
+    let zone = long("area")
+        .help("The zone (zone) that this machine stands in")
         .argument::<String>("NAME")
         .optional();
     let seeds = long("seed")
@@ -87,7 +87,7 @@
         control,
         advertise,
         serving,
-        area,
+        zone,
         seeds,
         data,
         capacity
@@ -147,7 +147,7 @@
     /// Where others reach the control address.
     pub advertise: SocketAddr,
     pub serving: SocketAddr,
-    pub area: Area,
+    pub zone: Zone,
     pub seeds: Vec<SocketAddr>,
     pub data: PathBuf,
     pub slot_megabytes: u64,
@@ -181,12 +181,12 @@
         field: "file".to_string(),
         remedy,
     };
-    let text = std::fs::read_to_string(path).map_err(|mishap| {
+    let text = std::fs::read_to_string(path).map_err(|failure| {
         fault(format!(
-            "cannot be read ({mishap}): give a file that exists"
+            "cannot be read ({failure}): give a file that exists"
         ))
     })?;
-    jzon::parse(&text).map_err(|mishap| fault(format!("is no JSON ({mishap}): correct it")))
+    jzon::parse(&text).map_err(|failure| fault(format!("is no JSON ({failure}): correct it")))
 }
 
 impl Place {
@@ -237,12 +237,12 @@
         let serving = address("serving", flags.serving.as_deref(), &mut fault);
         let agent = address("agent", None, &mut fault);
         let advertise = address("advertise", flags.advertise.as_deref(), &mut fault);
-        let area = flags
-            .area
+        let zone = flags
+            .zone
             .clone()
             .or_else(|| value["area"].as_str().map(str::to_string))
             .unwrap_or_default();
-        if area.is_empty() && needs.contains(&"area") {
+        if zone.is_empty() && needs.contains(&"area") {
             fault("area", "is missing: name the zone this machine stands in");
         }
         let mut given_seeds = flags.seeds.clone();
@@ -266,7 +266,7 @@
         if seeds.is_empty() && needs.contains(&"seeds") {
             fault(
                 "seeds",
-                "are missing: give the control addresses of three ledgers",
+                "are missing: give the control addresses of three controllers",
             );
         }
         let data = flags
@@ -295,15 +295,15 @@
             .unwrap_or(number("capacity", 100, 1_000_000) as u32);
         let mut terms = Terms::default();
         if !value["synced_ledgers"].is_null() {
-            terms.core.synced_ledgers = Some(number("synced_ledgers", 2, 9) as usize);
+            terms.core.synced_controllers = Some(number("synced_ledgers", 2, 9) as usize);
         }
-        terms.core.ledger_seats = number("ledger_seats", 3, 9) as usize;
-        // Why none as well: where disks may be wiped while all lose power, seats without disks are
+        terms.core.controller_voters = number("ledger_seats", 3, 9) as usize;
+        // Why none as well: where disks may be wiped while all lose power, voters without disks are
         // lost with them, and a majority must not hang on any.
         match &value["witness_seats"] {
             JsonValue::Null => {}
-            seats => match seats.as_usize() {
-                Some(seats) if seats <= 9 => terms.core.witness_seats = seats,
+            voters => match voters.as_usize() {
+                Some(voters) if voters <= 9 => terms.core.witness_voters = voters,
                 _ => fault("witness_seats", "must be a whole number from 0 to 9"),
             },
         }
@@ -318,7 +318,7 @@
                 control: control.unwrap_or(blank),
                 advertise: advertise.or(control).unwrap_or(blank),
                 serving: serving.unwrap_or(blank),
-                area: Area::new(area),
+                zone: Zone::new(zone),
                 seeds,
                 data,
                 slot_megabytes,
--- a/crates/toolroom/src/prelude.rs
+++ b/crates/runtime/src/prelude.rs
@@ -28,8 +28,8 @@
 pub use tokio::signal::unix::{signal, SignalKind};
 pub use tokio::sync::{mpsc, oneshot, Notify};
 
-pub use crate::circuits::*;
-pub use crate::desk::*;
+pub use crate::actor::*;
+pub use crate::connections::*;
 pub use crate::disk::*;
 pub use crate::events;
 pub use crate::events::*;
--- a/crates/toolroom/src/scenario.rs
+++ b/crates/runtime/src/scenario.rs
@@ -3,12 +3,12 @@
 use crate::prelude::*;
 
 #[derive(Debug, Clone)]
-pub struct PoolPlan {
+pub struct ServicePlan {
     pub name: String,
     pub instances: u32,
     pub capacity: u32,
     pub work_ms: u64,
-    pub pool: JsonValue,
+    pub service: JsonValue,
 }
 
 /// One kind of order that callers send.
@@ -26,13 +26,13 @@
 pub struct Scenario {
     pub file: PathBuf,
     pub name: String,
-    pub areas: Vec<(String, String)>,
-    pub ledgers: Vec<String>,
-    pub proxies_per_area: u32,
+    pub zones: Vec<(String, String)>,
+    pub controllers: Vec<String>,
+    pub proxies_per_zone: u32,
     pub proxy_capacity: u32,
     pub directories: Vec<String>,
-    pub pools: Vec<PoolPlan>,
-    pub rules: JsonValue,
+    pub services: Vec<ServicePlan>,
+    pub routes: JsonValue,
     pub traffic: Vec<Traffic>,
     /// How far the regions lie apart, there and back.
     pub region_distance: Duration,
@@ -67,15 +67,15 @@
                 fault(name.to_string(), "is not a known field: remove it");
             }
         }
-        let areas: Vec<(String, String)> = value["areas"]
+        let zones: Vec<(String, String)> = value["areas"]
             .members()
-            .map(|area| {
-                let text = |name: &str| area[name].as_str().unwrap_or_default().to_string();
+            .map(|zone| {
+                let text = |name: &str| zone[name].as_str().unwrap_or_default().to_string();
                 (text("name"), text("region"))
             })
             .collect();
-        if areas.is_empty()
-            || areas
+        if zones.is_empty()
+            || zones
                 .iter()
                 .any(|(name, region)| name.is_empty() || region.is_empty())
         {
@@ -92,11 +92,11 @@
             if list.len() < least {
                 fault(
                     field.to_string(),
-                    &format!("list at least {least} area names"),
+                    &format!("list at least {least} zone names"),
                 );
             }
             for name in &list {
-                if !areas.iter().any(|(area, _)| area == name) {
+                if !zones.iter().any(|(zone, _)| zone == name) {
                     fault(
                         field.to_string(),
                         &format!("{name} is not one of the areas"),
@@ -105,22 +105,22 @@
             }
             list
         };
-        let ledgers = placed("ledgers", 3);
+        let controllers = placed("ledgers", 3);
         let directories = placed("directories", 1);
         let number =
             |item: &JsonValue, name: &str, otherwise: u32| item[name].as_u32().unwrap_or(otherwise);
-        let pools: Vec<PoolPlan> = value["pools"]
+        let services: Vec<ServicePlan> = value["pools"]
             .members()
-            .map(|pool| PoolPlan {
-                name: pool["name"].as_str().unwrap_or_default().to_string(),
-                instances: number(pool, "instances", 0),
-                capacity: number(pool, "capacity", 50),
-                work_ms: u64::from(number(pool, "work_ms", 3)),
-                pool: pool["pool"].clone(),
+            .map(|service| ServicePlan {
+                name: service["name"].as_str().unwrap_or_default().to_string(),
+                instances: number(service, "instances", 0),
+                capacity: number(service, "capacity", 50),
+                work_ms: u64::from(number(service, "work_ms", 3)),
+                service: service["pool"].clone(),
             })
             .collect();
-        for (place, pool) in pools.iter().enumerate() {
-            if pool.name.is_empty() || pool.instances == 0 {
+        for (place, service) in services.iter().enumerate() {
+            if service.name.is_empty() || service.instances == 0 {
                 fault(
                     format!("pools[{place}]"),
                     "give a name and at least one instance",
@@ -166,39 +166,39 @@
             ),
             file: path.to_path_buf(),
             name: value["name"].as_str().unwrap_or("fleet").to_string(),
-            areas,
-            ledgers,
-            proxies_per_area: number(&value, "proxies_per_area", 3),
+            zones,
+            controllers,
+            proxies_per_zone: number(&value, "proxies_per_area", 3),
             proxy_capacity: number(&value, "proxy_capacity", 100),
             directories,
-            pools,
-            rules: value["rules"].clone(),
+            services,
+            routes: value["rules"].clone(),
         })
     }
 
-    /// The change set that gives the fleet its standing orders.
-    pub fn standing(&self) -> JsonValue {
+    /// The change set that gives the fleet its configuration.
+    pub fn configuration(&self) -> JsonValue {
         let mut puts = JsonValue::new_array();
         let mut add = |put: JsonValue| {
             // Why this cannot fail: it is an array.
             let _ = puts.push(put);
         };
-        for (name, region) in &self.areas {
+        for (name, region) in &self.zones {
             add(jzon::object! {
                 kind: "area",
                 name: name.as_str(),
                 area: { region: region.as_str(), closed: false },
             });
         }
-        for pool in &self.pools {
+        for service in &self.services {
             add(jzon::object! {
                 kind: "pool",
-                name: pool.name.as_str(),
-                pool: pool.pool.clone(),
+                name: service.name.as_str(),
+                pool: service.service.clone(),
             });
         }
-        for rule in self.rules.members() {
-            let mut put = rule.clone();
+        for route in self.routes.members() {
+            let mut put = route.clone();
             put["kind"] = "rule".into();
             add(put);
         }
--- a/crates/rehearsal/examples/play.rs
+++ b/crates/simulator/examples/play.rs
@@ -1,10 +1,10 @@
 //! Plays a day file over many seeds and prints what came of each: the long run.
 //!
-//! With a COUNT of one, a failing seed also prints what the ledgers noted.
+//! With a COUNT of one, a failing seed also prints what the controllers noted.
 //!
-//! `cargo run --release -p rehearsal --example play -- DAY.json FIRST_SEED COUNT`
+//! `cargo run --release -p simulator --example play -- DAY.json FIRST_SEED COUNT`
 
-use rehearsal::prelude::*;
+use simulator::prelude::*;
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -25,11 +25,11 @@
     let scenario = deployment(&day.deployment).expect("the day was checked against it");
     let next = std::sync::atomic::AtomicU64::new(first);
     let bad = std::sync::atomic::AtomicU64::new(0);
-    let order = std::sync::atomic::Ordering::SeqCst;
+    let request = std::sync::atomic::Ordering::SeqCst;
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(4, usize::from) {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, order);
+                let seed = next.fetch_add(1, request);
                 if seed >= first + count {
                     return;
                 }
@@ -40,7 +40,7 @@
                     if count == 1 {
                         println!("{}", observers.notes.join("\n"));
                     }
-                    bad.fetch_add(1, order);
+                    bad.fetch_add(1, request);
                 }
                 for what in wrong.iter().take(4) {
                     println!("seed {seed} BREACH {what}");
@@ -48,7 +48,7 @@
             });
         }
     });
-    let bad = bad.load(order);
+    let bad = bad.load(request);
     println!("{count} seeds, {bad} with breaches");
     std::process::exit(i32::from(bad > 0));
 }
--- a/crates/rehearsal/src/actors.rs
+++ b/crates/simulator/src/actors.rs
@@ -18,7 +18,7 @@
     IgnoresLeaving,
     /// Goes on although its knowledge is stale.
     IgnoresStaleness,
-    /// Goes on in closed areas.
+    /// Goes on in closed zones.
     IgnoresClosed,
     /// Shoots again without a budget.
     NoBudget,
@@ -26,7 +26,7 @@
     WholeGentleRate,
     /// Sends beyond the home region.
     IgnoresHome,
-    /// Takes an older book over a newer one.
+    /// Takes an older map over a newer one.
     GoesBack,
     /// Lets one key have as much of its owner as it asks for.
     NoKeyCap,
@@ -36,7 +36,7 @@
 
 /// An order on its way, as the fleet sees it.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct ClientRequest {
     pub number: u64,
     pub host: String,
     pub path: String,
@@ -57,35 +57,35 @@
 
 #[derive(Debug, Clone)]
 pub struct Carried {
-    pub order: Order,
-    pub chart: OrderChart,
-    pub rule: Rule,
+    pub request: ClientRequest,
+    pub chart: RequestChart,
+    pub route: Route,
     pub target: Option<Target>,
     pub stage: Stage,
-    pub shot: u32,
+    pub attempt: u32,
     pub tried: Vec<InstanceId>,
-    pub standing: Edition,
+    pub configuration: Version,
 }
 
 /// What a proxy wants done.
 #[derive(Debug, Clone)]
 pub enum ProxyWish {
     Open {
-        order: u64,
-        shot: u32,
+        request: u64,
+        attempt: u32,
         target: Target,
     },
     Shoot {
-        order: u64,
-        shot: u32,
+        request: u64,
+        attempt: u32,
         target: Target,
         further: bool,
     },
     Answer {
-        order: Order,
+        request: ClientRequest,
         told: ToldCaller,
         answered: Option<u64>,
-        mishap: Option<Mishap>,
+        failure: Option<Failure>,
         /// Refused by the proxy itself, with no instance tried.
         unsent: bool,
     },
@@ -95,7 +95,7 @@
     /// Stopped politely, and nothing is under way any more.
     End,
     WakeAt {
-        order: u64,
+        request: u64,
         at: Duration,
     },
 }
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum InstanceAnswer {
     Ran {
-        order: u64,
+        request: u64,
         load: u32,
     },
     NotRun,
@@ -114,18 +114,18 @@
 }
 
 pub struct SimProxy {
-    pub area: Area,
+    pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
     pub knowledge: ProxyKnowledge,
-    pub shards: HashMap<PoolName, PoolShard>,
+    pub shards: HashMap<ServiceName, ServiceShard>,
     pub carried: HashMap<u64, Carried>,
     pub broken: BrokenProxy,
     seed: u64,
     pull_number: u64,
     pulls: VecDeque<(u64, Duration)>,
     next_pull: Duration,
-    measured: HashMap<(String, RuleName), (u32, Duration)>,
+    measured: HashMap<(String, RouteName), (u32, Duration)>,
     demand: Vec<Demand>,
     demand_at: Duration,
     /// Refusals that a broken variant keeps back, and until when.
@@ -140,14 +140,14 @@
 
 impl SimProxy {
     pub fn new(
-        area: Area,
+        zone: Zone,
         serving: SocketAddr,
         capacity: u32,
         seed: u64,
         broken: BrokenProxy,
     ) -> Self {
         Self {
-            area,
+            zone,
             serving,
             capacity,
             knowledge: ProxyKnowledge::default(),
@@ -186,15 +186,15 @@
             self.demand = self
                 .measured
                 .drain()
-                .map(|((group, rule), (orders, locality))| Demand {
+                .map(|((group, route), (requests, locality))| Demand {
                     group,
-                    rule,
-                    orders: (f64::from(orders) / span).ceil() as u32,
+                    route,
+                    requests: (f64::from(requests) / span).ceil() as u32,
                     locality,
                 })
                 .collect();
             self.demand
-                .sort_by(|one, other| (&one.group, &one.rule).cmp(&(&other.group, &other.rule)));
+                .sort_by(|one, other| (&one.group, &one.route).cmp(&(&other.group, &other.route)));
         }
         self.pull_number += 1;
         self.pulls.push_back((self.pull_number, now));
@@ -203,8 +203,8 @@
         }
         let pull = Pull {
             number: self.pull_number,
-            standing: self.knowledge.books.book(BookName::Standing).edition,
-            tenure: self.knowledge.books.book(BookName::Tenure).edition,
+            configuration: self.knowledge.maps.map(MapName::Configuration).version,
+            ownership: self.knowledge.maps.map(MapName::Ownership).version,
             serving: self.serving,
             ready: self.stopping_since.is_none(),
             capacity: self.capacity,
@@ -228,12 +228,12 @@
         };
         let asked_at = *asked_at;
         if self.broken == BrokenProxy::GoesBack && view.number.is_multiple_of(40) {
-            self.knowledge.books = Arc::default();
+            self.knowledge.maps = Arc::default();
         }
         let mut view = view.clone();
         if self.broken == BrokenProxy::IgnoresLeaving {
-            for beat in &mut view.instances {
-                beat.state = InstanceState::Serving;
+            for heartbeat in &mut view.instances {
+                heartbeat.state = InstanceState::Serving;
             }
         }
         if self.broken == BrokenProxy::WholeGentleRate {
@@ -252,22 +252,22 @@
     }
 
     /// The rule as this proxy goes by it.
-    fn rule_of(&self, rule: &Rule) -> Rule {
-        let mut rule = rule.clone();
+    fn route_of(&self, route: &Route) -> Route {
+        let mut route = route.clone();
         if self.broken == BrokenProxy::IgnoresHome {
-            rule.homes.clear();
+            route.homes.clear();
         }
-        rule
+        route
     }
 
     pub fn receive(
         &mut self,
         now: Duration,
-        order: Order,
+        request: ClientRequest,
         group: String,
         locality: Duration,
     ) -> Vec<ProxyWish> {
-        let wishes = self.take_in(now, order, group, locality);
+        let wishes = self.take_in(now, request, group, locality);
         if self.broken != BrokenProxy::HoldsRefusals {
             return wishes;
         }
@@ -283,48 +283,48 @@
     fn take_in(
         &mut self,
         now: Duration,
-        order: Order,
+        request: ClientRequest,
         group: String,
         locality: Duration,
     ) -> Vec<ProxyWish> {
         let mut chart =
-            OrderChart::received(!order.write || self.broken == BrokenProxy::RepeatsWrites);
-        let (name, rule) = match self.knowledge.find(now, &order.host, &order.path) {
+            RequestChart::received(!request.write || self.broken == BrokenProxy::RepeatsWrites);
+        let (name, route) = match self.knowledge.find(now, &request.host, &request.path) {
             Ok(found) => found,
-            Err(mishap) => return vec![self.answered(order, &mut chart, mishap, true)],
+            Err(failure) => return vec![self.answered(request, &mut chart, failure, true)],
         };
-        let rule = self.rule_of(&rule);
-        chart.matched(now, &rule);
+        let route = self.route_of(&route);
+        chart.matched(now, &route);
         let metered = self.measured.entry((group, name)).or_insert((0, locality));
         metered.0 += 1;
         metered.1 = metered.1.min(locality);
-        if let Err(mishap) = self.knowledge.admits(now, &self.area, &rule) {
-            return vec![self.answered(order, &mut chart, mishap, true)];
+        if let Err(failure) = self.knowledge.admits(now, &self.zone, &route) {
+            return vec![self.answered(request, &mut chart, failure, true)];
         }
         chart.admitted(true);
         let seed = self.seed;
-        self.shards.entry(rule.pool.clone()).or_insert_with(|| {
-            let mut shard = PoolShard::new(seed ^ steady_hash(rule.pool.as_str()));
+        self.shards.entry(route.service.clone()).or_insert_with(|| {
+            let mut shard = ServiceShard::new(seed ^ steady_hash(route.service.as_str()));
             shard.no_key_cap = self.broken == BrokenProxy::NoKeyCap;
             shard
         });
-        let number = order.number;
+        let number = request.number;
         let deadline = chart.deadline();
         self.carried.insert(
             number,
             Carried {
-                order,
+                request,
                 chart,
-                rule,
+                route,
                 target: None,
                 stage: Stage::Opening,
-                shot: 0,
+                attempt: 0,
                 tried: Vec::new(),
-                standing: Edition(0),
+                configuration: Version(0),
             },
         );
         let mut wishes = vec![ProxyWish::WakeAt {
-            order: number,
+            request: number,
             at: deadline,
         }];
         wishes.extend(self.choose(now, number));
@@ -333,31 +333,31 @@
 
     fn answered(
         &self,
-        order: Order,
-        chart: &mut OrderChart,
-        mishap: Mishap,
+        request: ClientRequest,
+        chart: &mut RequestChart,
+        failure: Failure,
         unsent: bool,
     ) -> ProxyWish {
-        chart.refuse(mishap);
-        let told = match chart.told(mishap) {
+        chart.refuse(failure);
+        let told = match chart.told(failure) {
             Told::NotRun => ToldCaller::NotRun,
             Told::Unknown if self.broken == BrokenProxy::SaysNotRun => ToldCaller::NotRun,
             Told::Unknown => ToldCaller::Unknown,
         };
         ProxyWish::Answer {
-            order,
+            request,
             told,
             answered: None,
-            mishap: Some(mishap),
+            failure: Some(failure),
             unsent,
         }
     }
 
-    fn finish(&mut self, number: u64, mishap: Mishap) -> Vec<ProxyWish> {
+    fn finish(&mut self, number: u64, failure: Failure) -> Vec<ProxyWish> {
         match self.carried.remove(&number) {
             Some(mut carried) => {
-                let unsent = carried.shot == 0;
-                vec![self.answered(carried.order, &mut carried.chart, mishap, unsent)]
+                let unsent = carried.attempt == 0;
+                vec![self.answered(carried.request, &mut carried.chart, failure, unsent)]
             }
             None => Vec::new(),
         }
@@ -368,21 +368,21 @@
             return Vec::new();
         };
         if now >= carried.chart.deadline() {
-            return self.finish(number, Mishap::LateBeforeSending);
+            return self.finish(number, Failure::LateBeforeSending);
         }
-        let Some(shard) = self.shards.get_mut(&carried.rule.pool) else {
+        let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
         };
         let chosen = self
             .knowledge
-            .admits(now, &self.area, &carried.rule)
+            .admits(now, &self.zone, &carried.route)
             .and_then(|()| {
-                let key = carried.order.key.as_deref();
+                let key = carried.request.key.as_deref();
                 shard.choose(
                     now,
                     &self.knowledge,
-                    &self.area,
-                    &carried.rule,
+                    &self.zone,
+                    &carried.route,
                     key,
                     &carried.tried,
                 )
@@ -391,60 +391,60 @@
             Ok(target) => {
                 shard.begin(now, &target);
                 carried.chart.chosen();
-                carried.shot += 1;
+                carried.attempt += 1;
                 carried.stage = Stage::Opening;
                 carried.target = Some(target.clone());
-                let shot = carried.shot;
+                let attempt = carried.attempt;
                 vec![
                     ProxyWish::WakeAt {
-                        order: number,
+                        request: number,
                         at: now + OPEN_PATIENCE,
                     },
                     ProxyWish::Open {
-                        order: number,
-                        shot,
+                        request: number,
+                        attempt,
                         target,
                     },
                 ]
             }
-            Err(mishap) => self.finish(number, mishap),
+            Err(failure) => self.finish(number, failure),
         }
     }
 
-    /// The circuit stands: the last check, then the order leaves.
-    pub fn opened(&mut self, now: Duration, number: u64, shot: u32) -> Vec<ProxyWish> {
+    /// The connection stands: the last check, then the order leaves.
+    pub fn opened(&mut self, now: Duration, number: u64, attempt: u32) -> Vec<ProxyWish> {
         let Some(carried) = self.carried.get_mut(&number) else {
             return Vec::new();
         };
         let (Some(target), Stage::Opening) = (carried.target.clone(), carried.stage) else {
             return Vec::new();
         };
-        if carried.shot != shot {
+        if carried.attempt != attempt {
             return Vec::new();
         }
         let good = self
             .knowledge
-            .still_good(now, &self.area, &carried.rule, &target);
-        if let Err(mishap) = good {
-            if let Some(shard) = self.shards.get_mut(&carried.rule.pool) {
+            .still_good(now, &self.zone, &carried.route, &target);
+        if let Err(failure) = good {
+            if let Some(shard) = self.shards.get_mut(&carried.route.service) {
                 shard.end(now, &target, true, None);
             }
-            return self.finish(number, mishap);
+            return self.finish(number, failure);
         }
         carried.chart.shooting();
         carried.chart.sent();
-        if carried.chart.shots() == 1 {
-            if let Some(shard) = self.shards.get_mut(&carried.rule.pool) {
-                shard.first_shot(now);
+        if carried.chart.attempts() == 1 {
+            if let Some(shard) = self.shards.get_mut(&carried.route.service) {
+                shard.first_attempt(now);
             }
         }
         carried.stage = Stage::Sent;
-        carried.standing = self.knowledge.books.book(BookName::Standing).edition;
+        carried.configuration = self.knowledge.maps.map(MapName::Configuration).version;
         vec![ProxyWish::Shoot {
-            order: number,
-            shot,
+            request: number,
+            attempt,
             target,
-            further: carried.chart.shots() > 1,
+            further: carried.chart.attempts() > 1,
         }]
     }
 
@@ -452,14 +452,14 @@
         &mut self,
         now: Duration,
         number: u64,
-        shot: u32,
-        end: ShotEnd,
+        attempt: u32,
+        end: AttemptEnd,
         answer: Option<InstanceAnswer>,
     ) -> Vec<ProxyWish> {
         let (end, load, answered) = match answer {
-            Some(InstanceAnswer::Ran { order, load }) => (end, Some(load), Some(order)),
+            Some(InstanceAnswer::Ran { request, load }) => (end, Some(load), Some(request)),
             Some(InstanceAnswer::NotRun | InstanceAnswer::Misdirected) => {
-                (ShotEnd::RefusedByInstance, None, None)
+                (AttemptEnd::RefusedByInstance, None, None)
             }
             Some(InstanceAnswer::Garbage) => (end, None, Some(number + 1_000_000_000)),
             None => (end, None, None),
@@ -467,22 +467,22 @@
         let Some(carried) = self.carried.get_mut(&number) else {
             return Vec::new();
         };
-        if carried.shot != shot {
+        if carried.attempt != attempt {
             return Vec::new();
         }
         let Some(target) = carried.target.take() else {
             return Vec::new();
         };
         let mut end = end;
-        if end == ShotEnd::Answered
+        if end == AttemptEnd::Answered
             && answered != Some(number)
             && self.broken != BrokenProxy::TakesAnyAnswer
         {
-            end = ShotEnd::Garbage;
+            end = AttemptEnd::Garbage;
         }
-        let good = matches!(end, ShotEnd::Answered | ShotEnd::RefusedByInstance);
+        let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
         let no_budget = self.broken == BrokenProxy::NoBudget;
-        let Some(shard) = self.shards.get_mut(&carried.rule.pool) else {
+        let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
         };
         shard.end(now, &target, good, load);
@@ -494,20 +494,20 @@
         }
         let step = carried
             .chart
-            .shot_ended(now, end, || no_budget || shard.take_retry(now));
+            .attempt_ended(now, end, || no_budget || shard.take_retry(now));
         match step {
             NextStep::PassOn => match self.carried.remove(&number) {
                 Some(carried) => vec![ProxyWish::Answer {
-                    order: carried.order,
+                    request: carried.request,
                     told: ToldCaller::Served,
                     answered,
-                    mishap: None,
+                    failure: None,
                     unsent: false,
                 }],
                 None => Vec::new(),
             },
             NextStep::ShootAgain => self.choose(now, number),
-            NextStep::Answer(mishap) => self.finish(number, mishap),
+            NextStep::Answer(failure) => self.finish(number, failure),
         }
     }
 
@@ -517,20 +517,20 @@
             return Vec::new();
         };
         let late = now >= carried.chart.deadline();
-        let (stage, shot) = (carried.stage, carried.shot);
+        let (stage, attempt) = (carried.stage, carried.attempt);
         match stage {
-            Stage::Sent if late => self.ended(now, number, shot, ShotEnd::Late, None),
+            Stage::Sent if late => self.ended(now, number, attempt, AttemptEnd::Late, None),
             Stage::Opening if late => {
                 if let Some(target) = carried.target.clone() {
-                    if let Some(shard) = self.shards.get_mut(&carried.rule.pool.clone()) {
+                    if let Some(shard) = self.shards.get_mut(&carried.route.service.clone()) {
                         shard.end(now, &target, false, None);
                     }
                 }
-                self.finish(number, Mishap::LateBeforeSending)
+                self.finish(number, Failure::LateBeforeSending)
             }
             // Why compare: only the wake-up that belongs to this opening ends it.
             Stage::Opening if now >= at && carried.target.is_some() => {
-                self.ended(now, number, shot, ShotEnd::NotOpened, None)
+                self.ended(now, number, attempt, AttemptEnd::NotOpened, None)
             }
             _ => Vec::new(),
         }
@@ -540,19 +540,19 @@
 /// What an instance works on.
 #[derive(Debug, Clone)]
 pub struct Work {
-    pub order: u64,
-    pub shot: u32,
+    pub request: u64,
+    pub attempt: u32,
     pub proxy: usize,
     pub proxy_life: u64,
-    pub slice: Option<(u32, Epoch)>,
-    pub pool: PoolName,
+    pub key_range: Option<(u32, Epoch)>,
+    pub service: ServiceName,
     pub from: Duration,
 }
 
 pub struct SimInstance {
     pub id: InstanceId,
-    pub pool: PoolName,
-    pub area: Area,
+    pub service: ServiceName,
+    pub zone: Zone,
     pub address: SocketAddr,
     pub capacity: u32,
     pub work_span: Duration,
@@ -564,9 +564,9 @@
     pub holdings: Holdings,
     pub agents: Vec<usize>,
     pub agent: usize,
-    pub next_beat: Duration,
-    /// When each beat was sent, and to which agent.
-    pub beat_sent: HashMap<u64, (Duration, usize)>,
+    pub next_heartbeat: Duration,
+    /// When each heartbeat was sent, and to which agent.
+    pub heartbeat_sent: HashMap<u64, (Duration, usize)>,
     /// The last stamp of each agent, and since when we have it.
     pub stamps: HashMap<usize, (Stamp, Duration)>,
     pub unheard: u32,
@@ -580,19 +580,19 @@
 }
 
 impl SimInstance {
-    pub fn beat(&mut self, now: Duration) -> Beat {
+    pub fn heartbeat(&mut self, now: Duration) -> Heartbeat {
         self.counter += 1;
         self.says(now)
     }
 
-    /// What a beat says now.
-    pub fn says(&self, now: Duration) -> Beat {
-        Beat {
+    /// What a heartbeat says now.
+    pub fn says(&self, now: Duration) -> Heartbeat {
+        Heartbeat {
             id: self.id.clone(),
             incarnation: self.incarnation,
             counter: self.counter,
-            pool: self.pool.clone(),
-            area: self.area.clone(),
+            service: self.service.clone(),
+            zone: self.zone.clone(),
             address: self.address,
             capacity: self.capacity,
             state: if self.leaving {
--- a/crates/rehearsal/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -16,13 +16,13 @@
     Freeze,
     Wake,
     Leave,
-    /// Another instance, of this pool, takes the address over.
+    /// Another instance, of this service, takes the address over.
     TakeOver {
-        pool: String,
+        service: String,
     },
     LoseAnswers(u32),
     SendGarbage(u32),
-    RefuseOrders(u32),
+    RefuseRequests(u32),
     RefuseDisk,
     MendDisk,
     CutOff {
@@ -34,25 +34,25 @@
     CutBetween {
         other: String,
     },
-    /// Cut off from the other seats, but not from its followers.
+    /// Cut off from the other voters, but not from its followers.
     Part,
-    /// Hears no votes and no news of books, but all else.
+    /// Hears no votes and no news of maps, but all else.
     Deafen,
     /// Whatever goes to or comes from here is late by up to this span, and often doubled.
-    Muddle {
+    HttpFault {
         most: Duration,
         doubled_per_thousand: u64,
     },
     Join,
-    CloseArea,
-    OpenArea,
+    CloseZone,
+    OpenZone,
     /// Lost for good: nothing starts there again.
     Vanish,
     /// The wall clock jumps by so many milliseconds.
     JumpClock(i64),
     /// Instances take so many times as long for their work.
     Slow(u32),
-    /// So many more orders a second, all for one key of this pool.
+    /// So many more orders a second, all for one key of this service.
     HotKey(u32),
     /// Callers send so many percent of the day's traffic.
     Surge(u32),
@@ -67,7 +67,7 @@
             self,
             Act::Start
                 | Act::Join
-                | Act::OpenArea
+                | Act::OpenZone
                 | Act::MendDisk
                 | Act::Wake
                 | Act::Cool
@@ -82,13 +82,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Harm {
+pub struct FaultStep {
     pub at: Duration,
     pub act: Act,
     pub target: String,
     /// After it, most traffic must be served again within the brief's fifteen seconds.
     pub big: bool,
-    /// Keyed traffic cannot be served until it is over: holds lapse without their keeper.
+    /// Keyed traffic cannot be served until it is over: holds lapse without their owner manager.
     pub keyed_waits: bool,
     /// Strikes in the instant in which the next change is accepted, and not before `at`.
     pub on_yes: bool,
@@ -112,11 +112,11 @@
     /// surge or a slow instance lasts.
     pub kept_at_least: u64,
     pub seeds: Vec<u64>,
-    pub faults: Vec<Harm>,
-    pub broken_ledger: Broken,
+    pub faults: Vec<FaultStep>,
+    pub broken_controller: Broken,
     pub broken_proxy: BrokenProxy,
     pub broken_island: BrokenIsland,
-    pub careless_mentors: bool,
+    pub careless_agents: bool,
     pub careless_instances: bool,
     /// Only for proving the observers: clocks stand still while a process is frozen.
     pub clocks_stop_asleep: bool,
@@ -138,11 +138,11 @@
         "wake" => Act::Wake,
         "leave" => Act::Leave,
         "take-over" => Act::TakeOver {
-            pool: item["pool"].as_str()?.to_string(),
+            service: item["pool"].as_str()?.to_string(),
         },
         "lose-answers" => Act::LoseAnswers(count),
         "send-garbage" => Act::SendGarbage(count),
-        "refuse-orders" => Act::RefuseOrders(count),
+        "refuse-orders" => Act::RefuseRequests(count),
         "refuse-disk" => Act::RefuseDisk,
         "mend-disk" => Act::MendDisk,
         "cut-off" => Act::CutOff { one_way: false },
@@ -153,7 +153,7 @@
         },
         "part" => Act::Part,
         "deafen" => Act::Deafen,
-        "muddle" => Act::Muddle {
+        "muddle" => Act::HttpFault {
             most: Duration::from_millis(item["late_ms"].as_u64()?),
             doubled_per_thousand: item["doubled_per_thousand"].as_u64()?,
         },
@@ -164,8 +164,8 @@
         "hot-key" => Act::HotKey(item["per_second"].as_u32()?),
         "surge" => Act::Surge(item["percent"].as_u32()?),
         "cool" => Act::Cool,
-        "close-area" => Act::CloseArea,
-        "open-area" => Act::OpenArea,
+        "close-area" => Act::CloseZone,
+        "open-area" => Act::OpenZone,
         _ => return None,
     })
 }
@@ -237,7 +237,7 @@
             let on_yes = item["on_yes_after_ms"].as_u64();
             match (at.or(on_yes), read_act(item)) {
                 (Some(moment), Some(act)) if at.is_none() || on_yes.is_none() => {
-                    faults.push(Harm {
+                    faults.push(FaultStep {
                         at: Duration::from_millis(moment),
                         act,
                         target: item["target"].as_str().unwrap_or_default().to_string(),
@@ -263,14 +263,18 @@
         match deployment(deployed) {
             Err(remedy) => fault("deployment".to_string(), remedy),
             Ok(scenario) => {
-                for (place, harm) in faults.iter().enumerate() {
-                    if !harm.act.is_untargeted() && !is_target(&scenario, &harm.target) {
+                for (place, fault_step) in faults.iter().enumerate() {
+                    if !fault_step.act.is_untargeted() && !is_target(&scenario, &fault_step.target)
+                    {
                         fault(
                             format!("faults[{place}].target"),
-                            format!("{} is no node, program or area of {deployed}", harm.target),
+                            format!(
+                                "{} is no node, program or area of {deployed}",
+                                fault_step.target
+                            ),
                         );
                     }
-                    if let Act::CutBetween { other } = &harm.act {
+                    if let Act::CutBetween { other } = &fault_step.act {
                         if !is_target(&scenario, other) {
                             fault(
                                 format!("faults[{place}].other"),
@@ -301,10 +305,10 @@
             kept_at_least: number("kept_at_least", 0),
             seeds,
             faults,
-            broken_ledger: Broken::Nothing,
+            broken_controller: Broken::Nothing,
             broken_proxy: BrokenProxy::Nothing,
             broken_island: BrokenIsland::Nothing,
-            careless_mentors: false,
+            careless_agents: false,
             careless_instances: false,
             clocks_stop_asleep: false,
             undated: false,
@@ -334,8 +338,8 @@
     pub fn next_harm(&self, after: Duration) -> Duration {
         self.faults
             .iter()
-            .filter(|harm| harm.at > after && harm.act.is_harm())
-            .map(|harm| harm.at)
+            .filter(|fault_step| fault_step.at > after && fault_step.act.is_harm())
+            .map(|fault_step| fault_step.at)
             .min()
             .unwrap_or(self.length)
     }
@@ -352,10 +356,10 @@
 fn is_target(scenario: &Scenario, target: &str) -> bool {
     let name = target.strip_prefix("any-").unwrap_or(target);
     let programs = [
-        "ledger",
-        "mentor",
-        "playout",
-        "cuesheet",
+        "controller",
+        "agent",
+        "proxy",
+        "directory",
         "instance",
         "holder",
         "answering",
@@ -364,11 +368,14 @@
     ];
     let parts = name.split('-').next().unwrap_or_default();
     programs.contains(&parts)
-        || scenario.pools.iter().any(|pool| pool.name == parts)
         || scenario
-            .areas
+            .services
             .iter()
-            .any(|(area, region)| area == name || region == name)
+            .any(|service| service.name == parts)
+        || scenario
+            .zones
+            .iter()
+            .any(|(zone, region)| zone == name || region == name)
 }
 
 /// The scenario file of a deployment, from the workspace's own folder.
--- a/crates/rehearsal/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -11,7 +11,7 @@
 
 /// Places whose messages are late, out of order and doubled.
 #[derive(Debug, Clone)]
-pub struct Muddle {
+pub struct HttpFault {
     pub places: BTreeSet<usize>,
     pub most: Duration,
     pub doubled_per_thousand: u64,
@@ -19,16 +19,16 @@
 
 #[derive(Debug, Clone)]
 pub struct Network {
-    pub same_area: Duration,
+    pub same_zone: Duration,
     pub same_region: Duration,
     pub other_region: Duration,
     pub loss_per_thousand: u64,
     pub cuts: Vec<Cut>,
-    /// Nodes that hear everything but votes and news of books, as when one way is stuck.
+    /// Nodes that hear everything but votes and news of maps, as when one way is stuck.
     pub deaf: BTreeSet<usize>,
-    /// Ledgers that neither hear nor reach the other seats, but still grant to their followers.
+    /// Controllers that neither hear nor reach the other voters, but still grant to their followers.
     pub parted: BTreeSet<usize>,
-    pub muddles: Vec<Muddle>,
+    pub http_faults: Vec<HttpFault>,
 }
 
 impl Network {
@@ -39,14 +39,14 @@
     }
 
     /// What is muddled about the way between two places.
-    pub fn muddle(&self, from: usize, to: usize) -> Option<&Muddle> {
-        self.muddles
+    pub fn http_fault(&self, from: usize, to: usize) -> Option<&HttpFault> {
+        self.http_faults
             .iter()
-            .find(|muddle| muddle.places.contains(&from) || muddle.places.contains(&to))
+            .find(|http_fault| http_fault.places.contains(&from) || http_fault.places.contains(&to))
     }
 }
 
-/// One ledger's disk: what is synced, and what is written but not synced.
+/// One controller's disk: what is synced, and what is written but not synced.
 #[derive(Debug, Clone, Default)]
 pub struct SimDisk {
     pub synced: DiskImage,
