--- a/scripts/fault_days/command_line.py
+++ b/scripts/fault_days/command_line.py
@@ -33,7 +33,14 @@
     paths = write_days(days, site, options.seed, options.out)
     if options.play is None:
         return 0
-    settings = PlaySettings(options.play, options.site, options.jobs, options.why, options.lock)
+    settings = PlaySettings(
+        bench=options.play,
+        site_path=options.site,
+        jobs=options.jobs,
+        small=options.small,
+        why=options.why,
+        lock=options.lock,
+    )
     return play_days(paths, settings, options.stop_on_failure)
 
 
@@ -50,6 +57,7 @@
     made.add_argument("--seed", type=int, default=1, help="what the days' luck is drawn from")
     made.add_argument("--play", type=Path, metavar="BENCH", help="play the days with this test bench")
     made.add_argument("--jobs", type=int, default=4, help="processor cores that the bench may use")
+    made.add_argument("--small", action="store_true", help="play small twins of large days")
     made.add_argument("--why", default="days of control faults", help="the reason noted in the journal")
     made.add_argument("--lock", type=Path, help="a file to lock while the bench runs")
     made.add_argument("--stop-on-failure", action="store_true", help="play no more after a failed day")
--- a/scripts/fault_days/playing.py
+++ b/scripts/fault_days/playing.py
@@ -22,6 +22,8 @@
     bench: Path
     site_path: Path
     jobs: int
+    small: bool
+    """Play small twins of the days of large deployments."""
     why: str
     lock: Path | None
     """A file that is locked while the bench runs, where several callers share a machine."""
@@ -67,18 +69,7 @@
     """Plays one written day; its output and report stay beside the day file."""
     report_path = day_path.with_suffix(".report.json")
     report_path.unlink(missing_ok=True)
-    command = [
-        str(settings.bench),
-        "run",
-        str(settings.site_path),
-        str(day_path),
-        "--jobs",
-        str(settings.jobs),
-        "--report",
-        str(report_path),
-        "--why",
-        f"{settings.why}: {day_path.stem}",
-    ]
+    command = bench_command(day_path, report_path, settings)
     with locked(settings.lock):
         done = subprocess.run(command, capture_output=True, text=True, check=False)
     output_path = day_path.with_suffix(".out")
@@ -88,6 +79,17 @@
     return outcome_of(day_path.stem, json.loads(report_path.read_text()))
 
 
+def bench_command(day_path: Path, report_path: Path, settings: PlaySettings) -> list[str]:
+    """How the bench is called for a day."""
+    command = [str(settings.bench), "run", str(settings.site_path), str(day_path)]
+    command += ["--jobs", str(settings.jobs)]
+    command += ["--report", str(report_path)]
+    command += ["--why", f"{settings.why}: {day_path.stem}"]
+    if settings.small:
+        command.append("--small")
+    return command
+
+
 @contextmanager
 def locked(path: Path | None) -> Iterator[None]:
     """Holds the lock of a file, if one is named."""
--- a/scripts/fault_days/tests/test_fault_days.py
+++ b/scripts/fault_days/tests/test_fault_days.py
@@ -179,6 +179,14 @@
         self.assertEqual(status, 1)
         self.assertNotIn("core-cut-race", output)
 
+    def test_given_small_twins_when_days_are_played_then_the_bench_is_asked_for_them(self):
+        self.bench.write_text('#!/bin/sh\necho "$@"\n')
+        names = ["--day", "core-cut-leader", "--jobs", "3", "--why", "a try", "--small"]
+        run_command(SITE_PATH, "--out", self.folder, *names, "--play", self.bench)
+        called = (self.folder / "core-cut-leader.out").read_text()
+        self.assertIn("--jobs 3", called)
+        self.assertIn("--why a try: core-cut-leader --small", called)
+
     def test_given_a_bench_without_a_report_when_a_day_is_played_then_it_failed(self):
         self.bench.write_text("#!/usr/bin/env python3\n")
         names = ["--day", "core-cut-leader"]
