--- a/crates/caperworks/src/prelude.rs
+++ b/crates/caperworks/src/prelude.rs
@@ -11,7 +11,9 @@
 pub use slab::Slab;
 
 pub use crate::configuration::*;
-pub use crate::consensus::*;
+pub use crate::consensus::messages::*;
+pub use crate::consensus::proposer::*;
+pub use crate::consensus::voter::*;
 pub use crate::dispatch::*;
 pub use crate::envelope_clock::*;
 pub use crate::facts::*;
