--- /dev/null
+++ b/crates/simulator/src/actors/instance.rs
@@ -0,0 +1,81 @@
+//! The instance of the simulated fleet.
+
+use crate::prelude::*;
+
+/// What an instance works on.
+#[derive(Debug, Clone)]
+pub struct Work {
+    pub request: u64,
+    pub attempt: u32,
+    pub proxy: usize,
+    pub proxy_life: u64,
+    pub key_range: Option<(u32, Epoch)>,
+    pub service: ServiceName,
+    pub from: Duration,
+}
+
+pub struct SimInstance {
+    pub id: InstanceId,
+    pub service: ServiceName,
+    pub zone: Zone,
+    pub address: SocketAddr,
+    pub capacity: u32,
+    pub work_span: Duration,
+    /// How many times as long as usual its work takes.
+    pub slowness: u32,
+    pub incarnation: Incarnation,
+    pub counter: u64,
+    pub leaving: bool,
+    pub holdings: Holdings,
+    pub agents: Vec<usize>,
+    pub agent: usize,
+    pub next_heartbeat: Duration,
+    /// When each heartbeat was sent, and to which agent.
+    pub heartbeat_sent: HashMap<u64, (Duration, usize)>,
+    /// The last stamp of each agent, and since when we have it.
+    pub stamps: HashMap<usize, (Stamp, Duration)>,
+    pub unheard: u32,
+    pub work: Slab<Work>,
+    /// Answers lost after the work, garbage sent, for as many orders.
+    pub loses_answers: u32,
+    pub sends_garbage: u32,
+    pub refuses: u32,
+    /// Works as if every order were for it, whatever its headers say.
+    pub careless: bool,
+}
+
+impl SimInstance {
+    /// Says from now on that it is leaving, and says it at once.
+    pub fn leave(&mut self) {
+        self.leaving = true;
+        self.next_heartbeat = Duration::ZERO;
+    }
+
+    pub fn heartbeat(&mut self, now: Duration) -> Heartbeat {
+        self.counter += 1;
+        self.says(now)
+    }
+
+    /// What a heartbeat says now.
+    pub fn says(&self, now: Duration) -> Heartbeat {
+        Heartbeat {
+            id: self.id.clone(),
+            incarnation: self.incarnation,
+            counter: self.counter,
+            service: self.service.clone(),
+            zone: self.zone.clone(),
+            address: self.address,
+            capacity: self.capacity,
+            state: if self.leaving {
+                InstanceState::Leaving
+            } else {
+                InstanceState::Serving
+            },
+            load: self.work.len() as u32,
+            up: now,
+            holding: self.holdings.holding(now),
+            let_go: self.holdings.let_go(),
+            cold_left: Duration::ZERO,
+        }
+    }
+}
--- a/crates/simulator/src/actors.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -1,5 +1,4 @@
-//! The proxies and instances of the simulated fleet: the daemons' state machines with the
-//! network between them played by the world.
+//! The proxy of the simulated fleet.
 
 use crate::prelude::*;
 
@@ -34,85 +33,6 @@
     HoldsRefusals,
 }
 
-/// An order on its way, as the fleet sees it.
-#[derive(Debug, Clone)]
-pub struct ClientRequest {
-    pub number: u64,
-    pub host: String,
-    pub path: String,
-    pub write: bool,
-    pub key: Option<String>,
-    pub sent_at: Duration,
-    /// When it was taken in by a proxy, by the world's time.
-    pub received_at: Duration,
-    /// Which kind of traffic it is; none for the orders of a hot key.
-    pub kind: Option<usize>,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
-    Opening,
-    Sent,
-}
-
-#[derive(Debug, Clone)]
-pub struct Carried {
-    pub request: ClientRequest,
-    pub chart: RequestChart,
-    pub route: Route,
-    pub target: Option<Target>,
-    pub stage: Stage,
-    pub attempt: u32,
-    pub tried: Vec<InstanceId>,
-    pub configuration: Version,
-}
-
-/// What a proxy wants done.
-#[derive(Debug, Clone)]
-pub enum ProxyWish {
-    Open {
-        request: u64,
-        attempt: u32,
-        target: Target,
-    },
-    Shoot {
-        request: u64,
-        attempt: u32,
-        target: Target,
-        further: bool,
-    },
-    Answer {
-        request: ClientRequest,
-        told: ToldCaller,
-        answered: Option<u64>,
-        failure: Option<Failure>,
-        /// Refused by the proxy itself, with no instance tried.
-        unsent: bool,
-    },
-    Pull {
-        message: Message,
-    },
-    /// Stopped politely, and nothing is under way any more.
-    End,
-    WakeAt {
-        request: u64,
-        at: Duration,
-    },
-}
-
-/// The answer of an instance.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum InstanceAnswer {
-    Ran {
-        request: u64,
-        load: u32,
-    },
-    NotRun,
-    /// Another life answers here than the one that the order is for.
-    Misdirected,
-    Garbage,
-}
-
 pub struct SimProxy {
     pub zone: Zone,
     pub serving: SocketAddr,
@@ -135,6 +55,7 @@
 }
 
 const OPEN_PATIENCE: Duration = Duration::from_millis(400);
+
 /// As long as the daemon takes orders after a stop was asked for.
 const LINGER: Duration = Duration::from_millis(2600);
 
@@ -536,75 +457,3 @@
         }
     }
 }
-
-/// What an instance works on.
-#[derive(Debug, Clone)]
-pub struct Work {
-    pub request: u64,
-    pub attempt: u32,
-    pub proxy: usize,
-    pub proxy_life: u64,
-    pub key_range: Option<(u32, Epoch)>,
-    pub service: ServiceName,
-    pub from: Duration,
-}
-
-pub struct SimInstance {
-    pub id: InstanceId,
-    pub service: ServiceName,
-    pub zone: Zone,
-    pub address: SocketAddr,
-    pub capacity: u32,
-    pub work_span: Duration,
-    /// How many times as long as usual its work takes.
-    pub slowness: u32,
-    pub incarnation: Incarnation,
-    pub counter: u64,
-    pub leaving: bool,
-    pub holdings: Holdings,
-    pub agents: Vec<usize>,
-    pub agent: usize,
-    pub next_heartbeat: Duration,
-    /// When each heartbeat was sent, and to which agent.
-    pub heartbeat_sent: HashMap<u64, (Duration, usize)>,
-    /// The last stamp of each agent, and since when we have it.
-    pub stamps: HashMap<usize, (Stamp, Duration)>,
-    pub unheard: u32,
-    pub work: Slab<Work>,
-    /// Answers lost after the work, garbage sent, for as many orders.
-    pub loses_answers: u32,
-    pub sends_garbage: u32,
-    pub refuses: u32,
-    /// Works as if every order were for it, whatever its headers say.
-    pub careless: bool,
-}
-
-impl SimInstance {
-    pub fn heartbeat(&mut self, now: Duration) -> Heartbeat {
-        self.counter += 1;
-        self.says(now)
-    }
-
-    /// What a heartbeat says now.
-    pub fn says(&self, now: Duration) -> Heartbeat {
-        Heartbeat {
-            id: self.id.clone(),
-            incarnation: self.incarnation,
-            counter: self.counter,
-            service: self.service.clone(),
-            zone: self.zone.clone(),
-            address: self.address,
-            capacity: self.capacity,
-            state: if self.leaving {
-                InstanceState::Leaving
-            } else {
-                InstanceState::Serving
-            },
-            load: self.work.len() as u32,
-            up: now,
-            holding: self.holdings.holding(now),
-            let_go: self.holdings.let_go(),
-            cold_left: Duration::ZERO,
-        }
-    }
-}
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub mod actors;
 pub mod day;
+pub mod disks;
 pub mod network;
 pub mod observers;
 pub mod prelude;
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network and disks: delay, loss, cuts, unsynced writes, torn writes.
+//! The simulated network: delay, loss and cuts.
 
 use crate::prelude::*;
 
@@ -32,6 +32,20 @@
 }
 
 impl Network {
+    /// Cuts the way from some places to others.
+    pub fn cut(&mut self, from: &BTreeSet<usize>, to: &BTreeSet<usize>) {
+        let (from, to) = (from.clone(), to.clone());
+        self.cuts.push(Cut { from, to });
+    }
+
+    /// Ends all cuts and faults.
+    pub fn join(&mut self) {
+        self.cuts.clear();
+        self.deaf.clear();
+        self.parted.clear();
+        self.http_faults.clear();
+    }
+
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cuts
             .iter()
@@ -44,81 +58,16 @@
             .iter()
             .find(|http_fault| http_fault.places.contains(&from) || http_fault.places.contains(&to))
     }
-}
-
-/// One controller's disk: what is synced, and what is written but not synced.
-#[derive(Debug, Clone, Default)]
-pub struct SimDisk {
-    pub synced: DiskImage,
-    pub unsynced: VecDeque<(u64, Vec<DiskWrite>)>,
-    pub refuses: bool,
-}
-
-fn lay(bytes: &mut Vec<u8>, offset: usize, part: &[u8]) {
-    if bytes.len() < offset + part.len() {
-        bytes.resize(offset + part.len(), 0);
-    }
-    bytes[offset..offset + part.len()].copy_from_slice(part);
-}
-
-impl SimDisk {
-    fn carry_out(&mut self, write: &DiskWrite, length: usize) {
-        match write {
-            DiskWrite::Slot { second, bytes } => {
-                lay(
-                    &mut self.synced.slots[usize::from(*second)],
-                    0,
-                    &bytes[..length],
-                );
-            }
-            DiskWrite::Log { offset, bytes } => {
-                lay(&mut self.synced.log, *offset as usize, &bytes[..length]);
-            }
-        }
-    }
-
-    /// Syncs everything up to a ticket.
-    pub fn sync(&mut self, ticket: u64) {
-        while self
-            .unsynced
-            .front()
-            .is_some_and(|(first, _)| *first <= ticket)
-        {
-            if let Some((_, writes)) = self.unsynced.pop_front() {
-                for write in writes {
-                    let length = write_length(&write);
-                    self.carry_out(&write, length);
-                }
-            }
-        }
-    }
-
-    /// The process ended but the machine did not: all that was written is kept.
-    pub fn process_ended(&mut self) {
-        self.sync(u64::MAX);
-    }
-
-    /// The power went: a part of what was not synced may be there, cut off anywhere.
-    pub fn power_lost(&mut self, chance: &mut Chance) {
-        let writes: Vec<DiskWrite> = self
-            .unsynced
-            .drain(..)
-            .flat_map(|(_, writes)| writes)
-            .collect();
-        let kept = chance.below(writes.len() as u64 + 1) as usize;
-        for (place, write) in writes.iter().enumerate() {
-            if place < kept {
-                self.carry_out(write, write_length(write));
-            } else if place == kept {
-                let cut = chance.below(write_length(write) as u64 + 1) as usize;
-                self.carry_out(write, cut);
-            }
-        }
-    }
-}
 
-fn write_length(write: &DiskWrite) -> usize {
-    match write {
-        DiskWrite::Slot { bytes, .. } | DiskWrite::Log { bytes, .. } => bytes.len(),
+    /// Whether a message of the voters does not get through, since one of them is parted or deaf.
+    pub fn holds_back(&self, from: usize, to: usize, message: &Message) -> bool {
+        let vote = matches!(message, Message::ConsensusMessage { .. });
+        let consensus = vote
+            || matches!(
+                message,
+                Message::RoundAsk { .. } | Message::RoundAnswer { .. } | Message::Facts { .. }
+            );
+        let parted = from != to && (self.parted.contains(&from) || self.parted.contains(&to));
+        (vote && self.deaf.contains(&to)) || (consensus && parted)
     }
 }
--- /dev/null
+++ b/crates/simulator/src/observers/attempts.rs
@@ -0,0 +1,148 @@
+//! Attempts: where requests may be sent, and how often.
+
+use crate::prelude::*;
+
+pub const LEAVING_LIMIT: Duration = Duration::from_millis(4000);
+
+pub const CLOSED_LIMIT: Duration = Duration::from_millis(5000);
+
+const RETRY_FEW_DOZEN: u64 = 36;
+
+/// The attempts at a service of the last ten seconds, and how many of them were further ones.
+#[derive(Default)]
+pub(crate) struct ServiceAttempts {
+    window: VecDeque<(Duration, bool)>,
+    further: u64,
+}
+
+/// What an instance was sent, as seen when it got there.
+pub struct Reached<'order> {
+    pub request: u64,
+    pub instance: &'order Heartbeat,
+    pub cold: bool,
+    pub service: &'order Service,
+    pub route: &'order Route,
+    pub region: &'order Region,
+    pub proxy_zone: &'order Zone,
+    pub proxy_region: &'order Region,
+    pub configuration: Version,
+}
+
+impl Observers {
+    /// A controller heard that an instance is leaving.
+    pub fn heard_leaving(&mut self, at: Duration, heartbeat: &Heartbeat) {
+        self.leaving
+            .entry((heartbeat.id.clone(), heartbeat.incarnation))
+            .or_insert(at);
+    }
+
+    /// A zone was asked to be opened: from here on an order there is no breach.
+    pub fn opening(&mut self, zone: &Zone) {
+        self.closed.remove(zone);
+    }
+
+    /// A proxy sent an attempt; there must not be too many further ones.
+    pub fn attempt(&mut self, at: Duration, service: &ServiceName, further: bool) {
+        self.tally.attempts += 1;
+        self.tally.retries += u64::from(further);
+        let attempts = self.service_attempts.entry(service.clone()).or_default();
+        attempts.window.push_back((at, further));
+        attempts.further += u64::from(further);
+        while let Some((first, further)) = attempts.window.front().copied() {
+            if at.saturating_sub(first) <= Duration::from_secs(10) {
+                break;
+            }
+            attempts.window.pop_front();
+            attempts.further -= u64::from(further);
+        }
+        let further = attempts.further;
+        let first = attempts.window.len() as u64 - further;
+        if further > first / 5 + RETRY_FEW_DOZEN {
+            let what =
+                format!("service {service}: {further} retries to {first} first attempts in 10 s");
+            self.breach(Line::TooManyRetries, at, what);
+        }
+    }
+
+    /// A request reached an instance; it must be one that it may reach.
+    pub fn reached(&mut self, at: Duration, reached: &Reached<'_>) {
+        self.check_leaving(at, reached);
+        self.check_configuration(at, reached);
+        self.check_closed(at, reached);
+        self.check_home(at, reached);
+        self.tally.cross_zone += u64::from(reached.instance.zone != *reached.proxy_zone);
+        self.tally.cross_region += u64::from(reached.region != reached.proxy_region);
+        if reached.cold {
+            self.check_cold(at, reached);
+        }
+    }
+
+    fn check_leaving(&mut self, at: Duration, reached: &Reached<'_>) {
+        let heartbeat = reached.instance;
+        let key = (heartbeat.id.clone(), heartbeat.incarnation);
+        if let Some(since) = self.leaving.get(&key) {
+            if at.saturating_sub(*since) > LEAVING_LIMIT {
+                let what = format!("order {} reached leaving {}", reached.request, heartbeat.id);
+                self.breach(Line::ReachedLeaving, at, what);
+            }
+        }
+    }
+
+    fn check_configuration(&mut self, at: Duration, reached: &Reached<'_>) {
+        while let Some((since, version)) = self.due_versions.front().copied() {
+            if at.saturating_sub(since) <= CONFIGURATION_LIMIT {
+                break;
+            }
+            self.due_versions.pop_front();
+            self.due_version = self.due_version.max(version);
+        }
+        if reached.configuration < self.due_version {
+            let what = format!(
+                "order {} went under version {}, {} was accepted long before",
+                reached.request, reached.configuration, self.due_version
+            );
+            self.breach(Line::OldConfiguration, at, what);
+        }
+    }
+
+    fn check_closed(&mut self, at: Duration, reached: &Reached<'_>) {
+        for zone in [&reached.instance.zone, reached.proxy_zone] {
+            if let Some(since) = self.closed.get(zone) {
+                if at.saturating_sub(*since) > CLOSED_LIMIT {
+                    let what = format!("order {} in closed zone {zone}", reached.request);
+                    self.breach(Line::ClosedZone, at, what);
+                }
+            }
+        }
+    }
+
+    fn check_home(&mut self, at: Duration, reached: &Reached<'_>) {
+        let homes = &reached.route.homes;
+        let at_home = |region: &Region| homes.is_empty() || homes.contains(region);
+        if !at_home(reached.region) || !at_home(reached.proxy_region) {
+            let what = format!(
+                "order {} at {} in {}",
+                reached.request, reached.instance.id, reached.region
+            );
+            self.breach(Line::LeftHome, at, what);
+        }
+    }
+
+    fn check_cold(&mut self, at: Duration, reached: &Reached<'_>) {
+        let heartbeat = reached.instance;
+        let key = (heartbeat.id.clone(), heartbeat.incarnation);
+        let window = self.cold_attempts.entry(key).or_default();
+        window.push_back(at);
+        while window
+            .front()
+            .is_some_and(|first| at.saturating_sub(*first) > Duration::from_secs(3))
+        {
+            window.pop_front();
+        }
+        let limit = (reached.service.cold_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
+        if window.len() > limit {
+            let what = format!("{} got {} orders in 3 s", heartbeat.id, window.len());
+            self.breach(Line::ColdFlooded, at, what);
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/observers/mod.rs
@@ -0,0 +1,81 @@
+//! Observers: they stand outside the fleet, hold the truth, and judge all the time.
+
+use crate::prelude::*;
+
+pub mod attempts;
+pub mod changes;
+pub mod lines;
+pub mod ownership;
+pub mod placement;
+pub mod reads;
+pub mod recovery;
+pub mod requests;
+pub mod tally;
+
+/// All that is known outside the fleet of what happened in it.
+#[derive(Default)]
+pub struct Observers {
+    pub breaches: Vec<Breach>,
+    pub tally: Tally,
+    /// What the controllers noted of membership and leadership roles, for whoever looks into a failing seed.
+    pub notes: Vec<String>,
+    runs: HashMap<u64, u32>,
+    told: HashMap<u64, ToldCaller>,
+    writes: HashSet<u64>,
+    leaving: HashMap<(InstanceId, Incarnation), Duration>,
+    accepted: Vec<AcceptedChange>,
+    /// What was asked for under each id; an id may come again with something else.
+    proposed: HashMap<ChangeId, Vec<Change>>,
+    /// By item: the values that some change set would give it.
+    wanted: HashMap<String, Vec<(Value, ChangeId)>>,
+    /// Up to which version each controller's map was looked through.
+    looked_through: HashMap<String, Version>,
+    /// Versions that were accepted or shown, and are to be gone by once the limit has passed.
+    due_versions: VecDeque<(Duration, Version)>,
+    due_version: Version,
+    /// How many calls carried a change, and how many of them were refused.
+    calls: HashMap<ChangeId, (u32, u32)>,
+    closed: HashMap<Zone, Duration>,
+    service_attempts: HashMap<ServiceName, ServiceAttempts>,
+    cold_attempts: HashMap<(InstanceId, Incarnation), VecDeque<Duration>>,
+    effects: HashMap<(ServiceName, u32), Vec<Stretch>>,
+    proxy_versions: HashMap<usize, Version>,
+    /// Sent and served by second, for the recovery line; and by kind of traffic as well.
+    seconds: BTreeMap<u64, (u64, u64)>,
+    kind_seconds: BTreeMap<usize, BTreeMap<u64, (u64, u64)>>,
+    strained_since: Option<Duration>,
+    big_faults: Vec<BigFault>,
+    /// The kinds of traffic that go to keyed services.
+    pub keyed_kinds: BTreeSet<usize>,
+    last_mapping: Option<(Version, Mapping)>,
+    owner_manager: Option<NodeId>,
+    owner_manager_lost_at: Option<Duration>,
+}
+
+impl Observers {
+    pub(super) fn breach(&mut self, line: Line, at: Duration, what: impl Into<String>) {
+        if self.breaches.len() < 200 {
+            self.breaches.push(Breach {
+                line,
+                at,
+                what: what.into(),
+            });
+        }
+    }
+
+    /// The lines that were crossed.
+    pub fn breached(&self) -> BTreeSet<Line> {
+        self.breaches.iter().map(|breach| breach.line).collect()
+    }
+
+    /// A controller noted an event; those of membership and leadership are kept.
+    pub fn noted(&mut self, at: Duration, name: String, event: Event) {
+        let of_membership = match &event {
+            Event::MapMoved { map, .. } => *map == MapName::Membership,
+            _ => true,
+        };
+        if of_membership && self.notes.len() < 5000 {
+            self.notes.push(format!("{at:?} {name} {event:?}"));
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/observers/requests.rs
@@ -0,0 +1,105 @@
+//! Requests: what ran, and what clients were told of it.
+
+use crate::prelude::*;
+
+/// How soon a proxy that sends an order nowhere must say so.
+const REFUSAL_LIMIT: Duration = Duration::from_millis(100);
+
+/// What a client was told of its request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ToldCaller {
+    Served,
+    NotRun,
+    Unknown,
+}
+
+impl Observers {
+    /// An order was sent; the orders of a hot key have no kind and count by themselves.
+    pub fn sent(&mut self, at: Duration, request: u64, write: bool, kind: Option<usize>) {
+        match kind {
+            Some(kind) => {
+                self.tally.sent += 1;
+                self.seconds.entry(at.as_secs()).or_default().0 += 1;
+                let seconds = self.kind_seconds.entry(kind).or_default();
+                seconds.entry(at.as_secs()).or_default().0 += 1;
+            }
+            None => self.tally.hot_sent += 1,
+        }
+        if write {
+            self.writes.insert(request);
+        }
+    }
+
+    /// The work of an order took effect.
+    pub fn ran(&mut self, at: Duration, request: u64, instance: &InstanceId) {
+        let runs = self.runs.entry(request).or_default();
+        *runs += 1;
+        let write = self.writes.contains(&request);
+        if write && *runs > 1 {
+            self.breach(Line::RanTwice, at, format!("order {request} at {instance}"));
+        }
+        if self.told.get(&request) == Some(&ToldCaller::NotRun) {
+            self.breach(
+                Line::RanAfterNotRun,
+                at,
+                format!("order {request} at {instance}"),
+            );
+        }
+    }
+
+    /// An instance ran an order that was meant for another service.
+    pub fn ran_for_another(&mut self, at: Duration, request: u64, instance: &InstanceId) {
+        self.breach(
+            Line::RanForAnother,
+            at,
+            format!("order {request} at {instance}"),
+        );
+    }
+
+    /// A client was told what became of its request.
+    pub fn told(
+        &mut self,
+        at: Duration,
+        request: &ClientRequest,
+        told: ToldCaller,
+        answered: Option<u64>,
+    ) {
+        let number = request.number;
+        self.told.insert(number, told);
+        match told {
+            ToldCaller::Served => {
+                match request.kind {
+                    Some(kind) => {
+                        let second = request.sent_at.as_secs();
+                        self.tally.served += 1;
+                        self.seconds.entry(second).or_default().1 += 1;
+                        let seconds = self.kind_seconds.entry(kind).or_default();
+                        seconds.entry(second).or_default().1 += 1;
+                    }
+                    None => self.tally.hot_served += 1,
+                }
+                if answered != Some(number) || !self.runs.contains_key(&number) {
+                    let what = format!("order {number} was answered with {answered:?}");
+                    self.breach(Line::WrongAnswer, at, what);
+                }
+            }
+            ToldCaller::NotRun => {
+                self.tally.not_run += 1;
+                if self.runs.contains_key(&number) {
+                    let what = format!("order {number} had run");
+                    self.breach(Line::RanAfterNotRun, at, what);
+                }
+            }
+            ToldCaller::Unknown => self.tally.unknown += 1,
+        }
+    }
+
+    /// A proxy refused an order without having tried any instance.
+    pub fn refused(&mut self, at: Duration, request: &ClientRequest) {
+        let kept_back = at.saturating_sub(request.received_at);
+        if kept_back > REFUSAL_LIMIT {
+            let what = format!("order {} was kept for {kept_back:?}", request.number);
+            self.breach(Line::LateRefusal, at, what);
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/observers/tally.rs
@@ -0,0 +1,34 @@
+//! Counts of a whole run.
+
+use crate::prelude::*;
+
+/// Counts of a whole run, for the measurements.
+#[derive(Debug, Clone, Default)]
+pub struct Tally {
+    pub sent: u64,
+    pub served: u64,
+    pub not_run: u64,
+    pub unknown: u64,
+    pub attempts: u64,
+    pub retries: u64,
+    pub cross_zone: u64,
+    pub cross_region: u64,
+    pub accepted: u64,
+    pub refused_changes: u64,
+    pub unknown_changes: u64,
+    pub no_majority: u64,
+    pub recoveries: Vec<Duration>,
+    /// The same by kind of traffic: the slowest kind of each big fault.
+    pub slowest_recoveries: Vec<Duration>,
+    /// Orders of a hot key, and how many of them were served.
+    pub hot_sent: u64,
+    pub hot_served: u64,
+    pub reads: u64,
+    /// Mappings written, and of the parts of groups that they placed, how many in a hundred moved.
+    pub mappings: u64,
+    pub moved_percent: u64,
+    /// From the loss of the key ownership owner manager's controller until another holds the leadership role.
+    pub takeovers: Vec<Duration>,
+    /// Why orders were refused or lost, as the proxies said.
+    pub failures: BTreeMap<&'static str, u64>,
+}
--- /dev/null
+++ b/crates/simulator/src/world/bodies.rs
@@ -0,0 +1,102 @@
+//! The state machines that the nodes' processes start with.
+
+use crate::prelude::*;
+
+/// What instances' wall clocks showed when the world began, in milliseconds.
+const WALL_START: u64 = 1_800_000_000_000;
+
+impl World {
+    /// The state machine that a node's process starts with, and what it wants done first.
+    pub(super) fn body_of(&mut self, place: usize, seed: u64) -> (Body, Vec<ControllerOutput>) {
+        let node = &self.nodes[place];
+        let body = match &node.kind {
+            Kind::Controller => return self.controller_of(place, seed),
+            Kind::Agent => Body::Agent(Box::new(self.agent_of(node, seed))),
+            Kind::Proxy { capacity, .. } => Body::Proxy(Box::new(SimProxy::new(
+                node.zone.clone(),
+                node.address,
+                *capacity,
+                seed,
+                self.day.broken_proxy,
+            ))),
+            Kind::Directory => Body::Directory(Box::new(self.directory_of(node, seed))),
+            Kind::Instance {
+                service,
+                capacity,
+                work_span,
+                agents,
+            } => Body::Instance(Box::new(SimInstance {
+                id: InstanceId::new(&node.name),
+                service: service.clone(),
+                zone: node.zone.clone(),
+                address: node.address,
+                capacity: *capacity,
+                work_span: *work_span,
+                slowness: node.slowness,
+                incarnation: self.incarnation_of(node),
+                counter: 0,
+                leaving: false,
+                holdings: Holdings::default(),
+                agents: agents.clone(),
+                agent: 0,
+                next_heartbeat: Duration::ZERO,
+                heartbeat_sent: HashMap::new(),
+                stamps: HashMap::new(),
+                unheard: 0,
+                work: Slab::new(),
+                loses_answers: 0,
+                sends_garbage: 0,
+                refuses: 0,
+                careless: self.day.careless_instances,
+            })),
+        };
+        (body, Vec::new())
+    }
+
+    fn controller_of(&mut self, place: usize, seed: u64) -> (Body, Vec<ControllerOutput>) {
+        let node = &self.nodes[place];
+        let options = ControllerOptions::new(node.address, node.zone.clone(), self.seeds.clone())
+            .disk_room(8 * 1024 * 1024, 64 * 1024)
+            .broken(self.day.broken_controller);
+        let (machine, first) = ControllerMachine::start(options, &node.disk.synced, seed);
+        self.observers.controller_back(machine.node());
+        (Body::Controller(Box::new(machine)), first)
+    }
+
+    fn agent_of(&self, node: &Node, seed: u64) -> AgentMachine {
+        let options = AgentOptions {
+            proxy_serves_on: false,
+            instance_span: INSTANCE_SPAN,
+            heartbeat_refresh: Duration::ZERO,
+            demand_period: Duration::ZERO,
+            control: node.address,
+            zone: node.zone.clone(),
+            seeds: self.seeds.clone(),
+        };
+        let mut machine = AgentMachine::start(options, seed);
+        machine.break_island(self.day.broken_island);
+        if self.day.careless_agents {
+            machine.be_careless();
+        }
+        machine
+    }
+
+    fn directory_of(&self, node: &Node, seed: u64) -> DirectoryMachine {
+        let options = DirectoryOptions {
+            member_refresh: Duration::ZERO,
+            control: node.address,
+            serving: node.address,
+            zone: node.zone.clone(),
+            seeds: self.seeds.clone(),
+        };
+        DirectoryMachine::start(options, seed)
+    }
+
+    /// The number of an instance's new life.
+    ///
+    /// Why by the wall clock: that is what real instances number their lives by.
+    fn incarnation_of(&self, node: &Node) -> Incarnation {
+        let usual = WALL_START + self.now.as_millis() as u64;
+        Incarnation(usual.saturating_add_signed(node.wall_offset))
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/controllers.rs
@@ -0,0 +1,158 @@
+//! What controllers want done: messages, disk writes, answers and events.
+
+use crate::prelude::*;
+
+impl World {
+    /// Lets a controller take up what happened to it.
+    pub(super) fn act_controller(
+        &mut self,
+        place: usize,
+        local: Duration,
+        mut machine: Box<ControllerMachine>,
+        happening: Happening,
+    ) {
+        let input = match happening {
+            Happening::Tick => Some(ControllerInput::Tick),
+            Happening::Control { envelope } => {
+                if let Message::HeartbeatForward { heard, .. } = &envelope.message {
+                    if heard.heartbeat.state == InstanceState::Leaving {
+                        self.observers.heard_leaving(self.now, &heard.heartbeat);
+                    }
+                }
+                Some(ControllerInput::Heard {
+                    envelope: *envelope,
+                })
+            }
+            Happening::Synced { ticket, well: true } => {
+                self.nodes[place].disk.sync(ticket);
+                Some(ControllerInput::Synced { ticket })
+            }
+            Happening::Synced {
+                ticket,
+                well: false,
+            } => Some(ControllerInput::WriteFailed { ticket }),
+            _ => None,
+        };
+        let outputs = input
+            .map(|input| machine.input(local, input))
+            .unwrap_or_default();
+        self.nodes[place].body = Some(Body::Controller(machine));
+        self.carry_out(place, outputs);
+    }
+
+    /// Carries out what a controller wants done.
+    pub(super) fn carry_out(&mut self, place: usize, outputs: Vec<ControllerOutput>) {
+        let mut struck = false;
+        for output in outputs {
+            match output {
+                ControllerOutput::Stopped => self.end(place, false),
+                ControllerOutput::Send { to, message } => self.send_control(place, to, message),
+                ControllerOutput::Write { ticket, writes } => self.write(place, ticket, writes),
+                ControllerOutput::Answer { ticket, answer } => {
+                    struck |= self.take_answer(place, ticket, answer);
+                }
+                ControllerOutput::Note { event } => self.note_event(place, event),
+            }
+        }
+        if struck {
+            for fault_step in std::mem::take(&mut self.on_yes) {
+                self.fault(&fault_step);
+            }
+        }
+    }
+
+    /// Begins to write; the disk tells later whether that went well.
+    fn write(&mut self, place: usize, ticket: u64, writes: Vec<DiskWrite>) {
+        let well = !self.nodes[place].disk.refuses;
+        if well {
+            self.nodes[place].disk.unsynced.push_back((ticket, writes));
+        }
+        let slow = self.chance.below(50) == 0;
+        let usual = self.day.disk_span.as_micros() as u64;
+        let most = if slow { 60_000.max(usual) } else { usual };
+        let after = Duration::from_micros(300 + self.chance.below(most));
+        self.push_at(place, after, Happening::Synced { ticket, well });
+    }
+
+    /// Takes the answer to an operator; says whether a change was accepted.
+    fn take_answer(&mut self, place: usize, ticket: u64, answer: OperatorAnswer) -> bool {
+        if let OperatorAnswer::ProposalOutcome { proposal_outcome } = answer {
+            let Some(change) = self.operator_calls.remove(&ticket) else {
+                return false;
+            };
+            self.proposal_outcome(&change, &proposal_outcome);
+            let accepted = matches!(proposal_outcome, ProposalOutcome::Accepted(_));
+            if accepted {
+                self.answering = Some(place);
+            }
+            return accepted;
+        }
+        if let Some(asked_at) = self.reads.remove(&ticket) {
+            if let OperatorAnswer::Configuration { map } = answer {
+                let name = &self.nodes[place].name;
+                self.observers
+                    .read_shown(self.now, asked_at, name, map.version);
+            }
+        }
+        false
+    }
+
+    /// Shows the observers an event, and what a controller holds since a map moved.
+    fn note_event(&mut self, place: usize, event: Event) {
+        let node = &self.nodes[place];
+        if let (Event::MapMoved { map, version }, Some(Body::Controller(machine))) =
+            (&event, &node.body)
+        {
+            match map {
+                MapName::Placement => {
+                    if let Some(mapping) = machine.state.map(*map).mapping() {
+                        self.observers.mapped(*version, mapping);
+                    }
+                }
+                MapName::Membership => {
+                    if let Some(term) = machine.state.map(*map).leadership(OWNERSHIP) {
+                        self.observers.owner_manager_known(self.now, term.holder);
+                    }
+                }
+                _ => {}
+            }
+        }
+        let name = node.name.clone();
+        self.observers.noted(self.now, name, event);
+    }
+
+    fn proposal_outcome(&mut self, change: &Change, proposal_outcome: &ProposalOutcome) {
+        self.proposal_outcomes
+            .insert(change.id.clone(), proposal_outcome.clone());
+        if self.answered_calls.len() < 100 && change.puts.len() < 10 {
+            self.answered_calls.push(change.clone());
+        }
+        self.observers
+            .proposal_outcome(self.now, change, proposal_outcome);
+        match proposal_outcome {
+            ProposalOutcome::Accepted(version) | ProposalOutcome::Repeat(version) => {
+                for put in &change.puts {
+                    self.known_versions.insert(put.key.clone(), *version);
+                }
+            }
+            ProposalOutcome::Conflicts(conflicts) => {
+                for conflict in conflicts {
+                    self.known_versions
+                        .insert(conflict.key.clone(), conflict.present);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    pub(super) fn call(&mut self, place: usize, ticket: u64, call: OperatorCall) {
+        let local = self.local(place);
+        let outputs = match &mut self.nodes[place].body {
+            Some(Body::Controller(machine)) => {
+                machine.input(local, ControllerInput::Operator { ticket, call })
+            }
+            _ => Vec::new(),
+        };
+        self.carry_out(place, outputs);
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/directories.rs
@@ -0,0 +1,31 @@
+//! What directories hear, and what they want done.
+
+use crate::prelude::*;
+
+impl World {
+    /// Lets a directory take up what happened to it.
+    pub(super) fn act_directory(
+        &mut self,
+        place: usize,
+        local: Duration,
+        mut machine: Box<DirectoryMachine>,
+        happening: Happening,
+    ) {
+        let input = match happening {
+            Happening::Tick => Some(DirectoryInput::Tick),
+            Happening::Control { envelope } => Some(DirectoryInput::Heard {
+                envelope: *envelope,
+            }),
+            _ => None,
+        };
+        let outputs = input
+            .map(|input| machine.input(local, input))
+            .unwrap_or_default();
+        self.nodes[place].body = Some(Body::Directory(machine));
+        for output in outputs {
+            if let DirectoryOutput::Send { to, message } = output {
+                self.send_control(place, to, message);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/events.rs
@@ -0,0 +1,92 @@
+//! The events of the world: what happens to nodes, and what is due when.
+
+use crate::prelude::*;
+
+#[derive(Debug, Clone)]
+pub enum Happening {
+    Tick,
+    Control {
+        envelope: Box<Envelope>,
+    },
+    Synced {
+        ticket: u64,
+        well: bool,
+    },
+    PlannedRequest {
+        request: ClientRequest,
+        group: String,
+        locality: Duration,
+    },
+    Open {
+        request: u64,
+        attempt: u32,
+        proxy: usize,
+        proxy_life: u64,
+        incarnation: Incarnation,
+    },
+    Opened {
+        request: u64,
+        attempt: u32,
+    },
+    Arrive {
+        request: u64,
+        attempt: u32,
+        proxy: usize,
+        proxy_life: u64,
+        target: Box<Target>,
+        route: Box<Route>,
+        configuration: Version,
+        need: Duration,
+    },
+    Ended {
+        request: u64,
+        attempt: u32,
+        end: AttemptEnd,
+        answer: Option<InstanceAnswer>,
+    },
+    WorkDone {
+        work: usize,
+    },
+    RequestWake {
+        request: u64,
+        at: Duration,
+    },
+    /// A polite stop is over.
+    Ends,
+    HeartbeatTarget {
+        heartbeat: Box<Heartbeat>,
+        echo: Option<Echo>,
+        number: u64,
+        instance: usize,
+        instance_life: u64,
+    },
+    HeartbeatAnswered {
+        number: u64,
+        answer: Option<DatedAnswer>,
+    },
+}
+
+pub(crate) enum Due {
+    At {
+        node: usize,
+        life: u64,
+        happening: Happening,
+    },
+    Caller {
+        kind: usize,
+    },
+    HotCaller,
+    Operator,
+    Reader,
+    Fault {
+        place: usize,
+    },
+    Observe,
+}
+
+/// A heartbeat that an agent has and whose answer it owes.
+pub(crate) struct HeartbeatTicket {
+    pub instance: usize,
+    pub instance_life: u64,
+    pub number: u64,
+}
--- /dev/null
+++ b/crates/simulator/src/world/instances.rs
@@ -0,0 +1,223 @@
+//! The work and heartbeats of instances.
+
+use crate::prelude::*;
+
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+
+const HEARTBEAT_PATIENCE: Duration = Duration::from_millis(1000);
+
+impl World {
+    /// Lets an instance take up what happened to it.
+    pub(super) fn act_instance(
+        &mut self,
+        place: usize,
+        local: Duration,
+        mut instance: Box<SimInstance>,
+        happening: Happening,
+    ) {
+        let send = match happening {
+            Happening::Tick if local >= instance.next_heartbeat => {
+                Some(self.next_heartbeat(place, local, &mut instance))
+            }
+            Happening::HeartbeatAnswered { number, answer } => {
+                take_heartbeat_answer(local, &mut instance, number, answer);
+                None
+            }
+            Happening::Arrive { .. } => self.take_request(place, local, &mut instance, happening),
+            Happening::WorkDone { work } => self.finish_work(local, &mut instance, work),
+            _ => None,
+        };
+        self.nodes[place].body = Some(Body::Instance(instance));
+        if let Some((to, happening)) = send {
+            self.send(place, to, happening);
+        }
+    }
+
+    /// The next heartbeat, and the place of the agent that it goes to.
+    fn next_heartbeat(
+        &self,
+        place: usize,
+        local: Duration,
+        instance: &mut SimInstance,
+    ) -> (usize, Happening) {
+        instance.next_heartbeat = local + HEARTBEAT_PERIOD;
+        let oldest = local.saturating_sub(HEARTBEAT_PATIENCE);
+        let before = instance.heartbeat_sent.len();
+        instance
+            .heartbeat_sent
+            .retain(|_, (sent, _)| *sent >= oldest);
+        if instance.heartbeat_sent.len() < before {
+            // Why turn: a heartbeat that nobody answered is taken to another agent.
+            instance.agent = (instance.agent + 1) % instance.agents.len();
+        }
+        let heartbeat = Box::new(instance.heartbeat(local));
+        let number = heartbeat.counter;
+        let to = instance.agents[instance.agent];
+        instance.heartbeat_sent.insert(number, (local, to));
+        let echo = instance.stamps.get(&to).map(|(stamp, since)| Echo {
+            stamp: *stamp,
+            held: local.saturating_sub(*since),
+        });
+        let happening = Happening::HeartbeatTarget {
+            heartbeat,
+            echo,
+            number,
+            instance: place,
+            instance_life: self.nodes[place].life,
+        };
+        (to, happening)
+    }
+
+    /// A request that arrived: it is worked on, or refused at once.
+    fn take_request(
+        &mut self,
+        place: usize,
+        local: Duration,
+        instance: &mut SimInstance,
+        happening: Happening,
+    ) -> Option<(usize, Happening)> {
+        let Happening::Arrive {
+            request,
+            attempt,
+            proxy,
+            proxy_life,
+            target,
+            route,
+            need,
+            ..
+        } = happening
+        else {
+            return None;
+        };
+        let ours = target.instance == instance.id && target.incarnation == instance.incarnation;
+        let held = target.key_range.is_none_or(|(key_range, epoch)| {
+            instance.holdings.may_start(local, key_range, epoch, need)
+        });
+        let refuses = instance.refuses > 0;
+        instance.refuses = instance.refuses.saturating_sub(1);
+        let fits = instance.careless || (ours && held);
+        if refuses || !fits {
+            let answer = match ours {
+                true => InstanceAnswer::NotRun,
+                false => InstanceAnswer::Misdirected,
+            };
+            let ended = Happening::Ended {
+                request,
+                attempt,
+                end: AttemptEnd::RefusedByInstance,
+                answer: Some(answer),
+            };
+            return (self.nodes[proxy].life == proxy_life).then_some((proxy, ended));
+        }
+        if let Some((key_range, _)) = target.key_range {
+            instance.holdings.started(key_range);
+        }
+        let work = instance.work.insert(Work {
+            request,
+            attempt,
+            proxy,
+            proxy_life,
+            key_range: target.key_range,
+            service: route.service.clone(),
+            from: self.now,
+        });
+        let span = self.work_span(instance);
+        self.push_at(place, span, Happening::WorkDone { work });
+        None
+    }
+
+    /// How long the work that an instance has just begun takes it.
+    fn work_span(&mut self, instance: &SimInstance) -> Duration {
+        // Why far more beyond its capacity: an instance that is asked for too much at once
+        // buckles, and everything that it has in hand suffers.
+        let under_way = instance.work.len() as u32;
+        let over = under_way / instance.capacity.max(1);
+        let busy = (1 + under_way / 8 + 40 * over) * instance.slowness;
+        instance.work_span * busy + Duration::from_micros(self.chance.below(2000))
+    }
+
+    /// Ends a piece of work, whose effect shows now, and answers the proxy.
+    fn finish_work(
+        &mut self,
+        local: Duration,
+        instance: &mut SimInstance,
+        work: usize,
+    ) -> Option<(usize, Happening)> {
+        let done = instance.work.try_remove(work)?;
+        let still = done.key_range.is_none_or(|(key_range, epoch)| {
+            instance
+                .holdings
+                .may_start(local, key_range, epoch, Duration::ZERO)
+        });
+        if let Some((key_range, _)) = done.key_range {
+            instance.holdings.ended(key_range);
+        }
+        let mut answer = Some(InstanceAnswer::NotRun);
+        if still || instance.careless {
+            self.note_work(instance, &done);
+            answer = answer_of(instance, done.request);
+        }
+        let end = if answer.is_some() {
+            AttemptEnd::Answered
+        } else {
+            AttemptEnd::Lost
+        };
+        let ended = Happening::Ended {
+            request: done.request,
+            attempt: done.attempt,
+            end,
+            answer,
+        };
+        (self.nodes[done.proxy].life == done.proxy_life).then_some((done.proxy, ended))
+    }
+
+    /// Shows the observers work that took effect.
+    fn note_work(&mut self, instance: &SimInstance, done: &Work) {
+        self.observers.ran(self.now, done.request, &instance.id);
+        if done.service != instance.service {
+            self.observers
+                .ran_for_another(self.now, done.request, &instance.id);
+        }
+        if let Some((key_range, _)) = done.key_range {
+            self.observers
+                .worked_on(&done.service, key_range, done.from, self.now, &instance.id);
+        }
+    }
+}
+
+fn take_heartbeat_answer(
+    local: Duration,
+    instance: &mut SimInstance,
+    number: u64,
+    answer: Option<DatedAnswer>,
+) {
+    let Some((sent, agent)) = instance.heartbeat_sent.remove(&number) else {
+        return;
+    };
+    match answer {
+        Some(dated) => {
+            instance.holdings.answered(sent, &dated.answer);
+            instance.stamps.insert(agent, (dated.stamp, local));
+            if dated.again {
+                instance.next_heartbeat = local;
+            }
+        }
+        None => instance.agent = (instance.agent + 1) % instance.agents.len(),
+    }
+}
+
+/// The answer to a request that was run; none where the instance loses it.
+fn answer_of(instance: &mut SimInstance, request: u64) -> Option<InstanceAnswer> {
+    if instance.loses_answers > 0 {
+        instance.loses_answers -= 1;
+        return None;
+    }
+    if instance.sends_garbage > 0 {
+        instance.sends_garbage -= 1;
+        return Some(InstanceAnswer::Garbage);
+    }
+    Some(InstanceAnswer::Ran {
+        request,
+        load: instance.work.len() as u32,
+    })
+}
--- /dev/null
+++ b/crates/simulator/src/world/lifecycle.rs
@@ -0,0 +1,144 @@
+//! Starts and ends of processes and machines.
+
+use crate::prelude::*;
+
+impl World {
+    /// Starts a node's process, unless it runs already.
+    pub fn start(&mut self, place: usize) {
+        if self.nodes[place].body.is_some() || self.nodes[place].left_for_good {
+            return;
+        }
+        let seed = self.chance.draw();
+        let (body, outputs) = self.body_of(place, seed);
+        let now = self.now;
+        let node = &mut self.nodes[place];
+        node.life += 1;
+        node.body = Some(body);
+        node.frozen = false;
+        node.slept = Duration::ZERO;
+        node.dark = false;
+        node.backlog.clear();
+        node.started_at = now;
+        if let Kind::Proxy { .. } = node.kind {
+            self.observers.proxy_restarted(place);
+        }
+        let offset = Duration::from_micros(self.chance.below(25_000));
+        self.push_at(place, offset, Happening::Tick);
+        self.carry_out(place, outputs);
+    }
+
+    /// Ends a process. With the power, what was not synced may be lost and nothing is reset.
+    pub fn end(&mut self, place: usize, power: bool) {
+        let Some(body) = self.nodes[place].body.take() else {
+            return;
+        };
+        let node = &mut self.nodes[place];
+        node.life += 1;
+        node.frozen = false;
+        node.dark = power;
+        node.backlog.clear();
+        if power {
+            node.disk.power_lost(&mut self.chance);
+        } else {
+            node.disk.process_ended();
+        }
+        if power {
+            return;
+        }
+        match body {
+            // A process that ends resets its connections: the other side learns of it.
+            Body::Instance(instance) => {
+                for (_, work) in &instance.work {
+                    if self.nodes[work.proxy].life == work.proxy_life {
+                        let (request, attempt) = (work.request, work.attempt);
+                        let ended = Happening::Ended {
+                            request,
+                            attempt,
+                            end: AttemptEnd::Lost,
+                            answer: None,
+                        };
+                        self.send(place, work.proxy, ended);
+                    }
+                }
+            }
+            Body::Proxy(proxy) => {
+                for carried in proxy.carried.into_values() {
+                    let request = carried.request;
+                    self.observers
+                        .told(self.now, &request, ToldCaller::Unknown, None);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Asks a process to stop, as the platform does.
+    pub(super) fn stop(&mut self, place: usize) {
+        let local = self.local(place);
+        let after = match &mut self.nodes[place].body {
+            Some(Body::Controller(machine)) => {
+                let outputs = machine.input(local, ControllerInput::Stop);
+                self.carry_out(place, outputs);
+                return;
+            }
+            Some(Body::Agent(machine)) => {
+                machine.input(local, AgentInput::Stop);
+                return;
+            }
+            Some(Body::Proxy(proxy)) => {
+                proxy.stopping_since.get_or_insert(local);
+                return;
+            }
+            Some(Body::Directory(machine)) => {
+                machine.stop_politely();
+                Duration::from_millis(500)
+            }
+            Some(Body::Instance(instance)) => {
+                instance.leave();
+                Duration::from_millis(5000)
+            }
+            None => return,
+        };
+        self.push_at(place, after, Happening::Ends);
+    }
+
+    /// Replaces a machine for good by an empty one at a new address, in the same zone.
+    pub(super) fn move_away(&mut self, place: usize) {
+        self.vanish(place);
+        self.add_another(place);
+    }
+
+    /// Adds an empty node of the same kind, in the same zone, at a new address.
+    pub(super) fn add_another(&mut self, place: usize) {
+        let node = &self.nodes[place];
+        let (name, zone, kind) = (node.name.clone(), node.zone.clone(), node.kind.clone());
+        let next = self.add(format!("{name}-new"), zone.as_str(), kind);
+        self.start(next);
+    }
+
+    /// Ends a machine with its power, and leaves its disk empty.
+    pub(super) fn wipe(&mut self, place: usize) {
+        self.end(place, true);
+        self.nodes[place].disk = SimDisk::default();
+    }
+
+    /// Ends a machine that never comes back.
+    pub(super) fn vanish(&mut self, place: usize) {
+        self.end(place, true);
+        self.nodes[place].left_for_good = true;
+    }
+
+    /// Ends an instance; another of the given service starts at its address.
+    pub(super) fn take_over(&mut self, place: usize, service: &str) {
+        self.end(place, false);
+        let node = &mut self.nodes[place];
+        node.name = format!("{}-again", node.name);
+        if let Kind::Instance {
+            service: served, ..
+        } = &mut node.kind
+        {
+            *served = ServiceName::new(service);
+        }
+        self.start(place);
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/nodes.rs
@@ -0,0 +1,154 @@
+//! The nodes of the world: what they are made of, and how the scenario lays them out.
+
+use crate::prelude::*;
+
+/// The state machine of a node's process.
+pub enum Body {
+    Controller(Box<ControllerMachine>),
+    Agent(Box<AgentMachine>),
+    Proxy(Box<SimProxy>),
+    Directory(Box<DirectoryMachine>),
+    Instance(Box<SimInstance>),
+}
+
+/// What a node is made of when it starts.
+#[derive(Debug, Clone)]
+pub enum Kind {
+    Controller,
+    Agent,
+    Proxy {
+        agent: usize,
+        capacity: u32,
+    },
+    Directory,
+    Instance {
+        service: ServiceName,
+        capacity: u32,
+        work_span: Duration,
+        agents: Vec<usize>,
+    },
+}
+
+/// A machine with one process of the fleet.
+pub struct Node {
+    pub name: String,
+    pub zone: Zone,
+    pub address: SocketAddr,
+    pub kind: Kind,
+    pub body: Option<Body>,
+    /// Grows with every start and end, so that what was meant for another life is not heard.
+    pub life: u64,
+    pub started_at: Duration,
+    pub frozen: bool,
+    /// The machine is without power: it resets no connections.
+    pub dark: bool,
+    pub backlog: Vec<Happening>,
+    /// How the node's clock runs, in parts per million.
+    pub clock_rate: i64,
+    pub disk: SimDisk,
+    pub left_for_good: bool,
+    /// When it froze, and how long it has been frozen in this life.
+    pub frozen_at: Duration,
+    pub slept: Duration,
+    /// How far the wall clock is off, in milliseconds.
+    pub wall_offset: i64,
+    pub slowness: u32,
+}
+
+fn address_of(place: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (place / 200) as u8, (place % 200) as u8 + 1], 7000))
+}
+
+impl World {
+    /// Adds a node that does not run yet.
+    pub(super) fn add(&mut self, name: String, zone: &str, kind: Kind) -> usize {
+        let place = self.nodes.len();
+        let address = address_of(place);
+        self.by_address.insert(address, place);
+        let clock_rate = self.chance.below(8001) as i64 - 4000;
+        self.nodes.push(Node {
+            name,
+            zone: Zone::new(zone),
+            address,
+            kind,
+            body: None,
+            life: 0,
+            started_at: Duration::ZERO,
+            frozen: false,
+            dark: false,
+            backlog: Vec::new(),
+            clock_rate,
+            disk: SimDisk::default(),
+            left_for_good: false,
+            frozen_at: Duration::ZERO,
+            slept: Duration::ZERO,
+            wall_offset: 0,
+            slowness: 1,
+        });
+        place
+    }
+
+    /// Makes all nodes of the scenario and starts them within a moment.
+    pub(super) fn lay_out(&mut self) {
+        let scenario = self.scenario.clone();
+        self.add_controllers(&scenario);
+        let agents = self.add_agents_and_proxies(&scenario);
+        for (number, zone) in scenario.directories.iter().enumerate() {
+            self.add(format!("directory-{}", number + 1), zone, Kind::Directory);
+        }
+        self.add_instances(&scenario, &agents);
+        for place in 0..self.nodes.len() {
+            self.start(place);
+        }
+    }
+
+    fn add_controllers(&mut self, scenario: &Scenario) {
+        for (number, zone) in scenario.controllers.iter().enumerate() {
+            let place = self.add(format!("controller-{}", number + 1), zone, Kind::Controller);
+            if number < 3 {
+                self.seeds.push(address_of(place));
+            }
+        }
+    }
+
+    fn add_agents_and_proxies(&mut self, scenario: &Scenario) -> Vec<usize> {
+        let mut agents = Vec::new();
+        for (zone, _) in &scenario.zones {
+            for number in 1..=scenario.proxies_per_zone {
+                let agent = self.add(format!("agent-{zone}-{number}"), zone, Kind::Agent);
+                agents.push(agent);
+                let kind = Kind::Proxy {
+                    agent,
+                    capacity: scenario.proxy_capacity,
+                };
+                self.add(format!("proxy-{zone}-{number}"), zone, kind);
+            }
+        }
+        agents
+    }
+
+    fn add_instances(&mut self, scenario: &Scenario, agents: &[usize]) {
+        for service in &scenario.services {
+            for number in 0..service.instances as usize {
+                let zone = &scenario.zones[number % scenario.zones.len()].0;
+                let kind = Kind::Instance {
+                    service: ServiceName::new(&service.name),
+                    capacity: service.capacity,
+                    work_span: Duration::from_millis(service.work_ms),
+                    agents: (0..4)
+                        .map(|turn| agents[(number + turn * 3) % agents.len()])
+                        .collect(),
+                };
+                self.add(format!("{}-{}", service.name, number + 1), zone, kind);
+            }
+        }
+    }
+
+    /// The controllers that run and are not frozen.
+    pub(super) fn live_controllers(&self) -> Vec<usize> {
+        (0..self.nodes.len())
+            .filter(|place| matches!(self.nodes[*place].body, Some(Body::Controller(_))))
+            .filter(|place| !self.nodes[*place].frozen)
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/proxies.rs
@@ -0,0 +1,147 @@
+//! What proxies want done: attempts at instances, and answers to clients.
+
+use crate::prelude::*;
+
+impl World {
+    /// Lets a proxy take up what happened to it.
+    pub(super) fn act_proxy(
+        &mut self,
+        place: usize,
+        local: Duration,
+        mut proxy: Box<SimProxy>,
+        happening: Happening,
+    ) {
+        let wishes = match happening {
+            Happening::Tick => proxy.tick(local),
+            Happening::Control { envelope } => {
+                if let Message::View { view } = &envelope.message {
+                    proxy.take_view(view);
+                    let version = proxy.knowledge.maps.map(MapName::Configuration).version;
+                    self.observers.proxy_holds(self.now, place, version);
+                }
+                Vec::new()
+            }
+            Happening::PlannedRequest {
+                mut request,
+                group,
+                locality,
+            } => {
+                request.received_at = self.now;
+                proxy.receive(local, request, group, locality)
+            }
+            Happening::Opened { request, attempt } => proxy.opened(local, request, attempt),
+            Happening::Ended {
+                request,
+                attempt,
+                end,
+                answer,
+            } => proxy.ended(local, request, attempt, end, answer),
+            Happening::RequestWake { request, at } => proxy.woken(local, request, at),
+            _ => Vec::new(),
+        };
+        self.nodes[place].body = Some(Body::Proxy(proxy));
+        self.grant_wishes(place, wishes);
+    }
+
+    /// Does what a proxy wants done.
+    fn grant_wishes(&mut self, place: usize, wishes: Vec<ProxyWish>) {
+        let life = self.nodes[place].life;
+        for wish in wishes {
+            match wish {
+                ProxyWish::Pull { message } => {
+                    if let Kind::Proxy { agent, .. } = self.nodes[place].kind {
+                        let to = self.nodes[agent].address;
+                        self.send_control(place, to, message);
+                    }
+                }
+                ProxyWish::End => self.end(place, false),
+                ProxyWish::WakeAt { request, at } => {
+                    let after = self.after_local(place, at);
+                    self.push_at(place, after, Happening::RequestWake { request, at });
+                }
+                ProxyWish::Answer {
+                    request,
+                    told,
+                    answered,
+                    failure,
+                    unsent,
+                } => {
+                    if unsent && told == ToldCaller::NotRun {
+                        self.observers.refused(self.now, &request);
+                    }
+                    if let Some(failure) = failure {
+                        *self
+                            .observers
+                            .tally
+                            .failures
+                            .entry(failure.word())
+                            .or_default() += 1;
+                    }
+                    self.observers.told(self.now, &request, told, answered);
+                }
+                ProxyWish::Open {
+                    request,
+                    attempt,
+                    target,
+                } => self.open(place, life, request, attempt, &target),
+                ProxyWish::Shoot {
+                    request,
+                    attempt,
+                    target,
+                    further,
+                } => self.send_attempt(place, life, request, attempt, target, further),
+            }
+        }
+    }
+
+    /// Opens a connection to an instance.
+    fn open(&mut self, place: usize, life: u64, request: u64, attempt: u32, target: &Target) {
+        let Some(to) = self.by_address.get(&target.address).copied() else {
+            return;
+        };
+        let open = Happening::Open {
+            request,
+            attempt,
+            proxy: place,
+            proxy_life: life,
+            incarnation: target.incarnation,
+        };
+        self.send(place, to, open);
+    }
+
+    /// Sends a request to an instance over a connection that is open.
+    fn send_attempt(
+        &mut self,
+        place: usize,
+        life: u64,
+        request: u64,
+        attempt: u32,
+        target: Target,
+        further: bool,
+    ) {
+        let local = self.local(place);
+        let Some(Body::Proxy(proxy)) = &self.nodes[place].body else {
+            return;
+        };
+        let Some(carried) = proxy.carried.get(&request) else {
+            return;
+        };
+        let (route, configuration) = (carried.route.clone(), carried.configuration);
+        let need = carried.chart.deadline().saturating_sub(local);
+        self.observers.attempt(self.now, &route.service, further);
+        let Some(to) = self.by_address.get(&target.address).copied() else {
+            return;
+        };
+        let arrive = Happening::Arrive {
+            request,
+            attempt,
+            proxy: place,
+            proxy_life: life,
+            target: Box::new(target),
+            route: Box::new(route),
+            configuration,
+            need,
+        };
+        self.send(place, to, arrive);
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/schedule.rs
@@ -0,0 +1,225 @@
+//! The schedule: what is due is taken up in the order of time, and handed to its node.
+
+use crate::prelude::*;
+
+impl World {
+    /// Plans the traffic, the operators' calls, the faults and the observers' looks of the day.
+    pub(super) fn plan(&mut self) {
+        for kind in 0..self.scenario.traffic.len() {
+            if self.scenario.traffic[kind].keys > 0 {
+                self.observers.keyed_kinds.insert(kind);
+            }
+            self.push(self.day.traffic_from, Due::Caller { kind });
+        }
+        self.push(Duration::from_millis(1500), Due::Operator);
+        // Why after the operator's first call: before it there is nothing to read.
+        self.push(
+            Duration::from_millis(1500) + super::READ_PERIOD,
+            Due::Reader,
+        );
+        for place in 0..self.day.faults.len() {
+            self.push(self.day.faults[place].at, Due::Fault { place });
+        }
+        self.push(super::OBSERVE_PERIOD, Due::Observe);
+    }
+
+    /// Makes something due.
+    pub(super) fn push(&mut self, at: Duration, event: Due) {
+        self.queued += 1;
+        let slot = self.due.insert(event);
+        self.queue.push(Reverse((at, self.queued, slot)));
+    }
+
+    /// Lets something happen to a node after a while, in its present life.
+    pub(super) fn push_at(&mut self, node: usize, after: Duration, happening: Happening) {
+        let life = self.nodes[node].life;
+        self.push(
+            self.now + after,
+            Due::At {
+                node,
+                life,
+                happening,
+            },
+        );
+    }
+
+    /// Runs until the end of the day, then reads everything back.
+    pub fn run(&mut self) {
+        let end = self.day.length;
+        self.run_until(end);
+        self.read_back();
+        self.observers.judge_recovery(end);
+    }
+
+    /// Runs until a moment.
+    pub fn run_until(&mut self, end: Duration) {
+        while let Some(Reverse((at, _, slot))) = self.queue.peek().copied() {
+            if at > end {
+                break;
+            }
+            self.queue.pop();
+            self.now = at;
+            let due = self.due.remove(slot);
+            self.take_up(due);
+        }
+        self.now = end;
+    }
+
+    fn take_up(&mut self, due: Due) {
+        match due {
+            Due::At {
+                node,
+                life,
+                happening,
+            } => self.happen(node, life, happening),
+            Due::Caller { kind } => self.caller(kind),
+            Due::HotCaller => self.hot_caller(),
+            Due::Operator => self.operator(),
+            Due::Reader => self.reader(),
+            Due::Fault { place } => {
+                let fault = self.day.faults[place].clone();
+                if fault.on_yes {
+                    self.on_yes.push(fault);
+                } else {
+                    self.fault(&fault);
+                }
+            }
+            Due::Observe => self.observe(),
+        }
+    }
+
+    /// Hands a node what happens to it, if it still is what it was meant for.
+    fn happen(&mut self, place: usize, life: u64, happening: Happening) {
+        let node = &mut self.nodes[place];
+        // Why whatever its life: a connection is opened to an address, and so is a heartbeat's; whoever
+        // lives there now takes it.
+        let by_address = matches!(
+            happening,
+            Happening::Open { .. } | Happening::HeartbeatTarget { .. }
+        );
+        if node.body.is_none() || (node.life != life && !by_address) {
+            // Why an answer: a live machine resets what comes in for a process that is gone.
+            if !node.dark {
+                self.reset(place, &happening);
+            }
+            return;
+        }
+        if matches!(happening, Happening::Ends) {
+            self.end(place, false);
+            return;
+        }
+        let frozen = node.frozen;
+        // Why here and not when it is taken up: an order has reached an instance when it is at its
+        // machine; a frozen process that finds it later has had it all the while.
+        if let Happening::Arrive {
+            request,
+            proxy,
+            route,
+            configuration,
+            ..
+        } = &happening
+        {
+            self.note_reached(place, *request, *proxy, route, *configuration);
+        }
+        if let Happening::Open {
+            request,
+            attempt,
+            proxy,
+            proxy_life,
+            ..
+        } = happening
+        {
+            // Why whether frozen or not: it is the machine that takes a connection, not the process.
+            if self.nodes[proxy].life == proxy_life {
+                self.send(place, proxy, Happening::Opened { request, attempt });
+            }
+            return;
+        }
+        let node = &mut self.nodes[place];
+        if frozen {
+            if matches!(happening, Happening::Tick) {
+                self.push_at(place, super::TICK, Happening::Tick);
+            } else {
+                node.backlog.push(happening);
+            }
+            return;
+        }
+        self.act(place, happening);
+    }
+
+    /// Answers for a process that is gone: its machine resets the connection.
+    fn reset(&mut self, place: usize, happening: &Happening) {
+        let (request, attempt, proxy, proxy_life, end) = match happening {
+            Happening::Open {
+                request,
+                attempt,
+                proxy,
+                proxy_life,
+                ..
+            } => (
+                *request,
+                *attempt,
+                *proxy,
+                *proxy_life,
+                AttemptEnd::NotOpened,
+            ),
+            Happening::Arrive {
+                request,
+                attempt,
+                proxy,
+                proxy_life,
+                ..
+            } => (*request, *attempt, *proxy, *proxy_life, AttemptEnd::Lost),
+            _ => return,
+        };
+        if self.nodes[proxy].life == proxy_life {
+            let ended = Happening::Ended {
+                request,
+                attempt,
+                end,
+                answer: None,
+            };
+            self.send(place, proxy, ended);
+        }
+    }
+
+    /// Takes a happening for one that was sent just now; only for proving the observers.
+    fn undate(&self, place: usize, happening: &mut Happening) {
+        let at = self.local(place);
+        let fresh = |node: NodeId| {
+            let stamp = Stamp { node, at };
+            let held = Duration::ZERO;
+            Some(Echo { stamp, held })
+        };
+        match (happening, &self.nodes[place].body) {
+            (Happening::Control { envelope }, Some(Body::Controller(machine))) => {
+                envelope.echo = fresh(machine.node());
+            }
+            (Happening::HeartbeatTarget { echo, .. }, Some(Body::Agent(machine))) => {
+                *echo = fresh(machine.node());
+            }
+            _ => {}
+        }
+    }
+
+    /// Lets a node's process take up what happened to it.
+    pub(super) fn act(&mut self, place: usize, mut happening: Happening) {
+        if self.day.undated {
+            self.undate(place, &mut happening);
+        }
+        let local = self.local(place);
+        let Some(body) = self.nodes[place].body.take() else {
+            return;
+        };
+        if matches!(happening, Happening::Tick) {
+            self.push_at(place, super::TICK, Happening::Tick);
+        }
+        match body {
+            Body::Controller(machine) => self.act_controller(place, local, machine, happening),
+            Body::Agent(machine) => self.act_agent(place, local, machine, happening),
+            Body::Directory(machine) => self.act_directory(place, local, machine, happening),
+            Body::Proxy(proxy) => self.act_proxy(place, local, proxy, happening),
+            Body::Instance(instance) => self.act_instance(place, local, instance, happening),
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/targets.rs
@@ -0,0 +1,58 @@
+//! The targets of faults: which nodes a name stands for.
+
+use crate::prelude::*;
+
+impl World {
+    /// The places that a fault's target names: a node, a program, a zone, or `any-PROGRAM`.
+    pub fn targets(&mut self, name: &str) -> Vec<usize> {
+        if let Some(program) = name.strip_prefix("any-") {
+            let all: Vec<usize> = self.targets(program);
+            let live: Vec<usize> = all
+                .into_iter()
+                .filter(|place| self.nodes[*place].body.is_some())
+                .collect();
+            return match live.len() {
+                0 => Vec::new(),
+                count => vec![live[self.chance.below(count as u64) as usize]],
+            };
+        }
+        (0..self.nodes.len())
+            .filter(|place| {
+                let node = &self.nodes[*place];
+                let program = node.name.split('-').next().unwrap_or_default();
+                let region = self.regions.get(&node.zone);
+                node.name == name
+                    || program == name
+                    || node.zone.as_str() == name
+                    || region.is_some_and(|region| region.as_str() == name)
+                    || (name == "instance" && matches!(node.kind, Kind::Instance { .. }))
+                    || (name == "holder" && self.is_holder(*place))
+                    || (name == "answering" && self.answering == Some(*place))
+                    || (name == "knowing" && self.knows_last_yes(*place) == Some(true))
+                    || (name == "unknowing" && self.knows_last_yes(*place) == Some(false))
+            })
+            .collect()
+    }
+
+    /// Whether an agent holds what was accepted last; nothing of what is no agent.
+    fn knows_last_yes(&self, place: usize) -> Option<bool> {
+        let version = match (&self.nodes[place].body, &self.nodes[place].kind) {
+            (Some(Body::Agent(machine)), _) => machine.link().versions()[0],
+            (None, Kind::Agent) => Version(0),
+            _ => return None,
+        };
+        Some(version >= self.observers.last_accepted())
+    }
+
+    pub(super) fn is_holder(&self, place: usize) -> bool {
+        match &self.nodes[place].body {
+            Some(Body::Controller(machine)) => {
+                let membership = machine.state.map(MapName::Membership);
+                membership
+                    .leadership(OWNERSHIP)
+                    .is_some_and(|term| term.holder == machine.node())
+            }
+            _ => false,
+        }
+    }
+}
