--- a/crates/simulator/tests/known_red.rs
+++ b/crates/simulator/tests/known_red.rs
@@ -199,10 +199,46 @@
     );
 }
 
+/// A run in which this many tests failed, and the list of all of them.
+fn failures(count: usize) -> (String, String) {
+    let told = |place| format!("test broken_{place} ... FAILED\n");
+    let listed = |place| format!("broken_{place} | it counts wrongly | 7\n");
+    let told: String = (1..=count).map(told).collect();
+    let output = format!(
+        "\nrunning {count} tests\n{told}\ntest result: FAILED. 0 passed; {count} failed; 0 ignored\n"
+    );
+    let list: String = (1..=count).map(listed).collect();
+    (output, format!("# A note.\n\n{list}"))
+}
+
+#[test]
+fn given_a_list_of_three_lines_when_just_these_fail_then_they_are_passed_over() {
+    let (output, list) = failures(3);
+    let (passed, said) = compare("three", &list, &output, ONE_TARGET_FAILED, 101);
+    assert!(passed, "{said}");
+    assert_eq!(
+        said.matches("known red, passed over: ").count(),
+        3,
+        "{said}"
+    );
+}
+
+#[test]
+fn given_a_list_of_four_lines_when_just_these_fail_then_the_run_fails() {
+    let (output, list) = failures(4);
+    let (passed, said) = compare("four", &list, &output, ONE_TARGET_FAILED, 101);
+    assert!(!passed, "{said}");
+    assert!(
+        said.contains("known-red: the list has 4 lines, at most 3 are allowed\n"),
+        "{said}"
+    );
+}
+
 #[test]
 fn given_the_list_of_the_repository_when_read_then_its_lines_are_well_formed() {
     let list = include_str!("../../../KNOWN-RED.txt");
     let (_, said) = compare("checked_in", list, NONE_FAILS, "", 0);
     assert!(!said.contains("a line is not"), "{said}");
     assert!(!said.contains("listed twice"), "{said}");
+    assert!(!said.contains("are allowed"), "{said}");
 }
