--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -114,7 +114,7 @@
     demand_at: Duration,
     demand_to: SocketAddr,
     proxy: Option<(Duration, Pull)>,
-    /// What the proxies' lives beside us carried, by life, hour and rule.
+    /// What the proxies' lives beside us carried, by life, hour and route.
     usage: BTreeMap<(u64, u64, RouteName, ServiceName), UsageLine>,
     heartbeats: Vec<WaitingHeartbeat>,
     next_heartbeat: u64,
@@ -454,7 +454,7 @@
             .retain(|place, _| place.1 + USAGE_HOURS >= latest);
     }
 
-    /// What was carried beside this agent, by hour, rule and service.
+    /// What was carried beside this agent, by hour, route and service.
     pub fn usage(&self) -> Vec<UsageLine> {
         let mut sums: BTreeMap<(u64, &RouteName, &ServiceName), UsageLine> = BTreeMap::new();
         for line in self.usage.values() {
@@ -534,7 +534,7 @@
 
     /// Takes a witness's voter up or lays it down, as the membership says.
     ///
-    /// Why from the copies at hand: whoever gave us the voter had settled every map before, and
+    /// Why from the copies at hand: whoever made us a voter had settled every map before, and
     /// what we lack of them we refuse to vote on until we have it.
     fn look_for_voter(&mut self) {
         let follower = self.link.feed_cache.follower();
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of agents whose proxies serve on, and of instances that said they are gone.
+//! Tests of agents whose proxies serve on, and of instances that said they are gone.
 
 use agent::prelude::*;
 
--- a/crates/caperctl/src/usage.rs
+++ b/crates/caperctl/src/usage.rs
@@ -49,7 +49,7 @@
     })
 }
 
-/// The rows of all agents' answers, summed by hour, rule, service and zone.
+/// The rows of all agents' answers, summed by hour, route, service and zone.
 pub fn rows(answers: &[JsonValue], range: Range) -> Vec<Vec<String>> {
     let mut sums: BTreeMap<(u64, String, String, String), [u64; 6]> = BTreeMap::new();
     for answer in answers {
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The directory's process: its state machine at a desk, and its answers over HTTP.
+//! The directory's process: its state machine in an actor, and its answers over HTTP.
 
 use crate::prelude::*;
 use runtime::prelude::*;
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -174,7 +174,7 @@
     }
 
     /// Where a client that stands in a zone should take its requests for a host, by the shares of
-    /// all rules of that host together.
+    /// all routes of that host together.
     pub fn find_host(
         &mut self,
         host: &str,
@@ -194,10 +194,10 @@
             .ok_or(Nowhere::NoPlace)
     }
 
-    /// Where a client at this address should take an order for this host and path.
+    /// Where a client at this address should take a request for this host and path.
     pub fn find(&mut self, host: &str, path: &str, client: IpAddr) -> Result<Whereabouts, Nowhere> {
         let configuration = self.link.feed_cache.follower().map(MapName::Configuration);
-        // Why not "no rule" before any orders were heard: there may be one for all we know.
+        // Why not "no route" before any requests were heard: there may be one for all we know.
         let otherwise = match configuration.version {
             Version(0) => Nowhere::NoPlace,
             _ => Nowhere::NoRoute,
--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -1,4 +1,4 @@
-//! `load-generator`: stand-in callers that ask the directory, send orders, and check what they get.
+//! `load-generator`: generated clients that ask the directory, send requests, and check what they get.
 
 use runtime::prelude::*;
 
@@ -55,7 +55,7 @@
     .descr(HELP)
 }
 
-/// What came of the orders of one kind.
+/// What came of the requests of one kind.
 #[derive(Debug, Default)]
 struct Count {
     sent: u64,
@@ -135,7 +135,7 @@
         let started = self.clock.now();
         let mut told = "not-opened";
         for address in &addresses {
-            // Why the next address: a connection that never opened cannot have carried the order.
+            // Why the next address: a connection that never opened cannot have carried the request.
             if tokio::net::TcpStream::connect(address).await.is_err() {
                 continue;
             }
--- a/crates/local-fleet/src/drill.rs
+++ b/crates/local-fleet/src/drill.rs
@@ -1,4 +1,4 @@
-//! Drills: a written run of harm to a real fleet under load, judged from the records at its end.
+//! Drills: a written run of faults in a real fleet under load, judged from the records at its end.
 
 use crate::prelude::*;
 
@@ -46,7 +46,7 @@
     pub percent: u32,
     pub served_at_least: u64,
     pub steps: Vec<DrillStep>,
-    /// Nothing is lost in this drill, so the counted usage must be what the callers saw.
+    /// Nothing is lost in this drill, so the counted usage must be what the clients saw.
     pub usage_agrees: bool,
 }
 
@@ -163,7 +163,7 @@
     }
 }
 
-/// How many orders a second a drill must see at least to count.
+/// How many requests a second a drill must see at least to count.
 const LEAST_PER_SECOND: u64 = 10;
 
 /// Changes sent all through a drill, and what was accepted of them.
@@ -173,7 +173,7 @@
     unknown: u64,
 }
 
-/// Tweaks one rule again and again, at one controller after the other.
+/// Tweaks one route again and again, at one controller after the other.
 async fn keep_changing(
     controllers: Vec<SocketAddr>,
     service: String,
@@ -330,7 +330,7 @@
 
 /// Probes a ready proxy, more than once if need be.
 ///
-/// Why again: after the harm a key range may be between owners for some seconds, and an order for it is
+/// Why again: after a fault a key range may be between owners for some seconds, and a request for it is
 /// then rightly refused; what is wrong of itself stays wrong.
 async fn probe_patiently(fleet: &Fleet, scenario: &Scenario) -> Vec<String> {
     let mut odd = vec!["no proxy was ready to be probed".to_string()];
@@ -350,7 +350,7 @@
     odd
 }
 
-/// How many orders all agents together say were served.
+/// How many requests all agents together say were served.
 async fn counted_served(fleet: &Fleet) -> u64 {
     let mut served = 0;
     for agent in fleet.of("agent") {
@@ -388,7 +388,7 @@
     let mut fleet = Fleet::load(&run).map_err(|fault| anyhow!("{fault}"))?;
     let mut before = 0;
     if drill.usage_agrees {
-        // Why until it stands still: the orders by which the fleet was tried count as well, and
+        // Why until it stands still: the requests by which the fleet was tried count as well, and
         // proxies tell their agents a moment later.
         let mut last = 0;
         while before == 0 || last != before {
@@ -458,7 +458,7 @@
     let sent = summary["sent"].as_u64().unwrap_or(0);
     let served = summary["served"].as_u64().unwrap_or(0);
     if drill.usage_agrees {
-        // Why before the probes: they are orders too, and no caller's.
+        // Why before the probes: they are requests too, and no client's.
         let what = "the counted usage is what the callers saw";
         until(what, Duration::from_secs(10), async || {
             counted_served(&fleet).await == before + served
--- a/crates/local-fleet/src/fleet.rs
+++ b/crates/local-fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on one machine: started, remembered in a file, harmed and ended by id.
+//! A fleet of real processes on one machine: started, remembered in a file, and killed, frozen or ended by id.
 
 use crate::prelude::*;
 
--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! `local-fleet`: a whole fleet on one machine, for trying things out and for doing it harm.
+//! `local-fleet`: a whole fleet on one machine, for trying things out and for injecting faults.
 
 mod drill;
 mod fit;
@@ -471,7 +471,7 @@
                 .count();
         }
     }
-    // Why apart: a half order is in nobody's record, and must be in no instance's either.
+    // Why apart: a half request is in nobody's record, and must be in no instance's either.
     let halves = runs
         .iter()
         .filter(|ran| ran.request == probe::HALF_REQUEST)
--- a/crates/local-fleet/src/probe.rs
+++ b/crates/local-fleet/src/probe.rs
@@ -1,8 +1,8 @@
-//! Raw probes of a real proxy: what no well-behaved caller sends.
+//! Raw probes of a real proxy: what no well-behaved client sends.
 
 use crate::prelude::*;
 
-/// The name under which half orders are sent: no instance may ever have run one.
+/// The name under which half requests are sent: no instance may ever have run one.
 pub const HALF_REQUEST: &str = "probe-half";
 
 /// Sends bytes on a connection of its own and reads the head of the answer.
--- a/crates/local-fleet/src/scale.rs
+++ b/crates/local-fleet/src/scale.rs
@@ -28,15 +28,15 @@
 const MOST_PROCESSES: u64 = 300;
 const KIB: u64 = 1024;
 const MIB: u64 = 1024 * KIB;
-/// What a real process is reckoned to take before it knows anything.
+/// What a real process is estimated to take before it knows anything.
 const PROCESS_BYTES: u64 = 16 * MIB;
-/// What a hollow agent is reckoned to take in our process and at the controllers: sockets, buffers.
+/// What a hollow agent is estimated to take in our process and at the controllers: sockets, buffers.
 const AGENT_BYTES: u64 = 160 * KIB;
-/// What a hollow instance is reckoned to take: its task, and a heartbeat on its way.
+/// What a hollow instance is estimated to take: its task, and a heartbeat on its way.
 const INSTANCE_BYTES: u64 = 32 * KIB;
-/// What one rule is reckoned to take in each real process, with copies of late and on disk.
+/// What one route is estimated to take in each real process, with copies of late and on disk.
 const ROUTE_BYTES: u64 = 4 * KIB;
-/// What one fact is reckoned to take at each hollow agent while a grant is read.
+/// What one fact is estimated to take at each hollow agent while a grant is read.
 const FACT_BYTES: u64 = 512;
 /// Open files of one hollow agent at most: its port, and a way to and from each controller.
 const AGENT_FILES: u64 = 7;
@@ -48,7 +48,7 @@
         3 + 2 * u64::from(self.agents) + u64::from(self.directories)
     }
 
-    /// How much memory the run is reckoned to take, by the costs stated above.
+    /// How much memory the run is estimated to take, by the costs stated above.
     fn memory(&self) -> u64 {
         let (nodes, instances) = (u64::from(self.nodes), u64::from(self.instances));
         let facts = nodes * (nodes + instances) * FACT_BYTES;
@@ -178,7 +178,7 @@
 
     /// The real processes, as a scenario of the fleet.
     fn scenario(&self) -> Scenario {
-        // Why zones of their own, first by name: the voters of witnesses must go to real agents.
+        // Why zones of their own, first by name: the witness voters must be real agents.
         let zones: Vec<(String, String)> = (0..self.agents)
             .map(|number| (format!("real-{number:03}"), "real".to_string()))
             .collect();
@@ -657,7 +657,7 @@
         fleet.0.start(place)?;
     }
     let span = Duration::from_secs(60);
-    // Why before any hollow agent comes: the voters of witnesses go to the real ones.
+    // Why before any hollow agent comes: the witness voters are the real ones.
     wait_until("five voters", span, async || {
         let status = ask_any(&controllers, "/v1/status").await;
         status.is_some_and(|status| {
--- a/crates/local-fleet/src/scale_tests.rs
+++ b/crates/local-fleet/src/scale_tests.rs
@@ -1,4 +1,4 @@
-//! Stories of what `local-fleet scale` reckons, refuses and concludes.
+//! Tests of what `local-fleet scale` estimates, refuses and concludes.
 
 use crate::prelude::*;
 
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to instances: each carries one order at a time, and none is used twice in doubt.
+//! Connections to instances: each carries one request at a time, and none is used twice in doubt.
 
 use crate::prelude::*;
 
@@ -6,7 +6,7 @@
 const IDLE_SPAN: Duration = Duration::from_secs(10);
 /// A write takes no connection that has been idle for longer.
 ///
-/// Why: an instance may be closing an idle connection just as it is taken up again, and an order lost
+/// Why: an instance may be closing an idle connection just as it is taken up again, and a request lost
 /// that way cannot be told from one that ran. A read may be attempt again; a write may not.
 const IDLE_SPAN_FOR_WRITES: Duration = Duration::from_secs(1);
 const MOST_IDLE: usize = 32;
@@ -17,7 +17,7 @@
 pub struct Connection {
     pub sender: hyper::client::conn::http1::SendRequest<Body>,
     pub gate: Arc<Gate>,
-    /// It has carried an order before.
+    /// It has carried a request before.
     pub reused: bool,
     driver: tokio::task::JoinHandle<()>,
     idle_since: Instant,
@@ -25,7 +25,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Why abort: a half-sent order must end as a broken connection and never as a whole order.
+        // Why abort: a half-sent request must end as a broken connection and never as a whole request.
         self.driver.abort();
     }
 }
@@ -90,7 +90,7 @@
             .flatten()
     }
 
-    /// Takes back a connection whose order and answer are both complete.
+    /// Takes back a connection whose request and answer are both complete.
     pub fn give_back(&self, key: InstanceKey, mut connection: Connection) {
         if connection.sender.is_closed() {
             return;
--- a/crates/runtime/src/actor.rs
+++ b/crates/runtime/src/actor.rs
@@ -42,7 +42,7 @@
     hasher.finish()
 }
 
-/// What works at a desk: takes inputs one at a time and does what follows from them.
+/// What an actor runs: it takes inputs one at a time and does what follows from them.
 pub trait Host: Send + 'static {
     type Input: Send + 'static;
 
@@ -55,7 +55,7 @@
     clock: Clock,
 }
 
-/// One input on its way to a desk.
+/// One input on its way to an actor.
 pub struct Given<Input>(pub Input);
 
 impl<Worker: Host> kameo::Actor for MachineActor<Worker> {
@@ -79,16 +79,16 @@
     }
 }
 
-/// The way to hand inputs to a desk from any task or thread.
+/// The way to hand inputs to an actor from any task or thread.
 ///
-/// Why bounded: a desk that cannot keep up must turn work away while it can still say so, and not
+/// Why bounded: an actor that cannot keep up must turn work away while it can still say so, and not
 /// fill the memory of a small machine.
 pub struct Inbox<Input: Send + 'static> {
     sender: mpsc::Sender<Input>,
     full: Arc<AtomicBool>,
 }
 
-/// How many inputs wait at a desk at most.
+/// How many inputs wait at an actor at most.
 const MOST_WAITING: usize = 8192;
 
 impl<Input: Send + 'static> Clone for Inbox<Input> {
@@ -124,7 +124,7 @@
 
     /// Hands over an input that must not be lost, from a thread that may wait.
     pub fn give_surely(&self, input: Input) {
-        // Why ignored: when the desk is gone the process is about to end.
+        // Why ignored: when the actor is gone the process is about to end.
         let _ = self.sender.blocking_send(input);
     }
 }
@@ -144,7 +144,7 @@
         loop {
             heartbeat.tick().await;
             if ticking.tell(Given(Worker::tick())).send().await.is_err() {
-                // Why: the desk only ends by a broken invariant, and that stops the process.
+                // Why: the actor only ends by a broken invariant, and that stops the process.
                 log::error!("the desk has ended");
                 std::process::exit(70);
             }
@@ -195,7 +195,7 @@
     }
 }
 
-/// Until when a process is ready, by its own clock; told to probes without asking the desk.
+/// Until when a process is ready, by its own clock; told to probes without asking the actor.
 #[derive(Default)]
 pub struct ReadyUntil {
     micros: AtomicU64,
@@ -215,7 +215,7 @@
 /// How long a polite stop may take before the process ends all the same.
 const STOP_PATIENCE: Duration = Duration::from_secs(20);
 
-/// Tells the desk to stop, and waits until it has handed on what it had.
+/// Tells the actor to stop, and waits until it has handed on what it had.
 pub async fn stop_politely<Input: Send + 'static>(
     inbox: &Inbox<Input>,
     stop: Input,
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 for callers, back ends and operators: small helpers round the library.
+//! HTTP/1.1 for clients, back ends and operators: small helpers round the library.
 
 use crate::prelude::*;
 
 pub type Body = http_body_util::combinators::BoxBody<Bytes, std::io::Error>;
 
-/// Says whether an order of ours that failed ran: `not-run` or `unknown`.
+/// Says whether a request of ours that failed ran: `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "caperworks-outcome";
 pub const INSTANCE_HEADER: &str = "caperworks-instance";
 pub const INCARNATION_HEADER: &str = "caperworks-incarnation";
@@ -80,7 +80,7 @@
 
 /// A stream that remembers what it reads while a request's head is awaited.
 ///
-/// Why: the library drops one of two conflicting lengths without a word, but an order whose end
+/// Why: the library drops one of two conflicting lengths without a word, but a request whose end
 /// can be read in two ways must be refused.
 struct Remembering {
     inner: TcpStream,
--- a/crates/runtime/src/scenario.rs
+++ b/crates/runtime/src/scenario.rs
@@ -11,7 +11,7 @@
     pub service: JsonValue,
 }
 
-/// One kind of order that callers send.
+/// One kind of request that clients send.
 #[derive(Debug, Clone)]
 pub struct Traffic {
     pub host: String,
--- a/crates/simulator/examples/play.rs
+++ b/crates/simulator/examples/play.rs
@@ -25,11 +25,11 @@
     let scenario = deployment(&day.deployment).expect("the day was checked against it");
     let next = std::sync::atomic::AtomicU64::new(first);
     let bad = std::sync::atomic::AtomicU64::new(0);
-    let request = std::sync::atomic::Ordering::SeqCst;
+    let ordering = std::sync::atomic::Ordering::SeqCst;
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(4, usize::from) {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, request);
+                let seed = next.fetch_add(1, ordering);
                 if seed >= first + count {
                     return;
                 }
@@ -40,7 +40,7 @@
                     if count == 1 {
                         println!("{}", observers.notes.join("\n"));
                     }
-                    bad.fetch_add(1, request);
+                    bad.fetch_add(1, ordering);
                 }
                 for what in wrong.iter().take(4) {
                     println!("seed {seed} BREACH {what}");
@@ -48,7 +48,7 @@
             });
         }
     });
-    let bad = bad.load(request);
+    let bad = bad.load(ordering);
     println!("{count} seeds, {bad} with breaches");
     std::process::exit(i32::from(bad > 0));
 }
--- a/crates/simulator/src/actors/instance.rs
+++ b/crates/simulator/src/actors/instance.rs
@@ -36,11 +36,11 @@
     pub stamps: HashMap<usize, (Stamp, Duration)>,
     pub unheard: u32,
     pub work: Slab<Work>,
-    /// Answers lost after the work, garbage sent, for as many orders.
+    /// Answers lost after the work, garbage sent, for as many requests.
     pub loses_answers: u32,
     pub sends_garbage: u32,
     pub refuses: u32,
-    /// Works as if every order were for it, whatever its headers say.
+    /// Works as if every request were for it, whatever its headers say.
     pub careless: bool,
 }
 
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -7,9 +7,9 @@
 pub enum BrokenProxy {
     #[default]
     Nothing,
-    /// Shoots writes again like reads.
+    /// Sends writes again like reads.
     RepeatsWrites,
-    /// Says "not run" of orders whose fate is not known.
+    /// Says "not run" of requests whose fate is not known.
     SaysNotRun,
     /// Takes answers without looking whose they are.
     TakesAnyAnswer,
@@ -19,13 +19,13 @@
     IgnoresStaleness,
     /// Goes on in closed zones.
     IgnoresClosed,
-    /// Shoots again without a budget.
+    /// Sends another attempt without a budget.
     NoBudget,
     /// Uses the whole gentle rate by itself.
     WholeGentleRate,
     /// Sends beyond the home region.
     IgnoresHome,
-    /// Takes an older map over a newer one.
+    /// Takes an older map in place of a newer one.
     GoesBack,
     /// Lets one key have as much of its owner as it asks for.
     NoKeyCap,
@@ -56,7 +56,7 @@
 
 const OPEN_PATIENCE: Duration = Duration::from_millis(400);
 
-/// As long as the daemon takes orders after a stop was asked for.
+/// As long as the daemon takes requests after a stop was asked for.
 const LINGER: Duration = Duration::from_millis(2600);
 
 impl SimProxy {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The rule as this proxy goes by it.
+    /// The route as this proxy goes by it.
     fn route_of(&self, route: &Route) -> Route {
         let mut route = route.clone();
         if self.broken == BrokenProxy::IgnoresHome {
@@ -332,7 +332,7 @@
         }
     }
 
-    /// The connection stands: the last check, then the order leaves.
+    /// The connection is open: the last check, then the request leaves.
     pub fn opened(&mut self, now: Duration, number: u64, attempt: u32) -> Vec<ProxyWish> {
         let Some(carried) = self.carried.get_mut(&number) else {
             return Vec::new();
@@ -432,7 +432,7 @@
         }
     }
 
-    /// A moment that the order waits for has come: its deadline, or the end of patience.
+    /// A moment that the request waits for has come: its deadline, or the end of patience.
     pub fn woken(&mut self, now: Duration, number: u64, at: Duration) -> Vec<ProxyWish> {
         let Some(carried) = self.carried.get(&number) else {
             return Vec::new();
--- a/crates/simulator/src/actors/request.rs
+++ b/crates/simulator/src/actors/request.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// An order on its way, as the fleet sees it.
+/// A request on its way, as the fleet sees it.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     pub number: u64,
@@ -13,7 +13,7 @@
     pub sent_at: Duration,
     /// When it was taken in by a proxy, by the world's time.
     pub received_at: Duration,
-    /// Which kind of traffic it is; none for the orders of a hot key.
+    /// Which kind of traffic it is; none for the requests of a hot key.
     pub kind: Option<usize>,
 }
 
@@ -76,7 +76,7 @@
         load: u32,
     },
     NotRun,
-    /// Another life answers here than the one that the order is for.
+    /// Another life answers here than the one that the request is for.
     Misdirected,
     Garbage,
 }
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -52,16 +52,16 @@
     JumpClock(i64),
     /// Instances take so many times as long for their work.
     Slow(u32),
-    /// So many more orders a second, all for one key of this service.
+    /// So many more requests a second, all for one key of this service.
     HotKey(u32),
-    /// Callers send so many percent of the day's traffic.
+    /// Clients send so many percent of the day's traffic.
     Surge(u32),
     /// Hot keys, surges and slowness end.
     Cool,
 }
 
 impl Act {
-    /// Whether it does harm, rather than undoing some.
+    /// Whether it is a fault, rather than the end of one.
     fn is_harm(&self) -> bool {
         !matches!(
             self,
@@ -106,7 +106,7 @@
     pub swell: u32,
     /// How long a sync usually takes at most.
     pub disk_span: Duration,
-    /// Which part of the orders, in percent, must be served over the whole day.
+    /// Which part of the requests, in percent, must be served over the whole day.
     pub served_at_least: u64,
     /// Which part of each kind of ordinary traffic, in percent, must be served while a hot key, a
     /// surge or a slow instance lasts.
@@ -334,7 +334,7 @@
         wrong
     }
 
-    /// When the next harm after a moment strikes, or the day ends.
+    /// When the next fault after a moment strikes, or the day ends.
     pub fn next_harm(&self, after: Duration) -> Duration {
         self.faults
             .iter()
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -52,14 +52,14 @@
             .any(|cut| cut.from.contains(&from) && cut.to.contains(&to))
     }
 
-    /// What is muddled about the way between two places.
+    /// The fault on the way between two places, if there is one.
     pub fn http_fault(&self, from: usize, to: usize) -> Option<&HttpFault> {
         self.http_faults
             .iter()
             .find(|http_fault| http_fault.places.contains(&from) || http_fault.places.contains(&to))
     }
 
-    /// Whether a message of the voters does not get through, since one of them is parted or deaf.
+    /// Whether a message of the voters does not get through, since one of them is parted from the others or deaf.
     pub fn holds_back(&self, from: usize, to: usize, message: &Message) -> bool {
         let vote = matches!(message, Message::ConsensusMessage { .. });
         let consensus = vote
--- a/crates/simulator/src/observers/attempts.rs
+++ b/crates/simulator/src/observers/attempts.rs
@@ -36,7 +36,7 @@
             .or_insert(at);
     }
 
-    /// A zone was asked to be opened: from here on an order there is no breach.
+    /// A zone was asked to be opened: from here on a request there is no breach.
     pub fn opening(&mut self, zone: &Zone) {
         self.closed.remove(zone);
     }
@@ -82,7 +82,10 @@
         let key = (heartbeat.id.clone(), heartbeat.incarnation);
         if let Some(since) = self.leaving.get(&key) {
             if at.saturating_sub(*since) > LEAVING_LIMIT {
-                let what = format!("order {} reached leaving {}", reached.request, heartbeat.id);
+                let what = format!(
+                    "request {} reached leaving {}",
+                    reached.request, heartbeat.id
+                );
                 self.breach(Line::ReachedLeaving, at, what);
             }
         }
@@ -98,7 +101,7 @@
         }
         if reached.configuration < self.due_version {
             let what = format!(
-                "order {} went under version {}, {} was accepted long before",
+                "request {} went under version {}, {} was accepted long before",
                 reached.request, reached.configuration, self.due_version
             );
             self.breach(Line::OldConfiguration, at, what);
@@ -109,7 +112,7 @@
         for zone in [&reached.instance.zone, reached.proxy_zone] {
             if let Some(since) = self.closed.get(zone) {
                 if at.saturating_sub(*since) > CLOSED_LIMIT {
-                    let what = format!("order {} in closed zone {zone}", reached.request);
+                    let what = format!("request {} in closed zone {zone}", reached.request);
                     self.breach(Line::ClosedZone, at, what);
                 }
             }
@@ -121,7 +124,7 @@
         let at_home = |region: &Region| homes.is_empty() || homes.contains(region);
         if !at_home(reached.region) || !at_home(reached.proxy_region) {
             let what = format!(
-                "order {} at {} in {}",
+                "request {} at {} in {}",
                 reached.request, reached.instance.id, reached.region
             );
             self.breach(Line::LeftHome, at, what);
@@ -141,7 +144,7 @@
         }
         let limit = (reached.service.cold_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
         if window.len() > limit {
-            let what = format!("{} got {} orders in 3 s", heartbeat.id, window.len());
+            let what = format!("{} got {} requests in 3 s", heartbeat.id, window.len());
             self.breach(Line::ColdFlooded, at, what);
         }
     }
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -137,7 +137,7 @@
             let good = found.is_some_and(|answered| answered.version == accepted.version);
             if !good && !forgotten {
                 let what = format!(
-                    "{name} lacks {} of edition {}",
+                    "{name} lacks {} of version {}",
                     accepted.id, accepted.version
                 );
                 self.breach(Line::LostChange, at, what);
--- a/crates/simulator/src/observers/ownership.rs
+++ b/crates/simulator/src/observers/ownership.rs
@@ -6,19 +6,19 @@
 pub(crate) type Stretch = (Duration, Duration, InstanceId);
 
 impl Observers {
-    /// The controller with the owner manager's leadership role was killed, frozen or cut off.
+    /// The controller that is the owner manager was killed, frozen or cut off.
     pub fn owner_manager_lost(&mut self, at: Duration) {
         self.owner_manager_lost_at.get_or_insert(at);
     }
 
-    /// A controller came back; if it still has the leadership role there is no takeover to wait for.
+    /// A controller came back; if it still holds the role there is no takeover to wait for.
     pub fn controller_back(&mut self, node: NodeId) {
         if self.owner_manager == Some(node) {
             self.owner_manager_lost_at = None;
         }
     }
 
-    /// A controller knows who keeps the key ownership.
+    /// A controller knows who the owner manager is.
     pub fn owner_manager_known(&mut self, at: Duration, holder: NodeId) {
         if self.owner_manager != Some(holder) {
             if let Some(lost) = self.owner_manager_lost_at.take() {
--- a/crates/simulator/src/observers/recovery.rs
+++ b/crates/simulator/src/observers/recovery.rs
@@ -11,7 +11,7 @@
 pub(crate) struct BigFault {
     at: Duration,
     keyed_waits: bool,
-    /// When the next harm strikes: what is unserved after it is not this one's.
+    /// When the next fault strikes: what is unserved after it is not this one's.
     next: Duration,
 }
 
--- a/crates/simulator/src/observers/requests.rs
+++ b/crates/simulator/src/observers/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// How soon a proxy that sends an order nowhere must say so.
+/// How soon a proxy that sends a request nowhere must say so.
 const REFUSAL_LIMIT: Duration = Duration::from_millis(100);
 
 /// What a client was told of its request.
@@ -14,7 +14,7 @@
 }
 
 impl Observers {
-    /// An order was sent; the orders of a hot key have no kind and count by themselves.
+    /// A request was sent; the requests of a hot key have no kind and count by themselves.
     pub fn sent(&mut self, at: Duration, request: u64, write: bool, kind: Option<usize>) {
         match kind {
             Some(kind) => {
@@ -30,29 +30,33 @@
         }
     }
 
-    /// The work of an order took effect.
+    /// The work of a request took effect.
     pub fn ran(&mut self, at: Duration, request: u64, instance: &InstanceId) {
         let runs = self.runs.entry(request).or_default();
         *runs += 1;
         let write = self.writes.contains(&request);
         if write && *runs > 1 {
-            self.breach(Line::RanTwice, at, format!("order {request} at {instance}"));
+            self.breach(
+                Line::RanTwice,
+                at,
+                format!("request {request} at {instance}"),
+            );
         }
         if self.told.get(&request) == Some(&ToldCaller::NotRun) {
             self.breach(
                 Line::RanAfterNotRun,
                 at,
-                format!("order {request} at {instance}"),
+                format!("request {request} at {instance}"),
             );
         }
     }
 
-    /// An instance ran an order that was meant for another service.
+    /// An instance ran a request that was meant for another service.
     pub fn ran_for_another(&mut self, at: Duration, request: u64, instance: &InstanceId) {
         self.breach(
             Line::RanForAnother,
             at,
-            format!("order {request} at {instance}"),
+            format!("request {request} at {instance}"),
         );
     }
 
@@ -79,14 +83,14 @@
                     None => self.tally.hot_served += 1,
                 }
                 if answered != Some(number) || !self.runs.contains_key(&number) {
-                    let what = format!("order {number} was answered with {answered:?}");
+                    let what = format!("request {number} was answered with {answered:?}");
                     self.breach(Line::WrongAnswer, at, what);
                 }
             }
             ToldCaller::NotRun => {
                 self.tally.not_run += 1;
                 if self.runs.contains_key(&number) {
-                    let what = format!("order {number} had run");
+                    let what = format!("request {number} had run");
                     self.breach(Line::RanAfterNotRun, at, what);
                 }
             }
@@ -94,11 +98,11 @@
         }
     }
 
-    /// A proxy refused an order without having tried any instance.
+    /// A proxy refused a request without having tried any instance.
     pub fn refused(&mut self, at: Duration, request: &ClientRequest) {
         let kept_back = at.saturating_sub(request.received_at);
         if kept_back > REFUSAL_LIMIT {
-            let what = format!("order {} was kept for {kept_back:?}", request.number);
+            let what = format!("request {} was kept for {kept_back:?}", request.number);
             self.breach(Line::LateRefusal, at, what);
         }
     }
--- a/crates/simulator/src/observers/tally.rs
+++ b/crates/simulator/src/observers/tally.rs
@@ -20,15 +20,15 @@
     pub recoveries: Vec<Duration>,
     /// The same by kind of traffic: the slowest kind of each big fault.
     pub slowest_recoveries: Vec<Duration>,
-    /// Orders of a hot key, and how many of them were served.
+    /// Requests of a hot key, and how many of them were served.
     pub hot_sent: u64,
     pub hot_served: u64,
     pub reads: u64,
     /// Mappings written, and of the parts of groups that they placed, how many in a hundred moved.
     pub mappings: u64,
     pub moved_percent: u64,
-    /// From the loss of the key ownership owner manager's controller until another holds the leadership role.
+    /// From the loss of the owner manager's controller until another holds the role.
     pub takeovers: Vec<Duration>,
-    /// Why orders were refused or lost, as the proxies said.
+    /// Why requests were refused or lost, as the proxies said.
     pub failures: BTreeMap<&'static str, u64>,
 }
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// How many callers in a hundred go to some proxy that they remember.
+/// How many clients in a hundred go to some proxy that they remember.
 const STICKY_PERCENT: u64 = 3;
 
 impl World {
@@ -29,19 +29,19 @@
         self.send_request(kind, Some("key-hot".to_string()), None);
     }
 
-    /// A caller asks a directory and sends one order; `counted` is none for a hot key's.
+    /// A client asks a directory and sends one request; `counted` is none for a hot key's.
     fn send_request(&mut self, kind: usize, key: Option<String>, counted: Option<usize>) {
         let traffic = self.scenario.traffic[kind].clone();
         self.next_request += 1;
         let number = self.next_request;
         let group = self.chance.below(12) as u8;
         let client = IpAddr::from([127, 10, group, 1]);
-        // Why by group: each group of callers sits near one zone.
+        // Why by group: each group of clients sits near one zone.
         let home =
             Zone::new(&self.scenario.zones[usize::from(group) % self.scenario.zones.len()].0);
         let write = traffic.method != "GET";
         self.observers.sent(self.now, number, write, counted);
-        // Why some without a directory: callers hold on to addresses, and what must never happen
+        // Why some without a directory: clients hold on to addresses, and what must never happen
         // must not hang on their asking anew.
         let sticky = self.chance.below(100) < STICKY_PERCENT;
         let directories: Vec<usize> = (0..self.nodes.len())
@@ -56,7 +56,7 @@
         } else if !directories.is_empty() {
             let start = self.chance.below(directories.len() as u64) as usize;
             for turn in 0..directories.len() {
-                // Why the next one: that is what callers do when a directory names nothing.
+                // Why the next one: that is what clients do when a directory names nothing.
                 let place = directories[(start + turn) % directories.len()];
                 if let Some(Body::Directory(machine)) = &mut self.nodes[place].body {
                     if let Ok(found) = machine.find(&traffic.host, &traffic.path, client) {
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -59,7 +59,7 @@
     on_yes: Vec<FaultStep>,
     /// The controller that said the last yes.
     answering: Option<usize>,
-    /// The kind of traffic with a hot key, and how many orders a second want it.
+    /// The kind of traffic with a hot key, and how many requests a second want it.
     hot: Option<(usize, u32)>,
     surge_percent: u64,
     seeds: Vec<SocketAddr>,
--- a/crates/simulator/src/world/observation.rs
+++ b/crates/simulator/src/world/observation.rs
@@ -35,7 +35,7 @@
         };
         let nowhere = Region::new("");
         let proxy_zone = self.nodes[proxy].zone.clone();
-        // Why the true rule: a broken proxy may have another idea of it.
+        // Why the true route: a broken proxy may have another idea of it.
         let true_route = self
             .scenario
             .routes
--- a/crates/simulator/src/world/schedule.rs
+++ b/crates/simulator/src/world/schedule.rs
@@ -109,7 +109,7 @@
             return;
         }
         let frozen = node.frozen;
-        // Why here and not when it is taken up: an order has reached an instance when it is at its
+        // Why here and not when it is taken up: a request has reached an instance when it is at its
         // machine; a frozen process that finds it later has had it all the while.
         if let Happening::Arrive {
             request,
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -70,7 +70,7 @@
     .descr(HELP)
 }
 
-/// The faults that may be asked of it, each for a number of orders.
+/// The faults that may be asked of it, each for a number of requests.
 #[derive(Default)]
 struct Ailments {
     lose_answers: AtomicU32,
@@ -257,7 +257,7 @@
         let load = self.load.fetch_sub(1, Ordering::SeqCst) - 1;
         let digest = match outcome {
             Ok(digest) => digest,
-            // Why an error: an order that never arrived whole gets no answer.
+            // Why an error: a request that never arrived whole gets no answer.
             Err(None) => return Err(std::io::Error::other("the order broke off")),
             Err(Some(why)) => return Ok(self.not_run(why)),
         };
@@ -279,7 +279,7 @@
         };
         let mut answer = json_answer(200, &json);
         if take_one(&self.ailments.garbage) {
-            // Why this: an answer to some other order must never reach the caller.
+            // Why this: an answer to some other request must never reach the client.
             answer
                 .headers_mut()
                 .insert(REQUEST_HEADER, HeaderValue::from_static("other"));
@@ -308,7 +308,7 @@
         Ok(answer)
     }
 
-    /// Takes the whole order in, works, and looks again whether it may take effect.
+    /// Takes the whole request in, works, and looks again whether it may take effect.
     async fn work(
         &self,
         body: Incoming,
@@ -440,7 +440,7 @@
     test_instance
         .send_heartbeat(test_instance.flags.agents[0])
         .await;
-    // Why so long: orders may still arrive for as long as the news travels, and held key ranges are
+    // Why so long: requests may still arrive for as long as the news travels, and held key ranges are
     // let go of one heartbeat after the owner manager asks for them.
     let until = Instant::now() + Duration::from_secs(8);
     let earliest = Instant::now() + Duration::from_millis(3500);
