--- a/crates/caperworks/src/configuration.rs
+++ b/crates/caperworks/src/configuration.rs
@@ -166,6 +166,9 @@
         );
         faults.push(Fault::new("items", why));
     }
+    // Why without the histories: they have a bound of their own, and a configuration that fits must
+    // not cease to fit because it was changed often.
+    after.histories.clear();
     let bytes = minicbor::to_vec(&after).map_or(usize::MAX, |bytes| bytes.len());
     if bytes > MOST_BYTES {
         let why = format!("the orders would take {bytes} bytes, {MOST_BYTES} are the most");
--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -9,6 +9,14 @@
     Repeat(Version),
     IdTaken(Version),
     Conflicts(Vec<Conflict>),
+    /// Other contents were confirmed under the operators' own versions of these items.
+    VersionsTaken(Vec<TakenVersion>),
+    /// Neither confirmed nor refused: of these items it is not known any more what was confirmed
+    /// under the versions that the change has.
+    VersionsForgotten(Vec<String>),
+    /// Neither confirmed nor refused: the change may have been accepted before this map's oldest
+    /// remembered change. The map stands at this version.
+    IdForgotten(Version),
     Faulty(Vec<Fault>),
     /// Provably not accepted: it was never offered to any voter.
     NoMajority,
@@ -58,6 +66,8 @@
     pub majority_override: Option<usize>,
     /// Only for proving the observers: of a faulty change set, the sound part is applied.
     pub applies_parts: bool,
+    /// Only for proving the observers: other contents under a version that is taken are confirmed.
+    pub confirms_taken_versions: bool,
 }
 
 impl Default for ProposerOptions {
@@ -69,6 +79,7 @@
             synced_controllers: None,
             majority_override: None,
             applies_parts: false,
+            confirms_taken_versions: false,
         }
     }
 }
@@ -229,7 +240,7 @@
     /// fit the map as it is; a controller without its disk would call every change faulty.
     fn answer_repeats(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
         while let Some(proposal) = self.pending.front() {
-            let Standpoint::Repeat(version) = map.weigh(&proposal.change) else {
+            let Some(Standpoint::Repeat(version)) = map.answered_before(&proposal.change) else {
                 return;
             };
             let proposal_outcome = match proposal.offered {
@@ -248,7 +259,13 @@
     /// Only after a majority has promised: then the map is known to be the latest.
     fn answer_settled(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
         while let Some(proposal) = self.pending.front() {
-            let proposal_outcome = match map.weigh(&proposal.change) {
+            let standpoint = match map.weigh(&proposal.change) {
+                Standpoint::VersionsTaken(_) if self.options.confirms_taken_versions => {
+                    Standpoint::Fits
+                }
+                standpoint => standpoint,
+            };
+            let proposal_outcome = match standpoint {
                 Standpoint::Repeat(version) if proposal.offered => {
                     ProposalOutcome::Accepted(version)
                 }
@@ -257,6 +274,9 @@
                 // Why not yet: an offered change that no longer fits lost its version to another,
                 // but only the decided map may say so; it does, since this map is decided.
                 Standpoint::Conflicts(conflicts) => ProposalOutcome::Conflicts(conflicts),
+                Standpoint::VersionsTaken(taken) => ProposalOutcome::VersionsTaken(taken),
+                Standpoint::VersionsForgotten(keys) => ProposalOutcome::VersionsForgotten(keys),
+                Standpoint::IdForgotten(version) => ProposalOutcome::IdForgotten(version),
                 Standpoint::Fits => {
                     let faults = match self.name {
                         MapName::Configuration => check_configuration(map, &proposal.change),
--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -24,3 +24,4 @@
 pub mod prelude;
 pub mod replicated_map;
 pub mod slots;
+pub mod version_history;
--- a/crates/caperworks/src/prelude.rs
+++ b/crates/caperworks/src/prelude.rs
@@ -29,3 +29,4 @@
 pub use crate::policy::*;
 pub use crate::replicated_map::*;
 pub use crate::slots::*;
+pub use crate::version_history::*;
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -188,8 +188,8 @@
 
     /// One item of a change set. `expected` is the version that the writer saw; zero means absent.
     ///
-    /// With `written` the highest version of the operators' own holds: a lower or equal one changes
-    /// nothing, whether the item was set or dropped.
+    /// With `written` the highest version of the operators' own holds: a lower one changes nothing,
+    /// whether the item was set or dropped, and an equal one is refused if it has other contents.
     #[derive(Eq)]
     struct Put {
         0 key: String,
@@ -225,6 +225,10 @@
         0 version: Version,
         1 items: BTreeMap<String, Item>,
         2 answered: Vec<AnsweredChange>,
+        /// By item, what was confirmed under the operators' own versions; states that were stored
+        /// before histories were kept have none.
+        #[cbor(default)]
+        3 histories: BTreeMap<String, VersionHistory>,
     }
 
     #[derive(Eq)]
@@ -233,8 +237,23 @@
         1 expected: Version,
         2 present: Version,
     }
+
+    /// An item that a change wants to write under a version that others' contents have.
+    #[derive(Eq)]
+    struct TakenVersion {
+        0 key: String,
+        /// What was confirmed under the version that the change has.
+        1 confirmed: ConfirmedVersion,
+        /// What stands: the highest version, which may be a later one.
+        2 newest: ConfirmedVersion,
+    }
 }
 
+/// The key of a guard on the map itself: its version as the change's writer read it.
+///
+/// Not an item. It says how old a change may be, see [`Standpoint::IdForgotten`].
+pub const MAP_READ: &str = "map";
+
 /// The item by which a leadership role's new holder shuts out the changes of the one before.
 pub const FENCE: &str = "fence";
 
@@ -277,6 +296,38 @@
     /// The change's id was used before for something else.
     IdTaken(Version),
     Conflicts(Vec<Conflict>),
+    /// Other contents were confirmed under the operators' own versions of these items.
+    VersionsTaken(Vec<TakenVersion>),
+    /// So old that it is not known any more what was confirmed under the versions of these items.
+    VersionsForgotten(Vec<String>),
+    /// Its writer read the map so long ago that its id may have been accepted and forgotten since.
+    IdForgotten(Version),
+}
+
+impl Put {
+    /// Its version of the operators' own with a digest of its contents, if it has one.
+    ///
+    /// Version 0 is none: it stands only where nothing stands.
+    pub fn numbered(&self) -> Option<ConfirmedVersion> {
+        let written = self.written.as_ref()?;
+        let text = self.value.is_some().then_some(written.text.as_str());
+        (written.version > 0).then(|| ConfirmedVersion {
+            version: written.version,
+            digest: contents_digest(text),
+        })
+    }
+}
+
+impl Item {
+    /// The version of the operators' own that it stands under, if any.
+    fn numbered(&self) -> Option<ConfirmedVersion> {
+        let written = self.written.as_ref()?;
+        let text = (self.value != Value::Dropped).then_some(written.text.as_str());
+        (written.version > 0).then(|| ConfirmedVersion {
+            version: written.version,
+            digest: contents_digest(text),
+        })
+    }
 }
 
 impl Change {
@@ -308,6 +359,7 @@
             version: Version(0),
             items: BTreeMap::new(),
             answered: Vec::new(),
+            histories: BTreeMap::new(),
         }
     }
 
@@ -315,23 +367,27 @@
         self.items.get(key).map_or(Version(0), |item| item.version)
     }
 
-    /// Whether the item holds a version of the operators' own that is as high as the put's.
-    pub fn is_overtaken(&self, put: &Put) -> bool {
-        let present = self
-            .items
-            .get(&put.key)
-            .and_then(|item| item.written.as_ref());
-        // Why: version 0 stands only where nothing stands.
-        if put
-            .written
-            .as_ref()
-            .is_some_and(|written| written.version == 0)
-        {
-            return self.items.contains_key(&put.key);
+    /// What was confirmed under the operators' own versions of an item.
+    pub fn history(&self, key: &str) -> VersionHistory {
+        if let Some(history) = self.histories.get(key) {
+            return history.clone();
         }
-        match (present, &put.written) {
-            (Some(present), Some(written)) => present.version >= written.version,
-            _ => false,
+        self.items
+            .get(key)
+            .and_then(Item::numbered)
+            .map(VersionHistory::of_stored)
+            .unwrap_or_default()
+    }
+
+    /// Whether the put changes nothing because of what stands under the operators' own versions.
+    fn is_overtaken(&self, put: &Put) -> bool {
+        match (put.numbered(), &put.written) {
+            (Some(numbered), _) => {
+                self.history(&put.key).standing(numbered) != VersionStanding::Newest
+            }
+            // Why: version 0 stands only where nothing stands.
+            (None, Some(_)) => self.items.contains_key(&put.key),
+            (None, None) => false,
         }
     }
 
@@ -343,23 +399,78 @@
         }
     }
 
-    pub fn weigh(&self, change: &Change) -> Standpoint {
-        // Why first: a caller that lost our answer repeats the change, and its own first success
-        // must not read as a conflict with itself.
-        if let Some(answered) = self
+    /// Whether a change of this id was accepted before: a repeat, or another use of the id.
+    ///
+    /// Why asked first: a caller that lost our answer repeats the change, and its own first success
+    /// must not read as a conflict with itself.
+    pub fn answered_before(&self, change: &Change) -> Option<Standpoint> {
+        let answered = self
             .answered
             .iter()
-            .find(|answered| answered.id == change.id)
-        {
-            return if answered.digest == change.digest() {
-                Standpoint::Repeat(answered.version)
-            } else {
-                Standpoint::IdTaken(answered.version)
+            .find(|answered| answered.id == change.id)?;
+        Some(match answered.digest == change.digest() {
+            true => Standpoint::Repeat(answered.version),
+            false => Standpoint::IdTaken(answered.version),
+        })
+    }
+
+    pub fn weigh(&self, change: &Change) -> Standpoint {
+        self.answered_before(change)
+            .or_else(|| self.forgotten_id(change))
+            .or_else(|| self.weigh_versions(change))
+            .or_else(|| self.conflicts(change))
+            .unwrap_or(Standpoint::Fits)
+    }
+
+    /// Why a standpoint of its own: applied once more, an old change would undo later ones.
+    fn forgotten_id(&self, change: &Change) -> Option<Standpoint> {
+        let read = change
+            .guards
+            .iter()
+            .find(|guard| guard.key == MAP_READ)?
+            .expected;
+        let remembered_after = self.version.0.saturating_sub(REMEMBERED_CHANGES as u64);
+        (read.0 < remembered_after).then_some(Standpoint::IdForgotten(self.version))
+    }
+
+    /// Weighs each put against what was confirmed under the operators' own versions, the puts
+    /// before it in the same change included.
+    fn weigh_versions(&self, change: &Change) -> Option<Standpoint> {
+        let mut histories: BTreeMap<&str, VersionHistory> = BTreeMap::new();
+        let mut taken = Vec::new();
+        let mut forgotten = Vec::new();
+        for put in &change.puts {
+            let Some(numbered) = put.numbered() else {
+                continue;
             };
+            let history = histories
+                .entry(&put.key)
+                .or_insert_with(|| self.history(&put.key));
+            match history.standing(numbered) {
+                VersionStanding::Newest | VersionStanding::Overtaken => history.confirm(numbered),
+                VersionStanding::Confirmed => {}
+                VersionStanding::Taken(confirmed) => taken.push(TakenVersion {
+                    key: put.key.clone(),
+                    confirmed,
+                    newest: history.newest().unwrap_or(confirmed),
+                }),
+                VersionStanding::Forgotten => forgotten.push(put.key.clone()),
+            }
+        }
+        // Why refused first: what is certain of one item tells the caller more than a doubt.
+        match (taken.is_empty(), forgotten.is_empty()) {
+            (false, _) => Some(Standpoint::VersionsTaken(taken)),
+            (true, false) => Some(Standpoint::VersionsForgotten(forgotten)),
+            (true, true) => None,
         }
+    }
+
+    /// The items that are not as the change's writer saw them.
+    fn conflicts(&self, change: &Change) -> Option<Standpoint> {
         let guards = change
             .guards
             .iter()
+            .filter(|guard| guard.key != MAP_READ)
             .map(|guard| (&guard.key, guard.expected));
         let conflicts: Vec<Conflict> = change
             .puts
@@ -375,35 +486,18 @@
                 })
             })
             .collect();
-        if conflicts.is_empty() {
-            Standpoint::Fits
-        } else {
-            Standpoint::Conflicts(conflicts)
-        }
+        (!conflicts.is_empty()).then_some(Standpoint::Conflicts(conflicts))
     }
 
     /// Applies a change that was agreed on for the version after this one.
     pub fn apply(&mut self, change: &Change) {
         self.version = self.version.next();
         for put in &change.puts {
-            if self.is_overtaken(put) {
-                continue;
+            let overtaken = self.is_overtaken(put);
+            self.remember_version(put);
+            if !overtaken {
+                self.apply_put(put);
             }
-            let value = match (&put.value, &put.written) {
-                (Some(value), _) => value.clone(),
-                // Why kept: an older change that comes again must find that it was overtaken.
-                (None, Some(_)) => Value::Dropped,
-                (None, None) => {
-                    self.items.remove(&put.key);
-                    continue;
-                }
-            };
-            let item = Item {
-                version: self.version,
-                value,
-                written: put.written.clone(),
-            };
-            self.items.insert(put.key.clone(), item);
         }
         self.answered.push(AnsweredChange {
             id: change.id.clone(),
@@ -415,6 +509,40 @@
         }
     }
 
+    /// Keeps what the put confirms under the operators' own version, also where it is overtaken.
+    fn remember_version(&mut self, put: &Put) {
+        if put.written.is_none() {
+            // Why: who writes without versions starts the item's versions anew.
+            self.histories.remove(&put.key);
+        }
+        let Some(numbered) = put.numbered() else {
+            return;
+        };
+        let mut history = self.history(&put.key);
+        if let VersionStanding::Newest | VersionStanding::Overtaken = history.standing(numbered) {
+            history.confirm(numbered);
+        }
+        self.histories.insert(put.key.clone(), history);
+    }
+
+    fn apply_put(&mut self, put: &Put) {
+        let value = match (&put.value, &put.written) {
+            (Some(value), _) => value.clone(),
+            // Why kept: an older change that comes again must find that it was overtaken.
+            (None, Some(_)) => Value::Dropped,
+            (None, None) => {
+                self.items.remove(&put.key);
+                return;
+            }
+        };
+        let item = Item {
+            version: self.version,
+            value,
+            written: put.written.clone(),
+        };
+        self.items.insert(put.key.clone(), item);
+    }
+
     pub fn voters(&self) -> Option<&VoterSet> {
         match &self.items.get("seats")?.value {
             Value::VoterSet { voters } => Some(voters),
--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/version_stories.rs
@@ -346,3 +346,270 @@
     assert_eq!(name("other.example", "/a/b/c/d"), "any-long");
     assert_eq!(name("other.example", "/a/b/cd"), "any");
 }
+
+/// A put of a service in the words of one operator; none of them drops it.
+fn worded(key: &str, version: u64, text: Option<&str>) -> Put {
+    Put {
+        key: key.to_string(),
+        expected: None,
+        value: text.and_then(|_| service_value(1)),
+        written: Some(Written {
+            version,
+            text: text.unwrap_or_default().to_string(),
+        }),
+    }
+}
+
+/// Weighs a call of these puts under an id of its own, and applies it if it fits.
+fn taken_in(map: &mut ReplicatedMap, puts: Vec<Put>) -> Standpoint {
+    let change = call(&format!("call-{}", map.version), puts);
+    let standpoint = map.weigh(&change);
+    if standpoint == Standpoint::Fits {
+        map.apply(&change);
+    }
+    standpoint
+}
+
+/// A map after one call each, all of which fit.
+fn worded_map(puts: &[(u64, Option<&str>)]) -> ReplicatedMap {
+    let mut map = ReplicatedMap::empty();
+    for (version, text) in puts {
+        let standpoint = taken_in(&mut map, vec![worded(KEY, *version, *text)]);
+        assert_eq!(standpoint, Standpoint::Fits, "{version} {text:?}");
+    }
+    map
+}
+
+/// What stands of an item in its operator's words, with the version.
+fn standing(map: &ReplicatedMap, key: &str) -> Option<(u64, Option<String>)> {
+    let item = map.items.get(key)?;
+    let written = item.written.clone()?;
+    let text = (item.value != Value::Dropped).then_some(written.text);
+    Some((written.version, text))
+}
+
+#[test]
+fn given_each_relation_to_what_was_confirmed_when_a_put_comes_then_it_stands_as_the_table_says() {
+    let confirmed = [(3, Some("a")), (5, None), (7, Some("c"))];
+    let fits = [
+        // Accepted before: the same contents under the same version, set or dropped.
+        (7, Some("c")),
+        (5, None),
+        (3, Some("a")),
+        // Lower, and nothing was ever confirmed under it: overtaken.
+        (1, Some("x")),
+        (4, None),
+        (6, Some("c")),
+    ];
+    for (version, text) in fits {
+        let mut map = worded_map(&confirmed);
+        let before = standing(&map, KEY);
+        let standpoint = taken_in(&mut map, vec![worded(KEY, version, text)]);
+        assert_eq!(standpoint, Standpoint::Fits, "{version} {text:?}");
+        assert_eq!(standing(&map, KEY), before, "it changes nothing");
+    }
+    for (version, text) in [
+        (7, Some("b")),
+        (7, None),
+        (5, Some("b")),
+        (5, Some("")),
+        (3, Some("c")),
+        (3, None),
+    ] {
+        let mut map = worded_map(&confirmed);
+        let before = map.clone();
+        let standpoint = taken_in(&mut map, vec![worded(KEY, version, text)]);
+        let taken = TakenVersion {
+            key: KEY.to_string(),
+            confirmed: ConfirmedVersion {
+                version,
+                digest: match version {
+                    3 => contents_digest(Some("a")),
+                    5 => contents_digest(None),
+                    _ => contents_digest(Some("c")),
+                },
+            },
+            newest: ConfirmedVersion {
+                version: 7,
+                digest: contents_digest(Some("c")),
+            },
+        };
+        assert_eq!(standpoint, Standpoint::VersionsTaken(vec![taken]));
+        assert_eq!(map, before);
+    }
+    let mut map = worded_map(&confirmed);
+    assert_eq!(
+        taken_in(&mut map, vec![worded(KEY, 8, Some("b"))]),
+        Standpoint::Fits
+    );
+    assert_eq!(standing(&map, KEY), Some((8, Some("b".to_string()))));
+}
+
+#[test]
+fn given_an_overtaken_put_that_was_confirmed_when_others_come_under_its_version_then_it_is_taken() {
+    let mut map = worded_map(&[(7, Some("c")), (4, Some("late"))]);
+    assert_eq!(
+        taken_in(&mut map, vec![worded(KEY, 4, Some("late"))]),
+        Standpoint::Fits
+    );
+    let standpoint = taken_in(&mut map, vec![worded(KEY, 4, Some("other"))]);
+    assert!(
+        matches!(standpoint, Standpoint::VersionsTaken(_)),
+        "{standpoint:?}"
+    );
+}
+
+#[test]
+fn given_more_versions_than_are_remembered_when_old_ones_come_then_they_are_neither_taken_nor_refused(
+) {
+    let mut map = ReplicatedMap::empty();
+    let most = REMEMBERED_VERSIONS as u64;
+    for version in 1..=2 * most {
+        let text = format!("text {version}");
+        taken_in(&mut map, vec![worded(KEY, version, Some(&text))]);
+    }
+    let history = map.history(KEY);
+    assert_eq!(
+        (history.confirmed.len() as u64, history.forgotten),
+        (most, most)
+    );
+    let before = map.clone();
+    for version in 1..=most {
+        for text in [format!("text {version}"), "other".to_string()] {
+            let standpoint = taken_in(&mut map, vec![worded(KEY, version, Some(&text))]);
+            let forgotten = Standpoint::VersionsForgotten(vec![KEY.to_string()]);
+            assert_eq!(standpoint, forgotten, "{version}");
+        }
+    }
+    assert_eq!(map, before);
+    for version in most + 1..=2 * most {
+        let text = format!("text {version}");
+        let again = vec![worded(KEY, version, Some(&text))];
+        assert_eq!(taken_in(&mut map, again), Standpoint::Fits, "{version}");
+        let other = taken_in(&mut map, vec![worded(KEY, version, Some("other"))]);
+        assert!(matches!(other, Standpoint::VersionsTaken(_)), "{other:?}");
+    }
+}
+
+#[test]
+fn given_a_call_of_many_items_when_one_version_is_taken_then_nothing_of_it_is_applied() {
+    let mut map = worded_map(&[(5, Some("a"))]);
+    let before = map.clone();
+    let mixed = vec![
+        worded("pool/new", 1, Some("n")),
+        worded(KEY, 5, Some("b")),
+        worded("pool/newer", 9, Some("m")),
+    ];
+    let standpoint = taken_in(&mut map, mixed);
+    let Standpoint::VersionsTaken(taken) = standpoint else {
+        panic!("{standpoint:?}");
+    };
+    assert_eq!((taken.len(), taken[0].key.as_str()), (1, KEY));
+    assert_eq!(map, before);
+    let agreeing = vec![worded("pool/new", 1, Some("n")), worded(KEY, 5, Some("a"))];
+    assert_eq!(taken_in(&mut map, agreeing), Standpoint::Fits);
+    assert_eq!(standing(&map, "pool/new"), Some((1, Some("n".to_string()))));
+}
+
+#[test]
+fn given_one_call_with_two_contents_under_one_version_when_weighed_then_it_is_refused_whole() {
+    let mut map = ReplicatedMap::empty();
+    let twice = vec![worded(KEY, 5, Some("a")), worded(KEY, 5, Some("b"))];
+    let standpoint = taken_in(&mut map, twice);
+    assert!(
+        matches!(standpoint, Standpoint::VersionsTaken(_)),
+        "{standpoint:?}"
+    );
+    let same = vec![worded(KEY, 5, Some("a")), worded(KEY, 5, Some("a"))];
+    assert_eq!(taken_in(&mut map, same), Standpoint::Fits);
+}
+
+/// A map as it was stored before histories were kept.
+#[derive(minicbor::Encode)]
+struct StoredBefore {
+    #[n(0)]
+    version: Version,
+    #[n(1)]
+    items: BTreeMap<String, Item>,
+    #[n(2)]
+    answered: Vec<AnsweredChange>,
+}
+
+#[test]
+fn given_a_map_stored_without_histories_when_read_then_what_stands_is_known_and_older_is_forgotten()
+{
+    for last in [Some("b"), None] {
+        let stored = worded_map(&[(3, Some("a")), (5, last)]);
+        let bytes = minicbor::to_vec(StoredBefore {
+            version: stored.version,
+            items: stored.items.clone(),
+            answered: stored.answered.clone(),
+        })
+        .expect("it encodes");
+        let mut map: ReplicatedMap = minicbor::decode(&bytes).expect("it decodes");
+        assert_eq!(map.items, stored.items);
+        let again = taken_in(&mut map, vec![worded(KEY, 5, last)]);
+        assert_eq!(again, Standpoint::Fits);
+        let other = taken_in(&mut map, vec![worded(KEY, 5, Some("other"))]);
+        assert!(matches!(other, Standpoint::VersionsTaken(_)), "{other:?}");
+        let older = taken_in(&mut map, vec![worded(KEY, 3, Some("a"))]);
+        let forgotten = Standpoint::VersionsForgotten(vec![KEY.to_string()]);
+        assert_eq!(older, forgotten);
+        let newer = taken_in(&mut map, vec![worded(KEY, 6, Some("c"))]);
+        assert_eq!(newer, Standpoint::Fits);
+    }
+}
+
+#[test]
+fn given_histories_that_grow_when_a_configuration_is_checked_then_they_do_not_count_as_its_size() {
+    let mut map = ReplicatedMap::empty();
+    let text = "x".repeat(MOST_BYTES - 2000);
+    for version in 1..=2 * REMEMBERED_VERSIONS as u64 {
+        let change = call(
+            &format!("call-{version}"),
+            vec![worded(KEY, version, Some(&text))],
+        );
+        assert_eq!(check_configuration(&map, &change), Vec::new(), "{version}");
+        map.apply(&change);
+    }
+}
+
+/// A change of the product's own interface: no version of an item is expected.
+fn unconditional(id: &str, limit: u32, read: u64) -> Change {
+    Change {
+        id: ChangeId::new(id),
+        puts: vec![Put {
+            key: KEY.to_string(),
+            expected: None,
+            value: service_value(limit),
+            written: None,
+        }],
+        guards: vec![Guard {
+            key: MAP_READ.to_string(),
+            expected: Version(read),
+        }],
+    }
+}
+
+#[test]
+fn given_a_change_whose_id_was_forgotten_when_it_comes_again_then_it_is_not_applied_over_later_ones(
+) {
+    let mut map = ReplicatedMap::empty();
+    let first = unconditional("first", 1, 0);
+    map.apply(&first);
+    for number in 2..=REMEMBERED_CHANGES as u32 {
+        map.apply(&unconditional(&format!("later-{number}"), number, 1));
+    }
+    assert_eq!(map.weigh(&first), Standpoint::Repeat(Version(1)));
+    let last = REMEMBERED_CHANGES as u32 + 1;
+    map.apply(&unconditional("the one too many", last, 500));
+    assert_eq!(
+        map.weigh(&first),
+        Standpoint::IdForgotten(map.version),
+        "its id is forgotten, and it read the map before what is remembered"
+    );
+    let new = unconditional("new", 1, map.version.0);
+    assert_eq!(map.weigh(&new), Standpoint::Fits);
+    let just = unconditional("just", 1, map.version.0 - REMEMBERED_CHANGES as u64);
+    assert_eq!(map.weigh(&just), Standpoint::Fits);
+}
--- a/crates/controller/src/operator_json.rs
+++ b/crates/controller/src/operator_json.rs
@@ -291,6 +291,23 @@
     })
 }
 
+/// The guard that tells how old a change set is: which version of the map its writer had read.
+///
+/// Why not where each item's version is given and above zero: an item never comes back to a version,
+/// so such a change can't be applied twice. An item that must be absent may have come and gone.
+fn map_read(puts: &[Put], read: Option<Version>) -> Option<Guard> {
+    let seen = |put: &Put| put.expected.filter(|expected| expected.0 > 0);
+    if read.is_none() && puts.iter().all(|put| seen(put).is_some()) {
+        return None;
+    }
+    // Why the highest item: whoever saw it had read the map at that version or later.
+    let items = puts.iter().filter_map(seen).max().unwrap_or_default();
+    Some(Guard {
+        key: MAP_READ.to_string(),
+        expected: items.max(read.unwrap_or_default()),
+    })
+}
+
 /// Reads a change set as far as it can be read, with every fault of its form.
 pub fn read_form(text: &str) -> (Change, Vec<Fault>) {
     let mut change = Change {
@@ -323,10 +340,12 @@
                 .extend(read_put(&path, item, drops, &mut faults));
         }
     }
+    let read = reader.number("edition", &mut faults).map(Version);
     reader.finish(&mut faults);
     if change.puts.is_empty() && faults.is_empty() {
         faults.push(Fault::new("put", "the change set is empty"));
     }
+    change.guards.extend(map_read(&change.puts, read));
     change.id = ChangeId::new(id);
     (change, faults)
 }
@@ -500,6 +519,39 @@
                 .collect();
             (409, jzon::object! { outcome: "refused", conflicts: list })
         }
+        ProposalOutcome::VersionsTaken(taken) => {
+            let list: Vec<JsonValue> = taken
+                .iter()
+                .map(|item| {
+                    jzon::object! {
+                        item: item.key.as_str(),
+                        version: item.confirmed.version,
+                        digest: format!("{:016x}", item.confirmed.digest),
+                        newest: item.newest.version,
+                        newest_digest: format!("{:016x}", item.newest.digest),
+                    }
+                })
+                .collect();
+            (409, jzon::object! { outcome: "refused", taken: list })
+        }
+        ProposalOutcome::VersionsForgotten(keys) => (
+            503,
+            jzon::object! {
+                outcome: "unknown",
+                why: "too old to know whether it was accepted: read it back",
+                items: keys.clone(),
+            },
+        ),
+        ProposalOutcome::IdForgotten(version) => (
+            409,
+            jzon::object! {
+                outcome: "unknown",
+                why: "too old to know whether this id was accepted before; nothing was applied now: \
+                      read it back, and send what is still wanted under a new id, \
+                      with the edition that was read",
+                edition: version.0,
+            },
+        ),
         ProposalOutcome::Faulty(faults) => (
             400,
             jzon::object! { outcome: "refused", faults: faults_json(faults) },
--- a/crates/local-fleet/src/drill.rs
+++ b/crates/local-fleet/src/drill.rs
@@ -173,6 +173,19 @@
     unknown: u64,
 }
 
+/// The configuration's version at the first controller that tells it; 0 if none does.
+async fn map_version(controllers: &[SocketAddr]) -> u64 {
+    for controller in controllers {
+        let Ok(fetched) = Fetch::get(*controller, "/v1/standing").send().await else {
+            continue;
+        };
+        if let Some(version) = fetched.json()["edition"].as_u64() {
+            return version;
+        }
+    }
+    0
+}
+
 /// Tweaks one rule again and again, at one controller after the other.
 async fn keep_changing(
     controllers: Vec<SocketAddr>,
@@ -188,7 +201,8 @@
             host: "drill.example", path: "/", pool: service.as_str(), deadline_ms: 1000 + number,
         };
         let put = jzon::object! { kind: "rule", name: "drill", rule: route };
-        let change = jzon::object! { id: format!("drill-{number}"), put: [put] };
+        let read = locked(&changes).accepted.last().map_or(0, |last| last.0);
+        let change = jzon::object! { id: format!("drill-{number}"), edition: read, put: [put] };
         let sent = Fetch::post(controller, "/v1/standing", change.dump())
             .patience(Duration::from_secs(4))
             .send()
@@ -313,7 +327,8 @@
                 let request = jzon::object! { region: region.as_str(), closed: *closed };
                 let put = jzon::object! { kind: "area", name: zone.as_str(), area: request };
                 let id = format!("turn-{zone}-{closed}-{}", step.at.as_millis());
-                let change = jzon::object! { id: id, put: [put] }.dump();
+                let read = map_version(&fleet.of("controller")).await;
+                let change = jzon::object! { id: id, edition: read, put: [put] }.dump();
                 for controller in fleet.of("controller") {
                     let sent = Fetch::post(controller, "/v1/standing", change.clone())
                         .send()
--- a/crates/local-fleet/src/scale.rs
+++ b/crates/local-fleet/src/scale.rs
@@ -516,7 +516,9 @@
             (number % u64::from(options.routes)) as u32,
             2001 + number % 5000,
         );
-        let body = jzon::object! { id: format!("change-{number}"), put: [put] }.dump();
+        let read = locked(&accepted).last().map_or(0, |last| last.0 .0);
+        let id = format!("change-{number}");
+        let body = jzon::object! { id: id, edition: read, put: [put] }.dump();
         let to = controllers[(number % controllers.len() as u64) as usize].serving;
         let (accepted, flows) = (accepted.clone(), flows.clone());
         tokio::spawn(async move {
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -282,7 +282,8 @@
                 Some(mut found) => {
                     found["area"]["closed"] = closed.into();
                     let word = if closed { "close" } else { "open" };
-                    runner.prepare(&format!("{word}-{zone}"), found);
+                    let read = seen.configuration["edition"].as_u64();
+                    runner.prepare(&format!("{word}-{zone}"), found, read);
                     Phase::Applying
                 }
             }
@@ -317,7 +318,8 @@
                         // Why the present version: whoever changed it since we looked must win.
                         let version = present.and_then(|item| item["edition"].as_u64());
                         before["edition"] = version.unwrap_or(0).into();
-                        self.prepare(&format!("restore-{}", key.replace('/', "-")), before);
+                        let read = seen.configuration["edition"].as_u64();
+                        self.prepare(&format!("restore-{}", key.replace('/', "-")), before, read);
                         Phase::Applying
                     }
                 }
@@ -325,9 +327,9 @@
         };
     }
 
-    fn prepare(&mut self, word: &str, put: JsonValue) {
+    fn prepare(&mut self, word: &str, put: JsonValue, read: Option<u64>) {
         let id = format!("{word}-{:x}-{}", self.seed, self.place);
-        let change = jzon::object! { id: id, put: [put] };
+        let change = jzon::object! { id: id, edition: read, put: [put] };
         self.remembered.insert(String::new(), change);
     }
 
--- a/crates/simulator/src/observers.rs
+++ b/crates/simulator/src/observers.rs
@@ -568,6 +568,9 @@
                 self.calls.entry(change.id.clone()).or_default().1 += 1;
             }
             ProposalOutcome::Conflicts(_)
+            | ProposalOutcome::VersionsTaken(_)
+            | ProposalOutcome::VersionsForgotten(_)
+            | ProposalOutcome::IdForgotten(_)
             | ProposalOutcome::Faulty(_)
             | ProposalOutcome::IdTaken(_)
             | ProposalOutcome::TooFewAgents => {
