--- a/crates/caperworks/src/version_history.rs
+++ b/crates/caperworks/src/version_history.rs
@@ -44,8 +44,8 @@
 
 /// The digest of bytes by which contents are told apart: the same on every node and in every build.
 ///
-/// Why XXH3: equal contents are to be known among a handful, nobody gains by a collision, and a first
-/// configuration of thousands of items is digested on small machines.
+/// Why XXH3: equal contents are to be known among a handful, nobody gains by a collision, and thousands
+/// of short texts are digested on small machines.
 pub fn wide_digest(bytes: &[u8]) -> u128 {
     xxhash_rust::xxh3::xxh3_128(bytes)
 }
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -758,6 +758,16 @@
     }
 }
 
+/// A put under a version of the operators' own, in one operator's words.
+fn worded(name: &str, version: u64, text: &str) -> Put {
+    let mut put = versioned(name, version, Some(1));
+    put.written = Some(Written {
+        version,
+        text: text.to_string(),
+    });
+    put
+}
+
 #[test]
 fn given_racing_calls_of_two_operators_when_both_are_accepted_then_each_item_is_at_its_highest() {
     for swapped in [false, true] {
@@ -952,3 +962,87 @@
         Some(&ProposalOutcome::Unknown)
     );
 }
+
+#[test]
+fn given_two_operators_with_one_number_when_they_race_then_the_ballot_confirms_exactly_one() {
+    for first in [1, 2] {
+        let mut consensus = Consensus::new(3, 0);
+        let second = 3 - first;
+        consensus.propose(1, 10, change("left", vec![worded("a", 5, "left")]));
+        consensus.propose(2, 20, change("right", vec![worded("a", 5, "right")]));
+        for _ in 0..40 {
+            consensus.tick(first, 50);
+            consensus.tick(second, 50);
+        }
+        let told: Vec<&ProposalOutcome> = [10, 20]
+            .iter()
+            .filter_map(|ticket| consensus.proposal_outcome(*ticket))
+            .collect();
+        let confirmed =
+            |outcome: &&&ProposalOutcome| matches!(outcome, ProposalOutcome::Accepted(_));
+        let taken =
+            |outcome: &&&ProposalOutcome| matches!(outcome, ProposalOutcome::VersionsTaken(_));
+        assert_eq!(told.iter().filter(confirmed).count(), 1, "{told:?}");
+        assert_eq!(told.iter().filter(taken).count(), 1, "{told:?}");
+    }
+}
+
+#[test]
+fn given_a_call_left_unknown_when_another_finished_its_ballot_then_sent_again_it_is_confirmed() {
+    let mut consensus = consensus_of_disks(Some(2));
+    consensus.down.extend([2, 3]);
+    let left = change("left", vec![worded("a", 5, "left")]);
+    consensus.propose(1, 10, left.clone());
+    for _ in 0..200 {
+        consensus.tick(1, 50);
+    }
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        Some(&ProposalOutcome::Unknown)
+    );
+    consensus.down = BTreeSet::from([1]);
+    consensus.propose(2, 20, change("right", vec![worded("a", 5, "right")]));
+    for _ in 0..40 {
+        consensus.tick(2, 50);
+    }
+    let outcome = consensus.proposal_outcome(20);
+    assert!(
+        matches!(outcome, Some(ProposalOutcome::VersionsTaken(_))),
+        "it finds the first decided: {outcome:?}"
+    );
+    consensus.propose(3, 30, left.clone());
+    let forgotten_id = Change {
+        id: ChangeId::new("left under an id that nobody remembers"),
+        ..left
+    };
+    consensus.propose(3, 31, forgotten_id);
+    for _ in 0..40 {
+        consensus.tick(3, 50);
+    }
+    assert_eq!(
+        consensus.proposal_outcome(30),
+        Some(&ProposalOutcome::Repeat(Version(1)))
+    );
+    let outcome = consensus.proposal_outcome(31);
+    assert!(
+        matches!(outcome, Some(ProposalOutcome::Accepted(_))),
+        "{outcome:?}"
+    );
+}
+
+#[test]
+fn given_a_controller_that_is_behind_when_it_has_no_majority_then_it_confirms_and_refuses_nothing()
+{
+    let mut consensus = Consensus::new(3, 0);
+    consensus.propose(1, 10, change("left", vec![worded("a", 5, "left")]));
+    consensus.tick(1, 50);
+    consensus.down.extend([1, 2]);
+    consensus.propose(3, 30, change("right", vec![worded("a", 5, "right")]));
+    for _ in 0..60 {
+        consensus.tick(3, 50);
+    }
+    assert_eq!(
+        consensus.proposal_outcome(30),
+        Some(&ProposalOutcome::NoMajority)
+    );
+}
--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/version_stories.rs
@@ -613,3 +613,19 @@
     let just = unconditional("just", 1, map.version.0 - REMEMBERED_CHANGES as u64);
     assert_eq!(map.weigh(&just), Standpoint::Fits);
 }
+
+#[test]
+fn given_a_full_history_when_encoded_then_it_takes_a_few_hundred_bytes_and_a_new_one_few() {
+    let size = |history: &VersionHistory| minicbor::to_vec(history).expect("it encodes").len();
+    let mut history = VersionHistory::default();
+    let confirmed = |version: u64| ConfirmedVersion {
+        version,
+        digest: u64::MAX - version,
+    };
+    history.confirm(confirmed(1));
+    assert!(size(&history) <= 14, "{}", size(&history));
+    for version in 0..10 * REMEMBERED_VERSIONS as u64 {
+        history.confirm(confirmed(1_000_000 + version));
+    }
+    assert!(size(&history) <= 16 * 15 + 8, "{}", size(&history));
+}
--- /dev/null
+++ b/crates/controller/tests/interface_stories.rs
@@ -0,0 +1,91 @@
+//! Stories of the product's own interface: how old a change set may be, and what its caller is told.
+
+use controller::prelude::*;
+
+/// The guard on the map's version that a change set is read with.
+fn map_read(text: &str) -> Option<u64> {
+    let (change, faults) = read_form(text);
+    assert_eq!(faults, Vec::new(), "{text}");
+    change
+        .guards
+        .iter()
+        .find(|guard| guard.key == MAP_READ)
+        .map(|guard| guard.expected.0)
+}
+
+fn change_set(edition: &str, items: &[&str]) -> String {
+    let puts: Vec<String> = items
+        .iter()
+        .map(|item| {
+            format!(r#"{{"kind": "area", "name": "e1", {item} "area": {{"region": "east"}}}}"#)
+        })
+        .collect();
+    format!(r#"{{"id": "one", {edition} "put": [{}]}}"#, puts.join(", "))
+}
+
+#[test]
+fn given_a_change_set_when_read_then_it_says_which_version_of_the_map_its_writer_had_read() {
+    let versioned = r#""edition": 7,"#;
+    let absent = r#""edition": 0,"#;
+    let told = r#""edition": 40,"#;
+    for (edition, items, expected) in [
+        ("", vec![""], Some(0)),
+        ("", vec![absent], Some(0)),
+        ("", vec![versioned], None),
+        ("", vec![versioned, ""], Some(7)),
+        ("", vec![versioned, absent], Some(7)),
+        (told, vec![""], Some(40)),
+        (told, vec![versioned], Some(40)),
+        (r#""edition": 3,"#, vec![versioned], Some(7)),
+    ] {
+        let text = change_set(edition, &items);
+        assert_eq!(map_read(&text), expected, "{text}");
+    }
+    let (_, faults) = read_form(&change_set(r#""edition": "new","#, &[""]));
+    assert_eq!(faults.len(), 1);
+    assert_eq!(faults[0].field, "edition");
+}
+
+#[test]
+fn given_a_change_set_under_an_edition_when_the_map_forgot_ids_since_then_it_is_not_applied() {
+    let mut map = ReplicatedMap::empty();
+    let (first, _) = read_form(&change_set("", &[""]));
+    map.apply(&first);
+    for number in 0..REMEMBERED_CHANGES {
+        let (mut later, _) = read_form(&change_set(r#""edition": 1,"#, &[""]));
+        later.id = ChangeId::new(format!("later-{number}"));
+        assert_eq!(map.weigh(&later), Standpoint::Fits, "{number}");
+        map.apply(&later);
+    }
+    let standpoint = map.weigh(&first);
+    assert_eq!(standpoint, Standpoint::IdForgotten(map.version));
+    let edition = format!(r#""edition": {},"#, map.version);
+    let (mut new, _) = read_form(&change_set(&edition, &[""]));
+    new.id = ChangeId::new("new");
+    assert_eq!(map.weigh(&new), Standpoint::Fits);
+}
+
+#[test]
+fn given_an_answer_that_confirms_nothing_when_told_then_it_says_why_and_what_stands() {
+    let confirmed = ConfirmedVersion {
+        version: 5,
+        digest: 0xab,
+    };
+    let taken = TakenVersion {
+        key: "pool/records".to_string(),
+        confirmed,
+        newest: confirmed,
+    };
+    let (status, json) = proposal_outcome_json(&ProposalOutcome::VersionsTaken(vec![taken]));
+    assert_eq!((status, json["outcome"].as_str()), (409, Some("refused")));
+    assert_eq!(json["taken"][0]["item"], "pool/records");
+    assert_eq!(json["taken"][0]["version"], 5);
+    assert_eq!(json["taken"][0]["digest"], "00000000000000ab");
+    let forgotten = ProposalOutcome::VersionsForgotten(vec!["pool/records".to_string()]);
+    let (status, json) = proposal_outcome_json(&forgotten);
+    assert_eq!((status, json["outcome"].as_str()), (503, Some("unknown")));
+    assert_eq!(json["items"][0], "pool/records");
+    let (status, json) = proposal_outcome_json(&ProposalOutcome::IdForgotten(Version(900)));
+    assert_eq!((status, json["outcome"].as_str()), (409, Some("unknown")));
+    assert_eq!(json["edition"], 900);
+}
