--- a/crates/caperworks/src/version_history.rs
+++ b/crates/caperworks/src/version_history.rs
@@ -6,8 +6,8 @@
 
 /// How many confirmed versions of one item are remembered.
 ///
-/// Why so many: a call under way competes with at most seven others, so a repeat of it finds its
-/// version here long before twice as many newer ones have pushed it out.
+/// Why so many: an operator has up to eight calls under way, and a call is to be known after as many
+/// others of two operators have overtaken it.
 pub const REMEMBERED_VERSIONS: usize = 16;
 
 crate::messages! {
--- a/crates/controller/tests/interface_stories.rs
+++ b/crates/controller/tests/interface_stories.rs
@@ -13,14 +13,14 @@
         .map(|guard| guard.expected.0)
 }
 
-fn change_set(edition: &str, items: &[&str]) -> String {
+fn change_set(read: &str, items: &[&str]) -> String {
     let puts: Vec<String> = items
         .iter()
         .map(|item| {
             format!(r#"{{"kind": "area", "name": "e1", {item} "area": {{"region": "east"}}}}"#)
         })
         .collect();
-    format!(r#"{{"id": "one", {edition} "put": [{}]}}"#, puts.join(", "))
+    format!(r#"{{"id": "one", {read} "put": [{}]}}"#, puts.join(", "))
 }
 
 #[test]
@@ -28,7 +28,7 @@
     let versioned = r#""edition": 7,"#;
     let absent = r#""edition": 0,"#;
     let told = r#""edition": 40,"#;
-    for (edition, items, expected) in [
+    for (read, items, expected) in [
         ("", vec![""], Some(0)),
         ("", vec![absent], Some(0)),
         ("", vec![versioned], None),
@@ -38,7 +38,7 @@
         (told, vec![versioned], Some(40)),
         (r#""edition": 3,"#, vec![versioned], Some(7)),
     ] {
-        let text = change_set(edition, &items);
+        let text = change_set(read, &items);
         assert_eq!(map_read(&text), expected, "{text}");
     }
     let (_, faults) = read_form(&change_set(r#""edition": "new","#, &[""]));
@@ -59,8 +59,8 @@
     }
     let standpoint = map.weigh(&first);
     assert_eq!(standpoint, Standpoint::IdForgotten(map.version));
-    let edition = format!(r#""edition": {},"#, map.version);
-    let (mut new, _) = read_form(&change_set(&edition, &[""]));
+    let read = format!(r#""edition": {},"#, map.version);
+    let (mut new, _) = read_form(&change_set(&read, &[""]));
     new.id = ChangeId::new("new");
     assert_eq!(map.weigh(&new), Standpoint::Fits);
 }
