--- a/crates/caperworks/src/consensus.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -1,337 +1,7 @@
-//! Agreement on the next version of a map: no log and no leader.
-//!
-//! Each version is decided by a two-phase ballot among the voters. A [`Voter`] votes on version N+1
-//! only if it holds N, and repairs first if it is behind. A [`Proposer`] that finds a change
-//! already taken by some voter finishes that change before its own.
+//! The proposing side of consensus: decides the next version of one replicated map.
 
 use crate::prelude::*;
 
-messages! {
-    #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
-    struct Ballot {
-        0 round: u64,
-        1 node: NodeId,
-    }
-
-    #[derive(Eq)]
-    struct AcceptedProposal {
-        0 ballot: Ballot,
-        1 change: Change,
-    }
-
-    /// What one voter holds of one map, as it lies on disk.
-    #[derive(Eq)]
-    struct Copy {
-        0 map: ReplicatedMap,
-        1 promised: Ballot,
-        2 accepted: Option<AcceptedProposal>,
-    }
-
-    #[derive(Eq)]
-    struct NumberedChange {
-        0 version: Version,
-        1 change: Change,
-    }
-
-    /// One line of the short log between two slots.
-    #[derive(Eq)]
-    enum Record {
-        0 Promised { 0 map: MapName, 1 version: Version, 2 ballot: Ballot },
-        1 Accepted { 0 map: MapName, 1 version: Version, 2 accepted: AcceptedProposal },
-        2 Committed { 0 map: MapName, 1 version: Version, 2 change: Change },
-    }
-
-    #[derive(Eq)]
-    enum ConsensusMessage {
-        0 Prepare { 0 map: MapName, 1 membership: Version, 2 version: Version, 3 ballot: Ballot },
-        1 Promise { 0 map: MapName, 1 version: Version, 2 ballot: Ballot, 3 accepted: Option<AcceptedProposal> },
-        2 Accept { 0 map: MapName, 1 membership: Version, 2 version: Version, 3 ballot: Ballot, 4 change: Change },
-        3 Accepted { 0 map: MapName, 1 version: Version, 2 ballot: Ballot },
-        4 Reject { 0 map: MapName, 1 version: Version, 2 ballot: Ballot, 3 promised: Ballot, 4 holds: Version },
-        5 Commit { 0 map: MapName, 1 version: Version, 2 change: Change },
-        6 CatchUp { 0 map: MapName, 1 after: Version },
-        7 News { 0 map: MapName, 1 changes: Vec<NumberedChange> },
-        8 Whole { 0 map: MapName, 1 whole: ReplicatedMap },
-    }
-}
-
-impl Ballot {
-    pub const NONE: Ballot = Ballot {
-        round: 0,
-        node: NodeId(0),
-    };
-}
-
-impl Copy {
-    pub fn empty() -> Self {
-        Self {
-            map: ReplicatedMap::empty(),
-            promised: Ballot::NONE,
-            accepted: None,
-        }
-    }
-
-    /// The highest version that may have been accepted, as far as this copy can tell.
-    ///
-    /// Why it counts a taken change: a majority may have taken it and a yes may have been said,
-    /// so whoever asks how fresh it is must not be told less.
-    pub fn possible(&self) -> Version {
-        match self.accepted {
-            Some(_) => self.map.version.next(),
-            None => self.map.version,
-        }
-    }
-}
-
-/// What a voter wants done after an input. The replies may leave only once the records are synced.
-#[derive(Debug, Default, PartialEq)]
-pub struct VoterOutcome {
-    pub records: Vec<Record>,
-    pub replies: Vec<ConsensusMessage>,
-    /// The maps that moved on to a later version.
-    pub moved: Vec<MapName>,
-    /// A whole map was taken over: the log cannot carry it, a slot must be written.
-    pub rewrite: bool,
-}
-
-/// The voting part of a node: one copy of each map.
-#[derive(Debug, Clone)]
-pub struct Voter {
-    copies: Vec<Copy>,
-    histories: Vec<History>,
-}
-
-impl Default for Voter {
-    fn default() -> Self {
-        Self::restored(ALL_MAPS.iter().map(|_| Copy::empty()).collect())
-    }
-}
-
-impl Voter {
-    pub fn restored(copies: Vec<Copy>) -> Self {
-        let histories = copies.iter().map(|_| History::default()).collect();
-        Self { copies, histories }
-    }
-
-    pub fn copies(&self) -> &[Copy] {
-        &self.copies
-    }
-
-    pub fn copy(&self, name: MapName) -> &Copy {
-        &self.copies[name.index()]
-    }
-
-    pub fn map(&self, name: MapName) -> &ReplicatedMap {
-        &self.copies[name.index()].map
-    }
-
-    pub fn possible(&self) -> Vec<Version> {
-        self.copies.iter().map(Copy::possible).collect()
-    }
-
-    /// Plays a record of the log again after a restart.
-    pub fn replay(&mut self, record: Record) {
-        match record {
-            Record::Promised {
-                map,
-                version,
-                ballot,
-            } => {
-                let copy = &mut self.copies[map.index()];
-                if copy.map.version.next() == version {
-                    copy.promised = copy.promised.max(ballot);
-                }
-            }
-            Record::Accepted {
-                map,
-                version,
-                accepted,
-            } => {
-                let copy = &mut self.copies[map.index()];
-                if copy.map.version.next() == version {
-                    copy.promised = copy.promised.max(accepted.ballot);
-                    copy.accepted = Some(accepted);
-                }
-            }
-            Record::Committed {
-                map,
-                version,
-                change,
-            } => {
-                if self.map(map).version.next() == version {
-                    self.advance(map, change);
-                }
-            }
-        }
-    }
-
-    fn advance(&mut self, name: MapName, change: Change) {
-        let copy = &mut self.copies[name.index()];
-        copy.map.apply(&change);
-        copy.promised = Ballot::NONE;
-        copy.accepted = None;
-        let version = copy.map.version;
-        self.histories[name.index()].push(NumberedChange { version, change });
-    }
-
-    /// What a copy that holds `after` needs to come up to ours: changes, or the whole map.
-    pub fn news_after(&self, name: MapName, after: Version) -> Option<ConsensusMessage> {
-        self.histories[name.index()].news_after(name, self.map(name), after)
-    }
-
-    /// Whether a vote under this membership version may be given.
-    ///
-    /// Why exactly ours: a voter that still held an older membership could give the same version to a
-    /// proposer of the old voters after it had helped to settle things among the new ones.
-    fn membership_fits(&self, membership: Version) -> bool {
-        membership == self.map(MapName::Membership).version
-    }
-
-    pub fn hear(&mut self, vote: ConsensusMessage) -> VoterOutcome {
-        let mut outcome = VoterOutcome::default();
-        match vote {
-            ConsensusMessage::Prepare {
-                map,
-                membership,
-                version,
-                ballot,
-            } => {
-                let fits = self.membership_fits(membership);
-                let copy = &mut self.copies[map.index()];
-                if fits && version == copy.map.version.next() && ballot >= copy.promised {
-                    copy.promised = ballot;
-                    outcome.records.push(Record::Promised {
-                        map,
-                        version,
-                        ballot,
-                    });
-                    outcome.replies.push(ConsensusMessage::Promise {
-                        map,
-                        version,
-                        ballot,
-                        accepted: copy.accepted.clone(),
-                    });
-                } else {
-                    self.reject(&mut outcome, map, version, ballot, membership);
-                }
-            }
-            ConsensusMessage::Accept {
-                map,
-                membership,
-                version,
-                ballot,
-                change,
-            } => {
-                let fits = self.membership_fits(membership);
-                let copy = &mut self.copies[map.index()];
-                if fits && version == copy.map.version.next() && ballot >= copy.promised {
-                    copy.promised = ballot;
-                    let accepted = AcceptedProposal { ballot, change };
-                    copy.accepted = Some(accepted.clone());
-                    outcome.records.push(Record::Accepted {
-                        map,
-                        version,
-                        accepted,
-                    });
-                    outcome.replies.push(ConsensusMessage::Accepted {
-                        map,
-                        version,
-                        ballot,
-                    });
-                } else {
-                    self.reject(&mut outcome, map, version, ballot, membership);
-                }
-            }
-            ConsensusMessage::Commit {
-                map,
-                version,
-                change,
-            } => {
-                if self.map(map).version.next() == version {
-                    outcome.records.push(Record::Committed {
-                        map,
-                        version,
-                        change: change.clone(),
-                    });
-                    self.advance(map, change);
-                    outcome.moved.push(map);
-                } else if self.map(map).version.next() < version {
-                    let after = self.map(map).version;
-                    outcome
-                        .replies
-                        .push(ConsensusMessage::CatchUp { map, after });
-                }
-            }
-            ConsensusMessage::CatchUp { map, after } => {
-                outcome.replies.extend(self.news_after(map, after))
-            }
-            ConsensusMessage::News { map, changes } => {
-                for numbered in changes {
-                    if self.map(map).version.next() == numbered.version {
-                        outcome.records.push(Record::Committed {
-                            map,
-                            version: numbered.version,
-                            change: numbered.change.clone(),
-                        });
-                        self.advance(map, numbered.change);
-                        outcome.moved = vec![map];
-                    }
-                }
-            }
-            ConsensusMessage::Whole { map, whole } => {
-                // Why only upwards: a copy never goes back to a lower version.
-                if whole.version > self.map(map).version {
-                    self.copies[map.index()] = Copy {
-                        map: whole,
-                        promised: Ballot::NONE,
-                        accepted: None,
-                    };
-                    self.histories[map.index()].clear();
-                    outcome.moved.push(map);
-                    outcome.rewrite = true;
-                }
-            }
-            ConsensusMessage::Promise { .. }
-            | ConsensusMessage::Accepted { .. }
-            | ConsensusMessage::Reject { .. } => {}
-        }
-        outcome
-    }
-
-    fn reject(
-        &self,
-        outcome: &mut VoterOutcome,
-        map: MapName,
-        version: Version,
-        ballot: Ballot,
-        membership: Version,
-    ) {
-        let copy = self.copy(map);
-        outcome.replies.push(ConsensusMessage::Reject {
-            map,
-            version,
-            ballot,
-            promised: copy.promised,
-            holds: copy.map.version,
-        });
-        if version <= copy.map.version {
-            let after = Version(version.0.saturating_sub(1));
-            outcome.replies.extend(self.news_after(map, after));
-        }
-        let own = self.map(MapName::Membership).version;
-        if membership < own {
-            outcome
-                .replies
-                .extend(self.news_after(MapName::Membership, membership));
-        } else if membership > own {
-            outcome.replies.push(ConsensusMessage::CatchUp {
-                map: MapName::Membership,
-                after: own,
-            });
-        }
-    }
-}
-
 /// How a proposed change ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ProposalOutcome {
@@ -339,6 +9,14 @@
     Repeat(Version),
     IdTaken(Version),
     Conflicts(Vec<Conflict>),
+    /// Other contents were confirmed under the operators' own versions of these items.
+    VersionsTaken(Vec<TakenVersion>),
+    /// Neither confirmed nor refused: of these items it is not known any more what was confirmed
+    /// under the versions that the change has.
+    VersionsForgotten(Vec<String>),
+    /// Neither confirmed nor refused: the change may have been accepted before this map's oldest
+    /// remembered change. The map stands at this version.
+    IdForgotten(Version),
     Faulty(Vec<Fault>),
     /// Provably not accepted: it was never offered to any voter.
     NoMajority,
@@ -388,6 +66,8 @@
     pub majority_override: Option<usize>,
     /// Only for proving the observers: of a faulty change set, the sound part is applied.
     pub applies_parts: bool,
+    /// Only for proving the observers: other contents under a version that is taken are confirmed.
+    pub confirms_taken_versions: bool,
 }
 
 impl Default for ProposerOptions {
@@ -399,6 +79,7 @@
             synced_controllers: None,
             majority_override: None,
             applies_parts: false,
+            confirms_taken_versions: false,
         }
     }
 }
@@ -559,7 +240,7 @@
     /// fit the map as it is; a controller without its disk would call every change faulty.
     fn answer_repeats(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
         while let Some(proposal) = self.pending.front() {
-            let Standpoint::Repeat(version) = map.weigh(&proposal.change) else {
+            let Some(Standpoint::Repeat(version)) = map.answered_before(&proposal.change) else {
                 return;
             };
             let proposal_outcome = match proposal.offered {
@@ -578,7 +259,13 @@
     /// Only after a majority has promised: then the map is known to be the latest.
     fn answer_settled(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
         while let Some(proposal) = self.pending.front() {
-            let proposal_outcome = match map.weigh(&proposal.change) {
+            let standpoint = match map.weigh(&proposal.change) {
+                Standpoint::VersionsTaken(_) if self.options.confirms_taken_versions => {
+                    Standpoint::Fits
+                }
+                standpoint => standpoint,
+            };
+            let proposal_outcome = match standpoint {
                 Standpoint::Repeat(version) if proposal.offered => {
                     ProposalOutcome::Accepted(version)
                 }
@@ -587,6 +274,9 @@
                 // Why not yet: an offered change that no longer fits lost its version to another,
                 // but only the decided map may say so; it does, since this map is decided.
                 Standpoint::Conflicts(conflicts) => ProposalOutcome::Conflicts(conflicts),
+                Standpoint::VersionsTaken(taken) => ProposalOutcome::VersionsTaken(taken),
+                Standpoint::VersionsForgotten(keys) => ProposalOutcome::VersionsForgotten(keys),
+                Standpoint::IdForgotten(version) => ProposalOutcome::IdForgotten(version),
                 Standpoint::Fits => {
                     let faults = match self.name {
                         MapName::Configuration => check_configuration(map, &proposal.change),
