--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -62,6 +62,9 @@
         let opening = async {
             let stream = TcpStream::connect(key.2).await.ok()?;
             let _ = stream.set_nodelay(true);
+            // Why: dropping the connection must also drop what still waits to be sent. On a full
+            // link that would reach the instance seconds later, as an order that nobody awaits.
+            let _ = stream.set_zero_linger();
             let gate = Arc::new(Gate::default());
             let gated = Gated {
                 socket: stream,
--- /dev/null
+++ b/crates/proxy/tests/instance_connections.rs
@@ -0,0 +1,45 @@
+//! Stories of connections to instances, on real sockets.
+
+use proxy::prelude::*;
+
+/// More than the sockets' buffers on both sides hold.
+const LARGE_BODY: usize = 64 * 1024 * 1024;
+
+/// A body of which only a part can have left when the connection is dropped.
+fn large_request() -> Request<Body> {
+    let body = Full::new(Bytes::from(vec![b'x'; LARGE_BODY]))
+        .map_err(|never| match never {})
+        .boxed();
+    Request::post("/upload").body(body).expect("it is a request")
+}
+
+/// Reads until the other side ends the connection; says how it ended.
+async fn read_to_its_end(mut stream: TcpStream) -> std::io::Result<()> {
+    let mut bytes = vec![0; 64 * 1024];
+    while stream.read(&mut bytes).await? > 0 {}
+    Ok(())
+}
+
+#[tokio::test]
+async fn given_a_request_on_its_way_when_its_connection_is_dropped_then_what_waits_to_be_sent_is_dropped_too(
+) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("it listens");
+    let key = (InstanceId::new("i-1"), Incarnation(0), address);
+    let connections = InstanceConnections::default();
+    let mut connection = connections
+        .open(&key, Duration::from_secs(5), false)
+        .await
+        .expect("the instance accepts");
+    let (stream, _) = listener.accept().await.expect("it is opened");
+    let answer = connection.sender.send_request(large_request());
+    // Why a first byte: by then the buffers fill, as the instance reads nothing.
+    stream.readable().await.expect("a part arrives");
+
+    drop(answer);
+    drop(connection);
+
+    let ended = read_to_its_end(stream).await;
+    let failure = ended.expect_err("the connection is reset, not closed in order");
+    assert_eq!(failure.kind(), std::io::ErrorKind::ConnectionReset);
+}
