--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -598,6 +598,7 @@
             proxies: proxies.max(1),
             configuration: follower.map(MapName::Configuration).version,
             ownership: follower.map(MapName::Ownership).version,
+            link_slow_for: self.link.slow_for(now),
         }
     }
 
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -132,6 +132,13 @@
     }
 
     fn known(&mut self, now: Duration) -> Vec<String> {
+        let view = self.view(now);
+        let known = view.instances.iter();
+        known.map(|heartbeat| heartbeat.id.to_string()).collect()
+    }
+
+    /// What a proxy that asks is told.
+    fn view(&mut self, now: Duration) -> ProxyView {
         let pull = Pull {
             agent: NodeId(0),
             instances_place: 0,
@@ -153,9 +160,7 @@
             } => Some(view),
             _ => None,
         });
-        let view = view.expect("a proxy that asks is told");
-        let known = view.instances.iter();
-        known.map(|heartbeat| heartbeat.id.to_string()).collect()
+        view.expect("a proxy that asks is told")
     }
 }
 
@@ -205,6 +210,53 @@
     assert_eq!(bench.gone, []);
 }
 
+#[test]
+fn given_a_lease_that_ran_out_when_the_core_was_heard_of_late_then_the_link_counts_as_slow() {
+    let mut bench = Bench::new(true);
+    bench.runs(0, 6000, Core::Answers, &["one"]);
+    let mut now = 6000;
+    while bench.view(millis(now)).left > Duration::ZERO {
+        bench.runs(now, now + 25, Core::Silent, &[]);
+        now += 25;
+    }
+    assert!(bench.view(millis(now)).link_slow_for > Duration::ZERO);
+    let cut_off = millis(6000) + SLOW_LINK_SPAN;
+    assert_eq!(bench.view(cut_off).link_slow_for, Duration::ZERO);
+}
+
+#[test]
+fn given_a_core_without_a_majority_when_it_answers_then_the_link_does_not_count_as_slow() {
+    let mut bench = Bench::new(true);
+    bench.runs(0, 6000, Core::Answers, &["one"]);
+    bench.runs(6000, 9100, Core::Alone, &[]);
+    assert_eq!(bench.view(millis(9100)).link_slow_for, Duration::ZERO);
+}
+
+#[test]
+fn given_an_answer_that_comes_too_late_for_its_lease_when_a_proxy_asks_then_the_link_counts_as_slow(
+) {
+    let mut bench = Bench::new(true);
+    bench.runs(0, 6000, Core::Answers, &["one"]);
+    bench.runs(6000, 9500, Core::Silent, &[]);
+    let granted = Granted {
+        proxies: 1,
+        number: 1,
+        round_age: Duration::ZERO,
+        versions: vec![Version(0); ALL_MAPS.len()],
+        instances: Vec::new(),
+        instances_place: 0,
+        members: Vec::new(),
+        members_place: 0,
+        news: Vec::new(),
+        assured: true,
+        gone: Vec::new(),
+    };
+    bench.says(millis(9500), Message::Grant { granted });
+    let view = bench.view(millis(9500));
+    assert_eq!(view.left, Duration::ZERO);
+    assert_eq!(view.link_slow_for, SLOW_LINK_SPAN);
+}
+
 #[test]
 fn given_a_core_in_touch_when_an_instance_is_silent_then_it_expires_after_its_span() {
     let mut bench = Bench::new(true);
--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -393,6 +393,8 @@
     /// The number of the last answer taken.
     pub last_view: u64,
     pub fresh_until: Duration,
+    /// Until when the agent takes the core's silence for a slow link.
+    pub link_slow_until: Duration,
     pub maps: Arc<Follower>,
     pub table: Arc<RouteTable>,
     pub instances: BTreeMap<InstanceId, Heartbeat>,
@@ -474,6 +476,7 @@
                 .is_some_and(|heartbeat| heartbeat.counter <= *counter)
         });
         // Why both maps: being fresh means acting on at least what the agent held when it said so.
+        self.link_slow_until = asked_at + view.link_slow_for;
         let caught_up = self.maps.map(MapName::Configuration).version >= view.configuration
             && self.maps.map(MapName::Ownership).version >= view.ownership;
         if caught_up {
@@ -509,9 +512,13 @@
     }
 
     /// Whether what is known here may be acted on.
+    ///
+    /// Why not over a slow link, even by a proxy that serves on: only a proxy that is cut off may
+    /// go by an old configuration; one that the core reaches late has to follow it in time.
     pub fn is_usable(&self, now: Duration) -> bool {
         let known = self.maps.map(MapName::Configuration).version > Version(0);
-        now < self.fresh_until || (self.policy.serves_on && known)
+        let cut_off = now >= self.link_slow_until;
+        now < self.fresh_until || (self.policy.serves_on && known && cut_off)
     }
 
     /// The rule for a host and path.
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -7,6 +7,11 @@
 const PROXIES_SPAN: Duration = Duration::from_secs(10);
 /// A controller that has not answered for this long is left for another.
 const PATIENCE: Duration = Duration::from_millis(800);
+/// A core that was heard within this span, however late, is in reach over a slow link.
+///
+/// Why a lease's span: over a link that is full, answers come late and some of them too late for
+/// the lease; over one that is cut, none come.
+pub const SLOW_LINK_SPAN: Duration = LEASE_SPAN;
 
 #[derive(Debug, Clone)]
 pub struct CoreLink {
@@ -18,6 +23,8 @@
     controller: SocketAddr,
     controller_node: NodeId,
     answered_at: Duration,
+    /// When a controller with a majority behind it was last heard, in time for the lease or not.
+    assured_at: Option<Duration>,
     renew_at: Duration,
     instances_place: u64,
     members_place: u64,
@@ -41,6 +48,7 @@
             controller: first,
             controller_node: NodeId(0),
             answered_at: Duration::ZERO,
+            assured_at: None,
             renew_at: Duration::ZERO,
             instances_place: 0,
             members_place: 0,
@@ -62,6 +70,13 @@
         self.lease.fresh_until(follower, &self.wants)
     }
 
+    /// For how much longer silence of the core counts as a slow link and not as a cut.
+    pub fn slow_for(&self, now: Duration) -> Duration {
+        self.assured_at.map_or(Duration::ZERO, |assured_at| {
+            (assured_at + SLOW_LINK_SPAN).saturating_sub(now)
+        })
+    }
+
     pub fn versions(&self) -> Vec<Version> {
         self.feed_cache.follower().versions()
     }
@@ -174,6 +189,7 @@
             .filter_map(|news| self.feed_cache.take(news))
             .collect();
         if granted.assured {
+            self.assured_at = Some(now);
             self.lease
                 .granted(granted.number, granted.round_age, granted.versions.clone());
             if self.lease.careless
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -84,6 +84,8 @@
         8 instances_place: u64,
         /// Whether the instances are all there are, and not only those that changed.
         9 all_instances: bool,
+        /// For how much longer an agent without a lease takes the core's silence for a slow link.
+        10 link_slow_for: Duration,
     }
 
     enum Message {
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -154,6 +154,7 @@
         agent: NodeId(1),
         instances_place: 1,
         all_instances: true,
+        link_slow_for: Duration::ZERO,
         number: 1,
         left: millis(3000),
         news: vec![ConsensusMessage::Whole {
@@ -412,6 +413,7 @@
         agent: NodeId(1),
         instances_place: 1,
         all_instances: true,
+        link_slow_for: Duration::ZERO,
         number,
         left: millis(3000),
         news: Vec::new(),
@@ -490,6 +492,7 @@
         agent: NodeId(1),
         instances_place: number,
         all_instances: false,
+        link_slow_for: Duration::ZERO,
         number,
         left: millis(60_000),
         news,
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -287,6 +287,7 @@
         agent: NodeId(1),
         instances_place: number,
         all_instances: all,
+        link_slow_for: Duration::ZERO,
         number,
         left: millis(3000),
         news: Vec::new(),
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -72,6 +72,8 @@
 /// A proxy in zone e1 and what it is told: e1 and e2 lie east, w1 west, n1 north.
 struct Bench {
     known: ProxyKnowledge,
+    /// For how long the agent takes the core's silence for a slow link.
+    link_slow_for: Duration,
     configuration: ReplicatedMap,
     views: u64,
 }
@@ -99,6 +101,7 @@
         };
         Self {
             known,
+            link_slow_for: Duration::ZERO,
             configuration,
             views: 0,
         }
@@ -117,6 +120,7 @@
             agent: NodeId(1),
             instances_place: 1,
             all_instances: true,
+            link_slow_for: self.link_slow_for,
             number: self.views,
             left: millis(3000),
             configuration: whole.version,
@@ -196,6 +200,20 @@
     }
 }
 
+#[test]
+fn given_a_proxy_that_serves_on_when_its_link_is_only_slow_then_it_refuses_until_that_is_a_cut() {
+    let mut bench = Bench::new(ProxyPolicy {
+        serves_on: true,
+        ..ProxyPolicy::default()
+    });
+    bench.link_slow_for = millis(4000);
+    bench.told(Duration::ZERO, &one_everywhere());
+    assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
+    assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
+    assert_eq!(bench.admits(millis(3999), &route()), Err(Failure::Stale));
+    assert_eq!(bench.admits(millis(4000), &route()), Ok(()));
+}
+
 #[test]
 fn given_a_proxy_that_serves_on_when_it_never_knew_anything_then_it_refuses_as_out_of_touch() {
     let known = ProxyKnowledge {
--- a/crates/proxy/tests/instance_connections.rs
+++ b/crates/proxy/tests/instance_connections.rs
@@ -10,7 +10,9 @@
     let body = Full::new(Bytes::from(vec![b'x'; LARGE_BODY]))
         .map_err(|never| match never {})
         .boxed();
-    Request::post("/upload").body(body).expect("it is a request")
+    Request::post("/upload")
+        .body(body)
+        .expect("it is a request")
 }
 
 /// Reads until the other side ends the connection; says how it ended.
@@ -23,7 +25,9 @@
 #[tokio::test]
 async fn given_a_request_on_its_way_when_its_connection_is_dropped_then_what_waits_to_be_sent_is_dropped_too(
 ) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port is free");
     let address = listener.local_addr().expect("it listens");
     let key = (InstanceId::new("i-1"), Incarnation(0), address);
     let connections = InstanceConnections::default();
