--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -126,6 +126,8 @@
     beaten: BTreeSet<InstanceId>,
     /// Our voting part while the membership names us as a witness.
     voter: Option<Voter>,
+    /// Maps of our voting part, encoded for controllers that are behind.
+    snapshots: SnapshotSender,
 }
 
 impl AgentMachine {
@@ -154,6 +156,7 @@
             islander,
             beaten: BTreeSet::new(),
             voter: None,
+            snapshots: SnapshotSender::default(),
         }
     }
 
@@ -267,6 +270,7 @@
     }
 
     fn tick(&mut self, now: Duration, outputs: &mut Vec<AgentOutput>) {
+        self.snapshots.tick(now);
         if self.link.due(now) {
             let member = self.member(now);
             let (to, message) = self.link.renew(now, member);
@@ -412,9 +416,26 @@
                 let Some(voter) = &mut self.voter else {
                     return;
                 };
+                if let ConsensusMessage::CatchUp {
+                    map,
+                    after,
+                    position: Some(position),
+                } = vote
+                {
+                    let vote = self.snapshots.answer(now, voter, map, after, position);
+                    outputs.push(AgentOutput::Send {
+                        to: envelope.reply_to,
+                        message: Message::ConsensusMessage { vote },
+                    });
+                    return;
+                }
+                let asked = matches!(vote, ConsensusMessage::CatchUp { .. });
                 let outcome = voter.hear(vote);
                 let membership_moved = outcome.moved.contains(&MapName::Membership);
-                outputs.extend(outcome.replies.into_iter().map(|vote| AgentOutput::Send {
+                let mut replies = outcome.replies;
+                // Why not unasked: a controller that is behind asks for pieces by itself.
+                replies.retain(|vote| asked || !matches!(vote, ConsensusMessage::Whole { .. }));
+                outputs.extend(replies.into_iter().map(|vote| AgentOutput::Send {
                     to: envelope.reply_to,
                     message: Message::ConsensusMessage { vote },
                 }));
--- a/crates/caperworks/src/consensus/messages.rs
+++ b/crates/caperworks/src/consensus/messages.rs
@@ -45,9 +45,11 @@
         3 Accepted { 0 map: MapName, 1 version: Version, 2 ballot: Ballot },
         4 Reject { 0 map: MapName, 1 version: Version, 2 ballot: Ballot, 3 promised: Ballot, 4 holds: Version },
         5 Commit { 0 map: MapName, 1 version: Version, 2 change: Change },
-        6 CatchUp { 0 map: MapName, 1 after: Version },
+        /// Asks for what is missing; without a position the answer is one message.
+        6 CatchUp { 0 map: MapName, 1 after: Version, 2 position: Option<TransferPosition> },
         7 News { 0 map: MapName, 1 changes: Vec<NumberedChange> },
         8 Whole { 0 map: MapName, 1 whole: ReplicatedMap },
+        9 Piece { 0 piece: SnapshotPiece },
     }
 }
 
--- a/crates/caperworks/src/consensus/voter.rs
+++ b/crates/caperworks/src/consensus/voter.rs
@@ -44,6 +44,11 @@
         &self.copies[name.index()].map
     }
 
+    /// The changes of late of one map.
+    pub fn history(&self, name: MapName) -> &History {
+        &self.histories[name.index()]
+    }
+
     pub fn possible(&self) -> Vec<Version> {
         self.copies.iter().map(Copy::possible).collect()
     }
@@ -175,13 +180,14 @@
                     self.advance(map, change);
                     outcome.moved.push(map);
                 } else if self.map(map).version.next() < version {
-                    let after = self.map(map).version;
-                    outcome
-                        .replies
-                        .push(ConsensusMessage::CatchUp { map, after });
+                    outcome.replies.push(ConsensusMessage::CatchUp {
+                        map,
+                        after: self.map(map).version,
+                        position: None,
+                    });
                 }
             }
-            ConsensusMessage::CatchUp { map, after } => {
+            ConsensusMessage::CatchUp { map, after, .. } => {
                 outcome.replies.extend(self.news_after(map, after))
             }
             ConsensusMessage::News { map, changes } => {
@@ -212,7 +218,8 @@
             }
             ConsensusMessage::Promise { .. }
             | ConsensusMessage::Accepted { .. }
-            | ConsensusMessage::Reject { .. } => {}
+            | ConsensusMessage::Reject { .. }
+            | ConsensusMessage::Piece { .. } => {}
         }
         outcome
     }
@@ -246,6 +253,7 @@
             outcome.replies.push(ConsensusMessage::CatchUp {
                 map: MapName::Membership,
                 after: own,
+                position: None,
             });
         }
     }
--- a/crates/caperworks/src/feed.rs
+++ b/crates/caperworks/src/feed.rs
@@ -92,6 +92,19 @@
         self.weight = 0;
     }
 
+    /// The changes after a version, if the history reaches back so far.
+    pub fn changes_after(&self, after: Version) -> Option<Vec<NumberedChange>> {
+        let first = self.changes.front()?;
+        let later = |numbered: &&NumberedChange| numbered.version > after;
+        let reaches = first.version <= after.next();
+        reaches.then(|| self.changes.iter().filter(later).cloned().collect())
+    }
+
+    /// How much is at hand, by [`Change::weight`].
+    pub fn weight(&self) -> usize {
+        self.weight
+    }
+
     /// What a copy that holds `after` needs to come up to `map`: changes, or the whole map.
     pub fn news_after(
         &self,
@@ -102,21 +115,12 @@
         if after >= map.version {
             return None;
         }
-        let reaches = self
-            .changes
-            .front()
-            .is_some_and(|first| first.version <= after.next());
-        Some(if reaches {
-            let later = |numbered: &&NumberedChange| numbered.version > after;
-            ConsensusMessage::News {
-                map: name,
-                changes: self.changes.iter().filter(later).cloned().collect(),
-            }
-        } else {
-            ConsensusMessage::Whole {
+        Some(match self.changes_after(after) {
+            Some(changes) => ConsensusMessage::News { map: name, changes },
+            None => ConsensusMessage::Whole {
                 map: name,
                 whole: map.clone(),
-            }
+            },
         })
     }
 }
--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -7,6 +7,7 @@
 #[macro_use]
 mod identifiers;
 
+pub mod catch_up;
 pub mod configuration;
 pub mod consensus;
 pub mod disk_frame;
--- a/crates/caperworks/src/prelude.rs
+++ b/crates/caperworks/src/prelude.rs
@@ -10,6 +10,7 @@
 pub use minicbor::{Decode, Encode};
 pub use slab::Slab;
 
+pub use crate::catch_up::*;
 pub use crate::configuration::*;
 pub use crate::consensus::messages::*;
 pub use crate::consensus::proposer::*;
--- a/crates/controller/src/consensus.rs
+++ b/crates/controller/src/consensus.rs
@@ -22,6 +22,24 @@
         return;
     }
     let now = state.now;
+    let vote = match vote {
+        ConsensusMessage::CatchUp {
+            map,
+            after,
+            position: Some(position),
+        } => {
+            let vote = state
+                .snapshots
+                .answer(now, &state.voter, map, after, position);
+            state.send(reply_to, Message::ConsensusMessage { vote });
+            return;
+        }
+        ConsensusMessage::Piece { piece } => match take_piece(state, reply_to, piece) {
+            Some(whole) => whole,
+            None => return,
+        },
+        vote => vote,
+    };
     if let ConsensusMessage::Promise { map, .. }
     | ConsensusMessage::Accepted { map, .. }
     | ConsensusMessage::Reject { map, .. } = &vote
@@ -31,21 +49,22 @@
         act_on_proposer(state, outcome);
         return;
     }
+    let told = match &vote {
+        ConsensusMessage::News { map, .. } | ConsensusMessage::Whole { map, .. } => Some(*map),
+        _ => None,
+    };
+    let asked = matches!(vote, ConsensusMessage::CatchUp { .. });
     let outcome = state.voter.hear(vote);
-    let mut replies: Vec<ControllerOutput> = outcome
-        .replies
-        .into_iter()
-        .map(|vote| ControllerOutput::Send {
-            to: reply_to,
-            message: Message::ConsensusMessage { vote },
-        })
-        .collect();
+    let mut replies = replies_to(state, reply_to, asked, outcome.replies);
     if outcome.rewrite {
-        state.write_slot(std::mem::take(&mut replies));
+        take_snapshot_over(state, std::mem::take(&mut replies));
     } else if !outcome.records.is_empty() {
         state.write_records(&outcome.records, std::mem::take(&mut replies));
     }
     state.outputs.append(&mut replies);
+    if let Some(map) = told {
+        go_on_catching_up(state, map, outcome.moved.contains(&map));
+    }
     for map in outcome.moved {
         let version = state.map(map).version;
         state.note(Event::MapMoved { map, version });
@@ -55,10 +74,107 @@
     }
 }
 
+/// What the voter's replies become: catch-up goes by transfers, and whole maps are bounded.
+fn replies_to(
+    state: &mut ControllerState,
+    reply_to: SocketAddr,
+    asked: bool,
+    replies: Vec<ConsensusMessage>,
+) -> Vec<ControllerOutput> {
+    let mut outputs = Vec::new();
+    for vote in replies {
+        if let ConsensusMessage::CatchUp { map, after, .. } = vote {
+            catch_up_from(state, reply_to, map, after.next());
+        } else if may_send(state, reply_to, asked, &vote) {
+            outputs.push(ControllerOutput::Send {
+                to: reply_to,
+                message: Message::ConsensusMessage { vote },
+            });
+        }
+    }
+    outputs
+}
+
+/// Whether this may be sent; a whole map in one message only to a node that does not ask for
+/// pieces, and seldom.
+fn may_send(
+    state: &mut ControllerState,
+    to: SocketAddr,
+    asked: bool,
+    vote: &ConsensusMessage,
+) -> bool {
+    if !matches!(vote, ConsensusMessage::Whole { .. }) {
+        return true;
+    }
+    // Why not unasked to controllers: once a round tells them that they are behind, they ask.
+    let wanted = asked || !state.other_controllers().contains(&to);
+    wanted && state.whole_map_limit.admits(state.now, to, vote)
+}
+
+/// Begins to fetch what is missing of a map, unless that is under way.
+fn catch_up_from(state: &mut ControllerState, peer: SocketAddr, map: MapName, goal: Version) {
+    let held = state.map(map).version;
+    let request = state.catch_up.behind(state.now, map, held, peer, goal);
+    send_request(state, request);
+}
+
+fn send_request(state: &mut ControllerState, request: Option<CatchUpRequest>) {
+    if let Some(request) = request {
+        let vote = request.message();
+        state.send(request.to, Message::ConsensusMessage { vote });
+    }
+}
+
+/// Takes a piece of a snapshot in; gives the whole once it is there and its digest is right.
+fn take_piece(
+    state: &mut ControllerState,
+    from: SocketAddr,
+    piece: SnapshotPiece,
+) -> Option<ConsensusMessage> {
+    let map = piece.map;
+    let held = state.map(map).version;
+    match state.catch_up.hear_piece(state.now, from, held, piece) {
+        PieceOutcome::Next(request) => {
+            send_request(state, Some(request));
+            None
+        }
+        PieceOutcome::Whole(whole) => Some(ConsensusMessage::Whole { map, whole }),
+        PieceOutcome::Refused(why) => {
+            state.note(Event::PieceRefused { map, from, why });
+            None
+        }
+    }
+}
+
+/// Writes a slot with the map that was taken over; until it is synced it does not count as held.
+fn take_snapshot_over(state: &mut ControllerState, then: Vec<ControllerOutput>) {
+    let write = state.next_write + 1;
+    state.write_slot(then);
+    if state.options.broken != Broken::UnsyncedSnapshot {
+        state.unsynced_snapshot = Some(write);
+    }
+}
+
+fn go_on_catching_up(state: &mut ControllerState, map: MapName, moved: bool) {
+    let held = state.map(map).version;
+    let request = state.catch_up.hear_changes(state.now, map, held, moved);
+    send_request(state, request);
+}
+
+pub fn tick_catch_up(state: &mut ControllerState) {
+    state.snapshots.tick(state.now);
+    let voter = &state.voter;
+    let requests = state.catch_up.tick(state.now, |map| voter.map(map).version);
+    for request in requests {
+        send_request(state, Some(request));
+    }
+}
+
 pub fn act_on_proposer(state: &mut ControllerState, outcome: ProposerOutcome) {
     let voters = state.map(MapName::Membership).voter_addresses(false);
     for (node, vote) in outcome.to_one {
-        if let Some(to) = state.address_of(node) {
+        let to = state.address_of(node);
+        if let Some(to) = to.filter(|to| may_send(state, *to, false, &vote)) {
             state.send(to, Message::ConsensusMessage { vote });
         }
     }
@@ -156,6 +272,10 @@
     if state.map(MapName::Membership).version == Version(0) {
         return;
     }
+    // Why silent: a snapshot that was taken over counts as held only once it is synced.
+    if state.unsynced_snapshot.is_some() {
+        return;
+    }
     let versions = state.voter.possible();
     state.send(reply_to, Message::RoundAnswer { number, versions });
 }
@@ -175,9 +295,7 @@
     for name in ALL_MAPS {
         let own = state.voter.copy(name).possible();
         if versions[name.index()] > own {
-            let after = state.map(name).version;
-            let vote = ConsensusMessage::CatchUp { map: name, after };
-            state.send(reply_to, Message::ConsensusMessage { vote });
+            catch_up_from(state, reply_to, name, versions[name.index()]);
         }
     }
     let Some(majority) = state
@@ -259,11 +377,7 @@
     state.seeds.insert(reply_to, seen);
     if founded && state.map(MapName::Membership).version == Version(0) {
         for name in ALL_MAPS {
-            let vote = ConsensusMessage::CatchUp {
-                map: name,
-                after: Version(0),
-            };
-            state.send(reply_to, Message::ConsensusMessage { vote });
+            catch_up_from(state, reply_to, name, Version(1));
         }
     }
 }
--- a/crates/controller/src/controller_state.rs
+++ b/crates/controller/src/controller_state.rs
@@ -48,6 +48,12 @@
     LoneReads,
     /// Operators are told yes whether or not the agents hold it.
     HastyYes,
+    /// A snapshot that was taken over counts as held before it is synced.
+    UnsyncedSnapshot,
+    /// The digest of a snapshot is not looked at.
+    UncheckedSnapshot,
+    /// Leadership roles are taken by whoever is next, behind or not.
+    LeadsWhileBehind,
 }
 
 impl ControllerOptions {
@@ -154,6 +160,12 @@
     /// The last write of a whole slot that is not synced yet.
     pub unsynced_slot: Option<u64>,
 
+    pub catch_up: CatchUpReceiver,
+    pub snapshots: SnapshotSender,
+    pub whole_map_limit: WholeMapLimit,
+    /// The write that brings the last snapshot that was taken over to disk, until it is synced.
+    pub unsynced_snapshot: Option<u64>,
+
     pub founding: Option<Founding>,
     pub found_took: BTreeSet<NodeId>,
     pub seeds: BTreeMap<SocketAddr, SeedSeen>,
@@ -324,6 +336,16 @@
         })
     }
 
+    /// Whether a map lacks more here than the one change that may be under way.
+    ///
+    /// Why not by the last change: it may be undecided for a while, and a fleet whose members all
+    /// wait for it would have no leader; each act of a leader is fenced on top of this.
+    pub fn is_behind(&self, name: MapName) -> bool {
+        let after_next =
+            |round: &Round| round.versions[name.index()] > self.map(name).version.next();
+        self.rounds.confirmed(self.now).is_some_and(after_next)
+    }
+
     /// Whether this controller knows the latest of a map, by a round of the majority.
     pub fn is_current(&self, name: MapName) -> bool {
         let confirmed = self.rounds.confirmed(self.now);
--- a/crates/controller/src/daemon.rs
+++ b/crates/controller/src/daemon.rs
@@ -75,6 +75,9 @@
         Event::VoterWanted { why } => event(VOTER_WANTED, why),
         Event::VoterRefused { why } => event(VOTER_REFUSED, why),
         Event::FencedOff { what } => event(FENCED_OFF, what),
+        Event::PieceRefused { map, from, why } => {
+            event(PIECE_REFUSED, format!("{map} from {from}: {why}"))
+        }
     }
 }
 
--- a/crates/controller/src/leadership_roles.rs
+++ b/crates/controller/src/leadership_roles.rs
@@ -26,6 +26,8 @@
             }
             // Why not: whoever is about to stop takes nothing up.
             LeadershipStep::Take { .. } if state.stopping_since.is_some() => {}
+            // Why not: it would lead by a state that is over.
+            LeadershipStep::Take { .. } if lacks_state(state) => {}
             LeadershipStep::Take { term, expected } => {
                 if !state.asked(&Asker::Leadership(name)) {
                     state.note(Event::LeadershipWanted {
@@ -50,6 +52,12 @@
     }
 }
 
+/// Whether any map is behind, so that this controller can take no leadership role yet.
+fn lacks_state(state: &ControllerState) -> bool {
+    state.options.broken != Broken::LeadsWhileBehind
+        && ALL_MAPS.iter().any(|name| state.is_behind(*name))
+}
+
 /// Gives a leadership role to the next live controller in the order, before this one stops.
 fn hand_on(state: &mut ControllerState, name: &'static str, epoch: Epoch) {
     let next = state.voters().and_then(|voters| {
@@ -172,6 +180,10 @@
     if held < state.options.core.listen || now < state.plan_at || state.asked(&Asker::Ownership) {
         return;
     }
+    // Why: the key ranges follow the configuration, and an old one may name other services.
+    if lacks_state(state) {
+        return;
+    }
     state.plan_at = now + PLAN_PERIOD;
     let services: Vec<(ServiceName, Service)> = state
         .map(MapName::Configuration)
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -161,6 +161,11 @@
     FencedOff {
         what: String,
     },
+    PieceRefused {
+        map: MapName,
+        from: SocketAddr,
+        why: PieceRefusal,
+    },
 }
 
 pub struct ControllerMachine {
@@ -218,6 +223,10 @@
             .iter()
             .map(|name| Proposer::new(*name, node, options.proposer.clone()))
             .collect();
+        let mut catch_up = CatchUpReceiver::new(chance.draw(), options.slot_room);
+        if options.broken == Broken::UncheckedSnapshot {
+            catch_up.broken = BrokenCatchUp::SkipsDigest;
+        }
         let mut machine = Self {
             state: ControllerState {
                 options,
@@ -235,6 +244,10 @@
                 ailing: false,
                 retry_write_at: Duration::ZERO,
                 unsynced_slot: None,
+                catch_up,
+                snapshots: SnapshotSender::default(),
+                whole_map_limit: WholeMapLimit::default(),
+                unsynced_snapshot: None,
                 founding,
                 found_took: BTreeSet::new(),
                 seeds: BTreeMap::new(),
@@ -339,6 +352,7 @@
     }
     consensus::tick_founding(state);
     consensus::tick_rounds(state);
+    consensus::tick_catch_up(state);
     for id in state.instances.expire(state.now) {
         state.note(Event::InstanceGone { id });
     }
@@ -623,7 +637,9 @@
                 .get(name.index())
                 .copied()
                 .unwrap_or_default();
-            state.voter.news_after(*name, held)
+            let news = state.voter.news_after(*name, held)?;
+            let limit = &mut state.whole_map_limit;
+            limit.admits(now, reply_to, &news).then_some(news)
         })
         .collect();
     let round = match state.options.broken {
@@ -681,6 +697,7 @@
         }
     }
     state.unsynced_slot.take_if(|slot| *slot <= ticket);
+    state.unsynced_snapshot.take_if(|write| *write <= ticket);
     state.disk.synced(ticket);
     if state.ailing && ticket == state.next_write {
         state.ailing = false;
--- /dev/null
+++ b/crates/controller/tests/catch_up_stories.rs
@@ -0,0 +1,609 @@
+//! Stories of whole controllers that are behind: after thousands of changes, on slow ways.
+
+use controller::prelude::*;
+
+const STEP: Duration = Duration::from_millis(25);
+const ROUTES: u64 = 6_000;
+const CHANGES: u64 = 10_000;
+const SLOT_ROOM: u64 = 16 * 1024 * 1024;
+/// Less than a deployment has, so that the log overflows several times.
+const LOG_ROOM: u64 = 1024 * 1024;
+/// What a way carries in the slow part of a story, and where a member is to be behind for long.
+const WAY_BYTES_PER_SECOND: u64 = 2 * 1024 * 1024;
+const SLOW_WAY_BYTES_PER_SECOND: u64 = 128 * 1024;
+const WAY_DELAY: Duration = Duration::from_millis(10);
+
+struct Place {
+    machine: Option<ControllerMachine>,
+    image: DiskImage,
+    broken: Broken,
+    /// Writes wait here while the disk hangs.
+    disk_hangs: bool,
+}
+
+struct Carried {
+    due: Duration,
+    to: SocketAddr,
+    envelope: Envelope,
+}
+
+/// What came to and from one place for catch-up.
+#[derive(Debug, Default, Clone)]
+struct Traffic {
+    questions: u64,
+    answers: u64,
+    pieces: u64,
+    whole_maps: u64,
+    bytes: u64,
+    largest: usize,
+}
+
+impl Traffic {
+    fn messages(&self) -> u64 {
+        self.questions + self.answers + self.pieces + self.whole_maps
+    }
+
+    fn count(&mut self, vote: &ConsensusMessage, bytes: usize) {
+        match vote {
+            ConsensusMessage::CatchUp { .. } => self.questions += 1,
+            ConsensusMessage::News { .. } => self.answers += 1,
+            ConsensusMessage::Piece { .. } => self.pieces += 1,
+            ConsensusMessage::Whole { .. } => self.whole_maps += 1,
+            _ => return,
+        }
+        self.bytes += bytes as u64;
+        self.largest = self.largest.max(bytes);
+    }
+}
+
+struct Fleet {
+    places: Vec<Place>,
+    now: Duration,
+    wire: VecDeque<Carried>,
+    /// When the way from one place to another is free again; all are instant while none is slow.
+    ways: BTreeMap<(SocketAddr, SocketAddr), Duration>,
+    /// What a way carries in a second, if that is bounded.
+    way_rate: Option<u64>,
+    answers: BTreeMap<u64, OperatorAnswer>,
+    tickets: u64,
+    seeds_drawn: u64,
+    /// What all sent each other for catch-up since it was last reset.
+    traffic: Traffic,
+    refused: Vec<PieceRefusal>,
+    /// Changes pieces on their way to this place.
+    spoils: Option<(usize, fn(&mut SnapshotPiece))>,
+    largest_slot: usize,
+    slots_written: u64,
+}
+
+fn address(place: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7000 + place as u16))
+}
+
+fn policy(place: usize) -> CorePolicy {
+    CorePolicy {
+        proxies_serve_on: true,
+        synced_controllers: Some(2),
+        controller_voters: 3,
+        witness_voters: 0,
+        stamped_heartbeats: false,
+        may_found: place < 3,
+        ..CorePolicy::default()
+    }
+}
+
+fn lay(image: &mut DiskImage, write: &DiskWrite) {
+    let (part, offset, bytes) = match write {
+        DiskWrite::Slot { second, bytes } => (&mut image.slots[usize::from(*second)], 0, bytes),
+        DiskWrite::Log { offset, bytes } => (&mut image.log, *offset as usize, bytes),
+    };
+    let end = offset + bytes.len();
+    if part.len() < end {
+        part.resize(end, 0);
+    }
+    part[offset..end].copy_from_slice(bytes);
+}
+
+impl Fleet {
+    /// Three controllers that founded themselves, and a fourth place that is empty.
+    fn founded(seed: u64) -> Self {
+        let place = |_| Place {
+            machine: None,
+            image: DiskImage::default(),
+            broken: Broken::Nothing,
+            disk_hangs: false,
+        };
+        let mut fleet = Self {
+            places: (0..4).map(place).collect(),
+            now: Duration::ZERO,
+            wire: VecDeque::new(),
+            ways: BTreeMap::new(),
+            way_rate: None,
+            answers: BTreeMap::new(),
+            tickets: 0,
+            seeds_drawn: seed * 1000,
+            traffic: Traffic::default(),
+            refused: Vec::new(),
+            spoils: None,
+            largest_slot: 0,
+            slots_written: 0,
+        };
+        (0..3).for_each(|place| fleet.starts(place));
+        fleet.runs(Duration::from_secs(8));
+        fleet
+    }
+
+    fn starts(&mut self, place: usize) {
+        self.seeds_drawn += 1;
+        let seeds = (0..3).map(address).collect();
+        let zone = Zone::new(format!("zone-{place}"));
+        let options = ControllerOptions::new(address(place), zone, seeds)
+            .disk_room(SLOT_ROOM, LOG_ROOM)
+            .core(policy(place))
+            .broken(self.places[place].broken);
+        let image = self.places[place].image.clone();
+        let (machine, outputs) = ControllerMachine::start(options, &image, self.seeds_drawn);
+        self.places[place].machine = Some(machine);
+        self.acts(place, outputs);
+    }
+
+    fn stops(&mut self, place: usize) {
+        self.places[place].machine = None;
+        self.wire.retain(|carried| carried.to != address(place));
+    }
+
+    fn state(&self, place: usize) -> &ControllerState {
+        &self.places[place].machine.as_ref().expect("it runs").state
+    }
+
+    fn acts(&mut self, place: usize, outputs: Vec<ControllerOutput>) {
+        let mut outputs = VecDeque::from(outputs);
+        while let Some(output) = outputs.pop_front() {
+            match output {
+                ControllerOutput::Send { to, message } => self.sends(place, to, message),
+                ControllerOutput::Write { ticket, writes } => {
+                    if self.places[place].disk_hangs {
+                        continue;
+                    }
+                    for write in &writes {
+                        lay(&mut self.places[place].image, write);
+                        if let DiskWrite::Slot { bytes, .. } = write {
+                            self.largest_slot = self.largest_slot.max(bytes.len());
+                            self.slots_written += 1;
+                        }
+                    }
+                    outputs.extend(self.takes(place, ControllerInput::Synced { ticket }));
+                }
+                ControllerOutput::Answer { ticket, answer } => {
+                    self.answers.insert(ticket, answer);
+                }
+                ControllerOutput::Note { event } => {
+                    if let Event::PieceRefused { why, .. } = event {
+                        self.refused.push(why);
+                    }
+                }
+                ControllerOutput::Stopped => {}
+            }
+        }
+    }
+
+    fn sends(&mut self, place: usize, to: SocketAddr, mut message: Message) {
+        if let Message::ConsensusMessage { vote } = &mut message {
+            if let (ConsensusMessage::Piece { piece }, Some((spoiled, change))) =
+                (&mut *vote, self.spoils)
+            {
+                if to == address(spoiled) {
+                    change(piece);
+                }
+            }
+        }
+        let machine = self.places[place].machine.as_ref().expect("it runs");
+        let envelope = machine.seal(to, message);
+        let mut due = self.now;
+        if let Some(rate) = self.way_rate {
+            let bytes = minicbor::to_vec(&envelope).expect("it encodes").len();
+            if let Message::ConsensusMessage { vote } = &envelope.message {
+                self.traffic.count(vote, bytes);
+            }
+            let span = Duration::from_micros(bytes as u64 * 1_000_000 / rate);
+            let free = self.ways.entry((address(place), to)).or_default();
+            *free = (*free).max(self.now) + span;
+            due = *free + WAY_DELAY;
+        }
+        self.wire.push_back(Carried { due, to, envelope });
+    }
+
+    fn takes(&mut self, place: usize, input: ControllerInput) -> Vec<ControllerOutput> {
+        let now = self.now;
+        let machine = self.places[place].machine.as_mut();
+        machine.map_or_else(Vec::new, |machine| machine.input(now, input))
+    }
+
+    fn inputs(&mut self, place: usize, input: ControllerInput) {
+        let outputs = self.takes(place, input);
+        self.acts(place, outputs);
+        self.carries();
+    }
+
+    /// Hands over all that is due by now.
+    fn carries(&mut self) {
+        while let Some(next) = self.wire.iter().position(|carried| carried.due <= self.now) {
+            let Some(carried) = self.wire.remove(next) else {
+                return;
+            };
+            let Some(place) = (0..4).find(|place| address(*place) == carried.to) else {
+                continue;
+            };
+            let envelope = carried.envelope;
+            let outputs = self.takes(place, ControllerInput::Heard { envelope });
+            self.acts(place, outputs);
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.carries();
+        for place in 0..4 {
+            self.inputs(place, ControllerInput::Tick);
+        }
+    }
+
+    fn runs(&mut self, span: Duration) {
+        let until = self.now + span;
+        while self.now < until {
+            self.step();
+        }
+    }
+
+    fn calls(&mut self, place: usize, call: OperatorCall) -> u64 {
+        self.tickets += 1;
+        let ticket = self.tickets;
+        self.inputs(place, ControllerInput::Operator { ticket, call });
+        ticket
+    }
+
+    /// Carries one message of the first controller to a place, and what follows from it.
+    fn hands(&mut self, place: usize, vote: ConsensusMessage) -> Vec<ControllerOutput> {
+        let machine = self.places[0].machine.as_ref().expect("it runs");
+        let envelope = machine.seal(address(place), Message::ConsensusMessage { vote });
+        self.takes(place, ControllerInput::Heard { envelope })
+    }
+
+    /// Lets the first two controllers vote for and commit a change, as a proposer would have them.
+    fn commits(&mut self, change: Change) {
+        let (map, state) = (MapName::Configuration, self.state(0));
+        let version = state.map(map).version.next();
+        let membership = state.map(MapName::Membership).version;
+        let round = 1_000_000;
+        let node = state.node;
+        let ballot = Ballot { round, node };
+        let prepare = ConsensusMessage::Prepare {
+            map,
+            membership,
+            version,
+            ballot,
+        };
+        let accept = ConsensusMessage::Accept {
+            map,
+            membership,
+            version,
+            ballot,
+            change: change.clone(),
+        };
+        let commit = ConsensusMessage::Commit {
+            map,
+            version,
+            change,
+        };
+        for vote in [prepare, accept, commit] {
+            for place in 0..2 {
+                let outputs = self.hands(place, vote.clone());
+                self.acts(place, outputs);
+                self.carries();
+            }
+        }
+        assert_eq!(self.state(1).map(map).version, version);
+    }
+
+    fn reads(&mut self, place: usize) -> OperatorAnswer {
+        let ticket = self.calls(place, OperatorCall::Read);
+        self.answers.remove(&ticket).expect("it is answered")
+    }
+
+    fn is_level(&self, place: usize) -> bool {
+        let state = self.state(place);
+        ALL_MAPS
+            .iter()
+            .all(|name| state.map(*name) == self.state(0).map(*name))
+    }
+
+    /// Runs until a place has all maps; tells how long that took.
+    fn runs_until_level(&mut self, place: usize) -> Duration {
+        let began = self.now;
+        while !self.is_level(place) {
+            self.step();
+            assert!(
+                self.now - began < Duration::from_secs(60),
+                "it never catches up"
+            );
+        }
+        self.now - began
+    }
+
+    /// From now on ways are slow, and what goes over them for catch-up is counted.
+    fn slows_down(&mut self, rate: u64) {
+        self.way_rate = Some(rate);
+        self.traffic = Traffic::default();
+    }
+}
+
+fn route_put(number: u64, routes: u64) -> Put {
+    let name = number % routes;
+    let route = Route {
+        host: format!("host-{name}.example"),
+        path: format!("/{number}"),
+        service: ServiceName::new("records"),
+        deadline: Duration::from_secs(5),
+        body_limit: 1 << 20,
+        ..Route::default()
+    };
+    let text = format!(r#"{{"host":"host-{name}.example","path":"/{number}"}}"#);
+    Put {
+        key: format!("rule/{name}"),
+        expected: None,
+        value: Some(Value::Route { route }),
+        written: Some(Written {
+            version: number + 1,
+            text,
+        }),
+    }
+}
+
+fn routes_change(numbers: std::ops::Range<u64>, routes: u64) -> Change {
+    Change {
+        id: ChangeId::new(format!("call-{}", numbers.start)),
+        puts: numbers.map(|number| route_put(number, routes)).collect(),
+        guards: Vec::new(),
+    }
+}
+
+/// The size of the largest map of a place, encoded.
+fn map_bytes(fleet: &Fleet, place: usize) -> u64 {
+    let map = fleet.state(place).map(MapName::Configuration);
+    minicbor::to_vec(map).expect("it encodes").len() as u64
+}
+
+#[test]
+fn given_ten_thousand_changes_over_six_thousand_routes_when_a_member_missed_them_then_all_stays_bounded(
+) {
+    let mut fleet = Fleet::founded(1);
+    fleet.stops(2);
+    for number in 0..CHANGES {
+        fleet.commits(routes_change(number..number + 1, ROUTES));
+    }
+    let whole = map_bytes(&fleet, 0);
+    println!(
+        "map {whole} bytes, slot {} bytes, {} slots written by all, log {} bytes",
+        fleet.largest_slot,
+        fleet.slots_written,
+        fleet.state(0).disk.log_length(),
+    );
+    for place in 0..2 {
+        let state = fleet.state(place);
+        assert!(state.disk.log_length() <= LOG_ROOM);
+        let history = state.voter.history(MapName::Configuration);
+        assert!(history.weight() <= HISTORY_WEIGHT);
+        let answered = state.map(MapName::Configuration).answered.len();
+        assert!(answered <= REMEMBERED_CHANGES);
+    }
+    assert!(fleet.largest_slot > whole as usize, "the log overflowed");
+    assert!(fleet.largest_slot <= 2 * 1024 * 1024);
+    assert!(fleet.slots_written < 60, "{} slots", fleet.slots_written);
+    // A member that was down for all of it, then one that is new and empty.
+    for (place, what) in [(2, "restarted"), (3, "new")] {
+        fleet.slows_down(WAY_BYTES_PER_SECOND);
+        fleet.starts(place);
+        let span = fleet.runs_until_level(place);
+        fleet.runs(Duration::from_secs(2));
+        let traffic = fleet.traffic.clone();
+        println!(
+            "{what}: level after {span:?}, {} messages, {traffic:?}",
+            traffic.messages()
+        );
+        assert!(span < Duration::from_secs(5), "{span:?}");
+        assert_eq!(traffic.whole_maps, 0);
+        let pieces = whole.div_ceil(PIECE_BYTES as u64);
+        assert!(
+            traffic.pieces <= pieces + 2 * ALL_MAPS.len() as u64,
+            "{traffic:?}"
+        );
+        assert!(traffic.messages() <= 2 * pieces + 60, "{traffic:?}");
+        assert!(traffic.bytes <= whole + whole / 10, "{traffic:?}");
+        assert!(traffic.largest <= PIECE_BYTES + 512, "{traffic:?}");
+        assert_eq!(fleet.state(place).catch_up.held_bytes(), 0);
+    }
+    fleet.runs(SNAPSHOT_IDLE_SPAN);
+    for place in 0..4 {
+        assert_eq!(fleet.state(place).snapshots.held_bytes(), 0);
+    }
+}
+
+/// A fleet in which one member missed many changes, and comes back over slow ways.
+fn with_a_member_behind(seed: u64, behind: usize, broken: Broken) -> Fleet {
+    let mut fleet = Fleet::founded(seed);
+    fleet.stops(behind);
+    fleet.places[behind].broken = broken;
+    fleet.runs(Duration::from_secs(8));
+    for number in 0..ROUTES / 50 {
+        fleet.commits(routes_change(number * 50..(number + 1) * 50, ROUTES));
+    }
+    fleet.slows_down(SLOW_WAY_BYTES_PER_SECOND);
+    fleet.starts(behind);
+    fleet
+}
+
+fn is_promise(output: &ControllerOutput) -> bool {
+    matches!(
+        output,
+        ControllerOutput::Send {
+            message: Message::ConsensusMessage {
+                vote: ConsensusMessage::Promise { .. } | ConsensusMessage::Accepted { .. }
+            },
+            ..
+        }
+    )
+}
+
+#[test]
+fn given_a_member_that_is_behind_when_asked_then_it_answers_no_read_and_gives_no_vote() {
+    let mut fleet = with_a_member_behind(20, 2, Broken::Nothing);
+    let mut steps = 0;
+    loop {
+        fleet.step();
+        if fleet.is_level(2) {
+            break;
+        }
+        steps += 1;
+        assert_eq!(fleet.reads(2), OperatorAnswer::NotCurrent, "step {steps}");
+        let state = fleet.state(0);
+        let round = 2_000_000 + steps;
+        let node = state.node;
+        let vote = ConsensusMessage::Prepare {
+            map: MapName::Configuration,
+            membership: state.map(MapName::Membership).version,
+            version: state.map(MapName::Configuration).version.next(),
+            ballot: Ballot { round, node },
+        };
+        let outputs = fleet.hands(2, vote);
+        let writes = |output: &ControllerOutput| matches!(output, ControllerOutput::Write { .. });
+        let voted = |output: &ControllerOutput| is_promise(output) || writes(output);
+        assert!(!outputs.iter().any(voted), "step {steps}: {outputs:?}");
+        fleet.acts(2, outputs);
+    }
+    assert!(steps > 100, "it was behind for {steps} steps");
+    fleet.runs(Duration::from_secs(2));
+    let read = fleet.reads(2);
+    assert!(matches!(read, OperatorAnswer::Configuration { .. }));
+}
+
+/// Whether a member ever has a leadership role while it is behind; it is first in line for them.
+fn leads_while_behind(broken: Broken) -> bool {
+    let mut fleet = Fleet::founded(30);
+    let holders = &fleet.state(0).voters().expect("it is founded").holders;
+    assert_eq!(holders[0].address, address(0), "who is first in line");
+    let image = fleet.places[0].image.clone();
+    for number in 0..ROUTES / 50 {
+        fleet.commits(routes_change(number * 50..(number + 1) * 50, ROUTES));
+    }
+    fleet.runs(Duration::from_secs(2));
+    fleet.stops(0);
+    fleet.runs(Duration::from_secs(8));
+    // It comes back with the disk of before the changes: as if it had been down for all of them.
+    fleet.places[0].image = image;
+    fleet.places[0].broken = broken;
+    fleet.slows_down(SLOW_WAY_BYTES_PER_SECOND);
+    fleet.starts(0);
+    let mut led = false;
+    let mut steps = 0;
+    while fleet.state(0).map(MapName::Configuration) != fleet.state(1).map(MapName::Configuration) {
+        fleet.step();
+        steps += 1;
+        assert!(steps < 4000, "it never catches up");
+        let node = fleet.state(0).node;
+        let membership = fleet.state(1).map(MapName::Membership);
+        let terms = LEADERSHIPS
+            .iter()
+            .filter_map(|name| membership.leadership(name));
+        let behind = fleet.state(0).map(MapName::Configuration).version
+            < fleet.state(1).map(MapName::Configuration).version;
+        led |= behind && terms.into_iter().any(|term| term.holder == node);
+    }
+    assert!(steps > 160, "it was behind for {steps} steps");
+    fleet.runs(Duration::from_secs(8));
+    let membership = fleet.state(1).map(MapName::Membership);
+    let node = fleet.state(0).node;
+    let term = membership.leadership(SOLVER).expect("someone leads");
+    assert_eq!(term.holder, node, "once it is level, its turn comes");
+    led
+}
+
+#[test]
+fn given_the_first_in_line_when_it_is_behind_then_it_takes_no_leadership_role_until_it_is_level() {
+    assert!(!leads_while_behind(Broken::Nothing));
+    assert!(
+        leads_while_behind(Broken::LeadsWhileBehind),
+        "the story sees a variant that does"
+    );
+}
+
+/// Runs until the member has all maps in memory while its disk takes nothing; tells whether it
+/// said to a round that it holds them.
+fn tells_before_synced(broken: Broken) -> bool {
+    let mut fleet = with_a_member_behind(40, 2, broken);
+    fleet.places[2].disk_hangs = true;
+    fleet.runs_until_level(2);
+    let highest = fleet.state(0).map(MapName::Configuration).version;
+    let mut told = false;
+    for _ in 0..200 {
+        fleet.step();
+        let node = fleet.state(2).node;
+        let heard = fleet.state(0).heard_versions.get(&node);
+        told |= heard.is_some_and(|versions| versions[MapName::Configuration.index()] >= highest);
+    }
+    // The power goes: what was never synced is not there.
+    fleet.stops(2);
+    fleet.places[2].disk_hangs = false;
+    fleet.starts(2);
+    assert!(fleet.state(2).map(MapName::Configuration).version < highest);
+    fleet.runs_until_level(2);
+    fleet.runs(Duration::from_secs(2));
+    let node = fleet.state(2).node;
+    let heard = &fleet.state(0).heard_versions[&node];
+    assert!(
+        heard[MapName::Configuration.index()] >= highest,
+        "synced, it tells"
+    );
+    told
+}
+
+#[test]
+fn given_a_snapshot_that_was_taken_over_when_it_is_not_synced_then_no_round_hears_that_it_is_held()
+{
+    assert!(!tells_before_synced(Broken::Nothing));
+    assert!(
+        tells_before_synced(Broken::UnsyncedSnapshot),
+        "the story sees a variant that does"
+    );
+}
+
+/// Turns one route of a piece into another.
+fn spoil(piece: &mut SnapshotPiece) {
+    let place = piece.bytes.windows(5).position(|bytes| bytes == b"host-");
+    if let Some(place) = place.filter(|_| piece.offset > 0) {
+        piece.bytes[place] ^= 0x02;
+    }
+}
+
+#[test]
+fn given_pieces_spoiled_on_their_way_when_the_whole_is_there_then_it_is_refused_and_fetched_anew() {
+    let mut fleet = with_a_member_behind(50, 2, Broken::Nothing);
+    fleet.spoils = Some((2, spoil));
+    let before = fleet.state(2).map(MapName::Configuration).clone();
+    fleet.runs(Duration::from_secs(20));
+    assert!(
+        fleet.refused.contains(&PieceRefusal::WrongDigest),
+        "{:?}",
+        fleet.refused
+    );
+    assert_eq!(fleet.state(2).map(MapName::Configuration), &before);
+    fleet.spoils = None;
+    fleet.runs_until_level(2);
+    // The variant without the digest takes what nobody agreed on, and is level with nobody.
+    let mut fleet = with_a_member_behind(50, 2, Broken::UncheckedSnapshot);
+    fleet.spoils = Some((2, spoil));
+    fleet.runs(Duration::from_secs(20));
+    let (spoiled, right) = (fleet.state(2), fleet.state(0));
+    let name = MapName::Configuration;
+    assert_eq!(spoiled.map(name).version, right.map(name).version);
+    assert_ne!(spoiled.map(name), right.map(name));
+}
