--- a/crates/controller/tests/catch_up_stories.rs
+++ b/crates/controller/tests/catch_up_stories.rs
@@ -21,6 +21,9 @@
     disk_hangs: bool,
 }
 
+/// What is done to a piece on its way.
+type Spoil = fn(&mut SnapshotPiece);
+
 struct Carried {
     due: Duration,
     to: SocketAddr,
@@ -71,7 +74,7 @@
     traffic: Traffic,
     refused: Vec<PieceRefusal>,
     /// Changes pieces on their way to this place.
-    spoils: Option<(usize, fn(&mut SnapshotPiece))>,
+    spoils: Option<(usize, Spoil)>,
     largest_slot: usize,
     slots_written: u64,
 }
