--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -252,3 +252,123 @@
         "nor by a controller's word"
     );
 }
+
+/// A map of routes that takes many pieces.
+fn large_map() -> ReplicatedMap {
+    let mut map = ReplicatedMap::empty();
+    let puts = (0..3000).map(|number| Put {
+        key: format!("rule/{number}"),
+        expected: None,
+        value: Some(Value::Route {
+            route: Route {
+                host: format!("host-{number}.example"),
+                path: format!("/{number}"),
+                ..Route::default()
+            },
+        }),
+        written: None,
+    });
+    map.apply(&Change {
+        id: ChangeId::new("many"),
+        puts: puts.collect(),
+        guards: Vec::new(),
+    });
+    map
+}
+
+/// A membership in which an agent votes.
+fn membership_with(agent: NodeId) -> ReplicatedMap {
+    let holder = VoterEntry {
+        node: agent,
+        address: address(6500),
+        zone: Zone::new("e1"),
+        controller: false,
+    };
+    let holders = vec![holder];
+    let mut map = ReplicatedMap::empty();
+    map.apply(&Change {
+        id: ChangeId::new("seats"),
+        puts: vec![Put {
+            key: "seats".to_string(),
+            expected: None,
+            value: Some(Value::VoterSet {
+                voters: VoterSet { holders },
+            }),
+            written: None,
+        }],
+        guards: Vec::new(),
+    });
+    map
+}
+
+/// What the agent answers to a vote.
+fn votes_back(bench: &mut Bench, vote: ConsensusMessage) -> Vec<ConsensusMessage> {
+    let outputs = bench.says(millis(100), Message::ConsensusMessage { vote });
+    let votes = outputs.into_iter().filter_map(|output| match output {
+        AgentOutput::Send {
+            message: Message::ConsensusMessage { vote },
+            ..
+        } => Some(vote),
+        _ => None,
+    });
+    votes.collect()
+}
+
+#[test]
+fn given_an_agent_that_votes_when_a_controller_is_behind_then_it_sends_pieces_and_no_whole_map() {
+    let mut bench = Bench::new(true);
+    let node = bench.machine.node();
+    let whole = |map, whole| ConsensusMessage::Whole { map, whole };
+    let granted = Granted {
+        proxies: 1,
+        number: 0,
+        round_age: Duration::ZERO,
+        versions: vec![Version(0); ALL_MAPS.len()],
+        instances: Vec::new(),
+        instances_place: 0,
+        members: Vec::new(),
+        members_place: 0,
+        news: vec![
+            whole(MapName::Membership, membership_with(node)),
+            whole(MapName::Configuration, large_map()),
+        ],
+        assured: true,
+        gone: Vec::new(),
+    };
+    bench.says(millis(50), Message::Grant { granted });
+    let map = MapName::Configuration;
+    let mut offset = 0;
+    let mut total = u64::MAX;
+    while offset < total {
+        let position = TransferPosition {
+            transfer: 7,
+            version: Version(u64::from(offset > 0)),
+            offset,
+        };
+        let question = ConsensusMessage::CatchUp {
+            map,
+            after: Version(0),
+            position: Some(position),
+        };
+        let answers = votes_back(&mut bench, question);
+        let [ConsensusMessage::Piece { piece }] = answers.as_slice() else {
+            panic!("{answers:?}");
+        };
+        assert_eq!((piece.offset, piece.transfer), (offset, 7));
+        offset += piece.bytes.len() as u64;
+        total = piece.total;
+    }
+    assert!(total > 2 * PIECE_BYTES as u64, "{total} bytes");
+    // A vote that it refuses brings its refusal, and no map that nobody asked for.
+    let refused = ConsensusMessage::Prepare {
+        map,
+        membership: Version(1),
+        version: Version(1),
+        ballot: Ballot { round: 1, node },
+    };
+    let answers = votes_back(&mut bench, refused);
+    assert!(
+        matches!(answers.as_slice(), [ConsensusMessage::Reject { .. }]),
+        "{answers:?}"
+    );
+}
--- a/crates/caperworks/tests/disk_stories.rs
+++ b/crates/caperworks/tests/disk_stories.rs
@@ -291,16 +291,15 @@
 
 /// The image of an old program: the slot of generation 2, and lines behind it.
 fn old_image(lines: &[Vec<u8>]) -> DiskImage {
-    use old_format::*;
     let mut image = blank_image();
     for generation in [1, 2] {
-        let bytes = framed(SLOT_MAGIC, generation, &state(generation, 500));
+        let bytes = old_format::framed(old_format::SLOT_MAGIC, generation, &state(generation, 500));
         let slot = &mut image.slots[usize::from(generation == 2)];
         slot[..bytes.len()].copy_from_slice(&bytes);
     }
-    let mut log = framed(LINE_MAGIC, 2, &[]);
+    let mut log = old_format::framed(old_format::LINE_MAGIC, 2, &[]);
     for line in lines {
-        log.extend(framed(LINE_MAGIC, 2, line));
+        log.extend(old_format::framed(old_format::LINE_MAGIC, 2, line));
     }
     image.log[..log.len()].copy_from_slice(&log);
     image
