--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -47,6 +47,7 @@
     210 Info VOTER_WANTED "The holder of the voter management role asks for a change of voters.";
     211 Warn VOTER_REFUSED "A change of voters was due but would leave fewer living voters than a majority.";
     212 Warn FENCED_OFF "A write by the holder of a leadership role was refused: another holder has fenced the map, or the item moved on.";
+    213 Warn PIECE_REFUSED "A piece of a snapshot was refused; nothing of it is kept, and what is held stays as it is.";
     300 Info FRESH "The lease is valid, and the versions that it names are held.";
     301 Warn STALE "The lease ran out: the proxy refuses requests until it is renewed.";
     302 Warn ON_ISLAND "The core is out of reach; the answers of a majority of the agents keep this one fresh.";
