--- /dev/null
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -0,0 +1,194 @@
+//! The choice of an instance for an attempt.
+
+use crate::prelude::*;
+
+/// Up to which load a slot instances are chosen before those of the next tier: the own zone, the
+/// region, beyond.
+const SPILL_LOADS: [f64; 3] = [1.25, 2.0, 2.0];
+
+impl ServiceShard {
+    /// Chooses an instance: same zone first, then the region, and never beyond a home region.
+    pub fn choose(
+        &mut self,
+        now: Duration,
+        knowledge: &ProxyKnowledge,
+        own_zone: &Zone,
+        route: &Route,
+        key: Option<&str>,
+        tried: &[InstanceId],
+    ) -> Result<Target, Failure> {
+        self.choose_in(now, knowledge, own_zone, route, &route.service, key, tried)
+    }
+
+    /// The same in one of the services that the rule's requests are split over.
+    #[allow(clippy::too_many_arguments)]
+    pub fn choose_in(
+        &mut self,
+        now: Duration,
+        knowledge: &ProxyKnowledge,
+        own_zone: &Zone,
+        route: &Route,
+        service_name: &ServiceName,
+        key: Option<&str>,
+        tried: &[InstanceId],
+    ) -> Result<Target, Failure> {
+        let service = knowledge.service(service_name).ok_or(Failure::NoInstance)?;
+        if service.keyed {
+            return self.choose_owner(now, knowledge, route, service_name, service, key, tried);
+        }
+        let own_region = knowledge.regions.get(own_zone);
+        let heartbeats = knowledge
+            .by_service
+            .get(service_name)
+            .ok_or(Failure::NoInstance)?;
+        let mut tiers: [Vec<&Heartbeat>; 3] = [Vec::new(), Vec::new(), Vec::new()];
+        for heartbeat in heartbeats {
+            if heartbeat.state == InstanceState::Leaving
+                || knowledge.closed.contains(&heartbeat.zone)
+                || tried.contains(&heartbeat.id)
+            {
+                continue;
+            }
+            let region = knowledge.regions.get(&heartbeat.zone);
+            if !route.is_at_home(region) {
+                continue;
+            }
+            let tier = match (heartbeat.zone == *own_zone, region == own_region) {
+                (true, _) => 0,
+                (false, true) => 1,
+                (false, false) => 2,
+            };
+            tiers[tier].push(heartbeat);
+        }
+        if now < self.any_ejected_until {
+            self.bound_ejections(now, &tiers);
+        }
+        // Why near ones a second time: when all are busy, waiting near by heartbeats waiting far away.
+        for spill in [SPILL_LOADS, [f64::MAX; 3]] {
+            for (tier, most) in tiers.iter().zip(spill) {
+                if let Some(heartbeat) = self.pick(now, tier, service, knowledge, most) {
+                    return Ok(target_of(heartbeat, None, None));
+                }
+            }
+        }
+        Err(Failure::NoInstance)
+    }
+
+    /// Takes instances back when more than half of those that could serve are put aside.
+    ///
+    /// Why bounded: that many failures say more of the way there than of the instances, and the rest
+    /// would be sunk by all the load.
+    fn bound_ejections(&mut self, now: Duration, tiers: &[Vec<&Heartbeat>; 3]) {
+        let known: usize = tiers.iter().map(Vec::len).sum();
+        let ejected = tiers
+            .iter()
+            .flatten()
+            .filter(|heartbeat| now < self.watch(heartbeat).ejected_until)
+            .count();
+        if ejected * 2 > known {
+            for heartbeat in tiers.iter().flatten() {
+                self.watch(heartbeat).ejected_until = Duration::ZERO;
+            }
+        }
+    }
+
+    /// Picks within a tier: a cold instance whose turn has come, or the less loaded of two.
+    fn pick<'beats>(
+        &mut self,
+        now: Duration,
+        tier: &[&'beats Heartbeat],
+        service: &Service,
+        knowledge: &ProxyKnowledge,
+        most_load: f64,
+    ) -> Option<&'beats Heartbeat> {
+        let proxies = knowledge.proxies;
+        // Why the cold first when their turn has come: it comes seldom, and a cold instance that
+        // is never chosen never warms.
+        let is_cold = |heartbeat: &Heartbeat| knowledge.is_cold(heartbeat, service);
+        for heartbeat in tier.iter().filter(|heartbeat| is_cold(heartbeat)) {
+            if self.has_room(now, heartbeat, service, proxies)
+                && self.gentle_lets(now, heartbeat, service, knowledge)
+            {
+                return Some(heartbeat);
+            }
+        }
+        // Why by drawing first: nearly always one of two drawn is free, and looking at all of them
+        // for every order is what an order would mostly cost.
+        let mut best: Option<&Heartbeat> = None;
+        for _ in 0..2 {
+            let drawn = *tier.get(self.chance.below(tier.len() as u64) as usize)?;
+            if is_cold(drawn)
+                || !self.has_room(now, drawn, service, proxies)
+                || self.weight(now, drawn) > most_load
+            {
+                continue;
+            }
+            best = match best {
+                Some(best) if self.weight(now, best) <= self.weight(now, drawn) => Some(best),
+                _ => Some(drawn),
+            };
+        }
+        if best.is_some() {
+            return best;
+        }
+        let start = self.chance.below(tier.len() as u64) as usize;
+        (0..tier.len())
+            .map(|step| tier[(start + step) % tier.len()])
+            .find(|heartbeat| {
+                !is_cold(heartbeat)
+                    && self.has_room(now, heartbeat, service, proxies)
+                    && self.weight(now, heartbeat) <= most_load
+            })
+    }
+
+    #[allow(clippy::too_many_arguments)]
+    fn choose_owner(
+        &mut self,
+        now: Duration,
+        knowledge: &ProxyKnowledge,
+        route: &Route,
+        service_name: &ServiceName,
+        service: &Service,
+        key: Option<&str>,
+        tried: &[InstanceId],
+    ) -> Result<Target, Failure> {
+        let key = key.ok_or(Failure::MissingKey)?;
+        let key_range = service.key_range_of(key).ok_or(Failure::BadKey)?;
+        let owner = knowledge
+            .maps
+            .map(MapName::Ownership)
+            .key_ranges(service_name)
+            .and_then(|table| table.owners.get(key_range as usize)?.as_ref())
+            .ok_or(Failure::NoOwner)?;
+        let heartbeat = knowledge
+            .instances
+            .get(&owner.instance)
+            .filter(|heartbeat| heartbeat.incarnation == owner.incarnation)
+            .filter(|heartbeat| knowledge.owner_serves(now, heartbeat))
+            .filter(|heartbeat| !knowledge.closed.contains(&heartbeat.zone))
+            .filter(|heartbeat| route.is_at_home(knowledge.regions.get(&heartbeat.zone)))
+            // Why not again: an owner that says it does not hold the key range will not hold it in the
+            // next moment either, and the attempt would be wasted.
+            .filter(|heartbeat| !tried.contains(&heartbeat.id))
+            .ok_or(Failure::NoOwner)?;
+        let key = steady_hash(key);
+        // Why a cap per key: one hot key must not take all of its owner's room from the others.
+        self.key_share = f64::from(service.key_cap) / f64::from(knowledge.proxies.max(1));
+        let most = (self.key_share as u32).max(1);
+        let hot = self
+            .keys
+            .get(&key)
+            .is_some_and(|watch| watch.under_way >= most || now < watch.rests_until);
+        if (hot && !self.no_key_cap)
+            || !self.has_room(now, heartbeat, service, knowledge.proxies)
+            || !self.gentle_lets(now, heartbeat, service, knowledge)
+        {
+            return Err(Failure::NoInstance);
+        }
+        Ok(target_of(
+            heartbeat,
+            Some((key_range, owner.epoch)),
+            Some(key),
+        ))
+    }
+}
--- /dev/null
+++ b/crates/caperworks/src/dispatch/failure.rs
@@ -0,0 +1,89 @@
+//! Why a request was refused or lost, and what its client is told.
+
+use crate::prelude::*;
+
+/// Why an order was refused or lost; the answer's status follows from it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Failure {
+    NoRoute,
+    Stale,
+    ZoneClosed,
+    OutsideHome,
+    NoInstance,
+    NoOwner,
+    BodyTooLarge,
+    BadFraming,
+    MissingKey,
+    BadKey,
+    LateBeforeSending,
+    NotOpened,
+    InstanceRefused,
+    Leaving,
+    LostAfterSending,
+    LateAfterSending,
+    Garbage,
+}
+
+/// What the caller is told of whether the order ran.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Told {
+    NotRun,
+    Unknown,
+}
+
+impl Failure {
+    pub fn told(self) -> Told {
+        match self {
+            Failure::LostAfterSending | Failure::LateAfterSending | Failure::Garbage => {
+                Told::Unknown
+            }
+            _ => Told::NotRun,
+        }
+    }
+
+    pub fn status(self) -> u16 {
+        match self {
+            Failure::NoRoute => 404,
+            Failure::BodyTooLarge => 413,
+            Failure::BadFraming | Failure::MissingKey | Failure::BadKey => 400,
+            Failure::LateAfterSending => 504,
+            Failure::LostAfterSending | Failure::Garbage => 502,
+            _ => 503,
+        }
+    }
+
+    /// When to come back, for those that may be tried again with hope.
+    pub fn retry_after(self) -> Option<Duration> {
+        match self {
+            Failure::NoRoute
+            | Failure::BodyTooLarge
+            | Failure::BadFraming
+            | Failure::MissingKey
+            | Failure::BadKey => None,
+            Failure::ZoneClosed | Failure::Stale | Failure::Leaving => Some(Duration::from_secs(2)),
+            _ => Some(Duration::from_secs(1)),
+        }
+    }
+
+    pub fn word(self) -> &'static str {
+        match self {
+            Failure::NoRoute => "no rule matches",
+            Failure::Stale => "this proxy has lost touch with the core",
+            Failure::ZoneClosed => "this zone is closed",
+            Failure::OutsideHome => "the rule is bound to another region",
+            Failure::NoInstance => "no instance is free",
+            Failure::NoOwner => "no instance owns the key just now",
+            Failure::BodyTooLarge => "the body is over the rule's limit",
+            Failure::BadFraming => "the framing is malformed or ambiguous",
+            Failure::MissingKey => "the header with the key is missing",
+            Failure::BadKey => "the key is none of this service's",
+            Failure::LateBeforeSending => "the deadline passed before anything was sent",
+            Failure::NotOpened => "no connection to an instance could be opened",
+            Failure::InstanceRefused => "the instance refused and ran nothing",
+            Failure::Leaving => "this proxy is about to stop",
+            Failure::LostAfterSending => "the connection was lost after sending",
+            Failure::LateAfterSending => "the deadline passed after sending",
+            Failure::Garbage => "the instance's answer was malformed",
+        }
+    }
+}
--- /dev/null
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -0,0 +1,178 @@
+//! One request's state chart: when another attempt is allowed, and what may be said.
+
+use crate::prelude::*;
+
+/// How often one order may be attempt at most.
+const MOST_ATTEMPTS: u32 = 3;
+
+/// The named states of an order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RequestState {
+    Received,
+    Matched,
+    Admitted,
+    Chosen,
+    Shooting,
+    Sent,
+    Answering,
+    Done,
+    Refused,
+    Unknown,
+}
+
+/// How one attempt at an instance ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AttemptEnd {
+    /// No byte can have left.
+    NotOpened,
+    /// The instance said itself that it ran nothing.
+    RefusedByInstance,
+    Lost,
+    Late,
+    Garbage,
+    Answered,
+}
+
+/// What the chart wants next.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum NextStep {
+    /// Choose an instance again and shoot.
+    ShootAgain,
+    PassOn,
+    Answer(Failure),
+}
+
+/// One order's state chart.
+#[derive(Debug, Clone)]
+pub struct RequestChart {
+    state: RequestState,
+    /// Why it matters: a read may be attempt again, all else only when provably nothing ran.
+    read: bool,
+    /// Whether the body can be sent a second time.
+    replayable: bool,
+    attempts: u32,
+    most_attempts: u32,
+    deadline: Duration,
+    /// An attempt of this order may have run and its answer is not known.
+    doubt: bool,
+}
+
+impl RequestChart {
+    pub fn received(read: bool) -> Self {
+        Self {
+            state: RequestState::Received,
+            read,
+            replayable: true,
+            attempts: 0,
+            most_attempts: MOST_ATTEMPTS,
+            deadline: Duration::ZERO,
+            doubt: false,
+        }
+    }
+
+    /// What the caller may be told: never "not run" once an attempt is in doubt.
+    pub fn told(&self, failure: Failure) -> Told {
+        if self.doubt {
+            Told::Unknown
+        } else {
+            failure.told()
+        }
+    }
+
+    pub fn is_read(&self) -> bool {
+        self.read
+    }
+
+    pub fn state(&self) -> RequestState {
+        self.state
+    }
+
+    pub fn attempts(&self) -> u32 {
+        self.attempts
+    }
+
+    pub fn deadline(&self) -> Duration {
+        self.deadline
+    }
+
+    /// A rule was found; the deadline counts from here.
+    pub fn matched(&mut self, now: Duration, route: &Route) {
+        self.state = RequestState::Matched;
+        self.deadline = now + route.deadline;
+        self.read = route.may_repeat(self.read);
+        if route.most_attempts > 0 {
+            self.most_attempts = route.most_attempts;
+        }
+    }
+
+    /// The caller waits no longer than this.
+    pub fn caller_waits(&mut self, until: Duration) {
+        self.deadline = self.deadline.min(until);
+    }
+
+    pub fn admitted(&mut self, replayable: bool) {
+        self.state = RequestState::Admitted;
+        self.replayable = replayable;
+    }
+
+    pub fn chosen(&mut self) {
+        self.state = RequestState::Chosen;
+    }
+
+    /// The last check before the first byte held; from here on bytes may leave.
+    pub fn shooting(&mut self) {
+        self.state = RequestState::Shooting;
+        self.attempts += 1;
+    }
+
+    pub fn sent(&mut self) {
+        self.state = RequestState::Sent;
+    }
+
+    pub fn done(&mut self) {
+        self.state = RequestState::Done;
+    }
+
+    pub fn refuse(&mut self, failure: Failure) -> NextStep {
+        self.state = match self.told(failure) {
+            Told::NotRun => RequestState::Refused,
+            Told::Unknown => RequestState::Unknown,
+        };
+        NextStep::Answer(failure)
+    }
+
+    /// What follows the end of an attempt; `again` asks the budget and is asked only when it counts.
+    pub fn attempt_ended(
+        &mut self,
+        now: Duration,
+        end: AttemptEnd,
+        again: impl FnOnce() -> bool,
+    ) -> NextStep {
+        let nothing_ran = match end {
+            AttemptEnd::Answered => {
+                self.state = RequestState::Answering;
+                return NextStep::PassOn;
+            }
+            AttemptEnd::NotOpened | AttemptEnd::RefusedByInstance => true,
+            AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::Garbage => false,
+        };
+        self.doubt |= !nothing_ran;
+        let may = (nothing_ran || self.read)
+            && self.replayable
+            && self.attempts < self.most_attempts
+            && end != AttemptEnd::Late
+            && now < self.deadline;
+        if may && again() {
+            self.state = RequestState::Admitted;
+            return NextStep::ShootAgain;
+        }
+        let failure = match end {
+            AttemptEnd::NotOpened => Failure::NotOpened,
+            AttemptEnd::RefusedByInstance => Failure::InstanceRefused,
+            AttemptEnd::Late => Failure::LateAfterSending,
+            AttemptEnd::Garbage => Failure::Garbage,
+            AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
+        };
+        self.refuse(failure)
+    }
+}
--- /dev/null
+++ b/crates/caperworks/src/dispatch/retry_budget.rs
@@ -0,0 +1,48 @@
+//! Bounds a service's further attempts by its first ones.
+
+use crate::prelude::*;
+
+/// Which part of a service's first attempts may be followed by another attempt.
+pub const RETRY_PERCENT: u32 = 15;
+/// How many further attempts each proxy has per window whatever the traffic; twelve proxies share
+/// the "few dozen" of the brief.
+pub const RETRY_FLOOR: u32 = 2;
+const RETRY_WINDOW: usize = 10;
+
+/// Counts first and further attempts over a sliding window of seconds.
+#[derive(Debug, Clone, Default)]
+pub struct RetryBudget {
+    seconds: VecDeque<(u64, u32, u32)>,
+}
+
+impl RetryBudget {
+    fn roll(&mut self, now: Duration) -> &mut (u64, u32, u32) {
+        let second = now.as_secs();
+        if self.seconds.back().is_none_or(|last| last.0 != second) {
+            self.seconds.push_back((second, 0, 0));
+        }
+        let oldest = second.saturating_sub(RETRY_WINDOW as u64 - 1);
+        while self.seconds.front().is_some_and(|first| first.0 < oldest) {
+            self.seconds.pop_front();
+        }
+        let place = self.seconds.len() - 1;
+        &mut self.seconds[place]
+    }
+
+    pub fn first_attempt(&mut self, now: Duration) {
+        self.roll(now).1 += 1;
+    }
+
+    /// Takes one further attempt from the budget if there is one.
+    pub fn take(&mut self, now: Duration) -> bool {
+        self.roll(now);
+        let first: u32 = self.seconds.iter().map(|second| second.1).sum();
+        let further: u32 = self.seconds.iter().map(|second| second.2).sum();
+        let allowed = first * RETRY_PERCENT / 100 + RETRY_FLOOR;
+        if further >= allowed {
+            return false;
+        }
+        self.roll(now).2 += 1;
+        true
+    }
+}
--- /dev/null
+++ b/crates/caperworks/src/dispatch/target.rs
@@ -0,0 +1,41 @@
+//! The instance that an attempt goes to.
+
+use crate::prelude::*;
+
+/// The target of one attempt.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Target {
+    pub service: ServiceName,
+    pub instance: InstanceId,
+    pub incarnation: Incarnation,
+    pub address: SocketAddr,
+    pub zone: Zone,
+    pub key_range: Option<(u32, Epoch)>,
+    pub key: Option<u64>,
+}
+
+impl Target {
+    /// Whether an order whose attempt at this target ended so is to go elsewhere from now on.
+    ///
+    /// Why not always for keyed services: a key range has one owner, and a connection that could not be opened
+    /// says nothing of whether it holds the key range.
+    pub fn is_used_up(&self, end: AttemptEnd) -> bool {
+        self.key_range.is_none() || end == AttemptEnd::RefusedByInstance
+    }
+}
+
+pub(crate) fn target_of(
+    heartbeat: &Heartbeat,
+    key_range: Option<(u32, Epoch)>,
+    key: Option<u64>,
+) -> Target {
+    Target {
+        service: heartbeat.service.clone(),
+        instance: heartbeat.id.clone(),
+        incarnation: heartbeat.incarnation,
+        address: heartbeat.address,
+        zone: heartbeat.zone.clone(),
+        key_range,
+        key,
+    }
+}
