--- /dev/null
+++ b/crates/proxy/src/failure_answer.rs
@@ -0,0 +1,46 @@
+//! The proxy's own answers to requests that were refused or lost.
+
+use crate::prelude::*;
+
+impl Carrier {
+    /// The final answer for an order that was refused or lost, given at once.
+    pub(crate) fn failure_answer(&self, failure: Failure, told: Told) -> Response<Body> {
+        let told = match told {
+            Told::NotRun => "not-run",
+            Told::Unknown => "unknown",
+        };
+        // Why another status in doubt: one that promises would be a lie.
+        let status = match (told, failure.status()) {
+            ("unknown", status) if self.dialect.promises.contains(&status) => 502,
+            (_, status) => status,
+        };
+        self.told_answer(status, told, failure.word(), failure.retry_after())
+    }
+
+    pub(crate) fn told_answer(
+        &self,
+        status: u16,
+        told: &'static str,
+        why: &str,
+        retry_after: Option<Duration>,
+    ) -> Response<Body> {
+        let mut answer = json_answer(status, &jzon::object! { outcome: told, why: why });
+        let headers = answer.headers_mut();
+        if let Some(name) = &self.dialect.outcome {
+            headers.insert(name.clone(), HeaderValue::from_static(told));
+        }
+        headers.remove("retry-after");
+        let Some(after) = retry_after else {
+            return answer;
+        };
+        let value = match self.dialect.fractions {
+            // Why so soon: callers there count in tenths, and what is short now is seldom so long.
+            true => HeaderValue::from_str(&format!("{}", after.as_secs_f64() / 5.0)).ok(),
+            false => Some(HeaderValue::from(after.as_secs())),
+        };
+        if let Some(value) = value {
+            headers.insert("retry-after", value);
+        }
+        answer
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,10 +1,16 @@
 //! The proxy: carries requests from callers to instances, as its agent tells it.
 
+pub mod attempt;
 pub mod carrier;
 pub mod daemon;
+pub mod demand_meter;
 pub mod dialect;
+pub mod failure_answer;
+pub mod framing;
 pub mod gate;
 pub mod instance_connections;
+pub mod outgoing;
 pub mod passing;
 pub mod prelude;
+pub mod request_body;
 pub mod usage;
--- /dev/null
+++ b/crates/proxy/src/outgoing.rs
@@ -0,0 +1,64 @@
+//! The request that goes to an instance with an attempt.
+
+use crate::prelude::*;
+
+/// What goes to an instance with every attempt.
+pub(crate) struct Outgoing<'order> {
+    pub(crate) head: &'order hyper::http::request::Parts,
+    pub(crate) far_end: &'order FarEnd,
+    pub(crate) route: &'order Arc<Route>,
+    pub(crate) request_id: &'order str,
+    pub(crate) dialect: &'order Dialect,
+}
+
+impl Outgoing<'_> {
+    pub(crate) fn request(
+        &self,
+        target: &Target,
+        left: Duration,
+        body: Body,
+    ) -> Result<Request<Body>, Failure> {
+        let path = self
+            .head
+            .uri
+            .path_and_query()
+            .map_or("/", hyper::http::uri::PathAndQuery::as_str);
+        let mut request = Request::builder()
+            .method(self.head.method.clone())
+            .uri(path)
+            .body(body)
+            .map_err(|_| Failure::BadFraming)?;
+        let mut headers = self.head.headers.clone();
+        strip_hop_by_hop(&mut headers);
+        strip_own(&mut headers, self.dialect.own_prefix);
+        headers.remove("expect");
+        // Why removed: the framing towards the instance follows from the body, never from the
+        // caller's word.
+        headers.remove("content-length");
+        let dialect = self.dialect;
+        let mut set = |name: &HeaderName, text: String| -> Result<(), Failure> {
+            let value = HeaderValue::from_str(&text).map_err(|_| Failure::BadFraming)?;
+            headers.insert(name.clone(), value);
+            Ok(())
+        };
+        set(&dialect.instance, target.instance.to_string())?;
+        if let Some(name) = &dialect.incarnation {
+            set(name, target.incarnation.to_string())?;
+        }
+        set(&dialect.request_id, self.request_id.to_string())?;
+        set(&dialect.deadline, left.as_millis().to_string())?;
+        if let Some(name) = &dialect.forwarded_for {
+            set(name, self.far_end.address.ip().to_string())?;
+        }
+        if let Some((key_range, epoch)) = target.key_range {
+            if let Some(name) = &dialect.key_range {
+                set(name, key_range.to_string())?;
+            }
+            if let Some(name) = &dialect.epoch {
+                set(name, epoch.to_string())?;
+            }
+        }
+        *request.headers_mut() = headers;
+        Ok(request)
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/request_body.rs
@@ -0,0 +1,47 @@
+//! The client's body: held whole, or streamed under the route's limit.
+
+use crate::prelude::*;
+
+/// The caller's body, in the form it can be sent in.
+pub(crate) enum RequestBody {
+    Held(Bytes),
+    Streaming(Option<Body>),
+}
+
+impl Carrier {
+    /// Holds a small body whole; a large or open-ended one streams under the rule's limit.
+    pub(crate) async fn hold_body(
+        self: &Arc<Self>,
+        body: Incoming,
+        route: &Route,
+        over: &Arc<AtomicBool>,
+        chart: &RequestChart,
+        usage_key: &UsageKey,
+    ) -> Result<RequestBody, Failure> {
+        match body.size_hint().exact() {
+            Some(length) if length > route.body_limit => Err(Failure::BodyTooLarge),
+            Some(length) if length <= self.held_body => {
+                let left = chart.deadline().saturating_sub(self.clock.now());
+                match tokio::time::timeout(left, body.collect()).await {
+                    Ok(Ok(collected)) => {
+                        let bytes = collected.to_bytes();
+                        self.usage.took_in(usage_key, bytes.len() as u64);
+                        Ok(RequestBody::Held(bytes))
+                    }
+                    Ok(Err(_)) => Err(Failure::BadFraming),
+                    Err(_) => Err(Failure::LateBeforeSending),
+                }
+            }
+            _ => {
+                let counted = Counted {
+                    inner: body,
+                    left: route.body_limit,
+                    over: over.clone(),
+                    proxy: self.clone(),
+                    usage_key: usage_key.clone(),
+                };
+                Ok(RequestBody::Streaming(Some(counted.boxed())))
+            }
+        }
+    }
+}
