--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -191,6 +191,16 @@
         }
     }
 
+    /// The attempt was given up for a reason that says nothing of the instance: its client went
+    /// away, or broke off its body.
+    pub fn abandon(&mut self, now: Duration, target: &Target) {
+        self.end_key(now, target, None);
+        let watch = self.watches.get_mut(&target.instance);
+        if let Some(watch) = watch.filter(|watch| watch.incarnation == target.incarnation) {
+            watch.under_way = watch.under_way.saturating_sub(1);
+        }
+    }
+
     /// The attempt is over; `load` is what the instance reported with its answer.
     pub fn end(&mut self, now: Duration, target: &Target, good: bool, load: Option<u32>) {
         self.end_key(now, target, load);
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -15,6 +15,21 @@
     Answered(Response<Body>),
 }
 
+/// Everything that one attempt holds on to until it is over.
+struct UnderWayAttempt {
+    connection: Connection,
+    key: InstanceKey,
+    guard: AttemptGuard,
+}
+
+impl UnderWayAttempt {
+    /// The answer is none that may be passed on, and the instance is to blame.
+    fn garbage(mut self) -> AttemptAnswer {
+        self.guard.verdict = InstanceVerdict::Failed;
+        AttemptAnswer::Ended(AttemptEnd::Garbage)
+    }
+}
+
 impl Carrier {
     pub(crate) async fn attempt(
         self: &Arc<Self>,
@@ -27,15 +42,9 @@
         let target = guard.target.clone();
         let key = (target.instance.clone(), target.incarnation, target.address);
         let patience = chart.deadline().saturating_sub(self.clock.now());
-        let Some(mut connection) = self.connections.open(&key, patience, chart.is_read()).await
-        else {
-            let now = self.clock.now();
-            let knowledge = self.knowledge();
-            if let Some(heartbeat) = knowledge.instances.get(&target.instance) {
-                let shard = self.shard(&target.service);
-                locked(&shard).not_opened(now, &target, heartbeat.counter);
-            }
-            return AttemptAnswer::Ended(AttemptEnd::NotOpened);
+        let opened = self.connections.open(&key, patience, chart.is_read()).await;
+        let Some(mut connection) = opened else {
+            return self.not_opened(guard);
         };
         let sending = match body {
             RequestBody::Held(bytes) => whole(bytes.clone()),
@@ -51,7 +60,7 @@
             .still_good(now, &self.zone, outgoing.route, &target);
         if let Err(failure) = good {
             self.connections.give_back(key, connection);
-            guard.good = true;
+            guard.verdict = InstanceVerdict::Good;
             return AttemptAnswer::Refused(failure);
         }
         connection
@@ -65,52 +74,89 @@
         chart.shooting();
         chart.sent();
         if chart.attempts() == 1 {
-            // Why only now: orders that were refused without an attempt must not make room for retries.
+            // Why only now: requests that were refused without an attempt must not make room for retries.
             locked(&self.shard(&target.service)).first_attempt(now);
         }
         let sent = tokio::time::timeout(left, connection.sender.try_send_request(request)).await;
-        let answer = match sent {
-            Ok(Ok(answer)) => answer,
-            failed => {
-                // Why shut first: only then is it settled for good whether a byte has left.
-                let passage = connection.gate.shut();
-                return self.lost_attempt(failed, passage, connection.reused, body, &mut guard);
-            }
+        let attempt = UnderWayAttempt {
+            connection,
+            key,
+            guard,
         };
+        match sent {
+            Ok(Ok(answer)) => {
+                self.judge(answer, outgoing, attempt, chart, under_way)
+                    .await
+            }
+            failed => self.lost_attempt(failed, attempt, body),
+        }
+    }
+
+    /// No connection came about: nothing can have left.
+    fn not_opened(&self, mut guard: AttemptGuard) -> AttemptAnswer {
+        let now = self.clock.now();
+        let target = &guard.target;
+        if let Some(heartbeat) = self.knowledge().instances.get(&target.instance) {
+            let shard = self.shard(&target.service);
+            locked(&shard).not_opened(now, target, heartbeat.counter);
+        }
+        guard.verdict = InstanceVerdict::Failed;
+        AttemptAnswer::Ended(AttemptEnd::NotOpened)
+    }
+
+    /// Decides by an answer's head what becomes of it.
+    async fn judge(
+        self: &Arc<Self>,
+        answer: Response<Incoming>,
+        outgoing: Outgoing<'_>,
+        mut attempt: UnderWayAttempt,
+        chart: &RequestChart,
+        under_way: &mut Option<UnderWay>,
+    ) -> AttemptAnswer {
         let dialect = &self.dialect;
         // Why before anything else: an answer to another request says nothing of this one.
-        let echoed = header_text(answer.headers(), dialect.request_id.as_str());
-        let refused = (dialect.told_not_run)(answer.status(), answer.headers());
-        let another = match echoed {
-            Some(echoed) => echoed != outgoing.request_id,
-            None => dialect.callers_name_requests,
+        let named = named_request(answer.headers(), &dialect.request_id, outgoing.request_id);
+        let is_own = match named {
+            NamedRequest::This => true,
+            NamedRequest::Another => false,
+            // Why not behind another request: without a name it may be a surplus answer to that one.
+            NamedRequest::Nothing => !dialect.callers_name_requests && !attempt.connection.reused,
         };
-        if another {
-            return AttemptAnswer::Ended(AttemptEnd::Garbage);
+        if !is_own && self.broken != BrokenCarrier::TakesAnyAnswer {
+            return attempt.garbage();
         }
-        guard.load = (dialect.load)(answer.headers());
-        if refused {
-            guard.good = true;
-            let incarnation = dialect.incarnation.as_ref();
-            let life = incarnation.and_then(|name| header_text(answer.headers(), name.as_str()));
-            let told = dialect.instance_told.as_ref();
-            let told = told.and_then(|name| header_text(answer.headers(), name.as_str()));
-            guard.over = life.is_some_and(|life| life != target.incarnation.to_string())
-                || told.is_some_and(|told| told != target.instance.as_str());
+        attempt.connection.may_carry_more = named == NamedRequest::This;
+        attempt.connection.keep_to(keep_alive(answer.headers()));
+        attempt.guard.load = (dialect.load)(answer.headers());
+        if (dialect.told_not_run)(answer.status(), answer.headers()) {
+            attempt.guard.verdict = InstanceVerdict::Good;
+            attempt.guard.over = self.is_another_life(answer.headers(), &attempt.guard.target);
             return AttemptAnswer::Ended(AttemptEnd::RefusedByInstance);
         }
+        if !self.may_pass(&answer, outgoing.head) {
+            return attempt.garbage();
+        }
+        self.pass_on(answer, attempt, chart, under_way).await
+    }
+
+    /// Whether an instance that refused is another one than was meant, or lives another life.
+    fn is_another_life(&self, headers: &HeaderMap, target: &Target) -> bool {
+        let incarnation = self.dialect.incarnation.as_ref();
+        let life = incarnation.and_then(|name| header_text(headers, name.as_str()));
+        let told = self.dialect.instance_told.as_ref();
+        let told = told.and_then(|name| header_text(headers, name.as_str()));
+        life.is_some_and(|life| life != target.incarnation.to_string())
+            || told.is_some_and(|told| told != target.instance.as_str())
+    }
+
+    /// Whether an answer to this request may reach the client at all.
+    fn may_pass(&self, answer: &Response<Incoming>, asked: &hyper::http::request::Parts) -> bool {
+        let seal = self.dialect.seal.as_ref();
         let unsealed = answer.status().is_success()
-            && dialect
-                .seal
-                .as_ref()
-                .is_some_and(|seal| !answer.headers().contains_key(seal));
+            && seal.is_some_and(|seal| !answer.headers().contains_key(seal));
         // Why no promise of ours: the instance did not say that it ran nothing.
-        let false_promise = dialect.promises.contains(&answer.status().as_u16());
-        if unsealed || false_promise || !well_framed(&answer) {
-            return AttemptAnswer::Ended(AttemptEnd::Garbage);
-        }
-        self.pass_on(answer, connection, key, guard, chart, under_way)
-            .await
+        let false_promise = self.dialect.promises.contains(&answer.status().as_u16());
+        !unsealed && !false_promise && well_framed(answer, &asked.method)
     }
 
     /// The check that is made once more where the first byte of an order is written.
@@ -135,32 +181,41 @@
     /// What an attempt that brought no answer was: nothing sent, or lost.
     fn lost_attempt(
         &self,
-        failed: SendOutcome,
-        passage: Passage,
-        reused: bool,
+        mut failed: SendOutcome,
+        attempt: UnderWayAttempt,
         body: &mut RequestBody,
-        guard: &mut AttemptGuard,
     ) -> AttemptAnswer {
-        let mut failed = failed;
+        // Why shut first: only then is it settled for good whether a byte has left.
+        let passage = attempt.connection.gate.shut();
+        let mut guard = attempt.guard;
         if let (Ok(Err(failure)), RequestBody::Streaming(stream)) = (&mut failed, body) {
             *stream = failure.take_message().map(Request::into_body);
         }
         match (passage, failed) {
             (Passage::Nothing(Some(failure)), _) => {
-                guard.good = true;
+                guard.verdict = InstanceVerdict::Good;
                 AttemptAnswer::Refused(failure)
             }
             (Passage::Nothing(None), Err(_)) => AttemptAnswer::Refused(Failure::LateBeforeSending),
             (Passage::Nothing(None), Ok(_)) => {
-                guard.good = true;
+                guard.verdict = InstanceVerdict::Good;
                 AttemptAnswer::Ended(AttemptEnd::NotOpened)
             }
-            (Passage::Begun, Err(_)) => AttemptAnswer::Ended(AttemptEnd::Late),
+            (Passage::Begun, Err(_)) => {
+                guard.verdict = InstanceVerdict::Failed;
+                AttemptAnswer::Ended(AttemptEnd::Late)
+            }
+            // Why no verdict: it was the client that broke off its body.
+            (Passage::Begun, Ok(Err(failure))) if failure.error().is_user() => {
+                AttemptAnswer::Ended(AttemptEnd::Lost)
+            }
             (Passage::Begun, Ok(Err(failure))) if failure.error().is_parse() => {
+                guard.verdict = InstanceVerdict::Failed;
                 AttemptAnswer::Ended(AttemptEnd::Garbage)
             }
             (Passage::Begun, Ok(_)) => {
-                if reused {
+                guard.verdict = InstanceVerdict::Failed;
+                if attempt.connection.reused {
                     // Why noted: most likely the instance closed the connection as it was taken up.
                     event(REUSED_LOST, &guard.target.instance);
                 }
@@ -172,9 +227,7 @@
     async fn pass_on(
         self: &Arc<Self>,
         answer: Response<Incoming>,
-        connection: Connection,
-        key: InstanceKey,
-        mut guard: AttemptGuard,
+        mut attempt: UnderWayAttempt,
         chart: &RequestChart,
         under_way: &mut Option<UnderWay>,
     ) -> AttemptAnswer {
@@ -189,13 +242,16 @@
         if small {
             return match tokio::time::timeout(left, body.collect()).await {
                 Ok(Ok(collected)) => {
-                    guard.good = true;
-                    self.connections.give_back(key, connection);
+                    attempt.guard.verdict = InstanceVerdict::Good;
+                    self.connections.give_back(attempt.key, attempt.connection);
                     let body = whole(collected.to_bytes());
                     AttemptAnswer::Answered(Response::from_parts(head, body))
                 }
-                Ok(Err(_)) => AttemptAnswer::Ended(AttemptEnd::Garbage),
-                Err(_) => AttemptAnswer::Ended(AttemptEnd::Late),
+                Ok(Err(_)) => attempt.garbage(),
+                Err(_) => {
+                    attempt.guard.verdict = InstanceVerdict::Failed;
+                    AttemptAnswer::Ended(AttemptEnd::Late)
+                }
             };
         }
         let Some(under_way) = under_way.take() else {
@@ -203,9 +259,9 @@
         };
         let passing = Passing {
             inner: body,
-            connection: Some(connection),
-            key,
-            guard,
+            connection: Some(attempt.connection),
+            key: attempt.key,
+            guard: attempt.guard,
             deadline: Box::pin(tokio::time::sleep(left)),
             under_way,
         };
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -6,6 +6,23 @@
 /// truncated answer never reaches the caller.
 pub(crate) const SMALL: u64 = 64 * 1024;
 
+/// Mistakes that are built in on purpose. Only for proving the observers: no setting names them.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum BrokenCarrier {
+    #[default]
+    Nothing,
+    /// The name that an answer bears is not looked at.
+    TakesAnyAnswer,
+    /// A request that may run once is sent again after a reset.
+    RepeatsOnce,
+    /// A request in doubt is answered with a promise that it did not run.
+    PromisesInDoubt,
+    /// An answer that breaks off is ended as though it were whole.
+    EndsCutAnswers,
+    /// Further attempts are not bounded by the budget.
+    NoBudget,
+}
+
 pub struct Carrier {
     pub clock: Clock,
     pub dialect: Dialect,
@@ -19,6 +36,7 @@
     pub under_way: AtomicU32,
     pub connections: InstanceConnections,
     pub usage: UsageAccounts,
+    pub broken: BrokenCarrier,
     requests: AtomicU64,
     seed: u64,
     knowledge: RwLock<Arc<ProxyKnowledge>>,
@@ -44,6 +62,7 @@
             under_way: AtomicU32::new(0),
             connections: InstanceConnections::default(),
             usage: UsageAccounts::default(),
+            broken: BrokenCarrier::Nothing,
             requests: AtomicU64::new(0),
             seed: fresh_seed(),
             knowledge: RwLock::new(Arc::new(knowledge)),
@@ -121,7 +140,8 @@
         }
         let under_way = UnderWay::begin(&self);
         let read = matches!(*request.method(), Method::GET | Method::HEAD);
-        let mut chart = RequestChart::received(read);
+        let repeats = read || self.broken == BrokenCarrier::RepeatsOnce;
+        let mut chart = RequestChart::received(repeats);
         let mut counted = None;
         let worked = self
             .work(far_end, request, &mut chart, under_way, &mut counted)
@@ -236,7 +256,7 @@
                 proxy: self.clone(),
                 service: service.clone(),
                 target: target.clone(),
-                good: false,
+                verdict: InstanceVerdict::Unjudged,
                 load: None,
                 over: false,
                 usage_key: usage_key.clone(),
@@ -269,7 +289,11 @@
                 tried.push(target.instance);
             }
             let now = self.clock.now();
-            match chart.attempt_ended(now, end, || locked(&shard).take_retry(now)) {
+            let may_retry = || {
+                let in_budget = locked(&shard).take_retry(now);
+                in_budget || self.broken == BrokenCarrier::NoBudget
+            };
+            match chart.attempt_ended(now, end, may_retry) {
                 NextStep::ShootAgain => {}
                 NextStep::Answer(failure) => return Err(failure),
                 NextStep::PassOn => return Err(Failure::Garbage),
--- a/crates/proxy/src/failure_answer.rs
+++ b/crates/proxy/src/failure_answer.rs
@@ -5,6 +5,9 @@
 impl Carrier {
     /// The final answer for an order that was refused or lost, given at once.
     pub(crate) fn failure_answer(&self, failure: Failure, told: Told) -> Response<Body> {
+        if self.broken == BrokenCarrier::PromisesInDoubt {
+            return self.told_answer(503, "not-run", failure.word(), failure.retry_after());
+        }
         let told = match told {
             Told::NotRun => "not-run",
             Told::Unknown => "unknown",
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -28,15 +28,18 @@
 }
 
 /// Whether the end of the answer can be told from its being cut off.
-pub(crate) fn well_framed(answer: &Response<Incoming>) -> bool {
+pub(crate) fn well_framed(answer: &Response<Incoming>, method: &Method) -> bool {
     let status = answer.status();
-    let bodiless = status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
+    let bodiless = status == StatusCode::NO_CONTENT
+        || status == StatusCode::NOT_MODIFIED
+        || method == Method::HEAD;
     let chunked = answer
         .headers()
         .get("transfer-encoding")
         .is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked"));
-    let measured = answer.headers().get_all("content-length").iter().count() == 1;
-    !status.is_informational() && (bodiless || chunked != measured)
+    let lengths = answer.headers().get_all("content-length").iter().count();
+    let is_ambiguous = lengths > 1 || (chunked && lengths > 0);
+    !status.is_informational() && !is_ambiguous && (bodiless || chunked || lengths == 1)
 }
 
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
@@ -79,3 +82,38 @@
         headers.remove(name);
     }
 }
+
+/// Which request an answer says that it belongs to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum NamedRequest {
+    This,
+    Another,
+    Nothing,
+}
+
+/// Reads the name of a request from an answer's head.
+pub(crate) fn named_request(
+    headers: &HeaderMap,
+    name: &HeaderName,
+    request_id: &str,
+) -> NamedRequest {
+    let mut named = headers.get_all(name).iter().peekable();
+    if named.peek().is_none() {
+        return NamedRequest::Nothing;
+    }
+    // Why all of them: an answer with two names belongs to nobody for certain.
+    match named.all(|named| named == request_id) {
+        true => NamedRequest::This,
+        false => NamedRequest::Another,
+    }
+}
+
+/// For how long an instance says that it keeps an idle connection.
+pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+    let text = header_text(headers, "keep-alive")?;
+    let timeout = text
+        .split(',')
+        .filter_map(|part| part.trim().strip_prefix("timeout="))
+        .next()?;
+    Some(Duration::from_secs(timeout.trim().parse().ok()?))
+}
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -15,6 +15,31 @@
     written: bool,
     refused: Option<Failure>,
     shut: bool,
+    /// The socket behind the gate, for as long as it is open.
+    socket: Option<RawFd>,
+    closed: bool,
+}
+
+impl GateState {
+    /// Whether nothing has come from the instance that no request asked for: no byte and no end.
+    fn is_quiet(&self) -> bool {
+        !self.closed && self.socket.is_none_or(has_nothing_to_read)
+    }
+}
+
+/// Whether the kernel holds neither bytes nor the end of the stream for a socket.
+fn has_nothing_to_read(socket: RawFd) -> bool {
+    let mut byte = 0_u8;
+    // Why this is sound: the kernel writes at most one byte into a variable of one byte.
+    let count = unsafe {
+        libc::recv(
+            socket,
+            std::ptr::from_mut(&mut byte).cast(),
+            1,
+            libc::MSG_PEEK | libc::MSG_DONTWAIT,
+        )
+    };
+    count < 0 && std::io::Error::last_os_error().kind() == std::io::ErrorKind::WouldBlock
 }
 
 /// What stands between the HTTP library and one socket.
@@ -33,6 +58,32 @@
 }
 
 impl Gate {
+    /// A gate in front of this socket.
+    pub fn of(socket: &TcpStream) -> Self {
+        let state = GateState {
+            socket: Some(socket.as_raw_fd()),
+            ..GateState::default()
+        };
+        Self {
+            state: Mutex::new(state),
+        }
+    }
+
+    /// Whether the instance has sent nothing that no request asked for, and has not hung up.
+    ///
+    /// Why the kernel is asked: the HTTP library hears of bytes only once the runtime has told it,
+    /// and would take those that it has not heard of for the answer to the next request.
+    pub fn is_quiet(&self) -> bool {
+        locked(&self.state).is_quiet()
+    }
+
+    /// The socket is about to be closed; its number must not be asked about any more.
+    fn socket_closes(&self) {
+        let mut state = locked(&self.state);
+        state.socket = None;
+        state.closed = true;
+    }
+
     /// Makes the gate ready for one order.
     pub fn arm(&self, check: LastCheck) {
         let mut state = locked(&self.state);
@@ -60,6 +111,11 @@
         if state.shut {
             return Poll::Ready(Err(std::io::Error::other("the gate is shut")));
         }
+        if state.check.is_some() && !state.is_quiet() {
+            // Why no failure is named: nothing has left, and another connection may do.
+            state.shut = true;
+            return Poll::Ready(Err(std::io::Error::other("bytes that nobody asked for")));
+        }
         if let Some(failure) = state.check.as_ref().and_then(|check| check().err()) {
             state.refused = Some(failure);
             state.shut = true;
@@ -81,6 +137,13 @@
     pub gate: Arc<Gate>,
 }
 
+impl<Socket> Drop for Gated<Socket> {
+    fn drop(&mut self) {
+        // Why here: this runs before the socket itself is dropped.
+        self.gate.socket_closes();
+    }
+}
+
 impl<Socket: AsyncRead + Unpin> AsyncRead for Gated<Socket> {
     fn poll_read(
         mut self: Pin<&mut Self>,
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to instances: each carries one order at a time, and none is used twice in doubt.
+//! Connections to instances: each carries one request at a time, and none is used twice in doubt.
 
 use crate::prelude::*;
 
@@ -6,9 +6,13 @@
 const IDLE_SPAN: Duration = Duration::from_secs(10);
 /// A write takes no connection that has been idle for longer.
 ///
-/// Why: an instance may be closing an idle connection just as it is taken up again, and an order lost
-/// that way cannot be told from one that ran. A read may be attempt again; a write may not.
+/// Why: an instance may be closing an idle connection just as it is taken up again, and a request
+/// lost that way cannot be told from one that ran. A read may be sent again; a write may not.
 const IDLE_SPAN_FOR_WRITES: Duration = Duration::from_secs(1);
+/// The part of the time that an instance keeps an idle connection in which it is taken up again.
+///
+/// Why not all of it: the request must arrive before the instance closes.
+const KEPT_SHARE: f64 = 0.75;
 const MOST_IDLE: usize = 32;
 
 pub type InstanceKey = (InstanceId, Incarnation, SocketAddr);
@@ -17,15 +21,39 @@
 pub struct Connection {
     pub sender: hyper::client::conn::http1::SendRequest<Body>,
     pub gate: Arc<Gate>,
-    /// It has carried an order before.
+    /// It has carried a request before.
     pub reused: bool,
+    /// Whether answers on it can be told apart, so that it may carry another request.
+    pub may_carry_more: bool,
+    /// For how long the instance said that it keeps the connection when idle.
+    kept_for: Option<Duration>,
     driver: tokio::task::JoinHandle<()>,
     idle_since: Instant,
 }
 
+impl Connection {
+    /// The instance said for how long it keeps the connection when idle.
+    pub fn keep_to(&mut self, kept_for: Option<Duration>) {
+        self.kept_for = kept_for.or(self.kept_for);
+    }
+
+    /// Whether it may be taken up again after having been idle for as long as it has been.
+    fn is_fresh(&self, idle_span: Duration) -> bool {
+        let kept_for = self
+            .kept_for
+            .map_or(idle_span, |kept| kept.mul_f64(KEPT_SHARE));
+        self.idle_since.elapsed() < idle_span.min(kept_for)
+    }
+
+    /// Whether it can carry a request: open, free, and without a byte that nobody asked for.
+    fn is_clean(&self) -> bool {
+        self.sender.is_ready() && self.gate.is_quiet()
+    }
+}
+
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Why abort: a half-sent order must end as a broken connection and never as a whole order.
+        // Why abort: a half-sent request must end as a broken connection and never as a whole request.
         self.driver.abort();
     }
 }
@@ -50,7 +78,7 @@
         };
         let pooled = locked(&self.idle).get_mut(key).and_then(|idle| {
             while let Some(connection) = idle.pop() {
-                if connection.sender.is_ready() && connection.idle_since.elapsed() < idle_span {
+                if connection.is_fresh(idle_span) && connection.is_clean() {
                     return Some(connection);
                 }
             }
@@ -62,7 +90,7 @@
         let opening = async {
             let stream = TcpStream::connect(key.2).await.ok()?;
             let _ = stream.set_nodelay(true);
-            let gate = Arc::new(Gate::default());
+            let gate = Arc::new(Gate::of(&stream));
             let gated = Gated {
                 socket: stream,
                 gate: gate.clone(),
@@ -80,6 +108,8 @@
                 sender,
                 gate,
                 reused: false,
+                may_carry_more: true,
+                kept_for: None,
                 driver,
                 idle_since: Instant::now(),
             })
@@ -90,9 +120,9 @@
             .flatten()
     }
 
-    /// Takes back a connection whose order and answer are both complete.
+    /// Takes back a connection whose request and answer are both complete.
     pub fn give_back(&self, key: InstanceKey, mut connection: Connection) {
-        if connection.sender.is_closed() {
+        if connection.sender.is_closed() || !connection.may_carry_more {
             return;
         }
         connection.idle_since = Instant::now();
@@ -108,7 +138,7 @@
     pub fn keep_only(&self, instances: &BTreeMap<InstanceId, Heartbeat>) {
         locked(&self.idle).retain(|(id, incarnation, address), connections| {
             connections.retain(|connection| {
-                !connection.sender.is_closed() && connection.idle_since.elapsed() < IDLE_SPAN
+                !connection.sender.is_closed() && connection.is_fresh(IDLE_SPAN)
             });
             instances.get(id).is_some_and(|heartbeat| {
                 heartbeat.incarnation == *incarnation && heartbeat.address == *address
--- a/crates/proxy/src/passing.rs
+++ b/crates/proxy/src/passing.rs
@@ -2,12 +2,21 @@
 
 use crate::prelude::*;
 
+/// What an attempt said of the instance.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum InstanceVerdict {
+    Good,
+    Failed,
+    /// The attempt was given up before it said anything of the instance.
+    Unjudged,
+}
+
 /// One attempt under way; tells the service's shard when it is over, however that comes about.
 pub struct AttemptGuard {
     pub proxy: Arc<Carrier>,
     pub service: ServiceName,
     pub target: Target,
-    pub good: bool,
+    pub verdict: InstanceVerdict,
     pub load: Option<u32>,
     /// Another life answered than the one that the order was for.
     pub over: bool,
@@ -19,7 +28,11 @@
         let now = self.proxy.clock.now();
         let shard = self.proxy.shard(&self.service);
         let mut shard = locked(&shard);
-        shard.end(now, &self.target, self.good, self.load);
+        match self.verdict {
+            InstanceVerdict::Good => shard.end(now, &self.target, true, self.load),
+            InstanceVerdict::Failed => shard.end(now, &self.target, false, self.load),
+            InstanceVerdict::Unjudged => shard.abandon(now, &self.target),
+        }
         if self.over {
             shard.life_is_over(&self.target);
         }
@@ -52,6 +65,29 @@
     pub under_way: UnderWay,
 }
 
+impl Passing {
+    /// The whole answer has come: the connection may carry another request.
+    fn complete(&mut self) {
+        self.guard.verdict = InstanceVerdict::Good;
+        if let Some(connection) = self.connection.take() {
+            let key = self.key.clone();
+            self.under_way.0.connections.give_back(key, connection);
+        }
+    }
+
+    /// The answer broke off, and so must the client's connection.
+    fn break_off(&mut self, why: &str) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
+        event(BODY_BROKEN, why);
+        self.guard.verdict = InstanceVerdict::Failed;
+        self.connection = None;
+        if self.guard.proxy.broken == BrokenCarrier::EndsCutAnswers {
+            return Poll::Ready(None);
+        }
+        // Why an error and not an end: the client must see a broken connection, not a success.
+        Poll::Ready(Some(Err(std::io::Error::other(why.to_string()))))
+    }
+}
+
 impl HttpBody for Passing {
     type Data = Bytes;
     type Error = std::io::Error;
@@ -60,34 +96,28 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        let broken = |why: &str| Poll::Ready(Some(Err(std::io::Error::other(why.to_string()))));
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 if let Some(bytes) = frame.data_ref() {
                     let usage = &self.under_way.0.usage;
                     usage.gave_out(&self.guard.usage_key, bytes.len() as u64);
                 }
+                // Why here too: the library does not ask for the end of a body whose length it knows.
+                if self.inner.is_end_stream() {
+                    self.complete();
+                }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(failure))) => {
-                // Why an error and not an end: the caller must see a broken connection, not a success.
-                event(BODY_BROKEN, &failure);
-                self.connection = None;
-                broken("the instance's answer broke off")
+                self.break_off(&format!("the instance's answer broke off: {failure}"))
             }
             Poll::Ready(None) => {
-                self.guard.good = true;
-                if let Some(connection) = self.connection.take() {
-                    let key = self.key.clone();
-                    self.under_way.0.connections.give_back(key, connection);
-                }
+                self.complete();
                 Poll::Ready(None)
             }
             Poll::Pending => {
                 if self.deadline.as_mut().poll(context).is_ready() {
-                    event(BODY_BROKEN, "the deadline passed");
-                    self.connection = None;
-                    return broken("the deadline passed");
+                    return self.break_off("the deadline passed");
                 }
                 Poll::Pending
             }
--- a/crates/proxy/src/prelude.rs
+++ b/crates/proxy/src/prelude.rs
@@ -1,5 +1,6 @@
 //! The one module that each file of this program imports.
 
+pub use std::os::fd::RawFd;
 pub use std::pin::Pin;
 pub use std::task::{Context, Poll};
 pub use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
