--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -147,12 +147,20 @@
         return false;
     }
     let text = String::from_utf8_lossy(read);
+    let text = text.trim_start_matches(['\r', '\n']);
     let line = format!("{} {} HTTP/1.1", request.method(), request.uri());
-    let Some(start) = text.rfind(&line) else {
-        return true;
-    };
-    text[start..]
-        .lines()
+    if text.starts_with(&line) {
+        return head_names_length(text);
+    }
+    // Why each place: behind the rest of an earlier body nobody can say which is the head, and a
+    // body may hold the same line.
+    let mut heads = text.match_indices(&line).peekable();
+    heads.peek().is_none() || heads.any(|(start, _)| head_names_length(&text[start..]))
+}
+
+/// Whether the head that a text begins with names a length.
+fn head_names_length(text: &str) -> bool {
+    text.lines()
         .skip(1)
         .take_while(|line| !line.is_empty())
         .filter_map(|line| line.split_once(':'))
