--- /dev/null
+++ b/crates/proxy/tests/support/fixture.rs
@@ -0,0 +1,182 @@
+//! A real proxy on the loopback that knows of the hostile servers.
+
+use crate::support::prelude::*;
+
+/// How long a request may take; silence costs as much.
+const ROUTE_DEADLINE: Duration = Duration::from_millis(500);
+const BODY_LIMIT: u64 = 1_000_000;
+pub const SERVICE: &str = "records";
+
+fn told_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
+    status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key("not-executed")
+}
+
+/// A dialect in which clients name their requests, and successes bear a seal.
+pub fn strict_dialect() -> Dialect {
+    let name = HeaderName::from_static;
+    Dialect {
+        request_id: name("attempt-id"),
+        callers_name_requests: true,
+        deadline: name("deadline-remaining"),
+        callers_tell_deadline: true,
+        instance: name("expected-instance"),
+        instance_told: Some(name("instance-id")),
+        incarnation: None,
+        seal: Some(name("server-seal")),
+        outcome: None,
+        promises: &PROMISES,
+        told_not_run,
+        ..Dialect::own()
+    }
+}
+
+fn put(key: String, value: Value) -> Put {
+    Put {
+        key,
+        expected: None,
+        value: Some(value),
+        written: None,
+    }
+}
+
+fn configuration() -> ReplicatedMap {
+    let route = Route {
+        host: "*".to_string(),
+        path: "/".to_string(),
+        service: ServiceName::new(SERVICE),
+        deadline: ROUTE_DEADLINE,
+        body_limit: BODY_LIMIT,
+        ..Route::default()
+    };
+    let service = Service {
+        key_ranges: 4,
+        instance_cap: 1000,
+        key_cap: 1000,
+        cold_rate_milli: 1_000_000,
+        ..Service::default()
+    };
+    let zone = ZoneSettings {
+        region: Region::new("east"),
+        closed: false,
+    };
+    let change = Change {
+        id: ChangeId::new("first"),
+        puts: vec![
+            put("area/e1".to_string(), Value::Zone { zone }),
+            put(format!("pool/{SERVICE}"), Value::Service { service }),
+            put("rule/all".to_string(), Value::Route { route }),
+        ],
+        guards: Vec::new(),
+    };
+    let mut map = ReplicatedMap::empty();
+    map.apply(&change);
+    map
+}
+
+fn instance(number: usize, address: SocketAddr) -> Heartbeat {
+    Heartbeat {
+        id: InstanceId::new(format!("instance-{number}")),
+        incarnation: Incarnation(1),
+        counter: 1,
+        service: ServiceName::new(SERVICE),
+        zone: Zone::new("e1"),
+        address,
+        capacity: 100,
+        state: InstanceState::Serving,
+        load: 0,
+        up: Duration::from_secs(3600),
+        holding: Vec::new(),
+        let_go: Vec::new(),
+        cold_left: Duration::ZERO,
+    }
+}
+
+fn place(serving: SocketAddr) -> Place {
+    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+    Place {
+        control: nowhere,
+        advertise: nowhere,
+        serving,
+        zone: Zone::new("e1"),
+        seeds: Vec::new(),
+        data: PathBuf::new(),
+        slot_megabytes: 1,
+        log_megabytes: 1,
+        capacity: 100,
+        agent: Some(nowhere),
+        terms: Terms::default(),
+    }
+}
+
+/// A listener on a loopback address that this seed has for itself.
+///
+/// Why not one address for all: a port that is free again would be taken by another schedule's
+/// server, and a request on its way to the first would reach the second.
+pub async fn listen_for(seed: u64) -> TcpListener {
+    let [.., high, middle, low] = seed.to_be_bytes();
+    let address = SocketAddr::from(([127, high.saturating_add(1), middle, low], 0));
+    let listener = TcpListener::bind(address).await;
+    listener.expect("a port is free")
+}
+
+pub fn address_of(listener: &TcpListener) -> SocketAddr {
+    listener.local_addr().expect("it has an address")
+}
+
+/// A proxy that serves, and knows of instances at these addresses.
+pub struct ProxyFixture {
+    pub address: SocketAddr,
+    pub carrier: Arc<Carrier>,
+    tasks: JoinSet<()>,
+}
+
+impl ProxyFixture {
+    pub async fn start(
+        seed: u64,
+        dialect: Dialect,
+        broken: BrokenCarrier,
+        instances: &[SocketAddr],
+    ) -> Self {
+        let listener = listen_for(seed).await;
+        let address = address_of(&listener);
+        let mut carrier = Carrier::new(Clock::start(), &place(address), dialect);
+        carrier.broken = broken;
+        let carrier = Arc::new(carrier);
+        let heartbeats = instances.iter().enumerate();
+        let view = ProxyView {
+            agent: NodeId(1),
+            instances_place: 1,
+            all_instances: true,
+            number: 1,
+            left: Duration::from_secs(3600),
+            news: vec![ConsensusMessage::Whole {
+                map: MapName::Configuration,
+                whole: configuration(),
+            }],
+            instances: heartbeats
+                .map(|(number, address)| instance(number, *address))
+                .collect(),
+            proxies: 1,
+            configuration: Version(1),
+            ownership: Version(0),
+        };
+        carrier.take(carrier.clock.now(), &view);
+        let carrying = carrier.clone();
+        let stop = Arc::new(AtomicBool::new(false));
+        let mut tasks = JoinSet::new();
+        tasks.spawn(serve_http(listener, stop, move |far_end, request| {
+            carrying.clone().carry(far_end, request)
+        }));
+        Self {
+            address,
+            carrier,
+            tasks,
+        }
+    }
+
+    /// Takes no more connections, and closes the idle ones to instances.
+    pub fn stop(mut self) {
+        self.tasks.abort_all();
+        self.carrier.connections.keep_only(&BTreeMap::new());
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/support/mod.rs
@@ -0,0 +1,10 @@
+//! A hostile stand-in server, clients, and what judges what they saw.
+
+pub mod behaviour;
+pub mod client;
+pub mod fixture;
+pub mod journal;
+pub mod prelude;
+pub mod schedule;
+pub mod server;
+pub mod wire;
--- /dev/null
+++ b/crates/proxy/tests/support/schedule.rs
@@ -0,0 +1,79 @@
+//! One seeded schedule: clients, a real proxy, hostile servers, and the judgement.
+
+use crate::support::prelude::*;
+
+const SERVERS: usize = 3;
+const CLIENTS: u64 = 5;
+const REQUESTS_OF_EACH: u32 = 4;
+/// How many schedules run at the same time.
+const AT_ONCE: usize = 48;
+
+/// Runs one schedule; says what broke a rule, and what came about.
+pub async fn run_schedule(seed: u64, broken: BrokenCarrier) -> (Vec<String>, Tally) {
+    let journal = Arc::new(Journal::default());
+    let mut servers = JoinSet::new();
+    let mut addresses = Vec::new();
+    for _ in 0..SERVERS {
+        let listener = listen_for(seed).await;
+        addresses.push(address_of(&listener));
+        let server = HostileServer::new(seed, journal.clone(), None);
+        servers.spawn(server.serve(listener));
+    }
+    let proxy = ProxyFixture::start(seed, strict_dialect(), broken, &addresses).await;
+    let clock = Clock::start();
+    let mut clients = JoinSet::new();
+    for number in 0..CLIENTS {
+        let chance = Chance::seeded(mix(seed ^ number << 40));
+        let name = format!("s{seed}-c{number}");
+        let client = Client::new(name, proxy.address, journal.clone(), chance);
+        clients.spawn(client.run(REQUESTS_OF_EACH));
+    }
+    while let Some(ended) = clients.join_next().await {
+        ended.expect("a client does not panic");
+    }
+    proxy.stop();
+    servers.shutdown().await;
+    (journal.judge(clock.now()), journal.tally())
+}
+
+/// What many schedules brought about, and what broke a rule in them.
+#[derive(Debug, Default)]
+pub struct Schedules {
+    pub breaches: Vec<String>,
+    pub tally: Tally,
+}
+
+impl Schedules {
+    /// Runs schedules with these seeds, many at once.
+    pub async fn run(seeds: std::ops::Range<u64>, broken: BrokenCarrier) -> Self {
+        let mut schedules = Self::default();
+        let mut under_way = JoinSet::new();
+        for seed in seeds {
+            if under_way.len() >= AT_ONCE {
+                schedules.take_in(&mut under_way).await;
+            }
+            under_way.spawn(async move { (seed, run_schedule(seed, broken).await) });
+        }
+        while !under_way.is_empty() {
+            schedules.take_in(&mut under_way).await;
+        }
+        schedules
+    }
+
+    async fn take_in(&mut self, under_way: &mut JoinSet<(u64, (Vec<String>, Tally))>) {
+        let Some(ended) = under_way.join_next().await else {
+            return;
+        };
+        let (seed, (breaches, tally)) = ended.expect("a schedule does not panic");
+        self.tally.add(&tally);
+        let told = breaches
+            .iter()
+            .map(|breach| format!("seed {seed}: {breach}"));
+        self.breaches.extend(told);
+    }
+
+    /// Whether a breach of this kind was found.
+    pub fn told(&self, kind: &str) -> bool {
+        self.breaches.iter().any(|breach| breach.contains(kind))
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/support/server.rs
@@ -0,0 +1,334 @@
+//! A stand-in for an instance that does to each request what it draws for it.
+
+use crate::support::prelude::*;
+
+const LARGE: usize = 100_000;
+const SMALL: usize = 900;
+
+/// What may come next on a connection to the server.
+enum Next {
+    AnotherRequest,
+    Close,
+}
+
+/// Says what to do with a request, by its head.
+pub type Script = fn(&WireHead) -> Behaviour;
+
+/// A server on the loopback that draws a behaviour for each request.
+pub struct HostileServer {
+    seed: u64,
+    journal: Arc<Journal>,
+    /// What it does with each request, in place of drawing.
+    script: Option<Script>,
+    pub connections: AtomicU32,
+}
+
+/// One connection to the server.
+struct ServerConnection {
+    server: Arc<HostileServer>,
+    wire: Wire<TcpStream>,
+    /// The requests that came on it before.
+    earlier: Vec<String>,
+}
+
+impl HostileServer {
+    pub fn new(seed: u64, journal: Arc<Journal>, script: Option<Script>) -> Arc<Self> {
+        Arc::new(Self {
+            seed,
+            journal,
+            script,
+            connections: AtomicU32::new(0),
+        })
+    }
+
+    /// Serves until the task is ended; its connections are ended with it.
+    pub async fn serve(self: Arc<Self>, listener: TcpListener) {
+        let mut connections = JoinSet::new();
+        while let Ok((stream, _)) = listener.accept().await {
+            self.connections.fetch_add(1, Ordering::SeqCst);
+            let connection = ServerConnection {
+                server: self.clone(),
+                wire: Wire::over(stream),
+                earlier: Vec::new(),
+            };
+            connections.spawn(connection.serve());
+        }
+    }
+
+    /// Why by request and arrival: the same seed then does the same whatever the timing.
+    fn chance_for(&self, id: &str, arrival: u32) -> Chance {
+        Chance::seeded(mix(self.seed ^ steady_hash(id) ^ u64::from(arrival) << 32))
+    }
+}
+
+impl ServerConnection {
+    async fn serve(mut self) {
+        while let Ok(Next::AnotherRequest) = self.serve_one().await {}
+    }
+
+    /// Ends the connection so that the far end sees a reset.
+    fn reset(&self) {
+        let _ = self.wire.reader.set_zero_linger();
+    }
+
+    async fn write(&mut self, bytes: &[u8]) -> Result<(), Cut> {
+        self.wire.reader.write_all(bytes).await.map_err(|_| Cut)
+    }
+
+    async fn serve_one(&mut self) -> Result<Next, Cut> {
+        let head = self.wire.read_head().await?;
+        let journal = self.server.journal.clone();
+        let id = head.header("attempt-id").unwrap_or("none").to_string();
+        let arrival = journal.arrive(&id);
+        let mut chance = self.server.chance_for(&id, arrival);
+        let drawn = Behaviour::draw(&mut chance);
+        let behaviour = self.server.script.map_or(drawn, |script| script(&head));
+        journal.behave(&id, behaviour);
+        match behaviour {
+            Behaviour::ResetBeforeReading | Behaviour::ResetAfterHead => {
+                self.reset();
+                return Ok(Next::Close);
+            }
+            Behaviour::MisdirectedBeforeBody => {
+                self.write(&Answer::named("421 Misdirected Request", &id).with_length(b""))
+                    .await?;
+                return Ok(Next::Close);
+            }
+            _ => {}
+        }
+        let body = self.wire.read_body(&head).await?;
+        if behaviour.runs_nothing() {
+            self.turn_away(behaviour, &id).await?;
+        } else {
+            journal.run(&id, &head, &body);
+            let answered = self.answer(behaviour, &id, &mut chance).await;
+            if let Next::Close = answered? {
+                return Ok(Next::Close);
+            }
+        }
+        self.earlier.push(id);
+        Ok(Next::AnotherRequest)
+    }
+
+    async fn turn_away(&mut self, behaviour: Behaviour, id: &str) -> Result<(), Cut> {
+        let answer = match behaviour {
+            Behaviour::FullWithWord => Answer::refusal("503 Service Unavailable", id),
+            Behaviour::TooManyWithWord => Answer::refusal("429 Too Many Requests", id),
+            _ => Answer::named("421 Misdirected Request", id),
+        };
+        self.write(&answer.with_length(b"turned away")).await
+    }
+
+    /// A request that came before on this connection, or else any other.
+    fn earlier_than(&self, id: &str, chance: &mut Chance) -> String {
+        let drawn = chance.below(self.earlier.len() as u64) as usize;
+        match self.earlier.get(drawn) {
+            Some(earlier) => earlier.clone(),
+            None => self.server.journal.another_than(id, chance),
+        }
+    }
+
+    /// What comes back for a request that ran.
+    async fn answer(
+        &mut self,
+        behaviour: Behaviour,
+        id: &str,
+        chance: &mut Chance,
+    ) -> Result<Next, Cut> {
+        if behaviour.is_good() {
+            return self.answer_well(behaviour, id, chance).await;
+        }
+        let other = self.earlier_than(id, chance);
+        let length = chance.below(SMALL as u64) as usize;
+        let body = body_of(id, length);
+        let own = Answer::success(id);
+        let other_answer = Answer::success(&other).with_length(&body_of(&other, length));
+        match behaviour {
+            Behaviour::OwnFailure => {
+                self.server.journal.answer_with_failure(id);
+                let failure = Answer::named("500 Internal Server Error", id);
+                self.write(&failure.with_length(&body)).await?;
+                return Ok(Next::AnotherRequest);
+            }
+            Behaviour::SurplusBeforeOwn => {
+                self.server.journal.answer_whole(id);
+                self.write(&[other_answer, own.with_length(&body)].concat())
+                    .await?;
+                return Ok(Next::AnotherRequest);
+            }
+            Behaviour::SurplusRefusalBeforeOwn => {
+                self.server.journal.answer_whole(id);
+                let refusal = Answer::refusal("503 Service Unavailable", &other).with_length(b"");
+                self.write(&[refusal, own.with_length(&body)].concat())
+                    .await?;
+                return Ok(Next::AnotherRequest);
+            }
+            Behaviour::AnotherName => self.write(&other_answer).await?,
+            Behaviour::NoName => {
+                let unnamed = Answer::unnamed("200 OK").header("Server-Seal: whole");
+                self.write(&unnamed.with_length(&body)).await?;
+            }
+            Behaviour::TwoNames => {
+                let named = own.header(&format!("Attempt-Id: {other}"));
+                self.write(&named.with_length(&body)).await?;
+            }
+            Behaviour::NoSeal => {
+                self.write(&Answer::named("200 OK", id).with_length(&body))
+                    .await?;
+            }
+            Behaviour::FalsePromise => {
+                let statuses = [
+                    "503 Service Unavailable",
+                    "429 Too Many Requests",
+                    "408 Request Timeout",
+                ];
+                let status = statuses[chance.below(3) as usize];
+                self.write(&Answer::named(status, id).with_length(&body))
+                    .await?;
+            }
+            Behaviour::SwitchingProtocols => {
+                let switching = Answer::named("101 Switching Protocols", id);
+                self.write(&switching.header("Upgrade: other").head("HTTP/1.1"))
+                    .await?;
+            }
+            Behaviour::TwoLengths => {
+                let twice = own.header("Content-Length: 3");
+                self.write(&twice.with_length(&body)).await?;
+            }
+            Behaviour::NoLength => {
+                self.write(&[own.head("HTTP/1.1"), body].concat()).await?;
+                return Ok(Next::Close);
+            }
+            Behaviour::LengthAndChunks => {
+                let both = own.header("Content-Length: 7");
+                self.write(&both.with_chunks(&body)).await?;
+            }
+            Behaviour::NoHttp => {
+                self.write(b"\x16\x03\x01 this is no answer\r\n\r\n")
+                    .await?
+            }
+            Behaviour::BrokenChunk => {
+                let head = own.header("Transfer-Encoding: chunked").head("HTTP/1.1");
+                let broken = b"5\r\nabcde\r\nzz\r\nrest".to_vec();
+                self.write(&[head, broken].concat()).await?;
+            }
+            Behaviour::Silence => {
+                self.wire.read_to_end().await;
+                return Ok(Next::Close);
+            }
+            _ => return self.break_off(behaviour, own, &body_of(id, LARGE)).await,
+        }
+        Ok(Next::AnotherRequest)
+    }
+
+    /// Ends the connection before the answer is whole.
+    async fn break_off(
+        &mut self,
+        behaviour: Behaviour,
+        own: Answer,
+        large: &[u8],
+    ) -> Result<Next, Cut> {
+        let small = &large[..SMALL];
+        match behaviour {
+            Behaviour::CutHead => self.write(&own.head("HTTP/1.1")[..30]).await?,
+            Behaviour::CutLength => {
+                let bytes = own.with_length(small);
+                self.write(&bytes[..bytes.len() - 100]).await?;
+            }
+            Behaviour::CutLarge => {
+                let bytes = own.with_length(large);
+                self.write(&bytes[..bytes.len() - 100]).await?;
+            }
+            Behaviour::CutChunks => {
+                let bytes = own.with_chunks(small);
+                self.write(&bytes[..bytes.len() - 5]).await?;
+            }
+            Behaviour::ResetMidway => {
+                let bytes = own.with_length(large);
+                self.write(&bytes[..bytes.len() / 2]).await?;
+                self.reset();
+            }
+            Behaviour::SilenceMidway => {
+                let bytes = own.with_chunks(small);
+                self.write(&bytes[..bytes.len() - 5]).await?;
+                self.wire.read_to_end().await;
+            }
+            Behaviour::ResetAfterRun => self.reset(),
+            _ => {}
+        }
+        Ok(Next::Close)
+    }
+
+    /// A whole answer of the request's own, and whatever comes behind it.
+    async fn answer_well(
+        &mut self,
+        behaviour: Behaviour,
+        id: &str,
+        chance: &mut Chance,
+    ) -> Result<Next, Cut> {
+        self.server.journal.answer_whole(id);
+        let other = self.earlier_than(id, chance);
+        let body = body_of(id, chance.below(SMALL as u64) as usize);
+        let own = Answer::success(id);
+        let surplus = Answer::success(&other).with_length(&body_of(&other, 10));
+        match behaviour {
+            Behaviour::GoodLarge => {
+                self.write(&own.with_length(&body_of(id, LARGE))).await?;
+            }
+            Behaviour::GoodInChunks => self.write(&own.with_chunks(&body)).await?,
+            Behaviour::GoodOldProtocol => {
+                let measured = own.header(&format!("Content-Length: {}", body.len()));
+                self.write(&[measured.head("HTTP/1.0"), body].concat())
+                    .await?;
+                return Ok(Next::Close);
+            }
+            Behaviour::GoodAfterInterim => {
+                let interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n";
+                self.write(interim).await?;
+                tokio::task::yield_now().await;
+                self.write(&own.with_length(&body)).await?;
+            }
+            Behaviour::GoodThenClosed => {
+                self.write(&own.with_length(&body)).await?;
+                return Ok(Next::Close);
+            }
+            Behaviour::GoodThenReset => {
+                self.write(&own.with_length(&body)).await?;
+                self.reset();
+                return Ok(Next::Close);
+            }
+            Behaviour::GoodAnnouncingClose => {
+                let closing = own.header("Connection: close");
+                self.write(&closing.with_length(&body)).await?;
+                return Ok(Next::Close);
+            }
+            Behaviour::GoodAnnouncingCloseKeptOpen => {
+                let closing = own.header("Connection: close");
+                self.write(&closing.with_length(&body)).await?;
+            }
+            Behaviour::GoodShortKeepAlive => {
+                let kept = own.header("Keep-Alive: timeout=0");
+                self.write(&kept.with_length(&body)).await?;
+            }
+            Behaviour::GoodThenSurplus => {
+                self.write(&[own.with_length(&body), surplus].concat())
+                    .await?;
+            }
+            Behaviour::GoodThenSurplusLater => {
+                self.write(&own.with_length(&body)).await?;
+                for _ in 0..chance.below(20) {
+                    tokio::task::yield_now().await;
+                }
+                self.write(&surplus).await?;
+            }
+            Behaviour::GoodThenSurplusRefusal => {
+                self.write(&own.with_length(&body)).await?;
+                tokio::task::yield_now().await;
+                let refusal = Answer::refusal("503 Service Unavailable", &other);
+                self.write(&refusal.with_length(b"")).await?;
+            }
+            _ => self.write(&own.with_length(&body)).await?,
+        }
+        Ok(Next::AnotherRequest)
+    }
+}
