--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -115,6 +115,11 @@
         self.replayable = replayable;
     }
 
+    /// Whether the whole body is still there to be sent after an attempt.
+    pub fn body_left(&mut self, whole: bool) {
+        self.replayable = whole;
+    }
+
     pub fn chosen(&mut self) {
         self.state = RequestState::Chosen;
     }
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -8,6 +8,16 @@
     Streaming(Option<Body>),
 }
 
+impl RequestBody {
+    /// Whether all of it can be sent: it is held, or no attempt has begun to take it.
+    pub(crate) fn is_whole(&self) -> bool {
+        match self {
+            RequestBody::Held(_) => true,
+            RequestBody::Streaming(stream) => stream.is_some(),
+        }
+    }
+}
+
 impl Carrier {
     /// Holds a small body whole; a large or open-ended one streams under the rule's limit.
     pub(crate) async fn hold_body(
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -25,6 +25,8 @@
     proxy: ProxyFixture,
     servers: Vec<Arc<HostileServer>>,
     journals: Vec<Arc<Journal>>,
+    /// Where the last of the servers listens.
+    address: SocketAddr,
     _serving: JoinSet<()>,
 }
 
@@ -40,10 +42,12 @@
         servers.push(server);
         journals.push(journal);
     }
+    let proxy = ProxyFixture::start(seed, dialect, BrokenCarrier::Nothing, &addresses).await;
     Scripted {
-        proxy: ProxyFixture::start(seed, dialect, BrokenCarrier::Nothing, &addresses).await,
         servers,
         journals,
+        address: addresses.last().copied().unwrap_or(proxy.address),
+        proxy,
         _serving: serving,
     }
 }
@@ -284,3 +288,39 @@
     drop(gated);
     assert!(!gate.is_quiet(), "a closed socket is no clean connection");
 }
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 4)]
+async fn given_long_uploads_when_they_are_refused_at_once_then_their_clients_still_get_the_answer()
+{
+    let scripted = scripted(200_007, strict_dialect(), &[]).await;
+    for number in 0..50 {
+        let bytes = upload(&format!("long-{number}"));
+        let seen = ask_alone(scripted.proxy.address, "POST", &bytes).await;
+        assert_eq!(status_of(&seen), Some(503), "no instance is there");
+    }
+}
+
+/// An upload that is longer than what the proxy holds.
+fn upload(id: &str) -> Vec<u8> {
+    let length = 900_000;
+    let head = format!(
+        "POST /{id} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\nContent-Length: {length}\r\n\r\n"
+    );
+    [head.into_bytes(), vec![b'a'; length]].concat()
+}
+
+#[tokio::test]
+async fn given_an_instance_that_is_gone_when_an_upload_finds_it_then_it_goes_to_another() {
+    // Why ten: which instance comes first is drawn anew for each.
+    for number in 0..10 {
+        let seed = 200_100 + number;
+        let live = scripted(seed, strict_dialect(), &[|_| Behaviour::Good]).await;
+        let gone = address_of(&listen_for(seed).await);
+        let addresses = [gone, live.address];
+        let proxy = ProxyFixture::start(seed, strict_dialect(), BrokenCarrier::Nothing, &addresses);
+        let proxy = proxy.await;
+        let seen = ask_alone(proxy.address, "POST", &upload("upload-1")).await;
+        assert_eq!(status_of(&seen), Some(200));
+        assert_eq!(live.journals[0].arrivals_with(Behaviour::Good), 1);
+    }
+}
--- a/crates/proxy/tests/support/journal.rs
+++ b/crates/proxy/tests/support/journal.rs
@@ -65,6 +65,9 @@
     pub unknowns: u64,
     pub cut_bodies: u64,
     pub gave_up: u64,
+    /// Uploads whose connection ended without an answer.
+    pub unanswered: u64,
+    pub uploads: u64,
     pub further_arrivals: u64,
     pub behaviours: BTreeMap<Behaviour, u64>,
 }
@@ -77,6 +80,8 @@
         self.unknowns += other.unknowns;
         self.cut_bodies += other.cut_bodies;
         self.gave_up += other.gave_up;
+        self.unanswered += other.unanswered;
+        self.uploads += other.uploads;
         self.further_arrivals += other.further_arrivals;
         for (behaviour, count) in &other.behaviours {
             *self.behaviours.entry(*behaviour).or_default() += count;
@@ -191,6 +196,7 @@
         let mut tally = Tally {
             requests: entries.sent.len() as u64,
             further_arrivals: entries.further_arrivals(),
+            uploads: entries.sent.values().filter(|sent| sent.streams).count() as u64,
             ..Tally::default()
         };
         for seen in entries.seen.values() {
@@ -201,7 +207,8 @@
                 }
                 SeenAnswer::Whole { .. } => tally.unknowns += 1,
                 SeenAnswer::CutBody => tally.cut_bodies += 1,
-                SeenAnswer::Nothing | SeenAnswer::GaveUp => tally.gave_up += 1,
+                SeenAnswer::Nothing => tally.unanswered += 1,
+                SeenAnswer::GaveUp => tally.gave_up += 1,
             }
         }
         for behaviour in entries
