--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -20,7 +20,7 @@
         self.choose_in(now, knowledge, own_zone, route, &route.service, key, tried)
     }
 
-    /// The same in one of the services that the rule's requests are split over.
+    /// The same in one of the services that the route's requests are split over.
     #[allow(clippy::too_many_arguments)]
     pub fn choose_in(
         &mut self,
@@ -113,7 +113,7 @@
             }
         }
         // Why by drawing first: nearly always one of two drawn is free, and looking at all of them
-        // for every order is what an order would mostly cost.
+        // for every request is what a request would mostly cost.
         let mut best: Option<&Heartbeat> = None;
         for _ in 0..2 {
             let drawn = *tier.get(self.chance.below(tier.len() as u64) as usize)?;
--- a/crates/caperworks/src/dispatch/failure.rs
+++ b/crates/caperworks/src/dispatch/failure.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// Why an order was refused or lost; the answer's status follows from it.
+/// Why a request was refused or lost; the answer's status follows from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     NoRoute,
@@ -24,7 +24,7 @@
     Garbage,
 }
 
-/// What the caller is told of whether the order ran.
+/// What the client is told of whether the request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
     NotRun,
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -132,9 +132,9 @@
         now < self.fresh_until || (self.policy.serves_on && known)
     }
 
-    /// The rule for a host and path.
+    /// The route for a host and path.
     pub fn find(&self, now: Duration, host: &str, path: &str) -> Result<NamedRoute, Failure> {
-        // Why not "no rule" when stale: a rule may have come that we have not heard of.
+        // Why not "no route" when stale: a route may have come that we have not heard of.
         let otherwise = if !self.is_usable(now) {
             Failure::Stale
         } else {
@@ -143,7 +143,7 @@
         self.table.find(host, path).cloned().ok_or(otherwise)
     }
 
-    /// Whether this proxy may carry anything for the rule now.
+    /// Whether this proxy may carry anything for the route now.
     pub fn admits(&self, now: Duration, own_zone: &Zone, route: &Route) -> Result<(), Failure> {
         if !self.is_usable(now) {
             return Err(Failure::Stale);
--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -2,10 +2,10 @@
 
 use crate::prelude::*;
 
-/// How often one order may be attempt at most.
+/// How often one request may be attempted at most.
 const MOST_ATTEMPTS: u32 = 3;
 
-/// The named states of an order.
+/// The named states of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
     Received,
@@ -42,7 +42,7 @@
     Answer(Failure),
 }
 
-/// One order's state chart.
+/// One request's state chart.
 #[derive(Debug, Clone)]
 pub struct RequestChart {
     state: RequestState,
@@ -53,7 +53,7 @@
     attempts: u32,
     most_attempts: u32,
     deadline: Duration,
-    /// An attempt of this order may have run and its answer is not known.
+    /// An attempt of this request may have run and its answer is not known.
     doubt: bool,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What the caller may be told: never "not run" once an attempt is in doubt.
+    /// What the client may be told: never "not run" once an attempt is in doubt.
     pub fn told(&self, failure: Failure) -> Told {
         if self.doubt {
             Told::Unknown
@@ -95,7 +95,7 @@
         self.deadline
     }
 
-    /// A rule was found; the deadline counts from here.
+    /// A route was found; the deadline counts from here.
     pub fn matched(&mut self, now: Duration, route: &Route) {
         self.state = RequestState::Matched;
         self.deadline = now + route.deadline;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The caller waits no longer than this.
+    /// The client waits no longer than this.
     pub fn caller_waits(&mut self, until: Duration) {
         self.deadline = self.deadline.min(until);
     }
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -11,7 +11,7 @@
 /// For how long what an instance said of its load counts.
 const REPORT_SPAN: Duration = Duration::from_millis(500);
 
-/// A key that everyone wants rests no longer than this between two orders.
+/// A key that everyone wants rests no longer than this between two requests.
 const KEY_REST_MOST: Duration = Duration::from_secs(1);
 
 /// One service as one proxy sees it: a shard with its own lock in the daemon.
@@ -19,7 +19,7 @@
 pub struct ServiceShard {
     pub(crate) watches: HashMap<InstanceId, InstanceWatch>,
     pub(crate) keys: HashMap<u64, KeyWatch>,
-    /// How many orders for one key this proxy may have under way: its part of the service's cap.
+    /// How many requests for one key this proxy may have under way: its part of the service's cap.
     pub(crate) key_share: f64,
     pub(crate) budget: RetryBudget,
     pub(crate) chance: Chance,
@@ -52,7 +52,7 @@
 
     /// Makes a watch for a heartbeat, anew when the instance lives another life.
     pub(crate) fn watch(&mut self, heartbeat: &Heartbeat) -> &mut InstanceWatch {
-        // Why look before: the name is copied once in an instance's life and not for every order.
+        // Why look before: the name is copied once in an instance's life and not for every request.
         if self
             .watches
             .get(&heartbeat.id)
@@ -174,9 +174,9 @@
         }
     }
 
-    /// An order for a key is over; the key may have to rest before the next.
+    /// A request for a key is over; the key may have to rest before the next.
     ///
-    /// Why rest: a part of the cap that is less than one order is kept by having one under way for
+    /// Why rest: a part of the cap that is less than one request is kept by having one under way for
     /// that part of the time. Why only under load: an owner with little to do needs no such care.
     fn end_key(&mut self, now: Duration, target: &Target, load: Option<u32>) {
         let share = self.key_share;
--- a/crates/caperworks/src/dispatch/target.rs
+++ b/crates/caperworks/src/dispatch/target.rs
@@ -15,7 +15,7 @@
 }
 
 impl Target {
-    /// Whether an order whose attempt at this target ended so is to go elsewhere from now on.
+    /// Whether a request whose attempt at this target ended so is to go elsewhere from now on.
     ///
     /// Why not always for keyed services: a key range has one owner, and a connection that could not be opened
     /// says nothing of whether it holds the key range.
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -159,7 +159,7 @@
         !unsealed && !false_promise && well_framed(answer, &asked.method)
     }
 
-    /// The check that is made once more where the first byte of an order is written.
+    /// The check that is made once more where the first byte of a request is written.
     fn last_check(
         self: &Arc<Self>,
         route: &Arc<Route>,
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -1,9 +1,9 @@
-//! Carries orders from callers to instances along the order's state chart.
+//! Carries requests from clients to instances along the request's state chart.
 
 use crate::prelude::*;
 
 /// Bodies and answers up to this size are held whole, so that an attempt can be repeated and a
-/// truncated answer never reaches the caller.
+/// truncated answer never reaches the client.
 pub(crate) const SMALL: u64 = 64 * 1024;
 
 /// Mistakes that are built in on purpose. Only for proving the observers: no setting names them.
@@ -31,7 +31,7 @@
     pub capacity: u32,
     pub(crate) held_body: u64,
     pub stopping: AtomicBool,
-    /// Set when even new orders are refused, just before the end.
+    /// Set when even new requests are refused, just before the end.
     pub closed: AtomicBool,
     pub under_way: AtomicU32,
     pub connections: InstanceConnections,
@@ -129,7 +129,7 @@
         self.meter.demand(self.clock.now())
     }
 
-    /// Answers one order.
+    /// Answers one request.
     pub async fn carry(
         self: Arc<Self>,
         far_end: FarEnd,
@@ -200,7 +200,7 @@
         *counted = Some(usage_key.clone());
         self.meter.measure(now, &far_end, &name);
         knowledge.admits(now, &self.zone, &route)?;
-        // Why only for keyed services: of a split rule's requests some may go where keys mean nothing.
+        // Why only for keyed services: of a split route's requests some may go where keys mean nothing.
         let keyed = knowledge
             .service(&service)
             .is_some_and(|service| service.keyed);
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The proxy's process: pulls news from its agent, serves callers, and stops politely.
+//! The proxy's process: pulls news from its agent, serves clients, and stops politely.
 
 use crate::prelude::*;
 
--- a/crates/proxy/src/demand_meter.rs
+++ b/crates/proxy/src/demand_meter.rs
@@ -8,7 +8,7 @@
 
 #[derive(Default)]
 struct Metered {
-    /// Orders by second.
+    /// Requests by second.
     seconds: VecDeque<(u64, u32)>,
     nearest: Duration,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What was measured of late: orders a second by group and rule, and how far the group is.
+    /// What was measured of late: requests a second by group and route, and how far the group is.
     pub fn demand(&self, now: Duration) -> Vec<Demand> {
         let oldest = now.as_secs().saturating_sub(METER_SPAN.as_secs());
         let mut demand = Vec::new();
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -5,13 +5,13 @@
 /// The names and forms that requests and answers carry. It decides nothing.
 #[derive(Clone)]
 pub struct Dialect {
-    /// Names a request, at callers if they name theirs, at instances always.
+    /// Names a request, at clients if they name theirs, at instances always.
     pub request_id: HeaderName,
-    /// Whether callers name their requests, and instances must name them back.
+    /// Whether clients name their requests, and instances must name them back.
     pub callers_name_requests: bool,
     /// Milliseconds that the sender waits; at instances always.
     pub deadline: HeaderName,
-    /// Whether callers tell how long they wait, under the same name.
+    /// Whether clients tell how long they wait, under the same name.
     pub callers_tell_deadline: bool,
     /// The instance that a request is for.
     pub instance: HeaderName,
@@ -24,7 +24,7 @@
     pub seal: Option<HeaderName>,
     /// Says in answers of ours whether the request ran.
     pub outcome: Option<HeaderName>,
-    /// Names the caller's address to instances.
+    /// Names the client's address to instances.
     pub forwarded_for: Option<HeaderName>,
     /// Headers that begin so are ours and pass in neither direction.
     pub own_prefix: Option<&'static str>,
@@ -32,7 +32,7 @@
     pub fractions: bool,
     /// The path that tells readiness to whoever reaches the proxy.
     pub ready_path: &'static str,
-    /// Answers that promise callers that nothing ran: an instance's own are no such word.
+    /// Answers that promise clients that nothing ran: an instance's own are no such word.
     pub promises: &'static [u16],
     /// Whether an instance says that it ran nothing.
     pub told_not_run: fn(StatusCode, &HeaderMap) -> bool,
--- a/crates/proxy/src/failure_answer.rs
+++ b/crates/proxy/src/failure_answer.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 impl Carrier {
-    /// The final answer for an order that was refused or lost, given at once.
+    /// The final answer for a request that was refused or lost, given at once.
     pub(crate) fn failure_answer(&self, failure: Failure, told: Told) -> Response<Body> {
         if self.broken == BrokenCarrier::PromisesInDoubt {
             return self.told_answer(503, "not-run", failure.word(), failure.retry_after());
@@ -37,7 +37,7 @@
             return answer;
         };
         let value = match self.dialect.fractions {
-            // Why so soon: callers there count in tenths, and what is short now is seldom so long.
+            // Why so soon: clients there count in tenths, and what is short now is seldom so long.
             true => HeaderValue::from_str(&format!("{}", after.as_secs_f64() / 5.0)).ok(),
             false => Some(HeaderValue::from(after.as_secs())),
         };
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Why both ways: a caller must not speak in our name to an instance, nor an instance to a caller.
+/// Why both ways: a client must not speak in our name to an instance, nor an instance to a client.
 pub(crate) fn strip_own(headers: &mut HeaderMap, own_prefix: Option<&str>) {
     let Some(own_prefix) = own_prefix else {
         return;
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/gate.rs
@@ -1,12 +1,12 @@
-//! The last check, made where the first byte of an order is written.
+//! The last check, made where the first byte of a request is written.
 //!
-//! The HTTP library writes an order's head from a task of its own. Between a check made before the
-//! order is handed to it and that write a process can be frozen for any length of time. So the
+//! The HTTP library writes a request's head from a task of its own. Between a check made before the
+//! request is handed to it and that write a process can be frozen for any length of time. So the
 //! check is made by the I/O under the library, and the same place knows whether a byte has left.
 
 use crate::prelude::*;
 
-/// Says whether an order may still leave.
+/// Says whether a request may still leave.
 pub type LastCheck = Box<dyn Fn() -> Result<(), Failure> + Send>;
 
 #[derive(Default)]
@@ -48,7 +48,7 @@
     state: Mutex<GateState>,
 }
 
-/// What became of an order at the gate.
+/// What became of a request at the gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Passage {
     /// No byte left and none will.
@@ -84,7 +84,7 @@
         state.closed = true;
     }
 
-    /// Makes the gate ready for one order.
+    /// Makes the gate ready for one request.
     pub fn arm(&self, check: LastCheck) {
         let mut state = locked(&self.state);
         state.check = Some(check);
@@ -196,7 +196,7 @@
 mod tests {
     use crate::prelude::*;
 
-    /// An order by the HTTP library over a gate whose check says this; what came out behind it.
+    /// A request by the HTTP library over a gate whose check says this; what came out behind it.
     async fn sent(check: impl Fn() -> Result<(), Failure> + Send + 'static) -> (Passage, usize) {
         let (near, mut far) = tokio::io::duplex(4096);
         let gate = Arc::new(Gate::default());
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy: carries requests from callers to instances, as its agent tells it.
+//! The proxy: carries requests from clients to instances, as its agent tells it.
 
 pub mod attempt;
 pub mod carrier;
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -33,7 +33,7 @@
         strip_own(&mut headers, self.dialect.own_prefix);
         headers.remove("expect");
         // Why removed: the framing towards the instance follows from the body, never from the
-        // caller's word.
+        // client's word.
         headers.remove("content-length");
         let dialect = self.dialect;
         let mut set = |name: &HeaderName, text: String| -> Result<(), Failure> {
--- a/crates/proxy/src/passing.rs
+++ b/crates/proxy/src/passing.rs
@@ -18,7 +18,7 @@
     pub target: Target,
     pub verdict: InstanceVerdict,
     pub load: Option<u32>,
-    /// Another life answered than the one that the order was for.
+    /// Another life answered than the one that the request was for.
     pub over: bool,
     pub usage_key: UsageKey,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Counts an order that is under way, for the polite stop.
+/// Counts a request that is under way, for the polite stop.
 pub struct UnderWay(pub Arc<Carrier>);
 
 impl UnderWay {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The body of an instance's answer, streamed to the caller.
+/// The body of an instance's answer, streamed to the client.
 pub struct Passing {
     pub inner: Incoming,
     pub connection: Option<Connection>,
@@ -134,7 +134,7 @@
     }
 }
 
-/// The caller's body on its way to an instance: counted against the rule's limit.
+/// The client's body on its way to an instance: counted against the route's limit.
 pub struct Counted {
     pub inner: Incoming,
     pub left: u64,
@@ -156,7 +156,7 @@
                 let length = frame.data_ref().map_or(0, Bytes::len) as u64;
                 if length > self.left {
                     self.over.store(true, Ordering::SeqCst);
-                    // Why an error: it breaks the connection, so the instance never has a whole order.
+                    // Why an error: it breaks the connection, so the instance never has a whole request.
                     return Poll::Ready(Some(Err(std::io::Error::other("over the body limit"))));
                 }
                 self.left -= length;
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -2,7 +2,7 @@
 
 use crate::prelude::*;
 
-/// The caller's body, in the form it can be sent in.
+/// The client's body, in the form it can be sent in.
 pub(crate) enum RequestBody {
     Held(Bytes),
     Streaming(Option<Body>),
@@ -19,7 +19,7 @@
 }
 
 impl Carrier {
-    /// Holds a small body whole; a large or open-ended one streams under the rule's limit.
+    /// Holds a small body whole; a large or open-ended one streams under the route's limit.
     pub(crate) async fn hold_body(
         self: &Arc<Self>,
         body: Incoming,
--- a/crates/proxy/src/usage.rs
+++ b/crates/proxy/src/usage.rs
@@ -1,4 +1,4 @@
-//! What was carried, counted by hour, rule and service, for the operators' export.
+//! What was carried, counted by hour, route and service, for the operators' export.
 
 use crate::prelude::*;
 
@@ -12,7 +12,7 @@
         .map_or(0, |span| span.as_secs() / 3600)
 }
 
-/// One order's place in the counts.
+/// One request's place in the counts.
 #[derive(Debug, Clone)]
 pub struct UsageKey {
     hour: u64,
@@ -30,7 +30,7 @@
     }
 }
 
-/// How an order ended for its caller.
+/// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CountedEnd {
     Served,
