--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -129,6 +129,11 @@
         !self.pending.is_empty() || self.finish_wanted
     }
 
+    /// Whether a ballot is under way.
+    pub fn has_ballot(&self) -> bool {
+        !matches!(self.phase, Phase::Resting)
+    }
+
     /// Asks for a ballot that finishes whatever a voter may have taken without it being chosen.
     pub fn finish(&mut self) {
         self.finish_wanted = true;
@@ -499,3 +504,16 @@
         });
     }
 }
+
+/// Whether a proposer's map is settled under this membership; if not, asks for the ballot that
+/// settles it.
+///
+/// Why before the voters change: what the voters before may have half agreed on must be finished
+/// while every majority of these voters still meets every majority of those.
+pub fn settle(proposer: &mut Proposer, membership: Version) -> bool {
+    let settled = proposer.is_settled(membership);
+    if !settled {
+        proposer.finish();
+    }
+    settled
+}
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -28,6 +28,16 @@
     pub versions: Vec<Version>,
 }
 
+impl Round {
+    /// Whether no voter that answered may have taken part in a membership after this one.
+    ///
+    /// Why it matters: a majority of voters that are no longer all of them need not know what the
+    /// voters after them accepted.
+    pub fn is_under(&self, membership: Version) -> bool {
+        self.versions[MapName::Membership.index()] <= membership
+    }
+}
+
 /// The grantor's rounds.
 #[derive(Debug, Clone, Default)]
 pub struct Rounds {
@@ -89,11 +99,13 @@
             .filter(|round| now.saturating_sub(round.started) < span)
     }
 
-    /// Drops the rounds under way.
+    /// Drops the rounds under way, and the latest if it was not under the membership until now.
     ///
-    /// Why when the voters change: answers of two sets of voters make a majority of neither.
-    pub fn begin_anew(&mut self) {
+    /// Why when the voters change: answers of two sets of voters make a majority of neither, and
+    /// what a round under an earlier membership left open the next membership does not settle.
+    pub fn begin_anew(&mut self, before: Version) {
         self.open.clear();
+        self.latest.take_if(|round| !round.is_under(before));
     }
 }
 
--- a/crates/controller/src/consensus.rs
+++ b/crates/controller/src/consensus.rs
@@ -31,6 +31,7 @@
         act_on_proposer(state, outcome);
         return;
     }
+    let membership_before = state.map(MapName::Membership).version;
     let outcome = state.voter.hear(vote);
     let mut replies: Vec<ControllerOutput> = outcome
         .replies
@@ -50,7 +51,9 @@
         let version = state.map(map).version;
         state.note(Event::MapMoved { map, version });
         if map == MapName::Membership {
-            state.rounds.begin_anew();
+            state.rounds.begin_anew(membership_before);
+            // Why at once: until a round under these voters ends, nothing can be vouched for anew.
+            state.next_round_at = now;
         }
     }
 }
--- a/crates/controller/src/controller_state.rs
+++ b/crates/controller/src/controller_state.rs
@@ -325,7 +325,11 @@
 
     /// Whether this controller knows the latest of a map, by a round of the majority.
     pub fn is_current(&self, name: MapName) -> bool {
+        let membership = self.map(MapName::Membership).version;
+        // Why the membership for every map: see `Round::is_under`.
         let confirmed = self.rounds.confirmed(self.now);
-        confirmed.is_some_and(|round| round.versions[name.index()] <= self.map(name).version)
+        confirmed
+            .filter(|round| round.is_under(membership))
+            .is_some_and(|round| round.versions[name.index()] <= self.map(name).version)
     }
 }
--- a/crates/controller/src/leadership_roles.rs
+++ b/crates/controller/src/leadership_roles.rs
@@ -252,15 +252,10 @@
         }
         return;
     }
-    // Why settle first: what the voters before may have half agreed on must be finished while
-    // every majority of these voters still meets every majority of those.
     let membership = state.map(MapName::Membership).version;
     let mut settled = true;
     for proposer in &mut state.proposers {
-        if !proposer.is_settled(membership) {
-            proposer.finish();
-            settled = false;
-        }
+        settled &= settle(proposer, membership);
     }
     if !settled {
         return;
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -214,9 +214,12 @@
             disk = SlotDisk::new(options.slot_room, options.log_room);
             disk.skip_generations(image);
         }
+        // Why a name of this life alone: a ballot of the life before, which our own voter need not
+        // have heard of, must never be begun a second time with another change.
+        let life = NodeId(mix(node.0 ^ chance.clone().draw()) >> 1);
         let proposers = ALL_MAPS
             .iter()
-            .map(|name| Proposer::new(*name, node, options.proposer.clone()))
+            .map(|name| Proposer::new(*name, life, options.proposer.clone()))
             .collect();
         let mut machine = Self {
             state: ControllerState {
@@ -634,6 +637,7 @@
         _ => state
             .rounds
             .latest(now)
+            .filter(|round| round.is_under(state.map(MapName::Membership).version))
             .map(|round| (now.saturating_sub(round.started), round.versions.clone())),
     };
     // Why members only for directories: agents need no more than their number, and with many nodes
--- /dev/null
+++ b/crates/model-check/src/bound.rs
@@ -0,0 +1,94 @@
+//! What one exploration covers, and the mistakes that can be seeded into it.
+
+use crate::prelude::*;
+
+/// A change of the voters that the voter management role is to make.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum MembershipStep {
+    Join(NodeId),
+    Leave(NodeId),
+}
+
+/// A safeguard that is left out, so that the invariants can be seen to catch it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum Mistake {
+    #[default]
+    Nothing,
+    /// Votes leave before they are synced.
+    VotesBeforeSync,
+    /// The voters change before what the voters before them left half agreed is finished.
+    SkipsSettling,
+    /// A voter votes under whatever membership it is asked under.
+    VotesUnderAnyMembership,
+    /// A read is answered without a round.
+    ReadsWithoutRound,
+    /// A read is answered from a round that began before the call.
+    ReadsByEarlierRound,
+    /// A read is answered by a round in which a voter told of a later membership.
+    ReadsUnderOldMembership,
+    /// A restarted proposer goes by the same name as the life before, so ballots are used twice.
+    ReusesBallots,
+}
+
+/// The limits within which every order of events is explored.
+#[derive(Debug, Clone)]
+pub struct Bound {
+    pub name: &'static str,
+    /// The first voters; all are controllers.
+    pub voters: u64,
+    /// Nodes after the voters that hold the maps but have no vote at first.
+    pub spares: u64,
+    /// Which nodes propose a change of the configuration.
+    pub writers: Vec<NodeId>,
+    /// Who makes the membership steps.
+    pub manager: NodeId,
+    pub membership_steps: Vec<MembershipStep>,
+    /// How many ballots each proposer of the configuration may begin.
+    pub configuration_ballots: u8,
+    /// How many ballots on the configuration the manager may begin, to settle it.
+    pub settling_ballots: u8,
+    /// How many ballots the manager may begin on the membership.
+    pub membership_ballots: u8,
+    /// Which nodes answer a read.
+    pub readers: Vec<NodeId>,
+    /// How many rounds each reader may begin.
+    pub rounds: u8,
+    /// How many times some node loses its memory and starts again from its disk.
+    pub restarts: u8,
+    /// How many times some node loses its disk; a new one without a vote appears in its place.
+    pub wipes: u8,
+    /// How many answers of voters are lost.
+    pub lost_replies: u8,
+    /// Whether a sync is an event of its own, or part of the input that caused it.
+    pub separate_sync: bool,
+    pub mistake: Mistake,
+}
+
+impl Bound {
+    /// Three voters, nothing else.
+    pub fn new(name: &'static str) -> Self {
+        Self {
+            name,
+            voters: 3,
+            spares: 0,
+            writers: Vec::new(),
+            manager: NodeId(1),
+            membership_steps: Vec::new(),
+            configuration_ballots: 1,
+            settling_ballots: 0,
+            membership_ballots: 0,
+            readers: Vec::new(),
+            rounds: 1,
+            restarts: 0,
+            wipes: 0,
+            lost_replies: 0,
+            separate_sync: false,
+            mistake: Mistake::Nothing,
+        }
+    }
+
+    pub fn with_mistake(mut self, mistake: Mistake) -> Self {
+        self.mistake = mistake;
+        self
+    }
+}
--- /dev/null
+++ b/crates/model-check/src/lib.rs
@@ -0,0 +1,15 @@
+//! A model check of agreement together with membership, wiped disks, restarts and reads.
+//!
+//! The states that are explored are made of the real [`Voter`](caperworks::consensus::voter::Voter),
+//! [`Proposer`](caperworks::consensus::proposer::Proposer) and
+//! [`Rounds`](caperworks::leases::Rounds); only the network, the disks and the order of events are
+//! modelled. A breadth-first search visits every state within a [`Bound`](bound::Bound).
+
+pub mod bound;
+pub mod digest;
+pub mod invariants;
+pub mod node;
+pub mod prelude;
+pub mod scenarios;
+pub mod search;
+pub mod world;
--- /dev/null
+++ b/crates/model-check/src/search.rs
@@ -0,0 +1,164 @@
+//! The breadth-first search over all states within a bound.
+
+use crate::prelude::*;
+
+/// How many states are expanded before their successors are sorted out, which bounds the memory.
+const BLOCK: usize = 2_000;
+
+/// What a search found.
+#[derive(Debug, Clone)]
+pub struct Report {
+    pub states: usize,
+    pub transitions: usize,
+    /// The length of the longest shortest path.
+    pub depth: usize,
+    /// Whether every state within the bound was visited.
+    pub is_complete: bool,
+    /// A broken invariant, and a shortest sequence of events that breaks it.
+    pub violation: Option<(Violation, Vec<Action>)>,
+}
+
+/// How a state was first reached.
+#[derive(Debug, Clone, Copy)]
+struct Origin {
+    parent: u32,
+    action: Option<Action>,
+}
+
+struct Successor {
+    origin: Origin,
+    /// Nothing when the state was visited before.
+    result: Result<Option<(Digest, World)>, Violation>,
+}
+
+/// Explores every state within the bound, up to so many states.
+pub fn explore(bound: &Bound, most_states: usize, threads: usize) -> Report {
+    Search::new(bound, most_states, threads).run()
+}
+
+struct Search<'a> {
+    bound: &'a Bound,
+    most_states: usize,
+    threads: usize,
+    visited: HashSet<Digest>,
+    origins: Vec<Origin>,
+    report: Report,
+}
+
+impl<'a> Search<'a> {
+    fn new(bound: &'a Bound, most_states: usize, threads: usize) -> Self {
+        Self {
+            bound,
+            most_states,
+            threads,
+            visited: HashSet::new(),
+            origins: Vec::new(),
+            report: Report {
+                states: 0,
+                transitions: 0,
+                depth: 0,
+                is_complete: false,
+                violation: None,
+            },
+        }
+    }
+
+    fn run(mut self) -> Report {
+        let mut first = World::new(self.bound);
+        let origin = Origin {
+            parent: 0,
+            action: None,
+        };
+        let mut frontier = Vec::new();
+        let digest = first.digest();
+        self.visit(origin, digest, first, &mut frontier);
+        while !frontier.is_empty() {
+            let mut next = Vec::new();
+            for block in frontier.chunks(BLOCK) {
+                let is_over = self.expand_block(block, &mut next);
+                if is_over {
+                    return self.report;
+                }
+            }
+            self.report.depth += usize::from(!next.is_empty());
+            frontier = next;
+        }
+        self.report.is_complete = true;
+        self.report
+    }
+
+    /// Takes in the successors of a block; says whether the search is over.
+    fn expand_block(&mut self, block: &[(u32, World)], next: &mut Vec<(u32, World)>) -> bool {
+        for successor in self.successors(block) {
+            self.report.transitions += 1;
+            match successor.result {
+                Ok(Some((digest, world))) => self.visit(successor.origin, digest, world, next),
+                Ok(None) => {}
+                Err(violation) => {
+                    let path = self.path_to(successor.origin);
+                    self.report.violation = Some((violation, path));
+                    return true;
+                }
+            }
+        }
+        self.report.states >= self.most_states
+    }
+
+    fn visit(
+        &mut self,
+        origin: Origin,
+        digest: Digest,
+        world: World,
+        next: &mut Vec<(u32, World)>,
+    ) {
+        if self.visited.insert(digest) {
+            next.push((self.origins.len() as u32, world));
+            self.origins.push(origin);
+            self.report.states += 1;
+        }
+    }
+
+    /// The successors of a block, in a fixed order.
+    fn successors(&self, block: &[(u32, World)]) -> Vec<Successor> {
+        let part = block.len().div_ceil(self.threads.max(1)).max(1);
+        std::thread::scope(|scope| {
+            let workers: Vec<_> = block
+                .chunks(part)
+                .map(|part| scope.spawn(|| self.expand(part)))
+                .collect();
+            workers
+                .into_iter()
+                .flat_map(|worker| worker.join().expect("a worker does not panic"))
+                .collect()
+        })
+    }
+
+    fn expand(&self, part: &[(u32, World)]) -> Vec<Successor> {
+        let mut successors = Vec::new();
+        for (parent, world) in part {
+            for action in world.actions(self.bound) {
+                let origin = Origin {
+                    parent: *parent,
+                    action: Some(action),
+                };
+                let result = world.after(self.bound, action).map(|mut after| {
+                    let digest = after.digest();
+                    let is_new = !self.visited.contains(&digest);
+                    is_new.then_some((digest, after))
+                });
+                successors.push(Successor { origin, result });
+            }
+        }
+        successors
+    }
+
+    fn path_to(&self, mut origin: Origin) -> Vec<Action> {
+        let mut path = Vec::new();
+        while let Some(action) = origin.action {
+            path.push(action);
+            origin = self.origins[origin.parent as usize];
+        }
+        path.reverse();
+        path
+    }
+}
