--- a/crates/model-check/src/bound.rs
+++ b/crates/model-check/src/bound.rs
@@ -9,6 +9,23 @@
     Leave(NodeId),
 }
 
+/// A part of what happened before the search starts, in one fixed order.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum ScriptStep {
+    /// A proposer's ballot reaches these voters only; its other requests are lost.
+    Ballot {
+        proposer: NodeId,
+        map: MapName,
+        voters: Vec<NodeId>,
+    },
+    Learn {
+        node: NodeId,
+        source: NodeId,
+        map: MapName,
+    },
+    Manage,
+}
+
 /// A safeguard that is left out, so that the invariants can be seen to catch it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Mistake {
@@ -38,6 +55,10 @@
     pub voters: u64,
     /// Nodes after the voters that hold the maps but have no vote at first.
     pub spares: u64,
+    /// What happens before the search starts.
+    pub script: Vec<ScriptStep>,
+    /// Which nodes propose a change of the configuration before the script.
+    pub early_writers: Vec<NodeId>,
     /// Which nodes propose a change of the configuration.
     pub writers: Vec<NodeId>,
     /// Who makes the membership steps.
@@ -71,6 +92,8 @@
             name,
             voters: 3,
             spares: 0,
+            script: Vec::new(),
+            early_writers: Vec::new(),
             writers: Vec::new(),
             manager: NodeId(1),
             membership_steps: Vec::new(),
--- a/crates/model-check/src/scenarios.rs
+++ b/crates/model-check/src/scenarios.rs
@@ -26,22 +26,81 @@
     }
 }
 
-/// A fourth node joins and the first leaves, while two proposers race.
+fn ballot(proposer: u64, map: MapName, voters: &[u64]) -> ScriptStep {
+    ScriptStep::Ballot {
+        proposer: NodeId(proposer),
+        map,
+        voters: nodes(voters),
+    }
+}
+
+fn learn_membership(node: u64, source: u64) -> ScriptStep {
+    ScriptStep::Learn {
+        node: NodeId(node),
+        source: NodeId(source),
+        map: MapName::Membership,
+    }
+}
+
+fn fourth_for_first() -> Vec<MembershipStep> {
+    vec![
+        MembershipStep::Join(NodeId(4)),
+        MembershipStep::Leave(NodeId(1)),
+    ]
+}
+
+/// A change was accepted by the first two voters and nobody else knows; then a fourth node joins
+/// and the first leaves.
 pub fn replacement() -> Bound {
     Bound {
         spares: 1,
-        writers: nodes(&[1, 4]),
+        script: vec![ballot(1, MapName::Configuration, &[1, 2])],
+        early_writers: nodes(&[1]),
         manager: NodeId(3),
-        membership_steps: vec![
-            MembershipStep::Join(NodeId(4)),
-            MembershipStep::Leave(NodeId(1)),
-        ],
-        settling_ballots: 2,
+        membership_steps: fourth_for_first(),
+        settling_ballots: 3,
         membership_ballots: 4,
         ..Bound::new("replacement")
     }
 }
 
+/// The first has left as far as the others know; it and the new one race for the next version.
+pub fn removed_writer() -> Bound {
+    Bound {
+        spares: 1,
+        script: vec![
+            ScriptStep::Manage,
+            ballot(4, MapName::Configuration, &[2, 3]),
+            ballot(4, MapName::Membership, &[2, 3]),
+            ScriptStep::Manage,
+            ballot(4, MapName::Membership, &[2, 3]),
+            learn_membership(2, 4),
+            learn_membership(3, 4),
+            ScriptStep::Manage,
+            ballot(4, MapName::Configuration, &[2, 3, 4]),
+            ballot(4, MapName::Membership, &[2, 3, 4]),
+            ScriptStep::Manage,
+            ballot(4, MapName::Membership, &[2, 3, 4]),
+        ],
+        writers: nodes(&[1, 4]),
+        manager: NodeId(4),
+        membership_steps: fourth_for_first(),
+        settling_ballots: 4,
+        membership_ballots: 4,
+        ..Bound::new("removed writer")
+    }
+}
+
+/// The same, and the first still reads.
+pub fn removed_reader() -> Bound {
+    Bound {
+        writers: nodes(&[4]),
+        readers: nodes(&[1]),
+        name: "removed reader",
+        ..removed_writer()
+    }
+}
+
 /// A disk is wiped, and the empty node in its place is given the vote.
 pub fn wiped_disk() -> Bound {
     Bound {
@@ -58,23 +117,6 @@
     }
 }
 
-/// The one that leaves reads while the voters change and others accept a change.
-pub fn reads_during_replacement() -> Bound {
-    Bound {
-        spares: 1,
-        writers: nodes(&[4]),
-        manager: NodeId(4),
-        membership_steps: vec![
-            MembershipStep::Join(NodeId(4)),
-            MembershipStep::Leave(NodeId(1)),
-        ],
-        settling_ballots: 3,
-        membership_ballots: 4,
-        readers: nodes(&[1]),
-        ..Bound::new("reads during a replacement")
-    }
-}
-
 /// Two nodes read while a change is accepted.
 pub fn reads() -> Bound {
     Bound {
@@ -94,7 +136,7 @@
     }
 }
 
-/// The replacement with no ballots to spare: what it takes to see that settling is skipped.
+/// The replacement with no ballots that settle.
 pub fn unsettled_replacement() -> Bound {
     Bound {
         settling_ballots: 0,
@@ -103,15 +145,6 @@
     }
 }
 
-/// The same with a reader.
-pub fn unsettled_reads() -> Bound {
-    Bound {
-        settling_ballots: 0,
-        membership_ballots: 2,
-        ..reads_during_replacement()
-    }
-}
-
 /// All bounds, as the program explores them.
 pub fn large_bounds() -> Vec<Bound> {
     vec![
@@ -121,6 +154,7 @@
         reads(),
         replacement(),
         wiped_disk(),
-        reads_during_replacement(),
+        removed_writer(),
+        removed_reader(),
     ]
 }
--- a/crates/model-check/src/world.rs
+++ b/crates/model-check/src/world.rs
@@ -90,8 +90,8 @@
 }
 
 /// An operator calls for a change; after a restart another one does for another change.
-fn call_writer(bound: &Bound, node: &mut Node) {
-    if bound.writers.contains(&node.id) {
+fn call_writer(writers: &[NodeId], node: &mut Node) {
+    if writers.contains(&node.id) {
         let change = configuration_change(node);
         let proposer = node.configuration.change();
         proposer.propose(Duration::ZERO, OPERATOR_TICKET, change);
@@ -141,12 +141,53 @@
         };
         for id in 1..=bound.voters + bound.spares {
             let mut node = Node::new(NodeId(id), voter.clone(), bound);
-            call_writer(bound, &mut node);
+            call_writer(&bound.early_writers, &mut node);
             world.add(node);
         }
+        for step in &bound.script {
+            let played = world.play(bound, step);
+            played.expect("the script breaks no invariant");
+        }
+        for place in 0..world.places.len() as u8 {
+            world.change(place, |node| call_writer(&bound.writers, node));
+        }
         world
     }
 
+    fn play(&mut self, bound: &Bound, step: &ScriptStep) -> Result<(), Violation> {
+        let place = |world: &World, id| world.place_of(id).expect("the script names nodes");
+        match step {
+            ScriptStep::Ballot {
+                proposer,
+                map,
+                voters,
+            } => {
+                self.begin(place(self, *proposer), *map)?;
+                while let Some(request) = self.votable(bound, voters) {
+                    self.deliver(bound, request, false)?;
+                }
+                self.requests.clear();
+                Ok(())
+            }
+            ScriptStep::Learn { node, source, map } => {
+                let (node, source) = (place(self, *node), place(self, *source));
+                self.learn(bound, node, source, *map)
+            }
+            ScriptStep::Manage => {
+                self.manage(bound);
+                Ok(())
+            }
+        }
+    }
+
+    /// A request that one of these voters would vote on.
+    fn votable(&self, bound: &Bound, voters: &[NodeId]) -> Option<u8> {
+        let request = self.requests.iter().position(|(_, request)| {
+            voters.contains(&request.voter) && self.would_vote(bound, request)
+        })?;
+        Some(request as u8)
+    }
+
     fn add(&mut self, node: Node) {
         self.places.push(Shared::new(node));
     }
@@ -387,7 +428,7 @@
                 world.restarts -= 1;
                 world.change(place, |node| {
                     node.restart(bound.mistake);
-                    call_writer(bound, node);
+                    call_writer(&bound.writers, node);
                 });
             }
             Action::Wipe { place } => world.wipe(bound, place),
@@ -617,7 +658,7 @@
     ) -> Result<(), Violation> {
         let after = self.node(place).version(map);
         let news = self.node(source).voter.get().news_after(map, after);
-        for news in news {
+        if let Some(news) = news {
             self.hear(place, news, bound.separate_sync)?;
         }
         self.finish_read(bound, place)
--- a/crates/model-check/tests/model_check.rs
+++ b/crates/model-check/tests/model_check.rs
@@ -38,6 +38,13 @@
     }
 }
 
+#[test]
+fn given_voters_that_moved_on_when_one_that_left_writes_or_reads_then_no_invariant_breaks() {
+    for bound in [removed_writer(), removed_reader()] {
+        assert!(holds(&bound).states > 1_000);
+    }
+}
+
 #[test]
 fn given_slow_disks_and_restarts_when_explored_then_no_invariant_breaks() {
     assert!(holds(&slow_disks()).states > 50_000);
@@ -78,3 +85,36 @@
         "{violation:?}"
     );
 }
+
+#[test]
+fn given_no_settling_when_explored_then_it_is_found_that_an_accepted_change_can_be_lost() {
+    let violation = breaks(unsettled_replacement(), Mistake::SkipsSettling);
+    assert!(
+        matches!(
+            violation,
+            Violation::AcceptedChangeCanBeLost { .. } | Violation::Disagreement { .. }
+        ),
+        "{violation:?}"
+    );
+}
+
+#[test]
+fn given_votes_under_any_membership_when_explored_then_it_is_found() {
+    let violation = breaks(removed_writer(), Mistake::VotesUnderAnyMembership);
+    assert!(
+        matches!(
+            violation,
+            Violation::OlderMembershipDecided { .. } | Violation::Disagreement { .. }
+        ),
+        "{violation:?}"
+    );
+}
+
+#[test]
+fn given_reads_under_an_old_membership_when_explored_then_a_stale_read_is_found() {
+    let violation = breaks(removed_reader(), Mistake::ReadsUnderOldMembership);
+    assert!(
+        matches!(violation, Violation::StaleRead { .. }),
+        "{violation:?}"
+    );
+}
--- /dev/null
+++ b/crates/model-check/tests/random_schedules.rs
@@ -0,0 +1,72 @@
+//! Long random schedules over the same model, with more nodes, ballots and troubles than can be
+//! explored to the end.
+
+use model_check::prelude::*;
+use proptest::prelude::*;
+
+/// Five voters of which one leaves, two nodes that join, a wipe, restarts, reads and slow disks.
+fn wide() -> Bound {
+    let nodes = |ids: &[u64]| ids.iter().copied().map(NodeId).collect();
+    Bound {
+        voters: 5,
+        spares: 2,
+        writers: nodes(&[1, 2, 6]),
+        readers: nodes(&[1, 3, 7]),
+        manager: NodeId(3),
+        membership_steps: vec![
+            MembershipStep::Join(NodeId(6)),
+            MembershipStep::Leave(NodeId(1)),
+            MembershipStep::Join(NodeId(7)),
+            MembershipStep::Leave(NodeId(2)),
+        ],
+        configuration_ballots: 6,
+        settling_ballots: 12,
+        membership_ballots: 12,
+        rounds: 4,
+        restarts: 3,
+        wipes: 1,
+        lost_replies: 4,
+        separate_sync: true,
+        ..Bound::new("wide")
+    }
+}
+
+/// Takes one event after the other, each picked by the next number; stops where nothing can happen.
+fn play(bound: &Bound, picks: &[u16]) -> Result<World, Violation> {
+    let mut world = World::new(bound);
+    for pick in picks {
+        let actions = world.actions(bound);
+        if actions.is_empty() {
+            break;
+        }
+        world = world.after(bound, actions[usize::from(*pick) % actions.len()])?;
+    }
+    Ok(world)
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 2_000,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
+
+    #[test]
+    fn given_a_wide_core_when_events_come_in_any_order_then_no_invariant_breaks(
+        picks in prop::collection::vec(any::<u16>(), 50..400),
+    ) {
+        let played = play(&wide(), &picks);
+        prop_assert!(played.is_ok(), "{:?}", played.err());
+    }
+}
+
+#[test]
+fn given_random_schedules_when_votes_leave_before_they_are_synced_then_one_finds_it() {
+    let bound = wide().with_mistake(Mistake::VotesBeforeSync);
+    let mut chance = Chance::seeded(1);
+    let found = (0..300).any(|_| {
+        let picks: Vec<u16> = (0..400).map(|_| chance.draw() as u16).collect();
+        play(&bound, &picks).is_err()
+    });
+    assert!(found);
+}
