--- a/crates/controller/src/consensus.rs
+++ b/crates/controller/src/consensus.rs
@@ -54,6 +54,7 @@
         _ => None,
     };
     let asked = matches!(vote, ConsensusMessage::CatchUp { .. });
+    let membership_before = state.map(MapName::Membership).version;
     let outcome = state.voter.hear(vote);
     let mut replies = replies_to(state, reply_to, asked, outcome.replies);
     if outcome.rewrite {
@@ -69,7 +70,9 @@
         let version = state.map(map).version;
         state.note(Event::MapMoved { map, version });
         if map == MapName::Membership {
-            state.rounds.begin_anew();
+            state.rounds.begin_anew(membership_before);
+            // Why at once: until a round under these voters ends, nothing can be vouched for anew.
+            state.next_round_at = now;
         }
     }
 }
