--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -25,7 +25,7 @@
 impl UnderWayAttempt {
     /// The answer is none that may be passed on, and the instance is to blame.
     fn garbage(mut self) -> AttemptAnswer {
-        self.guard.verdict = InstanceVerdict::Failed;
+        self.guard.result = AttemptResult::Failed;
         AttemptAnswer::Ended(AttemptEnd::Garbage)
     }
 }
@@ -60,7 +60,7 @@
             .still_good(now, &self.zone, outgoing.route, &target);
         if let Err(failure) = good {
             self.connections.give_back(key, connection);
-            guard.verdict = InstanceVerdict::Good;
+            guard.result = AttemptResult::Good;
             return AttemptAnswer::Refused(failure);
         }
         connection
@@ -100,7 +100,7 @@
             let shard = self.shard(&target.service);
             locked(&shard).not_opened(now, target, heartbeat.counter);
         }
-        guard.verdict = InstanceVerdict::Failed;
+        guard.result = AttemptResult::Failed;
         AttemptAnswer::Ended(AttemptEnd::NotOpened)
     }
 
@@ -129,7 +129,7 @@
         attempt.connection.keep_to(keep_alive(answer.headers()));
         attempt.guard.load = (dialect.load)(answer.headers());
         if (dialect.told_not_run)(answer.status(), answer.headers()) {
-            attempt.guard.verdict = InstanceVerdict::Good;
+            attempt.guard.result = AttemptResult::Good;
             attempt.guard.over = self.is_another_life(answer.headers(), &attempt.guard.target);
             return AttemptAnswer::Ended(AttemptEnd::RefusedByInstance);
         }
@@ -193,28 +193,28 @@
         }
         match (passage, failed) {
             (Passage::Nothing(Some(failure)), _) => {
-                guard.verdict = InstanceVerdict::Good;
+                guard.result = AttemptResult::Good;
                 AttemptAnswer::Refused(failure)
             }
             (Passage::Nothing(None), Err(_)) => AttemptAnswer::Refused(Failure::LateBeforeSending),
             (Passage::Nothing(None), Ok(_)) => {
-                guard.verdict = InstanceVerdict::Good;
+                guard.result = AttemptResult::Good;
                 AttemptAnswer::Ended(AttemptEnd::NotOpened)
             }
             (Passage::Begun, Err(_)) => {
-                guard.verdict = InstanceVerdict::Failed;
+                guard.result = AttemptResult::Failed;
                 AttemptAnswer::Ended(AttemptEnd::Late)
             }
-            // Why no verdict: it was the client that broke off its body.
+            // Why no result: it was the client that broke off its body.
             (Passage::Begun, Ok(Err(failure))) if failure.error().is_user() => {
                 AttemptAnswer::Ended(AttemptEnd::Lost)
             }
             (Passage::Begun, Ok(Err(failure))) if failure.error().is_parse() => {
-                guard.verdict = InstanceVerdict::Failed;
+                guard.result = AttemptResult::Failed;
                 AttemptAnswer::Ended(AttemptEnd::Garbage)
             }
             (Passage::Begun, Ok(_)) => {
-                guard.verdict = InstanceVerdict::Failed;
+                guard.result = AttemptResult::Failed;
                 if attempt.connection.reused {
                     // Why noted: most likely the instance closed the connection as it was taken up.
                     event(REUSED_LOST, &guard.target.instance);
@@ -242,14 +242,14 @@
         if small {
             return match tokio::time::timeout(left, body.collect()).await {
                 Ok(Ok(collected)) => {
-                    attempt.guard.verdict = InstanceVerdict::Good;
+                    attempt.guard.result = AttemptResult::Good;
                     self.connections.give_back(attempt.key, attempt.connection);
                     let body = whole(collected.to_bytes());
                     AttemptAnswer::Answered(Response::from_parts(head, body))
                 }
                 Ok(Err(_)) => attempt.garbage(),
                 Err(_) => {
-                    attempt.guard.verdict = InstanceVerdict::Failed;
+                    attempt.guard.result = AttemptResult::Failed;
                     AttemptAnswer::Ended(AttemptEnd::Late)
                 }
             };
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -256,7 +256,7 @@
                 proxy: self.clone(),
                 service: service.clone(),
                 target: target.clone(),
-                verdict: InstanceVerdict::Unjudged,
+                result: AttemptResult::Unjudged,
                 load: None,
                 over: false,
                 usage_key: usage_key.clone(),
--- a/crates/proxy/src/passing.rs
+++ b/crates/proxy/src/passing.rs
@@ -4,7 +4,7 @@
 
 /// What an attempt said of the instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum InstanceVerdict {
+pub enum AttemptResult {
     Good,
     Failed,
     /// The attempt was given up before it said anything of the instance.
@@ -16,7 +16,7 @@
     pub proxy: Arc<Carrier>,
     pub service: ServiceName,
     pub target: Target,
-    pub verdict: InstanceVerdict,
+    pub result: AttemptResult,
     pub load: Option<u32>,
     /// Another life answered than the one that the request was for.
     pub over: bool,
@@ -28,10 +28,10 @@
         let now = self.proxy.clock.now();
         let shard = self.proxy.shard(&self.service);
         let mut shard = locked(&shard);
-        match self.verdict {
-            InstanceVerdict::Good => shard.end(now, &self.target, true, self.load),
-            InstanceVerdict::Failed => shard.end(now, &self.target, false, self.load),
-            InstanceVerdict::Unjudged => shard.abandon(now, &self.target),
+        match self.result {
+            AttemptResult::Good => shard.end(now, &self.target, true, self.load),
+            AttemptResult::Failed => shard.end(now, &self.target, false, self.load),
+            AttemptResult::Unjudged => shard.abandon(now, &self.target),
         }
         if self.over {
             shard.life_is_over(&self.target);
@@ -68,7 +68,7 @@
 impl Passing {
     /// The whole answer has come: the connection may carry another request.
     fn complete(&mut self) {
-        self.guard.verdict = InstanceVerdict::Good;
+        self.guard.result = AttemptResult::Good;
         if let Some(connection) = self.connection.take() {
             let key = self.key.clone();
             self.under_way.0.connections.give_back(key, connection);
@@ -78,7 +78,7 @@
     /// The answer broke off, and so must the client's connection.
     fn break_off(&mut self, why: &str) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         event(BODY_BROKEN, why);
-        self.guard.verdict = InstanceVerdict::Failed;
+        self.guard.result = AttemptResult::Failed;
         self.connection = None;
         if self.guard.proxy.broken == BrokenCarrier::EndsCutAnswers {
             return Poll::Ready(None);
