--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -79,7 +79,7 @@
 }
 
 fn plain(method: &str, id: &str) -> Vec<u8> {
-    format!("{method} /{id} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\n\r\n").into_bytes()
+    format!("{method} /{id} HTTP/1.1\r\nHost: a.example\r\nRequest-Name: {id}\r\n\r\n").into_bytes()
 }
 
 /// Runs schedules that must break nothing, and must not be empty.
@@ -237,7 +237,7 @@
     let length = |told: bool| if told { "Content-Length: 5\r\n" } else { "" };
     let body = format!("{line}{}\r\n", length(length_inside));
     let mut bytes = line.as_bytes().to_vec();
-    bytes.extend(b"Attempt-Id: within\r\nTransfer-Encoding: chunked\r\n");
+    bytes.extend(b"Request-Name: within\r\nTransfer-Encoding: chunked\r\n");
     bytes.extend(length(length_outside).as_bytes());
     bytes.extend(b"\r\n");
     bytes.extend(in_chunks(body.as_bytes(), 1000));
@@ -315,7 +315,7 @@
 fn upload(id: &str) -> Vec<u8> {
     let length = 900_000;
     let head = format!(
-        "POST /{id} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\nContent-Length: {length}\r\n\r\n"
+        "POST /{id} HTTP/1.1\r\nHost: a.example\r\nRequest-Name: {id}\r\nContent-Length: {length}\r\n\r\n"
     );
     [head.into_bytes(), vec![b'a'; length]].concat()
 }
--- a/crates/proxy/tests/support/behaviour.rs
+++ b/crates/proxy/tests/support/behaviour.rs
@@ -144,7 +144,7 @@
     }
 }
 
-pub const SEAL: &str = "Server-Seal: whole";
+pub const SEAL: &str = "Body-Seal: whole";
 
 /// The header by which an answer names its request.
 #[derive(Debug, Clone)]
--- a/crates/proxy/tests/support/client.rs
+++ b/crates/proxy/tests/support/client.rs
@@ -129,7 +129,7 @@
             Vec::new()
         };
         let mut text =
-            format!("{method} {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\n");
+            format!("{method} {path} HTTP/1.1\r\nHost: a.example\r\nRequest-Name: {id}\r\n");
         let mut payload = body.clone();
         if has_body && in_pieces {
             text.push_str("Transfer-Encoding: chunked\r\n");
@@ -255,9 +255,9 @@
     };
     let seen = SeenAnswer::Whole {
         status: head.second_word().parse().unwrap_or(0),
-        named: head.header("attempt-id").map(str::to_string),
+        named: head.header("request-name").map(str::to_string),
         outcome: head.header(OUTCOME_HEADER).map(str::to_string),
-        sealed: head.header("server-seal").is_some(),
+        sealed: head.header("body-seal").is_some(),
         body,
     };
     (seen, head.header("connection") != Some("close"))
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -8,21 +8,21 @@
 pub const SERVICE: &str = "records";
 
 fn told_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
-    status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key("not-executed")
+    status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key("nothing-ran")
 }
 
 /// A dialect in which clients name their requests, and successes bear a seal.
 pub fn strict_dialect() -> Dialect {
     let name = HeaderName::from_static;
     Dialect {
-        request_id: name("attempt-id"),
+        request_id: name("request-name"),
         callers_name_requests: true,
-        deadline: name("deadline-remaining"),
+        deadline: name("time-left"),
         callers_tell_deadline: true,
-        instance: name("expected-instance"),
-        instance_told: Some(name("instance-id")),
+        instance: name("meant-instance"),
+        instance_told: Some(name("actual-instance")),
         incarnation: None,
-        seal: Some(name("server-seal")),
+        seal: Some(name("body-seal")),
         outcome: None,
         promises: &PROMISES,
         told_not_run,
@@ -50,7 +50,7 @@
     /// The header that names a request, towards instances and back.
     pub fn name_header(self) -> &'static str {
         match self {
-            Manner::Strict => "attempt-id",
+            Manner::Strict => "request-name",
             Manner::Own => REQUEST_HEADER,
         }
     }
@@ -58,7 +58,7 @@
     /// An instance's word that it ran nothing.
     pub fn refusal(self) -> &'static str {
         match self {
-            Manner::Strict => "Not-Executed: full",
+            Manner::Strict => "Nothing-Ran: full",
             Manner::Own => "caperworks-outcome: not-run",
         }
     }
