--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -163,6 +163,11 @@
     FencedOff {
         what: String,
     },
+    PieceRefused {
+        map: MapName,
+        from: SocketAddr,
+        why: PieceRefusal,
+    },
 }
 
 pub struct ControllerMachine {
@@ -216,10 +221,17 @@
             disk = SlotDisk::new(options.slot_room, options.log_room);
             disk.skip_generations(image);
         }
+        // Why a name of this life alone: a ballot of the life before, which our own voter need not
+        // have heard of, must never be begun a second time with another change.
+        let life = NodeId(mix(node.0 ^ chance.clone().draw()) >> 1);
         let proposers = ALL_MAPS
             .iter()
-            .map(|name| Proposer::new(*name, node, options.proposer.clone()))
+            .map(|name| Proposer::new(*name, life, options.proposer.clone()))
             .collect();
+        let mut catch_up = CatchUpReceiver::new(chance.draw(), options.slot_room);
+        if options.broken == Broken::UncheckedSnapshot {
+            catch_up.broken = BrokenCatchUp::SkipsDigest;
+        }
         let mut machine = Self {
             state: ControllerState {
                 options,
@@ -237,6 +249,10 @@
                 ailing: false,
                 retry_write_at: Duration::ZERO,
                 unsynced_slot: None,
+                catch_up,
+                snapshots: SnapshotSender::default(),
+                whole_map_limit: WholeMapLimit::default(),
+                unsynced_snapshot: None,
                 founding,
                 found_took: BTreeSet::new(),
                 seeds: BTreeMap::new(),
@@ -359,6 +375,7 @@
     }
     consensus::tick_founding(state);
     consensus::tick_rounds(state);
+    consensus::tick_catch_up(state);
     for id in state.instances.expire(state.now) {
         state.note(Event::InstanceGone { id });
     }
@@ -518,7 +535,9 @@
                 .get(name.index())
                 .copied()
                 .unwrap_or_default();
-            state.voter.news_after(*name, held)
+            let news = state.voter.news_after(*name, held)?;
+            let limit = &mut state.whole_map_limit;
+            limit.admits(now, reply_to, &news).then_some(news)
         })
         .collect();
     let round = match state.options.broken {
@@ -529,6 +548,7 @@
         _ => state
             .rounds
             .latest(now)
+            .filter(|round| round.is_under(state.map(MapName::Membership).version))
             .map(|round| (now.saturating_sub(round.started), round.versions.clone())),
     };
     // Why members only for directories: agents need no more than their number, and with many nodes
@@ -576,6 +596,8 @@
         }
     }
     state.unsynced_slot.take_if(|slot| *slot <= ticket);
+    state.unsynced_snapshot.take_if(|write| *write <= ticket);
+    state.disk.synced(ticket);
     if state.ailing && ticket == state.next_write {
         state.ailing = false;
         state.note(Event::DiskWell);
