--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -189,6 +189,7 @@
             agent: NodeId(1),
             instances_place: 1,
             all_instances: true,
+            link_slow_for: Duration::ZERO,
             number: 1,
             left: Duration::from_secs(3600),
             news: vec![ConsensusMessage::Whole {
