--- /dev/null
+++ b/crates/proxy/src/attempt.rs
@@ -0,0 +1,270 @@
+//! One attempt at an instance: sending the request, and judging what comes back.
+
+use crate::prelude::*;
+
+/// How the library's sending ended, within the deadline or not.
+type SendOutcome = Result<
+    Result<Response<Incoming>, hyper::client::conn::TrySendError<Request<Body>>>,
+    tokio::time::error::Elapsed,
+>;
+
+/// What one attempt brought back.
+pub(crate) enum AttemptAnswer {
+    Ended(AttemptEnd),
+    Refused(Failure),
+    Answered(Response<Body>),
+}
+
+/// Everything that one attempt holds on to until it is over.
+struct UnderWayAttempt {
+    connection: Connection,
+    key: InstanceKey,
+    guard: AttemptGuard,
+}
+
+impl UnderWayAttempt {
+    /// The answer is none that may be passed on, and the instance is to blame.
+    fn garbage(mut self) -> AttemptAnswer {
+        self.guard.result = AttemptResult::Failed;
+        AttemptAnswer::Ended(AttemptEnd::Garbage)
+    }
+}
+
+impl Carrier {
+    pub(crate) async fn attempt(
+        self: &Arc<Self>,
+        outgoing: Outgoing<'_>,
+        mut guard: AttemptGuard,
+        body: &mut RequestBody,
+        chart: &mut RequestChart,
+        under_way: &mut Option<UnderWay>,
+    ) -> AttemptAnswer {
+        let target = guard.target.clone();
+        let key = (target.instance.clone(), target.incarnation, target.address);
+        let patience = chart.deadline().saturating_sub(self.clock.now());
+        let opened = self.connections.open(&key, patience, chart.is_read()).await;
+        let Some(mut connection) = opened else {
+            return self.not_opened(guard);
+        };
+        let sending = match body {
+            RequestBody::Held(bytes) => whole(bytes.clone()),
+            RequestBody::Streaming(stream) => match stream.take() {
+                Some(stream) => stream,
+                None => return AttemptAnswer::Ended(AttemptEnd::Lost),
+            },
+        };
+        // The last moment before the first byte: everything that may have changed is asked again.
+        let now = self.clock.now();
+        let good = self
+            .knowledge()
+            .still_good(now, &self.zone, outgoing.route, &target);
+        if let Err(failure) = good {
+            self.connections.give_back(key, connection);
+            guard.result = AttemptResult::Good;
+            return AttemptAnswer::Refused(failure);
+        }
+        connection
+            .gate
+            .arm(self.last_check(outgoing.route, &target, chart.deadline()));
+        let left = chart.deadline().saturating_sub(now);
+        let request = match outgoing.request(&target, left, sending) {
+            Ok(request) => request,
+            Err(failure) => return AttemptAnswer::Refused(failure),
+        };
+        chart.shooting();
+        chart.sent();
+        if chart.attempts() == 1 {
+            // Why only now: requests that were refused without an attempt must not make room for retries.
+            locked(&self.shard(&target.service)).first_attempt(now);
+        }
+        let sent = tokio::time::timeout(left, connection.sender.try_send_request(request)).await;
+        let attempt = UnderWayAttempt {
+            connection,
+            key,
+            guard,
+        };
+        match sent {
+            Ok(Ok(answer)) => {
+                self.judge(answer, outgoing, attempt, chart, under_way)
+                    .await
+            }
+            failed => self.lost_attempt(failed, attempt, body),
+        }
+    }
+
+    /// No connection came about: nothing can have left.
+    fn not_opened(&self, mut guard: AttemptGuard) -> AttemptAnswer {
+        let now = self.clock.now();
+        let target = &guard.target;
+        if let Some(heartbeat) = self.knowledge().instances.get(&target.instance) {
+            let shard = self.shard(&target.service);
+            locked(&shard).not_opened(now, target, heartbeat.counter);
+        }
+        guard.result = AttemptResult::Failed;
+        AttemptAnswer::Ended(AttemptEnd::NotOpened)
+    }
+
+    /// Decides by an answer's head what becomes of it.
+    async fn judge(
+        self: &Arc<Self>,
+        answer: Response<Incoming>,
+        outgoing: Outgoing<'_>,
+        mut attempt: UnderWayAttempt,
+        chart: &RequestChart,
+        under_way: &mut Option<UnderWay>,
+    ) -> AttemptAnswer {
+        let dialect = &self.dialect;
+        // Why before anything else: an answer to another request says nothing of this one.
+        let named = named_request(answer.headers(), &dialect.request_id, outgoing.request_id);
+        let is_own = match named {
+            NamedRequest::This => true,
+            NamedRequest::Another => false,
+            // Why not behind another request: without a name it may be a surplus answer to that one.
+            NamedRequest::Nothing => !dialect.callers_name_requests && !attempt.connection.reused,
+        };
+        if !is_own && self.broken != BrokenCarrier::TakesAnyAnswer {
+            return attempt.garbage();
+        }
+        attempt.connection.may_carry_more = named == NamedRequest::This;
+        attempt.connection.keep_to(keep_alive(answer.headers()));
+        attempt.guard.load = (dialect.load)(answer.headers());
+        if (dialect.told_not_run)(answer.status(), answer.headers()) {
+            attempt.guard.result = AttemptResult::Good;
+            attempt.guard.over = self.is_another_life(answer.headers(), &attempt.guard.target);
+            return AttemptAnswer::Ended(AttemptEnd::RefusedByInstance);
+        }
+        if !self.may_pass(&answer, outgoing.head) {
+            return attempt.garbage();
+        }
+        self.pass_on(answer, attempt, chart, under_way).await
+    }
+
+    /// Whether an instance that refused is another one than was meant, or lives another life.
+    fn is_another_life(&self, headers: &HeaderMap, target: &Target) -> bool {
+        let incarnation = self.dialect.incarnation.as_ref();
+        let life = incarnation.and_then(|name| header_text(headers, name.as_str()));
+        let told = self.dialect.instance_told.as_ref();
+        let told = told.and_then(|name| header_text(headers, name.as_str()));
+        life.is_some_and(|life| life != target.incarnation.to_string())
+            || told.is_some_and(|told| told != target.instance.as_str())
+    }
+
+    /// Whether an answer to this request may reach the client at all.
+    fn may_pass(&self, answer: &Response<Incoming>, asked: &hyper::http::request::Parts) -> bool {
+        let seal = self.dialect.seal.as_ref();
+        let unsealed = answer.status().is_success()
+            && seal.is_some_and(|seal| !answer.headers().contains_key(seal));
+        // Why no promise of ours: the instance did not say that it ran nothing.
+        let false_promise = self.dialect.promises.contains(&answer.status().as_u16());
+        !unsealed && !false_promise && well_framed(answer, &asked.method)
+    }
+
+    /// The check that is made once more where the first byte of a request is written.
+    fn last_check(
+        self: &Arc<Self>,
+        route: &Arc<Route>,
+        target: &Target,
+        deadline: Duration,
+    ) -> LastCheck {
+        let (proxy, route, target) = (self.clone(), route.clone(), target.clone());
+        Box::new(move || {
+            let now = proxy.clock.now();
+            if now >= deadline {
+                return Err(Failure::LateBeforeSending);
+            }
+            proxy
+                .knowledge()
+                .still_good(now, &proxy.zone, &route, &target)
+        })
+    }
+
+    /// What an attempt that brought no answer was: nothing sent, or lost.
+    fn lost_attempt(
+        &self,
+        mut failed: SendOutcome,
+        attempt: UnderWayAttempt,
+        body: &mut RequestBody,
+    ) -> AttemptAnswer {
+        // Why shut first: only then is it settled for good whether a byte has left.
+        let passage = attempt.connection.gate.shut();
+        let mut guard = attempt.guard;
+        if let (Ok(Err(failure)), RequestBody::Streaming(stream)) = (&mut failed, body) {
+            *stream = failure.take_message().map(Request::into_body);
+        }
+        match (passage, failed) {
+            (Passage::Nothing(Some(failure)), _) => {
+                guard.result = AttemptResult::Good;
+                AttemptAnswer::Refused(failure)
+            }
+            (Passage::Nothing(None), Err(_)) => AttemptAnswer::Refused(Failure::LateBeforeSending),
+            (Passage::Nothing(None), Ok(_)) => {
+                guard.result = AttemptResult::Good;
+                AttemptAnswer::Ended(AttemptEnd::NotOpened)
+            }
+            (Passage::Begun, Err(_)) => {
+                guard.result = AttemptResult::Failed;
+                AttemptAnswer::Ended(AttemptEnd::Late)
+            }
+            // Why no result: it was the client that broke off its body.
+            (Passage::Begun, Ok(Err(failure))) if failure.error().is_user() => {
+                AttemptAnswer::Ended(AttemptEnd::Lost)
+            }
+            (Passage::Begun, Ok(Err(failure))) if failure.error().is_parse() => {
+                guard.result = AttemptResult::Failed;
+                AttemptAnswer::Ended(AttemptEnd::Garbage)
+            }
+            (Passage::Begun, Ok(_)) => {
+                guard.result = AttemptResult::Failed;
+                if attempt.connection.reused {
+                    // Why noted: most likely the instance closed the connection as it was taken up.
+                    event(REUSED_LOST, &guard.target.instance);
+                }
+                AttemptAnswer::Ended(AttemptEnd::Lost)
+            }
+        }
+    }
+
+    async fn pass_on(
+        self: &Arc<Self>,
+        answer: Response<Incoming>,
+        mut attempt: UnderWayAttempt,
+        chart: &RequestChart,
+        under_way: &mut Option<UnderWay>,
+    ) -> AttemptAnswer {
+        let (mut head, body) = answer.into_parts();
+        strip_hop_by_hop(&mut head.headers);
+        strip_own(&mut head.headers, self.dialect.own_prefix);
+        let left = chart.deadline().saturating_sub(self.clock.now());
+        let small = body
+            .size_hint()
+            .exact()
+            .is_some_and(|length| length <= SMALL);
+        if small {
+            return match tokio::time::timeout(left, body.collect()).await {
+                Ok(Ok(collected)) => {
+                    attempt.guard.result = AttemptResult::Good;
+                    self.connections.give_back(attempt.key, attempt.connection);
+                    let body = whole(collected.to_bytes());
+                    AttemptAnswer::Answered(Response::from_parts(head, body))
+                }
+                Ok(Err(_)) => attempt.garbage(),
+                Err(_) => {
+                    attempt.guard.result = AttemptResult::Failed;
+                    AttemptAnswer::Ended(AttemptEnd::Late)
+                }
+            };
+        }
+        let Some(under_way) = under_way.take() else {
+            return AttemptAnswer::Ended(AttemptEnd::Lost);
+        };
+        let passing = Passing {
+            inner: body,
+            connection: Some(attempt.connection),
+            key: attempt.key,
+            guard: attempt.guard,
+            deadline: Box::pin(tokio::time::sleep(left)),
+            under_way,
+        };
+        AttemptAnswer::Answered(Response::from_parts(head, passing.boxed()))
+    }
+}
