--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -7,10 +7,11 @@
 const PROXIES_SPAN: Duration = Duration::from_secs(10);
 /// A controller that has not answered for this long is left for another.
 const PATIENCE: Duration = Duration::from_millis(800);
-/// A core that was heard within this span, however late, is in reach over a slow link.
+/// An answer that took longer came over a slow link.
 ///
-/// Why a lease's span: over a link that is full, answers come late and some of them too late for
-/// the lease; over one that is cut, none come.
+/// Why so long: regions lie some 0.1 s apart, and a link that is not full adds little to that.
+pub const SLOW_ANSWER: Duration = Duration::from_millis(400);
+/// How long after the last slow answer the core's silence counts as a slow link and not as a cut.
 pub const SLOW_LINK_SPAN: Duration = LEASE_SPAN;
 
 #[derive(Debug, Clone)]
@@ -23,8 +24,8 @@
     controller: SocketAddr,
     controller_node: NodeId,
     answered_at: Duration,
-    /// When a controller with a majority behind it was last heard, in time for the lease or not.
-    assured_at: Option<Duration>,
+    /// When the last answer of a controller with a majority came, if that answer was slow.
+    slow_answer_at: Option<Duration>,
     renew_at: Duration,
     instances_place: u64,
     members_place: u64,
@@ -48,7 +49,7 @@
             controller: first,
             controller_node: NodeId(0),
             answered_at: Duration::ZERO,
-            assured_at: None,
+            slow_answer_at: None,
             renew_at: Duration::ZERO,
             instances_place: 0,
             members_place: 0,
@@ -72,8 +73,8 @@
 
     /// For how much longer silence of the core counts as a slow link and not as a cut.
     pub fn slow_for(&self, now: Duration) -> Duration {
-        self.assured_at.map_or(Duration::ZERO, |assured_at| {
-            (assured_at + SLOW_LINK_SPAN).saturating_sub(now)
+        self.slow_answer_at.map_or(Duration::ZERO, |slow_at| {
+            (slow_at + SLOW_LINK_SPAN).saturating_sub(now)
         })
     }
 
@@ -189,7 +190,10 @@
             .filter_map(|news| self.feed_cache.take(news))
             .collect();
         if granted.assured {
-            self.assured_at = Some(now);
+            let sent_at = self.lease.sent_at(granted.number);
+            // Why an answer to a forgotten question: it took longer than any that is remembered.
+            let is_slow = sent_at.is_none_or(|sent_at| now >= sent_at + SLOW_ANSWER);
+            self.slow_answer_at = is_slow.then_some(now);
             self.lease
                 .granted(granted.number, granted.round_age, granted.versions.clone());
             if self.lease.careless
