--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -223,7 +223,7 @@
             .iter()
             .map(|name| Proposer::new(*name, node, options.proposer.clone()))
             .collect();
-        let mut catch_up = CatchUpReceiver::new(chance.draw(), options.slot_room);
+        let mut catch_up = CatchUpReceiver::new(mix(seed), options.slot_room);
         if options.broken == Broken::UncheckedSnapshot {
             catch_up.broken = BrokenCatchUp::SkipsDigest;
         }
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -118,7 +118,8 @@
 #[test]
 fn given_votes_that_leave_unsynced_when_power_is_lost_then_a_lost_change_is_seen() {
     is_caught("all-power", Line::LostChange, |day| {
-        day.disk_span = Duration::from_millis(1500);
+        // Why so slow: later changes hide a lost one, and with 1.5 s one seed in forty showed it.
+        day.disk_span = Duration::from_millis(4000);
         day.broken_controller = Broken::UnsyncedVotes;
     });
 }
