--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -427,7 +427,12 @@
                     let versions = voter.possible();
                     outputs.push(AgentOutput::Send {
                         to: envelope.reply_to,
-                        message: Message::RoundAnswer { number, versions },
+                        message: Message::RoundAnswer {
+                            number,
+                            versions,
+                            // Why nothing: a witness has no disk.
+                            synced: None,
+                        },
                     });
                 }
             }
--- a/crates/caperworks/src/leadership.rs
+++ b/crates/caperworks/src/leadership.rs
@@ -11,6 +11,10 @@
 pub const SILENCE: Duration = Duration::from_millis(1500);
 /// How long a controller must have been heard before it takes a leadership role from a live holder.
 pub const STEADY: Duration = Duration::from_millis(4000);
+/// How long a node must have been heard at another's address before the other counts as replaced.
+pub const SUCCESSOR_SPAN: Duration = Duration::from_millis(500);
+/// A controller that told older versions than ours for this long takes no leadership role.
+pub const BEHIND_LIMIT: Duration = SILENCE;
 /// How long a new holder waits before it acts, so that the one before has fallen silent.
 pub const TAKEOVER_WAIT: Duration = LEASE_SPAN;
 
@@ -18,6 +22,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Liveness {
     heard: BTreeMap<NodeId, (Duration, Duration)>,
+    behind_since: BTreeMap<NodeId, Duration>,
 }
 
 impl Liveness {
@@ -29,6 +34,39 @@
         entry.1 = now;
     }
 
+    /// Takes in whether a controller told versions as late as ours.
+    pub fn hear_level(&mut self, now: Duration, node: NodeId, is_level: bool) {
+        if is_level {
+            self.behind_since.remove(&node);
+        } else {
+            self.behind_since.entry(node).or_insert(now);
+        }
+    }
+
+    /// Whether a controller has not been level for so long that it is no holder of a role.
+    pub fn is_behind(&self, now: Duration, node: NodeId) -> bool {
+        self.behind_since
+            .get(&node)
+            .is_some_and(|since| now.saturating_sub(*since) >= BEHIND_LIMIT)
+    }
+
+    /// Whether a node that took over another's address has been heard since the other's last word.
+    ///
+    /// Why that is enough: a process at the same address under another number found an empty disk
+    /// there, so the number before it never comes back.
+    pub fn is_successor(&self, now: Duration, node: NodeId, before: NodeId) -> bool {
+        let Some((since, _)) = self.heard.get(&node).filter(|_| self.alive(now, node)) else {
+            return false;
+        };
+        let silent = self.heard.get(&before).is_none_or(|(_, last)| last < since);
+        silent && now.saturating_sub(*since) >= SUCCESSOR_SPAN
+    }
+
+    /// Counts a node as silent from now on, until it is heard again.
+    pub fn lose(&mut self, node: NodeId) {
+        self.heard.remove(&node);
+    }
+
     pub fn alive(&self, now: Duration, node: NodeId) -> bool {
         self.heard
             .get(&node)
@@ -62,11 +100,12 @@
         .find(|node| {
             // Why steady: a controller that comes and goes must not drag the leadership role to and fro.
             Some(*node) == holder && holder_lives
-                || if holder_lives {
-                    liveness.steady(now, *node)
-                } else {
-                    liveness.alive(now, *node)
-                }
+                || !liveness.is_behind(now, *node)
+                    && if holder_lives {
+                        liveness.steady(now, *node)
+                    } else {
+                        liveness.alive(now, *node)
+                    }
         })
 }
 
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -89,7 +89,8 @@
     enum Message {
         0 ConsensusMessage { 0 vote: ConsensusMessage },
         1 RoundAsk { 0 number: u64 },
-        2 RoundAnswer { 0 number: u64, 1 versions: Vec<Version> },
+        /// What is held in memory, which counts for reads and leases, and what of it is synced.
+        2 RoundAnswer { 0 number: u64, 1 versions: Vec<Version>, 2 synced: Option<Vec<Version>> },
         3 SeedAsk { 0 zone: Zone, 1 founded: bool },
         4 SeedAnswer { 0 zone: Zone, 1 founded: bool },
         5 FoundAsk { 0 founding: Founding },
--- a/crates/controller/src/consensus.rs
+++ b/crates/controller/src/consensus.rs
@@ -160,7 +160,29 @@
         return;
     }
     let versions = state.voter.possible();
-    state.send(reply_to, Message::RoundAnswer { number, versions });
+    let synced = Some(state.synced_versions.clone());
+    let answer = Message::RoundAnswer {
+        number,
+        versions,
+        synced,
+    };
+    state.send(reply_to, answer);
+}
+
+/// Takes in what a node holds, by which it may take a role up, and what of it is on its disk, by
+/// which it may join the voters or be handed a role.
+pub fn hear_versions(
+    state: &mut ControllerState,
+    from: NodeId,
+    held: &[Version],
+    synced: Option<Vec<Version>>,
+) {
+    let own = state.versions();
+    let is_level = held.iter().zip(&own).all(|(held, own)| held >= own);
+    state.liveness.hear_level(state.now, from, is_level);
+    state
+        .heard_versions
+        .insert(from, synced.unwrap_or_default());
 }
 
 pub fn hear_round_answer(
@@ -174,7 +196,6 @@
         return;
     }
     state.liveness.hear(state.now, from);
-    state.heard_versions.insert(from, versions.clone());
     for name in ALL_MAPS {
         let own = state.voter.copy(name).possible();
         if versions[name.index()] > own {
--- a/crates/controller/src/controller_state.rs
+++ b/crates/controller/src/controller_state.rs
@@ -148,6 +148,10 @@
     pub next_write: u64,
     /// What may leave once the write with this ticket is synced.
     pub held: VecDeque<(u64, Vec<ControllerOutput>)>,
+    /// The versions that each write under way brings to the disk.
+    pub unsynced_versions: VecDeque<(u64, Vec<Version>)>,
+    /// The versions that a restart would find on the disk.
+    pub synced_versions: Vec<Version>,
     /// The disk refused a write; no votes until a whole slot was written.
     pub ailing: bool,
     pub retry_write_at: Duration,
@@ -184,10 +188,13 @@
     /// The term under which our former life kept the key ownership, as the disk tells.
     pub former_term: Option<Epoch>,
     pub plan_at: Duration,
-    /// What each node last said that it holds.
+    /// What each node last said that it holds on its disk.
     pub heard_versions: BTreeMap<NodeId, Vec<Version>>,
     pub lost_since: BTreeMap<NodeId, Duration>,
     pub refused_voter_at: Duration,
+    /// Since when no round of a majority of the voters is recent enough.
+    pub majority_lost_since: Option<Duration>,
+    pub majority_lost_noted_at: Duration,
 
     /// Since when this controller is about to stop.
     pub stopping_since: Option<Duration>,
@@ -204,6 +211,30 @@
         self.voter.map(name)
     }
 
+    pub fn versions(&self) -> Vec<Version> {
+        ALL_MAPS.map(|name| self.map(name).version).to_vec()
+    }
+
+    /// Takes in that everything up to a write is synced.
+    pub fn note_synced(&mut self, ticket: u64) {
+        while let Some((_, versions)) = self
+            .unsynced_versions
+            .pop_front_if(|(written, _)| *written <= ticket)
+        {
+            self.synced_versions = versions;
+        }
+    }
+
+    /// Whether a node is alive and has on its disk what we hold.
+    pub fn is_level(&self, node: NodeId) -> bool {
+        let own = self.versions();
+        self.liveness.alive(self.now, node)
+            && self.heard_versions.get(&node).is_some_and(|synced| {
+                synced.len() == own.len()
+                    && synced.iter().zip(&own).all(|(synced, own)| synced >= own)
+            })
+    }
+
     pub fn voters(&self) -> Option<&VoterSet> {
         self.map(MapName::Membership).voters()
     }
@@ -258,6 +289,7 @@
     fn hold(&mut self, writes: Vec<DiskWrite>, then: Vec<ControllerOutput>) {
         self.next_write += 1;
         let ticket = self.next_write;
+        self.unsynced_versions.push_back((ticket, self.versions()));
         self.outputs
             .push(ControllerOutput::Write { ticket, writes });
         if self.options.broken == Broken::UnsyncedVotes {
--- a/crates/controller/src/daemon.rs
+++ b/crates/controller/src/daemon.rs
@@ -75,6 +75,8 @@
         Event::VoterWanted { why } => event(VOTER_WANTED, why),
         Event::VoterRefused { why } => event(VOTER_REFUSED, why),
         Event::FencedOff { what } => event(FENCED_OFF, what),
+        Event::MajorityLost { why } => event(MAJORITY_LOST, why),
+        Event::StoppedEarly { why } => event(STOPPED_EARLY, why),
     }
 }
 
--- a/crates/controller/src/leadership_roles.rs
+++ b/crates/controller/src/leadership_roles.rs
@@ -6,6 +6,8 @@
 
 pub fn tick_leaderships(state: &mut ControllerState) {
     let now = state.now;
+    lose_replaced(state);
+    note_lost_majority(state);
     for index in 0..state.leaderships.len() {
         let step = {
             let membership = state.voter.map(MapName::Membership);
@@ -26,6 +28,8 @@
             }
             // Why not: whoever is about to stop takes nothing up.
             LeadershipStep::Take { .. } if state.stopping_since.is_some() => {}
+            // Why not: whoever is behind would lead with old state.
+            LeadershipStep::Take { .. } if !is_current_with_all(state) => {}
             LeadershipStep::Take { term, expected } => {
                 if !state.asked(&Asker::Leadership(name)) {
                     state.note(Event::LeadershipWanted {
@@ -50,13 +54,96 @@
     }
 }
 
-/// Gives a leadership role to the next live controller in the order, before this one stops.
+fn is_current_with_all(state: &ControllerState) -> bool {
+    ALL_MAPS.into_iter().all(|name| state.is_current(name))
+}
+
+/// How many other controllers with a vote are alive and have on their disks all that we hold.
+pub fn copies_elsewhere(state: &ControllerState) -> usize {
+    other_controller_voters(state)
+        .filter(|node| state.is_level(*node))
+        .count()
+}
+
+/// How many of them there should be before this controller leaves.
+///
+/// Why as many as an answer to an operator takes: its disk may never be seen again.
+pub fn copies_needed(state: &ControllerState) -> usize {
+    let others = other_controller_voters(state).count();
+    state
+        .options
+        .core
+        .synced_controllers
+        .unwrap_or(1)
+        .min(others)
+}
+
+fn other_controller_voters(state: &ControllerState) -> impl Iterator<Item = NodeId> + '_ {
+    state
+        .voters()
+        .into_iter()
+        .flat_map(|voters| &voters.holders)
+        .filter(|holder| holder.controller && holder.node != state.node)
+        .map(|holder| holder.node)
+}
+
+/// Names a loss of more voters than the core can bear, which nothing but their return mends.
+fn note_lost_majority(state: &mut ControllerState) {
+    let now = state.now;
+    let is_heard = state.rounds.confirmed(now).is_some();
+    if is_heard || state.voters().is_none() {
+        state.majority_lost_since = None;
+        return;
+    }
+    let since = *state.majority_lost_since.get_or_insert(now);
+    let is_due = now >= state.majority_lost_noted_at + REFUSAL_PERIOD;
+    if now.saturating_sub(since) < SILENCE || !is_due {
+        return;
+    }
+    state.majority_lost_noted_at = now;
+    let silent: Vec<String> = state
+        .voters()
+        .into_iter()
+        .flat_map(|voters| &voters.holders)
+        .filter(|holder| holder.node != state.node && !state.liveness.alive(now, holder.node))
+        .map(|holder| holder.address.to_string())
+        .collect();
+    let why = format!("silent: {}", silent.join(", "));
+    state.note(Event::MajorityLost { why });
+}
+
+/// Counts voters as silent at once whose machine came back with an empty disk.
+fn lose_replaced(state: &mut ControllerState) {
+    let replaced: Vec<NodeId> = state
+        .voters()
+        .iter()
+        .flat_map(|voters| &voters.holders)
+        .filter(|holder| is_replaced(state, holder))
+        .map(|holder| holder.node)
+        .collect();
+    for node in replaced {
+        state.liveness.lose(node);
+    }
+}
+
+/// Whether another node answers at a voter's address since the voter fell silent.
+fn is_replaced(state: &ControllerState, holder: &VoterEntry) -> bool {
+    state.seeds.get(&holder.address).is_some_and(|seen| {
+        seen.node != holder.node
+            && state
+                .liveness
+                .is_successor(state.now, seen.node, holder.node)
+    })
+}
+
+/// Gives a leadership role to the next controller in the order that is alive and has all we hold
+/// on its disk, before this one stops.
 fn hand_on(state: &mut ControllerState, name: &'static str, epoch: Epoch) {
     let next = state.voters().and_then(|voters| {
         let controllers = voters.holders.iter().filter(|holder| holder.controller);
         controllers
             .map(|holder| holder.node)
-            .find(|node| *node != state.node && state.liveness.alive(state.now, *node))
+            .find(|node| *node != state.node && state.is_level(*node))
     });
     let Some(holder) = next.filter(|_| !state.asked(&Asker::Leadership(name))) else {
         return;
@@ -329,13 +416,8 @@
     }
     let lost_controller = voters.holders.iter().find(|holder| {
         // Why at once when another answers at its address: it cannot come back there.
-        let replaced = state
-            .seeds
-            .get(&holder.address)
-            .is_some_and(|seen| seen.node != holder.node)
-            && silent(holder.node) > SILENCE;
         let lost = silent(holder.node) >= state.options.core.controller_lost;
-        holder.controller && (replaced || lost)
+        holder.controller && (is_replaced(state, holder) || lost)
     });
     // Why only for another: a controller's disk is worth its voter as long as nobody can replace it.
     if let Some(lost) = lost_controller.filter(|_| newcomer_waits(state, voters)) {
@@ -368,20 +450,13 @@
     None
 }
 
-/// A live controller without a voter that has copied all maps.
+/// A live controller without a voter that has all maps on its disk.
 fn waiting_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterEntry> {
-    let versions: Vec<Version> = ALL_MAPS.map(|name| state.map(name).version).to_vec();
     state
         .seeds
         .iter()
         .filter(|(_, seen)| voters.holder(seen.node).is_none())
-        .filter(|(_, seen)| state.liveness.alive(state.now, seen.node))
-        .find(|(_, seen)| {
-            state
-                .heard_versions
-                .get(&seen.node)
-                .is_some_and(|heard| heard.iter().zip(&versions).all(|(heard, own)| heard >= own))
-        })
+        .find(|(_, seen)| state.is_level(seen.node))
         .map(|(address, seen)| VoterEntry {
             node: seen.node,
             address: *address,
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -161,6 +161,12 @@
     FencedOff {
         what: String,
     },
+    MajorityLost {
+        why: String,
+    },
+    StoppedEarly {
+        why: String,
+    },
 }
 
 pub struct ControllerMachine {
@@ -235,6 +241,8 @@
                 disk,
                 next_write: 0,
                 held: VecDeque::new(),
+                unsynced_versions: VecDeque::new(),
+                synced_versions: Vec::new(),
                 ailing: false,
                 retry_write_at: Duration::ZERO,
                 unsynced_slot: None,
@@ -267,6 +275,8 @@
                 heard_versions: BTreeMap::new(),
                 lost_since: BTreeMap::new(),
                 refused_voter_at: Duration::ZERO,
+                majority_lost_since: None,
+                majority_lost_noted_at: Duration::ZERO,
                 stopping_since: None,
                 watchers: Vec::new(),
                 vouched: Version(0),
@@ -289,6 +299,8 @@
         }
         if fresh {
             machine.state.write_slot(Vec::new());
+        } else {
+            machine.state.synced_versions = machine.state.versions();
         }
         let outputs = std::mem::take(&mut machine.state.outputs);
         (machine, outputs)
@@ -373,10 +385,17 @@
         .askers
         .iter()
         .any(|(_, asker)| matches!(asker, Asker::Operator(_) | Asker::Roster(_)));
-    let busy = on_leadership || asked || !state.awaiting.is_empty();
-    if !busy || state.now.saturating_sub(since) >= STOP_PATIENCE {
-        state.outputs.push(ControllerOutput::Stopped);
+    let copies = leadership_roles::copies_elsewhere(state);
+    let needed = leadership_roles::copies_needed(state);
+    let busy = on_leadership || asked || !state.awaiting.is_empty() || copies < needed;
+    if busy && state.now.saturating_sub(since) < STOP_PATIENCE {
+        return;
+    }
+    if copies < needed {
+        let why = format!("{copies} other controllers hold it all, {needed} should");
+        state.note(Event::StoppedEarly { why });
     }
+    state.outputs.push(ControllerOutput::Stopped);
 }
 
 fn share_facts(state: &mut ControllerState) {
@@ -529,7 +548,12 @@
     match message {
         Message::ConsensusMessage { vote } => consensus::hear_vote(state, from, reply_to, vote),
         Message::RoundAsk { number } => consensus::hear_round_ask(state, reply_to, number),
-        Message::RoundAnswer { number, versions } => {
+        Message::RoundAnswer {
+            number,
+            versions,
+            synced,
+        } => {
+            consensus::hear_versions(state, from, &versions, synced);
             consensus::hear_round_answer(state, from, reply_to, number, versions);
         }
         Message::SeedAsk { zone, founded } => {
@@ -679,6 +703,7 @@
 }
 
 fn synced(state: &mut ControllerState, ticket: u64) {
+    state.note_synced(ticket);
     while state.held.front().is_some_and(|(held, _)| *held <= ticket) {
         if let Some((_, outputs)) = state.held.pop_front() {
             state.outputs.extend(outputs);
@@ -701,6 +726,7 @@
     }
     // Why all of them: what was to be written after a lost line has a gap before it.
     state.held.clear();
+    state.unsynced_versions.clear();
     state.next_write += 1;
     state.retry_write_at = state.now + Duration::from_secs(1);
     if !state.ailing {
--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -47,6 +47,8 @@
     210 Info VOTER_WANTED "The voter management role asks for a change of voters.";
     211 Warn VOTER_REFUSED "A change of voters was due but would leave fewer living voters than a majority.";
     212 Warn FENCED_OFF "A write of a leadership role was refused: another holder has fenced the map, or the item moved on.";
+    213 Warn MAJORITY_LOST "Fewer than a majority of the voters answer: this controller confirms nothing until they do.";
+    214 Warn STOPPED_EARLY "A polite stop ended before other controllers had on their disks all that this one holds.";
     300 Info FRESH "The lease stands and the news it names is held.";
     301 Warn STALE "The lease ran out: the proxy refuses orders until it is renewed.";
     302 Warn ON_ISLAND "The core is out of reach; the word of a majority of the agents keeps this one fresh.";
