--- a/crates/caperworks/src/leadership.rs
+++ b/crates/caperworks/src/leadership.rs
@@ -67,6 +67,10 @@
         self.heard.remove(&node);
     }
 
+    pub fn last_heard(&self, node: NodeId) -> Option<Duration> {
+        self.heard.get(&node).map(|(_, last)| *last)
+    }
+
     pub fn alive(&self, now: Duration, node: NodeId) -> bool {
         self.heard
             .get(&node)
--- a/crates/controller/src/leadership_roles.rs
+++ b/crates/controller/src/leadership_roles.rs
@@ -293,7 +293,7 @@
 }
 
 /// A witness that was silent for this long has lost what it knew or is about to.
-const WITNESS_LOST: Duration = Duration::from_millis(2500);
+const WITNESS_LOST: Duration = Duration::from_millis(4000);
 /// How often a change of voters that cannot be made is noted.
 const REFUSAL_PERIOD: Duration = Duration::from_secs(5);
 /// How many versions a witness may be behind when it gets its voter.
@@ -315,7 +315,9 @@
         if holder.node == state.node || state.liveness.alive(now, holder.node) {
             state.lost_since.remove(&holder.node);
         } else {
-            state.lost_since.entry(holder.node).or_insert(now);
+            // Why from its last word: its successor in a role has listened for long before.
+            let since = state.liveness.last_heard(holder.node).unwrap_or(now);
+            state.lost_since.entry(holder.node).or_insert(since);
         }
     }
     let Some((next, why)) = next_voters(state, &voters) else {
--- a/crates/controller/tests/fleet_stories.rs
+++ b/crates/controller/tests/fleet_stories.rs
@@ -103,6 +103,22 @@
         self.acts(place, outputs);
     }
 
+    /// Starts a controller with an empty disk at an address of its own.
+    fn adds(&mut self, core: CorePolicy) -> usize {
+        self.places.push(Place {
+            machine: None,
+            image: DiskImage::default(),
+            disk_hangs: false,
+            core: CorePolicy {
+                may_found: false,
+                ..core
+            },
+        });
+        let place = self.places.len() - 1;
+        self.starts(place);
+        place
+    }
+
     /// Power is lost; with the disk or without it.
     fn stops(&mut self, place: usize, wiped: bool) {
         self.places[place].machine = None;
@@ -158,8 +174,9 @@
 
     fn carries(&mut self) {
         while let Some((to, envelope)) = self.wire.pop_front() {
-            let place = (0..3).find(|place| address(*place) == to);
-            let from = (0..3).find(|place| address(*place) == envelope.reply_to);
+            let places = self.places.len();
+            let place = (0..places).find(|place| address(*place) == to);
+            let from = (0..places).find(|place| address(*place) == envelope.reply_to);
             let Some(place) = place else {
                 continue;
             };
@@ -178,7 +195,7 @@
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
-            for place in 0..3 {
+            for place in 0..self.places.len() {
                 self.inputs(place, ControllerInput::Tick);
             }
         }
@@ -705,6 +722,26 @@
     }
 }
 
+#[test]
+fn given_a_machine_lost_for_good_when_a_new_one_comes_elsewhere_then_the_core_is_whole_in_time() {
+    let bound = Duration::from_secs(4);
+    let core = CorePolicy {
+        // As the platform sets it.
+        controller_lost: Duration::from_millis(2500),
+        ..policy()
+    };
+    for lost in 0..3 {
+        let mut fleet = Fleet::new([core.clone(), core.clone(), core.clone()], 65 + lost as u64);
+        fleet.runs(Duration::from_secs(8));
+        let managed = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
+        fleet.stops(lost, true);
+        fleet.adds(core.clone());
+        let taken = time_to_full(&mut fleet).expect("it becomes whole");
+        println!("lost {lost}, with the voter management: {managed}, whole after {taken:?}");
+        assert!(taken <= bound, "{taken:?}");
+    }
+}
+
 #[test]
 fn given_a_wiped_machine_whose_disk_hangs_when_it_has_copied_all_then_it_gets_no_vote() {
     let mut fleet = fleet_with_change(70);
