--- a/crates/controller/src/leadership_roles.rs
+++ b/crates/controller/src/leadership_roles.rs
@@ -6,6 +6,8 @@
 
 pub fn tick_leaderships(state: &mut ControllerState) {
     let now = state.now;
+    lose_replaced(state);
+    note_lost_majority(state);
     for index in 0..state.leaderships.len() {
         let step = {
             let membership = state.voter.map(MapName::Membership);
@@ -58,13 +60,92 @@
         && ALL_MAPS.iter().any(|name| state.is_behind(*name))
 }
 
-/// Gives a leadership role to the next live controller in the order, before this one stops.
+/// How many other controllers with a vote are alive and have on their disks all that we hold.
+pub fn copies_elsewhere(state: &ControllerState) -> usize {
+    other_controller_voters(state)
+        .filter(|node| state.is_level(*node))
+        .count()
+}
+
+/// How many of them there should be before this controller leaves.
+///
+/// Why as many as an answer to an operator takes: its disk may never be seen again.
+pub fn copies_needed(state: &ControllerState) -> usize {
+    let others = other_controller_voters(state).count();
+    state
+        .options
+        .core
+        .synced_controllers
+        .unwrap_or(1)
+        .min(others)
+}
+
+fn other_controller_voters(state: &ControllerState) -> impl Iterator<Item = NodeId> + '_ {
+    state
+        .voters()
+        .into_iter()
+        .flat_map(|voters| &voters.holders)
+        .filter(|holder| holder.controller && holder.node != state.node)
+        .map(|holder| holder.node)
+}
+
+/// Names a loss of more voters than the core can bear, which nothing but their return mends.
+fn note_lost_majority(state: &mut ControllerState) {
+    let now = state.now;
+    let is_heard = state.rounds.confirmed(now).is_some();
+    if is_heard || state.voters().is_none() {
+        state.majority_lost_since = None;
+        return;
+    }
+    let since = *state.majority_lost_since.get_or_insert(now);
+    let is_due = now >= state.majority_lost_noted_at + REFUSAL_PERIOD;
+    if now.saturating_sub(since) < SILENCE || !is_due {
+        return;
+    }
+    state.majority_lost_noted_at = now;
+    let silent: Vec<String> = state
+        .voters()
+        .into_iter()
+        .flat_map(|voters| &voters.holders)
+        .filter(|holder| holder.node != state.node && !state.liveness.alive(now, holder.node))
+        .map(|holder| holder.address.to_string())
+        .collect();
+    let why = format!("silent: {}", silent.join(", "));
+    state.note(Event::MajorityLost { why });
+}
+
+/// Counts voters as silent at once whose machine came back with an empty disk.
+fn lose_replaced(state: &mut ControllerState) {
+    let replaced: Vec<NodeId> = state
+        .voters()
+        .iter()
+        .flat_map(|voters| &voters.holders)
+        .filter(|holder| is_replaced(state, holder))
+        .map(|holder| holder.node)
+        .collect();
+    for node in replaced {
+        state.liveness.lose(node);
+    }
+}
+
+/// Whether another node answers at a voter's address since the voter fell silent.
+fn is_replaced(state: &ControllerState, holder: &VoterEntry) -> bool {
+    state.seeds.get(&holder.address).is_some_and(|seen| {
+        seen.node != holder.node
+            && state
+                .liveness
+                .is_successor(state.now, seen.node, holder.node)
+    })
+}
+
+/// Gives a leadership role to the next controller in the order that is alive and has all we hold
+/// on its disk, before this one stops.
 fn hand_on(state: &mut ControllerState, name: &'static str, epoch: Epoch) {
     let next = state.voters().and_then(|voters| {
         let controllers = voters.holders.iter().filter(|holder| holder.controller);
         controllers
             .map(|holder| holder.node)
-            .find(|node| *node != state.node && state.liveness.alive(state.now, *node))
+            .find(|node| *node != state.node && state.is_level(*node))
     });
     let Some(holder) = next.filter(|_| !state.asked(&Asker::Leadership(name))) else {
         return;
@@ -218,7 +299,7 @@
 }
 
 /// A witness that was silent for this long has lost what it knew or is about to.
-const WITNESS_LOST: Duration = Duration::from_millis(2500);
+const WITNESS_LOST: Duration = Duration::from_millis(4000);
 /// How often a change of voters that cannot be made is noted.
 const REFUSAL_PERIOD: Duration = Duration::from_secs(5);
 /// How many versions a witness may be behind when it gets its voter.
@@ -240,7 +321,9 @@
         if holder.node == state.node || state.liveness.alive(now, holder.node) {
             state.lost_since.remove(&holder.node);
         } else {
-            state.lost_since.entry(holder.node).or_insert(now);
+            // Why from its last word: its successor in a role has listened for long before.
+            let since = state.liveness.last_heard(holder.node).unwrap_or(now);
+            state.lost_since.entry(holder.node).or_insert(since);
         }
     }
     let Some((next, why)) = next_voters(state, &voters) else {
@@ -341,13 +424,8 @@
     }
     let lost_controller = voters.holders.iter().find(|holder| {
         // Why at once when another answers at its address: it cannot come back there.
-        let replaced = state
-            .seeds
-            .get(&holder.address)
-            .is_some_and(|seen| seen.node != holder.node)
-            && silent(holder.node) > SILENCE;
         let lost = silent(holder.node) >= state.options.core.controller_lost;
-        holder.controller && (replaced || lost)
+        holder.controller && (is_replaced(state, holder) || lost)
     });
     // Why only for another: a controller's disk is worth its voter as long as nobody can replace it.
     if let Some(lost) = lost_controller.filter(|_| newcomer_waits(state, voters)) {
@@ -380,20 +458,13 @@
     None
 }
 
-/// A live controller without a voter that has copied all maps.
+/// A live controller without a voter that has all maps on its disk.
 fn waiting_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterEntry> {
-    let versions: Vec<Version> = ALL_MAPS.map(|name| state.map(name).version).to_vec();
     state
         .seeds
         .iter()
         .filter(|(_, seen)| voters.holder(seen.node).is_none())
-        .filter(|(_, seen)| state.liveness.alive(state.now, seen.node))
-        .find(|(_, seen)| {
-            state
-                .heard_versions
-                .get(&seen.node)
-                .is_some_and(|heard| heard.iter().zip(&versions).all(|(heard, own)| heard >= own))
-        })
+        .find(|(_, seen)| state.is_level(seen.node))
         .map(|(address, seen)| VoterEntry {
             node: seen.node,
             address: *address,
