--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -132,6 +132,13 @@
     }
 
     fn known(&mut self, now: Duration) -> Vec<String> {
+        let view = self.view(now);
+        let known = view.instances.iter();
+        known.map(|heartbeat| heartbeat.id.to_string()).collect()
+    }
+
+    /// What a proxy that asks is told.
+    fn view(&mut self, now: Duration) -> ProxyView {
         let pull = Pull {
             agent: NodeId(0),
             instances_place: 0,
@@ -153,9 +160,7 @@
             } => Some(view),
             _ => None,
         });
-        let view = view.expect("a proxy that asks is told");
-        let known = view.instances.iter();
-        known.map(|heartbeat| heartbeat.id.to_string()).collect()
+        view.expect("a proxy that asks is told")
     }
 }
 
@@ -205,6 +210,68 @@
     assert_eq!(bench.gone, []);
 }
 
+#[test]
+fn given_prompt_answers_when_the_core_falls_silent_then_the_link_does_not_count_as_slow() {
+    let mut bench = Bench::new(true);
+    bench.runs(0, 6000, Core::Answers, &["one"]);
+    assert_eq!(bench.view(millis(6000)).link_slow_for, Duration::ZERO);
+    bench.runs(6000, 9000, Core::Silent, &[]);
+    let stale = bench.view(millis(9000));
+    assert_eq!(stale.left, Duration::ZERO);
+    assert_eq!(stale.link_slow_for, Duration::ZERO);
+}
+
+/// An answer of a controller with a majority to a renewal of long ago.
+fn late_grant() -> Granted {
+    Granted {
+        proxies: 1,
+        number: 1,
+        round_age: Duration::ZERO,
+        versions: vec![Version(0); ALL_MAPS.len()],
+        instances: Vec::new(),
+        instances_place: 0,
+        members: Vec::new(),
+        members_place: 0,
+        news: Vec::new(),
+        assured: true,
+        gone: Vec::new(),
+    }
+}
+
+#[test]
+fn given_an_answer_that_comes_too_late_for_its_lease_when_a_proxy_asks_then_the_link_counts_as_slow(
+) {
+    let mut bench = Bench::new(true);
+    bench.runs(0, 6000, Core::Answers, &["one"]);
+    bench.runs(6000, 9500, Core::Silent, &[]);
+    bench.says(
+        millis(9500),
+        Message::Grant {
+            granted: late_grant(),
+        },
+    );
+    let view = bench.view(millis(9500));
+    assert_eq!(view.left, Duration::ZERO);
+    assert_eq!(view.link_slow_for, SLOW_LINK_SPAN);
+    let cut_off = millis(9500) + SLOW_LINK_SPAN;
+    assert_eq!(bench.view(cut_off).link_slow_for, Duration::ZERO);
+}
+
+#[test]
+fn given_a_slow_answer_when_the_next_one_is_prompt_then_the_link_is_no_longer_slow() {
+    let mut bench = Bench::new(true);
+    bench.runs(0, 6000, Core::Answers, &["one"]);
+    bench.says(
+        millis(6000),
+        Message::Grant {
+            granted: late_grant(),
+        },
+    );
+    assert_eq!(bench.view(millis(6000)).link_slow_for, SLOW_LINK_SPAN);
+    bench.runs(6000, 6500, Core::Answers, &[]);
+    assert_eq!(bench.view(millis(6500)).link_slow_for, Duration::ZERO);
+}
+
 #[test]
 fn given_a_core_in_touch_when_an_instance_is_silent_then_it_expires_after_its_span() {
     let mut bench = Bench::new(true);
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -90,6 +90,9 @@
         let opening = async {
             let stream = TcpStream::connect(key.2).await.ok()?;
             let _ = stream.set_nodelay(true);
+            // Why: dropping the connection must also drop what still waits to be sent. On a full
+            // link that would reach the instance seconds later, as a request that nobody awaits.
+            let _ = stream.set_zero_linger();
             let gate = Arc::new(Gate::of(&stream));
             let gated = Gated {
                 socket: stream,
