--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -103,6 +103,7 @@
         seeds: place.seeds.clone(),
         proxy_serves_on: place.terms.proxy.serves_on,
         instance_span: place.terms.core.instance_span,
+        lease_span: place.terms.proxy.lease_span.unwrap_or(LEASE_SPAN),
         heartbeat_refresh: place.terms.core.heartbeat_refresh,
         demand_period: place.terms.core.member_refresh,
     };
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -28,6 +28,8 @@
     pub proxy_serves_on: bool,
     /// An instance that has not beaten for so long is gone.
     pub instance_span: Duration,
+    /// How long a lease lives at most.
+    pub lease_span: Duration,
     /// How long a heartbeat that says nothing new need not be told to the proxy.
     pub heartbeat_refresh: Duration,
     /// How long demand need not be told again.
@@ -136,6 +138,7 @@
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw());
         link.instances.span = options.instance_span;
+        link.lease.span = options.lease_span;
         link.instances.refresh = options.heartbeat_refresh;
         let islander = Islander::new(options.control);
         let first = options.control;
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -57,6 +57,7 @@
             seeds: vec![address(6000), address(6001)],
             proxy_serves_on,
             instance_span: SPAN,
+            lease_span: LEASE_SPAN,
         };
         Self {
             machine: AgentMachine::start(options, 1),
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -137,8 +137,10 @@
 }
 
 /// The holder's side of a lease.
-#[derive(Debug, Clone, Default)]
+#[derive(Debug, Clone)]
 pub struct LeaseHolder {
+    /// How long a lease lives for this holder; never longer than [`LEASE_SPAN`].
+    pub span: Duration,
     number: u64,
     sent: VecDeque<(u64, Duration)>,
     grants: VecDeque<HeldGrant>,
@@ -146,6 +148,18 @@
     pub careless: bool,
 }
 
+impl Default for LeaseHolder {
+    fn default() -> Self {
+        Self {
+            span: LEASE_SPAN,
+            number: 0,
+            sent: VecDeque::new(),
+            grants: VecDeque::new(),
+            careless: false,
+        }
+    }
+}
+
 impl LeaseHolder {
     pub fn renew(&mut self, now: Duration) -> u64 {
         self.number += 1;
@@ -168,7 +182,7 @@
         };
         // Why from our sending: the grantor answered after it, so the round began no earlier than
         // our sending less the age it told; counting from here can only be too short.
-        let span = LEASE_SPAN.saturating_sub(DRIFT_MARGIN);
+        let span = self.span.min(LEASE_SPAN).saturating_sub(DRIFT_MARGIN);
         let until = (sent_at + span).saturating_sub(round_age);
         self.grants.push_back(HeldGrant { until, versions });
         if self.grants.len() > REMEMBERED_GRANTS {
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -72,4 +72,7 @@
     pub carries_home: bool,
     /// For how long keys still go to an owner that is leaving, until another has them.
     pub leaving_owner: Duration,
+    /// How long a lease lives at most, when operators want changes in force sooner than
+    /// [`LEASE_SPAN`] lets them; none for that span.
+    pub lease_span: Option<Duration>,
 }
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -1051,3 +1051,21 @@
         Some(&ProposalOutcome::NoMajority)
     );
 }
+
+#[test]
+fn given_a_holder_with_a_shorter_span_when_granted_then_its_lease_ends_sooner_and_never_later() {
+    let wants = [MapName::Configuration];
+    for (span, lives) in [
+        (Duration::from_millis(2250), Duration::from_millis(2150)),
+        (LEASE_SPAN, LEASE_SPAN - DRIFT_MARGIN),
+        // A span that is too long would outlive what owner managers wait for.
+        (LEASE_SPAN * 2, LEASE_SPAN - DRIFT_MARGIN),
+    ] {
+        let mut holder = LeaseHolder::default();
+        holder.span = span;
+        let number = holder.renew(millis(1000));
+        holder.granted(number, millis(50), vec![Version(0); 4]);
+        let until = holder.fresh_until(&Follower::default(), &wants);
+        assert_eq!(until, millis(1000) + lives - millis(50), "{span:?}");
+    }
+}
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -67,6 +67,7 @@
         let options = AgentOptions {
             proxy_serves_on: false,
             instance_span: INSTANCE_SPAN,
+            lease_span: LEASE_SPAN,
             heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
             control: node.address,
