--- a/crates/controller/src/daemon.rs
+++ b/crates/controller/src/daemon.rs
@@ -80,6 +80,8 @@
         Event::PieceRefused { map, from, why } => {
             event(PIECE_REFUSED, format!("{map} from {from}: {why}"))
         }
+        Event::MajorityLost { why } => event(MAJORITY_LOST, why),
+        Event::StoppedEarly { why } => event(STOPPED_EARLY, why),
     }
 }
 
--- a/crates/runtime/src/events.rs
+++ b/crates/runtime/src/events.rs
@@ -48,6 +48,8 @@
     211 Warn VOTER_REFUSED "A change of voters was due but would leave fewer living voters than a majority.";
     212 Warn FENCED_OFF "A write by the holder of a leadership role was refused: another holder has fenced the map, or the item moved on.";
     213 Warn PIECE_REFUSED "A piece of a snapshot was refused; nothing of it is kept, and what is held stays as it is.";
+    214 Warn MAJORITY_LOST "Fewer than a majority of the voters answer: this controller confirms nothing until they do.";
+    215 Warn STOPPED_EARLY "A polite stop ended before other controllers had on their disks all that this one holds.";
     300 Info FRESH "The lease is valid, and the versions that it names are held.";
     301 Warn STALE "The lease ran out: the proxy refuses requests until it is renewed.";
     302 Warn ON_ISLAND "The core is out of reach; the answers of a majority of the agents keep this one fresh.";
