--- a/crates/local-fleet/src/scale.rs
+++ b/crates/local-fleet/src/scale.rs
@@ -232,7 +232,7 @@
             rule: {
                 host: format!("tenant-{number}.example"),
                 path: "/",
-                service: service.as_str(),
+                pool: service.as_str(),
                 deadline_ms: deadline,
             },
         }
