--- a/crates/controller/src/consensus/founding.rs
+++ b/crates/controller/src/consensus/founding.rs
@@ -1,9 +1,9 @@
-//! Founding of the membership: the first of the seeds proposes all of them as voters once each has said
-//! that it knows no membership, and the founding takes effect once each has it on disk.
+//! Founding of the membership: the first seed proposes all seeds as voters once each of them has reported
+//! that it knows no membership. The founding takes effect once every seed has synced it to disk.
 //!
-//! Invariant: there is at most one founding. A membership founded by some while others remember an older
-//! one would be a fork, so all seeds must take part, and only those that are allowed to by the settings:
-//! a disk that is empty later was lost, and what it held is elsewhere.
+//! Invariant: there is at most one founding. If some seeds founded a membership while others remember an
+//! older one, the cluster would be forked. So all seeds must take part, and only controllers whose settings
+//! allow it: a disk that is found empty later has lost its data, and the membership still exists elsewhere.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,16 +19,16 @@
 use caperworks::messages::{Founding, Message};
 use caperworks::replicated_map::{Change, MapName, Put, ALL_MAPS};
 
-/// How often other controllers are asked while this one knows no membership or is no voter.
-const SEED_ASK_PERIOD: Duration = Duration::from_millis(400);
+/// Interval between requests to the other controllers while this one knows no membership or is not a voter.
+const SEED_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Asks other controllers who they are until this one is a voter, and founds the membership when all
-/// seeds are new.
+/// Sends seed requests to the other controllers until this one is a voter, and proposes the founding once
+/// all seeds have reported that they know no membership.
 pub fn tick(state: &mut ControllerState) {
     if state.now < state.founding.next_ask_at {
         return;
     }
-    state.founding.next_ask_at = state.now + SEED_ASK_PERIOD;
+    state.founding.next_ask_at = state.now + SEED_REQUEST_INTERVAL;
     if !is_founded(state) || !state.is_voter() {
         ask_controllers(state);
     }
@@ -41,7 +41,7 @@
     state.map(MapName::Membership).version > Version(0)
 }
 
-/// Asks all controllers that are known: whoever manages the voters may be none of the seeds.
+/// Sends a seed request to every known controller, because the voter manager need not be one of the seeds.
 fn ask_controllers(state: &mut ControllerState) {
     let founded = is_founded(state);
     for controller in state.other_controllers() {
@@ -50,7 +50,7 @@
     }
 }
 
-/// The voters of a founding, when this controller is the one to propose it and all seeds are new.
+/// Returns the voters to propose if this controller is the first seed and no seed knows a membership.
 fn founding_voters(state: &ControllerState) -> Option<VoterSet> {
     let seeds = &state.options.seeds;
     let is_first = seeds.first() == Some(&state.options.control);
@@ -85,10 +85,10 @@
     }
 }
 
-/// Responds to a controller that asks who this one is, and remembers it.
+/// Responds to another controller's seed request, and records that controller.
 ///
-/// This is how a controller at a new address is found, and how one that lost its disk at an old address
-/// is recognized as another node; it waits to become a voter under its new number.
+/// This is how a controller at a new address is discovered, and how a controller that lost its disk is
+/// recognized as a different node at an old address. It waits to become a voter under its new node ID.
 pub fn handle_seed_request(
     state: &mut ControllerState,
     reply_to: SocketAddr,
@@ -102,7 +102,7 @@
     state.send(reply_to, message);
 }
 
-/// Remembers a controller, and catches up from it when it knows a membership and this one does not.
+/// Records a controller, and starts catching up from it if it knows a membership and this one does not.
 pub fn handle_seed_response(
     state: &mut ControllerState,
     reply_to: SocketAddr,
@@ -117,9 +117,9 @@
     }
 }
 
-/// Accepts a founding that names this node, and responds once it is on disk.
+/// Accepts a founding that names this node, and responds once it is synced to disk.
 ///
-/// A node that knows a membership, or may not found one, stays silent.
+/// A node that already knows a membership, or is not allowed to found one, does not respond.
 pub fn handle_proposal(state: &mut ControllerState, reply_to: SocketAddr, founding: Founding) {
     let names_this_node = founding.voters.holder(state.node).is_some();
     if is_founded(state) || !names_this_node || !state.options.core.may_found {
@@ -134,7 +134,7 @@
     state.write_slot(vec![reply]);
 }
 
-/// Counts a node that accepted the founding; commits it to all once each has.
+/// Records that a node accepted the founding, and commits it to all voters once every one of them has.
 pub fn handle_acceptance(state: &mut ControllerState, from: NodeId, attempt: u64) {
     if is_founded(state) {
         return;
--- a/crates/controller/src/consensus/mod.rs
+++ b/crates/controller/src/consensus/mod.rs
@@ -1,10 +1,10 @@
-//! Consensus of the controllers: one change after the other is chosen for each map by a majority of
-//! the voters.
+//! Consensus among the controllers: for each replicated map, a majority of the voters chooses one change
+//! after the other.
 //!
-//! The protocol itself is in `caperworks::consensus`; here its messages meet disk, network and the other
-//! parts of a controller. [`proposals`] does the part of a proposer, [`repair`] finds changes that were
-//! left undecided, [`snapshot_transfer`] brings replicas up to date, [`quorum_reads`] asks a majority what
-//! it holds, and [`founding`] creates the first membership.
+//! The protocol itself is in `caperworks::consensus`. This module connects its messages to the disk, the
+//! network and the rest of the controller. [`proposals`] drives the proposers, [`repair`] finds changes that
+//! were left undecided, [`snapshot_transfer`] brings replicas up to date, [`quorum_reads`] determines which
+//! versions a majority has, and [`founding`] creates the first membership.
 
 use std::net::SocketAddr;
 
@@ -23,9 +23,10 @@
 pub mod repair;
 pub mod snapshot_transfer;
 
-/// Handles a message of consensus: as a voter, as a proposer, or as a replica that is brought up to date.
+/// Handles a consensus message as a voter, as a proposer, or as a replica that is catching up.
 ///
-/// A node that is no voter, or whose disk is failing, ignores what asks for a promise: it could not keep it.
+/// A node that is not a voter, or whose disk is failing, ignores prepare and accept requests because it
+/// could not keep the promise.
 pub fn handle_message(
     state: &mut ControllerState,
     from: NodeId,
@@ -54,7 +55,8 @@
     }
 }
 
-/// Hands a message to the voter, writes what it changed, and sends its replies once that is synced.
+/// Passes a message to the voter, writes the resulting changes to disk, and sends the voter's replies once
+/// the write is synced.
 fn handle_as_voter(state: &mut ControllerState, reply_to: SocketAddr, message: ConsensusMessage) {
     let updated_map = match &message {
         ConsensusMessage::Updates { map, .. } | ConsensusMessage::Snapshot { map, .. } => {
@@ -83,8 +85,8 @@
     }
 }
 
-/// A map reached a new version. After a new membership quorum reads begin anew, and the next one at once:
-/// until one under these voters ends, nothing can be vouched for.
+/// Handles a new version of a map. A new membership resets the quorum reads and makes the next one due
+/// immediately: until a quorum read among the new voters completes, no map can be considered current.
 fn handle_new_version(state: &mut ControllerState, map: MapName, membership_before: Version) {
     let version = state.map(map).version;
     state.log_event(Event::MapUpdated { map, version });
@@ -94,7 +96,8 @@
     }
 }
 
-/// What the voter's replies become: catch-up goes by transfers, and complete maps are limited.
+/// Converts the voter's replies to outputs. Catch-up requests start a transfer instead, and full maps are
+/// rate limited.
 fn outputs_of_replies(
     state: &mut ControllerState,
     reply_to: SocketAddr,
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -1,5 +1,5 @@
-//! Proposals of this controller: prepare and accept messages go out, responses come in, and each outcome
-//! goes to whoever the proposal was made for.
+//! Proposals of this controller: sends prepare and accept messages, handles the responses, and delivers each
+//! outcome according to the proposal's origin.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
 use caperworks::messages::Message;
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
-/// Moves the proposals of all maps on, and finishes what others left undecided.
+/// Advances the proposals of all maps, and finishes changes that other proposers left undecided.
 pub fn tick(state: &mut ControllerState) {
     for name in ALL_MAPS {
         let index = name.index();
@@ -28,7 +28,7 @@
     }
 }
 
-/// Handles a voter's response to a proposal of this node.
+/// Handles a voter's response to one of this node's proposals.
 pub(super) fn handle_response(
     state: &mut ControllerState,
     from: NodeId,
@@ -40,7 +40,7 @@
     apply_outcome(state, outcome);
 }
 
-/// Sends what a proposer has to say, and ends the proposals that are decided.
+/// Sends a proposer's messages, and completes the proposals that have been decided.
 fn apply_outcome(state: &mut ControllerState, outcome: ProposerOutcome) {
     let voters = state.map(MapName::Membership).voter_addresses(false);
     for (node, message) in outcome.to_one {
@@ -65,8 +65,8 @@
     }
 }
 
-/// Sends a message to all voters. A commit also goes to this node when it is no voter: the chosen change
-/// is its own to know.
+/// Sends a message to all voters. A commit is also sent to this node if it is not a voter, so that it learns
+/// the outcome of its own proposal.
 fn broadcast(state: &mut ControllerState, voters: &[SocketAddr], message: ConsensusMessage) {
     let own = state.options.control;
     let is_commit = matches!(message, ConsensusMessage::Commit { .. });
@@ -77,10 +77,10 @@
     }
 }
 
-/// Hands the outcome of a proposal to whoever it was made for.
+/// Delivers the outcome of a proposal according to its origin.
 ///
-/// An accepted change of the configuration is confirmed only once enough agents hold it. A leadership
-/// role's write that conflicts came too late: that is logged, since operators may wonder.
+/// An accepted configuration change is confirmed to the operator only once enough agents have it. A
+/// leader's write that conflicts arrived after another term had begun; it is logged for the operators.
 fn end_proposal(
     state: &mut ControllerState,
     origin: ProposalOrigin,
--- a/crates/controller/src/consensus/quorum_reads.rs
+++ b/crates/controller/src/consensus/quorum_reads.rs
@@ -1,8 +1,8 @@
-//! Quorum reads (read index): each voter is asked which versions it holds, and the highest that a
-//! majority reports is the least that this controller must hold to be current.
+//! Quorum reads (read index): each voter reports which versions it has. To be current, this controller must
+//! have at least the highest version that a majority reported.
 //!
-//! Invariant: a quorum read counts for what was accepted before it began. So whoever needs to be current
-//! as of a moment waits for a read that began later.
+//! Invariant: a quorum read covers only changes that were accepted before it began. A request that must see
+//! the state as of some point in time waits for a quorum read that began after that point.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,27 +16,27 @@
 use caperworks::messages::Message;
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
-/// How often a quorum read begins of itself.
-const QUORUM_READ_PERIOD: Duration = Duration::from_millis(200);
+/// Interval between periodic quorum reads.
+const QUORUM_READ_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Begins a quorum read when the period is over.
+/// Begins a quorum read if the interval since the last one has passed.
 pub fn tick(state: &mut ControllerState) {
     if state.now < state.next_quorum_read_at {
         return;
     }
-    state.next_quorum_read_at = state.now + QUORUM_READ_PERIOD;
+    state.next_quorum_read_at = state.now + QUORUM_READ_INTERVAL;
     begin(state);
 }
 
-/// Begins a quorum read. Returns its number.
+/// Begins a quorum read and returns its number.
 ///
-/// Controllers that are no voters are asked too: they take part in what is heard of late.
+/// Controllers that are not voters receive the request too, so that their liveness is tracked as well.
 pub fn begin(state: &mut ControllerState) -> u64 {
     let number = state.quorum_reads.begin(state.now);
     let voters = state.map(MapName::Membership).voter_addresses(false);
-    let mut asked: BTreeSet<SocketAddr> = voters.into_iter().collect();
-    asked.extend(state.other_controllers());
-    for to in asked {
+    let mut recipients: BTreeSet<SocketAddr> = voters.into_iter().collect();
+    recipients.extend(state.other_controllers());
+    for to in recipients {
         state.send(to, Message::QuorumReadRequest { number });
     }
     number
@@ -44,8 +44,8 @@
 
 /// Responds to another controller's quorum read.
 ///
-/// A node without a membership stays silent, and so does one that received a snapshot that is not synced:
-/// it does not count as holding it.
+/// A node without a membership does not respond, and neither does a node with a received snapshot that is
+/// not synced yet: the snapshot does not count as stored.
 pub fn handle_request(state: &mut ControllerState, reply_to: SocketAddr, number: u64) {
     let is_founded = state.map(MapName::Membership).version > Version(0);
     if !is_founded || state.storage.has_unsynced_snapshot() {
@@ -65,8 +65,8 @@
     state.send(reply_to, response);
 }
 
-/// Records which versions a node holds, by which it may take up a role, and which of them are on its disk,
-/// by which it may join the voters or be handed a role.
+/// Records which versions a node has, which decide whether it may become leader, and which of them it has
+/// synced to disk, which decide whether it may become a voter or receive a role in a handover.
 pub fn record_versions(
     state: &mut ControllerState,
     from: NodeId,
@@ -81,7 +81,8 @@
         .insert(from, synced.unwrap_or_default());
 }
 
-/// Handles a response to a quorum read of this controller, and catches up with what it tells of.
+/// Handles a response to one of this controller's quorum reads, and starts catching up with newer versions
+/// that it reports.
 ///
 /// Only voters count towards the majority. A response with the wrong number of maps is ignored.
 pub fn handle_response(
--- a/crates/controller/src/consensus/repair.rs
+++ b/crates/controller/src/consensus/repair.rs
@@ -1,4 +1,5 @@
-//! Repair of changes that a proposer left undecided: accepted by some voter and never committed here.
+//! Repair of changes that a proposer left undecided: accepted by at least one voter but never committed on
+//! this node.
 
 use std::time::Duration;
 
@@ -6,15 +7,15 @@
 use caperworks::identifiers::mix;
 use caperworks::replicated_map::MapName;
 
-/// How long a change may be undecided before this node finishes it.
+/// Time that a change may be undecided before this node finishes it.
 const UNDECIDED_TIMEOUT: Duration = Duration::from_millis(500);
-/// The most by which a node waits longer, in milliseconds.
-const MOST_EXTRA_WAIT_MS: u64 = 200;
+/// Upper bound of the additional wait that depends on the node ID, in milliseconds.
+const MAX_EXTRA_WAIT_MS: u64 = 200;
 
-/// Whether this node should finish an undecided change of a map now.
+/// Returns whether this node should finish an undecided change of a map now.
 ///
-/// How long it waits depends on the node's number, so that not all controllers finish the same change at
-/// the same moment. After a repair the wait begins anew.
+/// The wait depends on the node ID, so that the controllers do not all try to finish the same change at
+/// the same time. After a repair the wait starts again.
 pub(super) fn is_repair_due(state: &mut ControllerState, name: MapName) -> bool {
     let index = name.index();
     if !has_undecided_change(state, name) {
@@ -22,7 +23,7 @@
         return false;
     }
     let since = *state.undecided_since[index].get_or_insert(state.now);
-    let extra_wait = Duration::from_millis(mix(state.node.0) % MOST_EXTRA_WAIT_MS);
+    let extra_wait = Duration::from_millis(mix(state.node.0) % MAX_EXTRA_WAIT_MS);
     let is_due = state.now.saturating_sub(since) >= UNDECIDED_TIMEOUT + extra_wait;
     if is_due {
         state.undecided_since[index] = None;
@@ -30,8 +31,8 @@
     is_due
 }
 
-/// Whether our voter has accepted a change that is not committed here, or a majority may hold a later
-/// version than this node.
+/// Returns whether the local voter has accepted a change that is not committed here, or a majority may have
+/// a later version than this node.
 fn has_undecided_change(state: &ControllerState, name: MapName) -> bool {
     let local_version = state.map(name).version;
     let is_behind = state
--- a/crates/controller/src/consensus/snapshot_transfer.rs
+++ b/crates/controller/src/consensus/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Catch-up of replicas that are behind: changes, and snapshots in chunks.
+//! Catch-up of replicas that are behind, by individual changes or by snapshots sent in chunks.
 
 use std::net::SocketAddr;
 
@@ -10,18 +10,18 @@
 use caperworks::messages::Message;
 use caperworks::replicated_map::MapName;
 
-/// Whether the receiver asked for what is sent.
+/// Whether the receiver requested a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Delivery {
     Requested,
     Unrequested,
 }
 
-/// Whether a message may be sent: a complete map goes in one message only to a node that does not ask for
-/// chunks, and seldom.
+/// Returns whether a message may be sent. A full map in a single message goes only to a node that does not
+/// request chunks, and is rate limited.
 ///
-/// Controllers get none that they did not request: once a quorum read tells them that they are behind,
-/// they ask.
+/// Controllers do not receive unrequested full maps: a quorum read shows them that they are behind, and they
+/// then request what is missing.
 pub(super) fn may_send(
     state: &mut ControllerState,
     to: SocketAddr,
@@ -35,7 +35,7 @@
     is_wanted && state.full_map_limit.admits(state.now, to, message)
 }
 
-/// Sends the chunk of a snapshot that was asked for, or the changes that the other node lacks.
+/// Sends the requested chunk of a snapshot, or the changes that the other node is missing.
 pub(super) fn send_chunk(
     state: &mut ControllerState,
     to: SocketAddr,
@@ -49,8 +49,8 @@
     state.send(to, Message::ConsensusMessage { vote });
 }
 
-/// Takes a chunk of a snapshot in, and asks for the next. Gives the snapshot once it is complete and its
-/// digest is right; a chunk that does not fit is logged and rejected.
+/// Stores a chunk of a snapshot and requests the next one. Returns the snapshot once it is complete and its
+/// digest matches. A chunk that does not belong to the transfer is rejected and logged.
 pub(super) fn receive_chunk(
     state: &mut ControllerState,
     from: SocketAddr,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Begins to fetch what is missing of a map up to a version, unless that is in progress.
+/// Begins to fetch the missing changes of a map up to a version, unless that is already in progress.
 pub(super) fn begin_catch_up(
     state: &mut ControllerState,
     peer: SocketAddr,
@@ -88,7 +88,8 @@
     send_request(state, request);
 }
 
-/// Goes on after changes or a snapshot of a map arrived, which may have brought it to a new version.
+/// Continues a catch-up after changes or a snapshot of a map arrived. `has_moved` tells whether they brought
+/// the map to a new version.
 pub(super) fn continue_catch_up(state: &mut ControllerState, map: MapName, has_moved: bool) {
     let local_version = state.map(map).version;
     let request = state
@@ -97,7 +98,7 @@
     send_request(state, request);
 }
 
-/// Asks other peers where one has not responded in time, and drops encoded snapshots that are not used.
+/// Sends requests to other peers where one has not responded in time, and drops unused encoded snapshots.
 pub fn tick(state: &mut ControllerState) {
     state.snapshots.tick(state.now);
     let voter = &state.voter;
