--- a/crates/controller/src/leadership/fencing.rs
+++ b/crates/controller/src/leadership/fencing.rs
@@ -1,4 +1,4 @@
-//! Fencing: a leader's writes carry its epoch, so that writes of a term that is over are rejected.
+//! Fencing: a leader's writes carry its epoch, so that writes from a term that has ended are rejected.
 
 use crate::leadership::own_changes::{single_put, term_key};
 use crate::state::parts::ProposalOrigin;
@@ -8,10 +8,11 @@
 use caperworks::map_items::{LeadershipTerm, Value};
 use caperworks::replicated_map::{Change, Guard, MapName, FENCE};
 
-/// The guard that a leader's write to a map must carry, once the map is fenced under its epoch.
+/// Returns the guard that a leader's write to a map must carry, once the map is fenced under its epoch.
 ///
-/// Nothing while that is not so; the fence is proposed then. Nothing for good when a later term has fenced
-/// the map, or while this controller does not know the latest of it.
+/// If the fence is older, this proposes a new one and returns `None` until it is committed. Returns `None`
+/// as well while this controller's replica is not current, and permanently once a later term has fenced the
+/// map.
 pub(super) fn guard_by_fence(
     state: &mut ControllerState,
     map: MapName,
@@ -40,7 +41,7 @@
     None
 }
 
-/// Lets a change fit only as long as the voter management role has not passed on.
+/// Adds a guard that rejects the change once the voter management role has changed hands.
 pub(super) fn guard_by_voter_management(state: &ControllerState, change: &mut Change) {
     let key = term_key(VOTER_MANAGEMENT);
     let expected = state.map(MapName::Membership).present(&key);
--- a/crates/controller/src/leadership/handover.rs
+++ b/crates/controller/src/leadership/handover.rs
@@ -1,4 +1,4 @@
-//! Handover of leadership roles and state before a graceful shutdown ends.
+//! Handover of leadership roles and state before a graceful shutdown completes.
 
 use crate::leadership::own_changes::{propose_term, term_key};
 use crate::state::parts::ProposalOrigin;
@@ -7,8 +7,8 @@
 use caperworks::map_items::LeadershipTerm;
 use caperworks::replicated_map::MapName;
 
-/// Gives a leadership role to the first other controller that is alive and has on its disk all that this
-/// one holds. While there is none, the role stays here.
+/// Transfers a leadership role to the first other controller that is alive and has synced everything that
+/// this one has. While there is none, the role stays here.
 pub(super) fn hand_over(state: &mut ControllerState, name: &'static str, epoch: Epoch) {
     if state.has_proposal_in_flight(&ProposalOrigin::Leadership(name)) {
         return;
@@ -24,15 +24,15 @@
     propose_term(state, name, term, expected);
 }
 
-/// How many other controllers with a vote are alive and have on their disks all that this one holds.
+/// Returns how many other controllers with a vote are alive and have synced everything that this one has.
 pub fn replicas_elsewhere(state: &ControllerState) -> usize {
     other_controller_voters(state)
         .filter(|node| state.is_level(*node))
         .count()
 }
 
-/// How many of them there should be before this controller stops: as many as a response to an operator
-/// takes, since this controller's disk may never be seen again.
+/// Returns how many other controllers must have the state before this one stops: as many as are required to
+/// confirm a change to an operator, since this controller's disk may never come back.
 pub fn replicas_needed(state: &ControllerState) -> usize {
     let others = other_controller_voters(state).count();
     state
--- a/crates/controller/src/leadership/majority_loss.rs
+++ b/crates/controller/src/leadership/majority_loss.rs
@@ -1,4 +1,4 @@
-//! Loss of voters: replaced ones count as silent at once, and the loss of the majority is logged.
+//! Loss of voters: replaced voters are suspected immediately, and the loss of the majority is logged.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use caperworks::leadership::SILENCE;
 use caperworks::map_items::VoterEntry;
 
-/// How often the loss of the majority is logged while it lasts.
-const LOG_PERIOD: Duration = Duration::from_secs(5);
+/// Interval between log lines while the majority is lost.
+const MAJORITY_LOSS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Counts voters as silent at once whose machine came back with an empty disk.
+/// Marks voters whose machine came back with an empty disk as suspected, without waiting for the timeout.
 pub(super) fn mark_replaced_voters(state: &mut ControllerState) {
     let replaced: Vec<NodeId> = state
         .voters()
@@ -25,7 +25,7 @@
     }
 }
 
-/// Whether another node answers at a voter's address since the voter fell silent.
+/// Returns whether another node has responded at a voter's address since the voter stopped responding.
 pub(super) fn is_replaced(state: &ControllerState, voter: &VoterEntry) -> bool {
     state.seeds.get(&voter.address).is_some_and(|seen| {
         seen.node != voter.node
@@ -35,27 +35,27 @@
     })
 }
 
-/// Logs a loss of more voters than the core can bear, which nothing but their return repairs.
+/// Logs that more voters are lost than consensus can tolerate. Only their return resolves this.
 pub(super) fn log_lost_majority(state: &mut ControllerState) {
     let now = state.now;
-    let is_heard = state.quorum_reads.confirmed(now).is_some();
-    if is_heard || state.voters().is_none() {
+    let has_majority = state.quorum_reads.confirmed(now).is_some();
+    if has_majority || state.voters().is_none() {
         state.majority_loss.since = None;
         return;
     }
     let since = *state.majority_loss.since.get_or_insert(now);
-    let is_due = now >= state.majority_loss.logged_at + LOG_PERIOD;
+    let is_due = now >= state.majority_loss.logged_at + MAJORITY_LOSS_LOG_INTERVAL;
     if now.saturating_sub(since) < SILENCE || !is_due {
         return;
     }
     state.majority_loss.logged_at = now;
-    let silent: Vec<String> = state
+    let unreachable: Vec<String> = state
         .voters()
         .into_iter()
         .flat_map(|voters| &voters.holders)
         .filter(|voter| voter.node != state.node && !state.liveness.alive(now, voter.node))
         .map(|voter| voter.address.to_string())
         .collect();
-    let why = format!("silent: {}", silent.join(", "));
+    let why = format!("unreachable voters: {}", unreachable.join(", "));
     state.log_event(Event::MajorityLost { why });
 }
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -1,10 +1,10 @@
-//! Leadership roles: which controller leads the placement, the key ownership and the voters, and what the
-//! leader does.
+//! Leadership roles: which controller leads placement, key range ownership and voter management, and what
+//! each leader does.
 //!
-//! Each role is held by one controller under an epoch that stands in the membership. Whatever a leader
-//! writes is fenced by that epoch, so a leader that does not know yet that its term is over changes
-//! nothing. [`fencing`] keeps that, [`handover`] passes roles on, [`solver`], [`ownership`] and
-//! [`voter_management`] do the work of the roles, and [`majority_loss`] reports when it cannot go on.
+//! Each role belongs to one controller under an epoch that is stored in the membership. Every write of a
+//! leader is fenced by that epoch, so a leader that has not yet learned that its term has ended cannot change
+//! anything. [`fencing`] enforces this, [`handover`] transfers roles, [`solver`], [`ownership`] and
+//! [`voter_management`] implement the roles, and [`majority_loss`] reports the loss of the majority.
 
 use crate::fault_injection::FaultInjection;
 use crate::leadership::own_changes::propose_term;
@@ -25,7 +25,7 @@
 pub mod voter_candidates;
 pub mod voter_management;
 
-/// Takes up, keeps and hands over leadership roles, and does the work of those that this controller holds.
+/// Acquires, keeps and hands over leadership roles, and does the work of those that this controller has.
 pub fn tick(state: &mut ControllerState) {
     majority_loss::mark_replaced_voters(state);
     majority_loss::log_lost_majority(state);
@@ -45,10 +45,10 @@
                     state.ownership_role.epoch = None;
                 }
             }
-            // A controller that is shutting down takes nothing up, and neither does one that is behind: it
-            // would lead by a state that is over.
-            LeadershipStep::Take { .. } if is_stopping || lacks_state(state) => {}
-            LeadershipStep::Take { term, expected } => take_up(state, name, term, expected),
+            // A controller that is shutting down acquires no role, and neither does one that is behind: it
+            // would act on outdated state.
+            LeadershipStep::Take { .. } if is_stopping || is_any_map_behind(state) => {}
+            LeadershipStep::Take { term, expected } => request_role(state, name, term, expected),
             LeadershipStep::Hold { epoch, .. } if is_stopping => {
                 handover::hand_over(state, name, epoch);
             }
@@ -61,8 +61,8 @@
     }
 }
 
-/// Proposes a term of this controller for a role, unless one is in flight.
-fn take_up(
+/// Proposes this controller as leader for a new term of a role, unless such a proposal is in flight.
+fn request_role(
     state: &mut ControllerState,
     name: &'static str,
     term: LeadershipTerm,
@@ -78,8 +78,8 @@
     propose_term(state, name, term, expected);
 }
 
-/// Whether any map is behind, so that this controller can lead nothing yet.
-pub(super) fn lacks_state(state: &ControllerState) -> bool {
+/// Returns whether any map is behind, in which case this controller must not lead anything yet.
+pub(super) fn is_any_map_behind(state: &ControllerState) -> bool {
     !state.injects(FaultInjection::LeadsWhileBehind)
         && ALL_MAPS.iter().any(|name| state.is_behind(*name))
 }
--- a/crates/controller/src/leadership/own_changes.rs
+++ b/crates/controller/src/leadership/own_changes.rs
@@ -6,7 +6,7 @@
 use caperworks::map_items::{LeadershipTerm, Value};
 use caperworks::replicated_map::{Change, MapName, Put};
 
-/// A change of one item that fits only while the item has the expected version.
+/// Returns a change of one item that applies only while the item has the expected version.
 pub(super) fn single_put(
     state: &mut ControllerState,
     what: &str,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Proposes a term of a role, if its item still has the expected version.
+/// Proposes a new term of a role, on condition that its item still has the expected version.
 pub(super) fn propose_term(
     state: &mut ControllerState,
     name: &'static str,
@@ -42,7 +42,7 @@
     );
 }
 
-/// The item of the membership that names the holder of a role.
+/// Returns the key of the membership item that names the current leader of a role.
 pub(super) fn term_key(name: &str) -> String {
     format!("duty/{name}")
 }
--- a/crates/controller/src/leadership/ownership.rs
+++ b/crates/controller/src/leadership/ownership.rs
@@ -1,15 +1,15 @@
-//! The ownership role: assigns the key ranges of keyed services to instances, and renews the leases that
-//! instances hold of them with their heartbeats.
+//! The ownership role: assigns the key ranges of keyed services to instances, and renews the instances' key
+//! range leases when they send heartbeats.
 //!
-//! Invariant: a lease is renewed only by the controller that has the role, and only while it is sure that
-//! it has; see [`respond_to_heartbeat`].
+//! Invariant: a lease is renewed only by the controller that has the role, and only while it can confirm
+//! that it does; see [`respond_to_heartbeat`].
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::leadership::fencing::guard_by_fence;
-use crate::leadership::lacks_state;
+use crate::leadership::is_any_map_behind;
 use crate::leadership::own_changes::single_put;
 use crate::state::parts::ProposalOrigin;
 use crate::state::ControllerState;
@@ -21,16 +21,16 @@
 use caperworks::ownership::{HeartbeatResponse, OwnershipView};
 use caperworks::replicated_map::{Guard, MapName};
 
-/// How often key ranges are planned.
-const PLAN_PERIOD: Duration = Duration::from_millis(200);
+/// Interval at which key range assignments are planned.
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Takes the role up under a new epoch, and proposes the next change of key ranges when one is due.
+/// Starts a term when the epoch is new, and proposes the next key range change when one is due.
 pub(super) fn manage_key_ranges(state: &mut ControllerState, epoch: Epoch, held: Duration) {
     let Some(guard) = guard_by_fence(state, MapName::Ownership, epoch) else {
         return;
     };
     if state.ownership_role.epoch != Some(epoch) {
-        take_up(state, epoch);
+        begin_term(state, epoch);
     }
     if held < state.options.core.listen
         || state.now < state.ownership_role.next_plan_at
@@ -38,19 +38,19 @@
     {
         return;
     }
-    // The key ranges follow the configuration, and one that is over may name other services.
-    if lacks_state(state) {
+    // Key ranges depend on the configuration, and an outdated one may name other services.
+    if is_any_map_behind(state) {
         return;
     }
-    state.ownership_role.next_plan_at = state.now + PLAN_PERIOD;
+    state.ownership_role.next_plan_at = state.now + PLAN_INTERVAL;
     if let Some((service, table)) = plan_next_change(state, epoch) {
         propose_key_ranges(state, &service, table, guard);
     }
 }
 
-/// Begins a term of the owner manager. After a restart in the same term it need not wait for leases that
-/// another granted.
-fn take_up(state: &mut ControllerState, epoch: Epoch) {
+/// Begins a term of the owner manager. After a restart within the same term there is no need to wait for
+/// leases granted by another controller to expire.
+fn begin_term(state: &mut ControllerState, epoch: Epoch) {
     let fault_injection = state.options.fault_injection;
     let role = &mut state.ownership_role;
     role.epoch = Some(epoch);
@@ -61,7 +61,7 @@
     state.log_event(Event::OwnershipLeaderElected { epoch });
 }
 
-/// Plans all keyed services up to the first whose key ranges are to change.
+/// Plans the keyed services in order and returns the first one whose key ranges must change.
 fn plan_next_change(
     state: &mut ControllerState,
     epoch: Epoch,
@@ -101,16 +101,16 @@
     state.propose(MapName::Ownership, ProposalOrigin::Ownership, change);
 }
 
-/// Responds to a heartbeat: only the owner manager renews leases, and only while it is sure that it is.
+/// Responds to a heartbeat. Only the owner manager renews leases, and only while it can confirm its role.
 ///
-/// Every other controller names the owner manager, as far as it is sure of it.
+/// Every other controller responds with the owner manager's address, if it can confirm who that is.
 pub fn respond_to_heartbeat(
     state: &mut ControllerState,
     heartbeat: &Heartbeat,
 ) -> HeartbeatResponse {
     if !is_owner_manager(state) {
         return HeartbeatResponse {
-            owner_manager: owner_manager_in_touch(state),
+            owner_manager: reachable_owner_manager(state),
             ..HeartbeatResponse::default()
         };
     }
@@ -121,8 +121,8 @@
     response
 }
 
-/// Whether this controller is surely the owner manager: by the latest membership it has the role, under
-/// the epoch that it took up, and the latest ownership map is fenced under that epoch.
+/// Returns whether this controller is confirmed as the owner manager: it has the role in the latest
+/// membership, under the epoch of its current term, and the latest ownership map is fenced under that epoch.
 fn is_owner_manager(state: &ControllerState) -> bool {
     let term = state.map(MapName::Membership).leadership(OWNERSHIP);
     let epoch = state.ownership_role.epoch;
@@ -134,18 +134,18 @@
         && state.is_current(MapName::Ownership)
 }
 
-/// The owner manager to name to an instance: none that may be over, and never this controller, which would
-/// not ask if it were sure to have the role.
-fn owner_manager_in_touch(state: &ControllerState) -> Option<SocketAddr> {
+/// Returns the address of the owner manager to report to an instance, or `None` if its term may have ended
+/// or it is unreachable. Never returns this controller: the caller has found that its role is not confirmed.
+fn reachable_owner_manager(state: &ControllerState) -> Option<SocketAddr> {
     if !state.is_current(MapName::Membership) {
         return None;
     }
     let leader = state.map(MapName::Membership).leadership(OWNERSHIP)?.holder;
-    let is_heard = leader != state.node && state.liveness.alive(state.now, leader);
-    is_heard.then(|| owner_manager_address(state)).flatten()
+    let is_reachable = leader != state.node && state.liveness.alive(state.now, leader);
+    is_reachable.then(|| owner_manager_address(state)).flatten()
 }
 
-/// Where the owner manager is heard, as far as the membership tells.
+/// Returns the owner manager's address according to the local membership.
 pub fn owner_manager_address(state: &ControllerState) -> Option<SocketAddr> {
     let term = state.map(MapName::Membership).leadership(OWNERSHIP)?;
     Some(state.voters()?.holder(term.holder)?.address)
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -1,4 +1,4 @@
-//! The solver role: computes the placement of load on instances and writes it to the placement map.
+//! The solver role: computes how load is placed on instances and writes the placement map.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use caperworks::placement::{worth_writing, ProblemView};
 use caperworks::replicated_map::{Guard, MapName};
 
-/// Does the next step of the solver, and proposes its placement when it is worth a write.
+/// Runs the next solver step, and proposes the resulting placement if it differs enough to be written.
 ///
-/// A new leader listens for a while first. Nothing is computed by a configuration that is over, since a
-/// placement of routes that were removed helps nobody, nor without any proxy: the last placement is then
-/// the best there is.
+/// A new leader first collects heartbeats for a while. No placement is computed from an outdated
+/// configuration, which may contain removed routes, nor while there is no ready proxy: the last placement
+/// then remains in use.
 pub(super) fn update_placement(state: &mut ControllerState, epoch: Epoch, held: Duration) {
     let Some(guard) = guard_by_fence(state, MapName::Placement, epoch) else {
         return;
--- a/crates/controller/src/leadership/voter_candidates.rs
+++ b/crates/controller/src/leadership/voter_candidates.rs
@@ -1,4 +1,4 @@
-//! Candidates for a vote: controllers without one, and agents that could be witnesses.
+//! Candidates for voters: controllers that are not voters, and agents that could become witnesses.
 
 use crate::state::ControllerState;
 use caperworks::facts::{Member, Role};
@@ -6,14 +6,17 @@
 use caperworks::map_items::{VoterEntry, VoterSet};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
-/// How many versions a witness may be behind when it gets its vote.
+/// Number of versions that an agent may be behind when it becomes a witness.
 ///
-/// It need not be level: what it lacks it takes over before it votes, and whoever happens to be the first
-/// to be level must not outweigh where it stands.
-const WITNESS_LAG: u64 = 20;
+/// It need not be fully up to date, since it catches up before it votes. Its zone must matter more than
+/// which agent happens to be up to date first.
+const MAX_WITNESS_LAG: u64 = 20;
 
-/// A live controller without a vote that has all maps on its disk.
-pub(super) fn waiting_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterEntry> {
+/// Returns a live controller that is not a voter and has synced all maps to disk.
+pub(super) fn controller_candidate(
+    state: &ControllerState,
+    voters: &VoterSet,
+) -> Option<VoterEntry> {
     state
         .seeds
         .iter()
@@ -27,9 +30,9 @@
         })
 }
 
-/// A live agent that could be a witness. Zones without a controller's vote come first, then zones without
-/// any vote: a zone that is lost should take as few voters along as can be.
-pub(super) fn waiting_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterEntry> {
+/// Returns a live agent that could become a witness. Zones without a voting controller come first, then zones
+/// without any voter, so that the loss of a zone costs as few voters as possible.
+pub(super) fn witness_candidate(state: &ControllerState, voters: &VoterSet) -> Option<VoterEntry> {
     let versions = state.versions();
     let has_vote_of = |zone: &Zone, is_controller: bool| {
         voters
@@ -42,7 +45,7 @@
         .iter()
         .filter(|member| member.role == Role::Proxy && !member.draining)
         .filter(|member| voters.holder(member.node).is_none())
-        .filter(|member| is_nearly_level(member, &versions))
+        .filter(|member| is_nearly_up_to_date(member, &versions))
         .min_by_key(|member| {
             (
                 has_vote_of(&member.zone, true),
@@ -59,11 +62,11 @@
         })
 }
 
-/// Whether an agent holds nearly what this controller holds.
+/// Returns whether an agent's maps are at most [`MAX_WITNESS_LAG`] versions behind this controller's.
 ///
-/// The placement does not count, since agents do not follow it: a new witness takes it over with its first
-/// vote, and a majority that holds it was settled before.
-fn is_nearly_level(member: &Member, own: &[Version]) -> bool {
+/// The placement map does not count, since agents do not follow it. A new witness fetches it with its first
+/// vote, and the change that adds the witness is proposed only when a majority has it already.
+fn is_nearly_up_to_date(member: &Member, own: &[Version]) -> bool {
     member.versions.len() == own.len()
         && member
             .versions
@@ -71,10 +74,10 @@
             .zip(own)
             .zip(ALL_MAPS)
             .filter(|(_, name)| *name != MapName::Placement)
-            .all(|((theirs, own), _)| theirs.0 + WITNESS_LAG >= own.0)
+            .all(|((theirs, own), _)| theirs.0 + MAX_WITNESS_LAG >= own.0)
 }
 
-/// Whether a zone has a voter.
+/// Returns whether a zone has a voter.
 pub(super) fn has_voter_in(voters: &VoterSet, zone: &Zone) -> bool {
     voters.holders.iter().any(|voter| voter.zone == *zone)
 }
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -1,8 +1,8 @@
-//! The voter management role: sees to it that the votes are with nodes that live, one change at a time.
+//! The voter management role: replaces failed voters by live nodes, one change at a time.
 //!
-//! Invariants: a change adds or removes one voter, so that every majority before it meets every majority
-//! after it; it is proposed only when the living voters are a majority of the new set; and all maps are
-//! repaired first, so that nothing that the voters before half agreed on is lost.
+//! Invariants: a change adds or removes a single voter, so that every majority before it intersects every
+//! majority after it. It is proposed only if the live voters are a majority of the new set. All maps are
+//! repaired first, so that no change that the previous voters had partly accepted is lost.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::leadership::fencing::guard_by_voter_management;
 use crate::leadership::majority_loss::is_replaced;
 use crate::leadership::own_changes::single_put;
-use crate::leadership::voter_candidates::{has_voter_in, waiting_controller, waiting_witness};
+use crate::leadership::voter_candidates::{controller_candidate, has_voter_in, witness_candidate};
 use crate::state::parts::ProposalOrigin;
 use crate::state::ControllerState;
 use crate::state_machine::event::Event;
@@ -19,22 +19,22 @@
 use caperworks::map_items::{Value, VoterEntry, VoterSet};
 use caperworks::replicated_map::{Change, MapName, FALLBACK_MEMBERS};
 
-/// How long a witness may be silent: then it has lost what it knew or is about to.
+/// A witness that has not responded for this long is replaced: it has lost its state or is about to.
 const WITNESS_TIMEOUT: Duration = Duration::from_millis(4000);
-/// How often a change of voters that cannot be made is logged.
-const REJECTION_LOG_PERIOD: Duration = Duration::from_secs(5);
-/// The item of the membership that lists the voters.
+/// Interval between log lines about a voter change that cannot be made.
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// The key of the membership item that lists the voters.
 const VOTERS: &str = "seats";
 
-/// A change of one voter.
+/// A change that adds or removes one voter.
 struct VoterChange {
-    /// The voters after it.
+    /// The voters after the change.
     next: VoterSet,
-    /// Why it is due, for the log.
+    /// The reason for the change, for the log.
     reason: String,
 }
 
-/// Proposes the next change of voters when one is due, and else the next roster.
+/// Proposes the next voter change if one is due, and otherwise the next change of the fallback members.
 pub(super) fn manage_voters(state: &mut ControllerState, held: Duration) {
     if held < state.options.core.listen
         || state.has_proposal_in_flight(&ProposalOrigin::VoterManagement)
@@ -47,7 +47,7 @@
     };
     record_lost_voters(state, &voters);
     match next_change(state, &voters) {
-        Some(change) if !has_living_majority(state, &change.next) => log_rejection(state, change),
+        Some(change) if !has_live_majority(state, &change.next) => log_rejection(state, change),
         Some(change) => {
             if repair_all_maps(state) {
                 propose_voters(state, change);
@@ -57,8 +57,8 @@
     }
 }
 
-/// Records since when each voter is lost: from when it was last heard, since whoever had the role before
-/// has listened for long already.
+/// Records since when each voter has been unreachable. The time counts from the voter's last message rather
+/// than from the start of the term, since the previous leader may have waited for it already.
 fn record_lost_voters(state: &mut ControllerState, voters: &VoterSet) {
     let now = state.now;
     for voter in &voters.holders {
@@ -72,12 +72,12 @@
     }
 }
 
-/// Whether the living voters are a majority: a change that leaves fewer stops the core.
-fn has_living_majority(state: &ControllerState, voters: &VoterSet) -> bool {
-    living_voters(state, voters) >= voters.majority()
+/// Returns whether the live voters are a majority of the set. With fewer, consensus would stop.
+fn has_live_majority(state: &ControllerState, voters: &VoterSet) -> bool {
+    live_voter_count(state, voters) >= voters.majority()
 }
 
-fn living_voters(state: &ControllerState, voters: &VoterSet) -> usize {
+fn live_voter_count(state: &ControllerState, voters: &VoterSet) -> usize {
     voters
         .holders
         .iter()
@@ -88,16 +88,17 @@
 fn log_rejection(state: &mut ControllerState, change: VoterChange) {
     let VoterChange { next, reason } = change;
     let management = &mut state.voter_management;
-    if state.now < management.rejection_logged_at + REJECTION_LOG_PERIOD {
+    if state.now < management.rejection_logged_at + REJECTION_LOG_INTERVAL {
         return;
     }
     management.rejection_logged_at = state.now;
-    let living = living_voters(state, &next);
-    let why = format!("{reason}: {living} living of {}", next.holders.len());
+    let live = live_voter_count(state, &next);
+    let why = format!("{reason}: {live} live voters of {}", next.holders.len());
     state.log_event(Event::VoterChangeRejected { why });
 }
 
-/// Whether nothing is undecided in any map under the present voters; if not, has it finished.
+/// Returns whether no map has an undecided change under the current voters, and starts the repair of those
+/// that do.
 fn repair_all_maps(state: &mut ControllerState) -> bool {
     let membership = state.map(MapName::Membership).version;
     let mut is_settled = true;
@@ -126,7 +127,7 @@
     }
 }
 
-/// A change of the roster, from the present one.
+/// Returns a change that replaces the present fallback members.
 pub fn fallback_members_change(state: &mut ControllerState, value: Value) -> Change {
     let expected = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
     let mut change = single_put(
@@ -140,16 +141,16 @@
     change
 }
 
-/// The next single change of voters, if one is due: the first of the kinds in this sequence.
+/// Returns the next voter change if one is due. The kinds of change are tried in order of priority.
 fn next_change(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     add_controller(state, voters)
         .or_else(|| remove_lost_witness(state, voters))
         .or_else(|| remove_lost_controller(state, voters))
-        .or_else(|| remove_crowded_witness(state, voters))
+        .or_else(|| remove_colocated_witness(state, voters))
         .or_else(|| add_witness(state, voters))
 }
 
-/// A controller that waits becomes a voter while there are too few controllers among the voters.
+/// Adds a candidate controller while there are too few controllers among the voters.
 fn add_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let controllers = voters
         .holders
@@ -159,62 +160,65 @@
     if controllers >= state.options.core.controller_voters {
         return None;
     }
-    let newcomer = waiting_controller(state, voters)?;
-    let reason = format!("controller {} is new", newcomer.node);
+    let newcomer = controller_candidate(state, voters)?;
+    let reason = format!("adding controller {}", newcomer.node);
     Some(with_voter(voters, newcomer, reason))
 }
 
-/// A witness that is draining or silent for too long is removed.
+/// Removes a witness that is draining or has been unreachable for too long.
 fn remove_lost_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let lost = voters.holders.iter().find(|voter| {
         let is_draining = state
             .members
             .iter()
             .any(|member| member.node == voter.node && member.draining);
-        !voter.controller && (is_draining || lost_for(state, voter.node) >= WITNESS_TIMEOUT)
+        !voter.controller && (is_draining || unreachable_for(state, voter.node) >= WITNESS_TIMEOUT)
     })?;
-    let reason = format!("witness {} is lost", lost.node);
+    let reason = format!("removing unreachable or draining witness {}", lost.node);
     Some(without_voter(voters, lost.node, reason))
 }
 
-/// A controller that is lost is removed, at once when another node answers at its address, since it cannot
-/// come back there; but only for another that waits: its disk is worth its vote as long as nobody can
-/// replace it.
+/// Removes a controller that is lost, without a timeout if another node responds at its address, since the
+/// old one cannot come back there. It is removed only if a candidate can replace it: until then its disk may
+/// still be needed for a majority.
 fn remove_lost_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let timeout = state.options.core.controller_lost;
     let lost = voters.holders.iter().find(|voter| {
-        let is_silent = lost_for(state, voter.node) >= timeout;
-        voter.controller && (is_replaced(state, voter) || is_silent)
+        let has_timed_out = unreachable_for(state, voter.node) >= timeout;
+        voter.controller && (is_replaced(state, voter) || has_timed_out)
     })?;
-    waiting_controller(state, voters)?;
-    let reason = format!("controller {} is lost and another waits", lost.node);
+    controller_candidate(state, voters)?;
+    let reason = format!("replacing lost controller {}", lost.node);
     Some(without_voter(voters, lost.node, reason))
 }
 
-/// A witness that shares its zone with another voter is removed when one waits in a zone without a voter:
-/// two voters in one zone are lost together.
-fn remove_crowded_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
-    let crowded = voters.holders.iter().find(|voter| {
+/// Removes a witness that shares its zone with another voter if there is a candidate in a zone without a
+/// voter: two voters in one zone would be lost together.
+fn remove_colocated_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
+    let colocated = voters.holders.iter().find(|voter| {
         let shares_zone = |other: &VoterEntry| other.node != voter.node && other.zone == voter.zone;
         !voter.controller && voters.holders.iter().any(shares_zone)
     })?;
-    let waiting = waiting_witness(state, voters)?;
-    if has_voter_in(voters, &waiting.zone) {
+    let candidate = witness_candidate(state, voters)?;
+    if has_voter_in(voters, &candidate.zone) {
         return None;
     }
-    let reason = format!("witness {} crowds {}", crowded.node, crowded.zone);
-    Some(without_voter(voters, crowded.node, reason))
+    let reason = format!(
+        "removing witness {} from shared zone {}",
+        colocated.node, colocated.zone
+    );
+    Some(without_voter(voters, colocated.node, reason))
 }
 
-/// A witness becomes a voter while there are too few voters.
+/// Adds a witness while there are too few voters.
 fn add_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let core = &state.options.core;
     let wanted = core.controller_voters + core.witness_voters;
     if core.witness_voters == 0 || voters.holders.len() >= wanted {
         return None;
     }
-    let witness = waiting_witness(state, voters)?;
-    let reason = format!("witness {} in {}", witness.node, witness.zone);
+    let witness = witness_candidate(state, voters)?;
+    let reason = format!("adding witness {} in zone {}", witness.node, witness.zone);
     Some(with_voter(voters, witness, reason))
 }
 
@@ -230,8 +234,8 @@
     VoterChange { next, reason }
 }
 
-/// How long a voter has been lost.
-fn lost_for(state: &ControllerState, node: NodeId) -> Duration {
+/// Returns how long a voter has been unreachable, or zero if it is alive.
+fn unreachable_for(state: &ControllerState, node: NodeId) -> Duration {
     state
         .voter_management
         .lost_since
