--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -1,4 +1,4 @@
-//! Controllers for the agents: the roster, and whether enough of them hold what is accepted.
+//! Tracking of the agents: the fallback members, and whether enough agents have the accepted configuration.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,14 +16,15 @@
 use caperworks::partition_fallback::{majority_of, yes_quorum, FallbackMembers};
 use caperworks::replicated_map::{MapName, ALL_MAPS, FALLBACK_MEMBERS};
 
-/// How long an operator's answer waits for the agents after the change was agreed on.
-const AGENTS_SPAN: Duration = Duration::from_millis(1500);
+/// Time that a response to an operator waits for the agents after the change was accepted.
+const AGENT_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// With how many agents the first roster begins; a fleet of fewer has no islands.
-const FIRST_FALLBACK_MEMBERS: usize = 3;
+/// Minimum number of agents for the first set of fallback members. A fleet with fewer agents has no partition
+/// fallback.
+const MIN_FALLBACK_MEMBERS: usize = 3;
 
-/// The agents that are in touch, with the versions that each says it holds.
-fn in_touch(state: &ControllerState) -> BTreeMap<SocketAddr, &Member> {
+/// Returns the reachable agents, each with the versions that it last reported.
+fn reachable_agents(state: &ControllerState) -> BTreeMap<SocketAddr, &Member> {
     state
         .members
         .iter()
@@ -32,15 +33,16 @@
         .collect()
 }
 
-/// Says whether a change of the configuration could be told yes now.
+/// Returns whether enough agents are reachable to confirm a configuration change now.
 ///
-/// Why before it is offered: what is refused here is surely not accepted, and can be sent again.
-pub fn could_say_yes(state: &ControllerState) -> bool {
-    // Why: proxies that serve on ask no agents what may have been accepted.
+/// This is checked before the change is proposed: a change that is rejected here has certainly not been
+/// accepted, so the caller can safely send it again.
+pub fn can_confirm_changes(state: &ControllerState) -> bool {
+    // Proxies that serve stale do not ask agents which changes may have been accepted.
     if state.options.core.proxies_serve_on {
         return true;
     }
-    let agents = in_touch(state);
+    let agents = reachable_agents(state);
     state
         .map(MapName::Membership)
         .fallback_members()
@@ -49,15 +51,16 @@
         })
 }
 
-/// The highest version of the configuration that so many agents hold, by this roster, that every
-/// majority of it has one of them.
-fn held_by_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> Version {
-    let agents = in_touch(state);
+/// Returns the highest configuration version that enough of the fallback members have for every majority of
+/// them to include one that has it.
+fn version_held_by_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> Version {
+    let agents = reachable_agents(state);
     let fallback_members_version = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
-    let held = |address: &SocketAddr| {
+    let version_of = |address: &SocketAddr| {
         agents
             .get(address)
-            // Why only those that know this roster: the others may count themselves in by another.
+            // Only agents that know these fallback members count, since the others may form a majority of
+            // different ones.
             .filter(|member| {
                 member.versions[MapName::Membership.index()] >= fallback_members_version
             })
@@ -66,7 +69,7 @@
             })
     };
     let by_set = |set: &Vec<SocketAddr>| {
-        let mut versions: Vec<Version> = set.iter().map(held).collect();
+        let mut versions: Vec<Version> = set.iter().map(version_of).collect();
         versions.sort_by_key(|version| Reverse(*version));
         versions.get(yes_quorum(set.len()) - 1).copied()
     };
@@ -78,63 +81,65 @@
         .fold(own, Version::min)
 }
 
-/// Brings up to date what is vouched for, and gives the answers that waited for it.
-pub fn respond_to_waiting(state: &mut ControllerState) {
+/// Updates the version that may be reported to operators as accepted, and sends the responses that waited for
+/// it or timed out.
+pub fn respond_to_pending_confirmations(state: &mut ControllerState) {
     if state.pending_confirmations.is_empty() && state.watchers.is_empty() {
         return;
     }
     let membership = state.map(MapName::Membership);
-    let held = match membership.fallback_members() {
+    let confirmed = match membership.fallback_members() {
         _ if state.options.core.proxies_serve_on => state.map(MapName::Configuration).version,
         _ if state.injects(FaultInjection::ConfirmsWithoutAgents) => {
             state.map(MapName::Configuration).version
         }
         None => state.map(MapName::Configuration).version,
-        // Why only while current: a controller that was cut off may go by a roster that is over.
-        Some(_) if !state.is_current(MapName::Membership) => state.vouched,
-        Some(fallback_members) => held_by_agents(state, fallback_members),
+        // A controller that is not current may have been partitioned and know outdated fallback members.
+        Some(_) if !state.is_current(MapName::Membership) => state.confirmed_version,
+        Some(fallback_members) => version_held_by_agents(state, fallback_members),
     };
-    state.vouched = state.vouched.max(held);
-    let (now, vouched) = (state.now, state.vouched);
+    state.confirmed_version = state.confirmed_version.max(confirmed);
+    let (now, confirmed_version) = (state.now, state.confirmed_version);
     let (done, waiting): (Vec<PendingConfirmation>, Vec<PendingConfirmation>) =
         std::mem::take(&mut state.pending_confirmations)
             .into_iter()
-            .partition(|awaiting| awaiting.version <= vouched || now >= awaiting.until);
+            .partition(|pending| pending.version <= confirmed_version || now >= pending.until);
     state.pending_confirmations = waiting;
-    for awaiting in done {
-        let response = match awaiting.version <= vouched {
-            true => awaiting.response,
-            false => awaiting.otherwise,
+    for pending in done {
+        let response = match pending.version <= confirmed_version {
+            true => pending.response,
+            false => pending.response_on_timeout,
         };
-        let ticket = awaiting.ticket;
+        let ticket = pending.ticket;
         state
             .outputs
             .push(ControllerOutput::Respond { ticket, response });
     }
 }
 
-/// Gives an answer as soon as enough agents hold the version that it shows as accepted.
-pub fn respond_when_acknowledged(
+/// Sends `response` as soon as enough agents have the version that it reports as accepted, or
+/// `response_on_timeout` if they do not have it in time.
+pub fn respond_when_confirmed(
     state: &mut ControllerState,
     ticket: u64,
     version: Version,
     response: OperatorResponse,
-    otherwise: OperatorResponse,
+    response_on_timeout: OperatorResponse,
 ) {
-    let until = state.now + AGENTS_SPAN;
+    let until = state.now + AGENT_CONFIRMATION_TIMEOUT;
     state.pending_confirmations.push(PendingConfirmation {
         ticket,
         version,
         until,
         response,
-        otherwise,
+        response_on_timeout,
     });
 }
 
-/// Whether every majority of the roster has an agent that knows it.
+/// Returns whether every majority of the fallback members includes an agent that knows the present ones.
 fn is_settled(state: &ControllerState, fallback_members: &FallbackMembers) -> bool {
     let version = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
-    let agents = in_touch(state);
+    let agents = reachable_agents(state);
     let knows = |address: &SocketAddr| {
         agents
             .get(address)
@@ -143,22 +148,23 @@
     fallback_members.enough(knows, yes_quorum)
 }
 
-/// The next roster, if it is due: agents join by themselves, one step after the other.
+/// Returns the next set of fallback members if a change is due. Agents join automatically, one step at a
+/// time.
 pub fn next_fallback_members(state: &ControllerState) -> Option<FallbackMembers> {
-    // Why none: islands are for proxies that fall silent, and nobody else asks for the roster.
+    // If proxies serve stale there is no partition fallback, and nothing else uses the fallback members.
     if state.options.core.proxies_serve_on {
         return None;
     }
-    let agents = in_touch(state);
+    let agents = reachable_agents(state);
     let Some(fallback_members) = state.map(MapName::Membership).fallback_members() else {
         let members: Vec<SocketAddr> = agents.into_keys().collect();
-        // Why not fewer: on the word of one or two agents alone every change would wait.
-        return (members.len() >= FIRST_FALLBACK_MEMBERS).then_some(FallbackMembers {
+        // With fewer members, every change would have to wait for one or two particular agents.
+        return (members.len() >= MIN_FALLBACK_MEMBERS).then_some(FallbackMembers {
             members,
             before: Vec::new(),
         });
     };
-    // Why settled first: two rosters a step apart always meet, those further apart need not.
+    // Majorities of two sets that are one step apart always intersect; those further apart might not.
     if !is_settled(state, fallback_members) {
         return None;
     }
@@ -183,50 +189,50 @@
     })
 }
 
-/// The roster without these agents, or why that may not be.
+/// Returns the fallback members without these agents, or the reason why they cannot be removed.
 pub fn fallback_members_without(
     state: &ControllerState,
     dropped: &[SocketAddr],
 ) -> Result<FallbackMembers, Vec<Fault>> {
-    let refuse = |field: &str, why: String| Err(vec![Fault::new(field, why)]);
+    let reject = |field: &str, why: String| Err(vec![Fault::new(field, why)]);
     let Some(fallback_members) = state.map(MapName::Membership).fallback_members() else {
-        return refuse("drop", "there is no roster yet".to_string());
+        return reject("drop", "the roster does not exist yet".to_string());
     };
-    let agents = in_touch(state);
+    let agents = reachable_agents(state);
     for (index, address) in dropped.iter().enumerate() {
         let field = format!("drop[{index}]");
         if !fallback_members.members.contains(address) {
-            return refuse(&field, format!("{address} is not on the roster"));
+            return reject(&field, format!("{address} is not on the roster"));
         }
         if agents.contains_key(address) {
-            let why = format!("{address} is in touch and would join again: stop it first");
-            return refuse(&field, why);
+            let why = format!("{address} is reachable and would join again: stop the agent first");
+            return reject(&field, why);
         }
     }
     if !fallback_members.before.is_empty() || !is_settled(state, fallback_members) {
-        let why = "the roster changed a moment ago or too few agents know it: try again";
-        return refuse("drop", why.to_string());
+        let why = "the last roster change has not reached enough agents yet: try again";
+        return reject("drop", why.to_string());
     }
-    let kept = |address: &&SocketAddr| !dropped.contains(address);
+    let is_kept = |address: &&SocketAddr| !dropped.contains(address);
     let next = FallbackMembers {
         members: fallback_members
             .members
             .iter()
-            .filter(kept)
+            .filter(is_kept)
             .copied()
             .collect(),
         before: fallback_members.members.clone(),
     };
     if !next.enough(|address| agents.contains_key(address), majority_of) {
-        let why = "fewer than a majority of the old or of the new roster are in touch";
-        return refuse("drop", why.to_string());
+        let why = "fewer than a majority of the old or of the new roster are reachable";
+        return reject("drop", why.to_string());
     }
     Ok(next)
 }
 
-/// The agents on the roster, and whether each is in touch.
-pub fn fallback_members_in_touch(state: &ControllerState) -> Vec<(SocketAddr, bool)> {
-    let agents = in_touch(state);
+/// Returns the fallback members, each with whether it is reachable.
+pub fn fallback_members_with_reachability(state: &ControllerState) -> Vec<(SocketAddr, bool)> {
+    let agents = reachable_agents(state);
     let fallback_members = state.map(MapName::Membership).fallback_members();
     let listed = fallback_members
         .into_iter()
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -118,11 +118,11 @@
     }
     match proposal_outcome {
         ProposalOutcome::Accepted(version) | ProposalOutcome::Repeat(version) => {
-            let otherwise = OperatorResponse::ProposalOutcome {
+            let response_on_timeout = OperatorResponse::ProposalOutcome {
                 proposal_outcome: ProposalOutcome::Unknown,
             };
             let response = OperatorResponse::ProposalOutcome { proposal_outcome };
-            agents::respond_when_acknowledged(state, ticket, version, response, otherwise);
+            agents::respond_when_confirmed(state, ticket, version, response, response_on_timeout);
         }
         proposal_outcome => {
             state.respond(
--- a/crates/controller/src/consensus/quorum_reads.rs
+++ b/crates/controller/src/consensus/quorum_reads.rs
@@ -74,10 +74,10 @@
     synced: Option<Vec<Version>>,
 ) {
     let own = state.versions();
-    let is_level = versions.iter().zip(&own).all(|(theirs, own)| theirs >= own);
-    state.liveness.handle_level(state.now, from, is_level);
+    let is_up_to_date = versions.iter().zip(&own).all(|(theirs, own)| theirs >= own);
+    state.liveness.handle_level(state.now, from, is_up_to_date);
     state
-        .heard_versions
+        .reported_synced_versions
         .insert(from, synced.unwrap_or_default());
 }
 
--- a/crates/controller/src/leadership/handover.rs
+++ b/crates/controller/src/leadership/handover.rs
@@ -13,7 +13,9 @@
     if state.has_proposal_in_flight(&ProposalOrigin::Leadership(name)) {
         return;
     }
-    let Some(successor) = other_controller_voters(state).find(|node| state.is_level(*node)) else {
+    let Some(successor) =
+        other_controller_voters(state).find(|node| state.is_synced_replica(*node))
+    else {
         return;
     };
     let term = LeadershipTerm {
@@ -27,7 +29,7 @@
 /// Returns how many other controllers with a vote are alive and have synced everything that this one has.
 pub fn replicas_elsewhere(state: &ControllerState) -> usize {
     other_controller_voters(state)
-        .filter(|node| state.is_level(*node))
+        .filter(|node| state.is_synced_replica(*node))
         .count()
 }
 
--- a/crates/controller/src/leadership/ownership.rs
+++ b/crates/controller/src/leadership/ownership.rs
@@ -55,7 +55,7 @@
     let role = &mut state.ownership_role;
     role.epoch = Some(epoch);
     role.manager.spans = state.options.core.owner_manager;
-    let after_own = role.former_term == Some(epoch);
+    let after_own = role.previous_epoch == Some(epoch);
     role.manager.take_up(state.now, after_own);
     fault_injection.apply_to_owner_manager(&mut role.manager);
     state.log_event(Event::OwnershipLeaderElected { epoch });
--- a/crates/controller/src/leadership/voter_candidates.rs
+++ b/crates/controller/src/leadership/voter_candidates.rs
@@ -21,7 +21,7 @@
         .seeds
         .iter()
         .filter(|(_, seen)| voters.holder(seen.node).is_none())
-        .find(|(_, seen)| state.is_level(seen.node))
+        .find(|(_, seen)| state.is_synced_replica(seen.node))
         .map(|(address, seen)| VoterEntry {
             node: seen.node,
             address: *address,
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -88,11 +88,11 @@
         return;
     }
     if is_new(state, &change) {
-        if !agents::could_say_yes(state) {
+        if !agents::can_confirm_changes(state) {
             respond_with_outcome(state, ticket, ProposalOutcome::TooFewAgents);
             return;
         }
-        if state.lacks_quorum_contact() {
+        if state.has_lost_quorum_contact() {
             respond_with_outcome(state, ticket, ProposalOutcome::NoMajority);
             return;
         }
@@ -223,8 +223,8 @@
         members: state.members.iter().cloned().collect(),
         instances: state.instances.iter().cloned().collect(),
         mapping: state.map(MapName::Placement).mapping().cloned(),
-        fallback_members: agents::fallback_members_in_touch(state),
-        vouched: state.vouched,
+        fallback_members: agents::fallback_members_with_reachability(state),
+        confirmed_version: state.confirmed_version,
     }
 }
 
@@ -252,7 +252,7 @@
     let now = state.now;
     let is_current = state.has_quorum_contact();
     let configuration = state.map(MapName::Configuration);
-    let version = configuration.version.min(state.vouched);
+    let version = configuration.version.min(state.confirmed_version);
     let (ready, waiting): (Vec<Watcher>, Vec<Watcher>) = std::mem::take(&mut state.watchers)
         .into_iter()
         .partition(|watcher| watcher.after < version || now >= watcher.until);
--- a/crates/controller/src/operator_json/writing/status.rs
+++ b/crates/controller/src/operator_json/writing/status.rs
@@ -22,7 +22,7 @@
         instances: instances_json(status),
         placed_groups: groups.count(),
         unplaced_demand: unplaced,
-        vouched: status.vouched.0,
+        vouched: status.confirmed_version.0,
         roster: fallback_members_json(status),
     }
 }
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -70,7 +70,7 @@
         }
         _ => {}
     }
-    if state.lacks_quorum_contact() || state.voters().is_none() {
+    if state.has_lost_quorum_contact() || state.voters().is_none() {
         reject(state, ticket);
         return;
     }
@@ -139,8 +139,8 @@
             let map = state.map(MapName::Configuration).clone();
             let version = map.version;
             let response = OperatorResponse::Configuration { map };
-            let otherwise = OperatorResponse::NotCurrent;
-            agents::respond_when_acknowledged(state, ticket, version, response, otherwise);
+            let response_on_timeout = OperatorResponse::NotCurrent;
+            agents::respond_when_confirmed(state, ticket, version, response, response_on_timeout);
         }
         ReadKind::Check { change } => {
             let faults = check_configuration(state.map(MapName::Configuration), &change);
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -1,4 +1,4 @@
-//! Followers' renewals: what a grant tells an agent or a directory.
+//! Renewals of followers' leases, and the updates that a grant sends to an agent or a directory.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,18 +12,21 @@
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
-/// Grants a follower's renewal: its lease, and what it lacks of the maps, instances and members.
+/// Responds to a follower's renewal with a grant: its lease, and the map, instance and member updates that it
+/// is missing.
+///
+/// `age` is the time since the follower sent the renewal, or `None` if that cannot be determined.
 pub fn handle_renewal(
     state: &mut ControllerState,
     reply_to: SocketAddr,
     renewal: Renewal,
-    lain: Option<Duration>,
+    age: Option<Duration>,
 ) {
     let now = state.now;
     let member = &renewal.member;
-    // Why answered all the same: the grant counts from when the member asked, and only whether it
-    // is alive now hangs on the age of its question.
-    if let Some(age) = lain {
+    // A renewal of unknown age is granted too, because the lease counts from when the follower sent the
+    // request. Only the member's liveness depends on the age.
+    if let Some(age) = age {
         let heard = HeardMember {
             member: member.clone(),
             age,
@@ -55,16 +58,16 @@
                 )
             }),
     };
-    let most_facts = match renewal.extent {
-        ResponseExtent::Full => MOST_GRANTED_FACTS,
-        ResponseExtent::Brief => MOST_BRIEF_FACTS,
+    let max_facts = match renewal.extent {
+        ResponseExtent::Full => MAX_GRANTED_FACTS,
+        ResponseExtent::Brief => MAX_BRIEF_FACTS,
     };
     let role = member.role;
-    let instances = instances_for_follower(state, role, &offsets, most_facts);
-    let members = members_for_follower(state, role, offsets.members, most_facts);
-    let written = state.map(MapName::Placement).mapping();
-    let written = written.map_or(0, |mapping| mapping.proxies);
-    let proxies = written.max(state.members.ready_proxies().count() as u32);
+    let instances = instances_for_follower(state, role, &offsets, max_facts);
+    let members = members_for_follower(state, role, offsets.members, max_facts);
+    let mapping = state.map(MapName::Placement).mapping();
+    let placed_proxies = mapping.map_or(0, |mapping| mapping.proxies);
+    let proxies = placed_proxies.max(state.members.ready_proxies().count() as u32);
     let assured = quorum_read.is_some();
     let (quorum_read_age, versions) = quorum_read.unwrap_or((LEASE_SPAN, Vec::new()));
     let granted = Granted {
@@ -73,7 +76,7 @@
         versions,
         instances: instances.heard,
         instances_offset: instances.offset,
-        gone: state.instances.ended_after(now, offsets.safety),
+        gone: state.instances.ended_after(now, offsets.ended_instances),
         proxies,
         members: members.heard,
         members_offset: members.offset,
@@ -85,132 +88,143 @@
     state.send(reply_to, Message::Grant { granted });
 }
 
-/// How many instances, and how many members, a grant tells at most; a follower that lacks more asks again
-/// at once.
-const MOST_GRANTED_FACTS: usize = 128;
+/// Maximum number of instances, and of members, in a grant. A follower that is missing more requests the rest
+/// immediately.
+const MAX_GRANTED_FACTS: usize = 128;
 
-/// The same for a member that asks several controllers at once.
-const MOST_BRIEF_FACTS: usize = 16;
-/// How many bytes of changes of one map such a member gets.
-const BRIEF_CHANGES_BYTES: usize = 2 * 1024;
-/// Within which time a controller learns what another one that it is in contact with has learned: twice the period
-/// in which controllers tell each other facts.
-const FACT_SPREAD_SPAN: Duration = Duration::from_millis(300);
+/// Maximum number of instances, and of members, in a brief grant, which is for a follower that sends its
+/// request to several controllers at once.
+const MAX_BRIEF_FACTS: usize = 16;
+/// Maximum size of the changes of one map in a brief grant.
+const MAX_BRIEF_UPDATE_BYTES: usize = 2 * 1024;
+/// Time within which facts reach all reachable controllers: twice the interval at which controllers exchange
+/// facts.
+const FACT_PROPAGATION_TIME: Duration = Duration::from_millis(300);
 
-/// After which offsets of our own numbering a follower is told facts.
+/// The offsets in this controller's fact sequence after which a follower receives facts.
 struct FactOffsets {
     instances: u64,
     members: u64,
-    /// The same for instances that drain or ended, to which nothing may be sent.
-    safety: u64,
+    /// The offset for instances that are draining or have ended, which must not receive requests.
+    ended_instances: u64,
 }
 
 impl FactOffsets {
-    /// Another controller numbers its facts otherwise, and so did this one before a restart. A follower that
-    /// comes from there says how long ago it had been told all facts; it lacks what was learned here since, and
-    /// before that only what had not reached the other controller yet. Of instances that drain or ended it is
-    /// told all, whatever reached the other controller.
+    /// Returns the offsets from which a follower needs facts.
+    ///
+    /// Offsets are only valid for the controller incarnation that assigned them. A follower that comes from
+    /// another controller, or from this one before a restart, reports how long ago it had received all facts.
+    /// It is missing the facts learned here since then, and before that only those that had not reached the
+    /// other controller yet. It receives all instances that are draining or have ended, whether or not they
+    /// had reached the other controller.
     fn of(state: &ControllerState, renewal: &Renewal) -> Self {
         if renewal.controller == state.incarnation {
             return Self {
                 instances: renewal.instances_after,
                 members: renewal.members_after,
-                safety: renewal.instances_after,
+                ended_instances: renewal.instances_after,
             };
         }
         let Some(age) = renewal.facts_age else {
             return Self {
                 instances: 0,
                 members: 0,
-                safety: 0,
+                ended_instances: 0,
             };
         };
-        let moment = state.now.saturating_sub(age + FACT_SPREAD_SPAN);
+        let since = state.now.saturating_sub(age + FACT_PROPAGATION_TIME);
         Self {
-            instances: state.instances.offset_before(moment),
-            members: state.members.offset_before(moment),
-            safety: 0,
+            instances: state.instances.offset_before(since),
+            members: state.members.offset_before(since),
+            ended_instances: 0,
         }
     }
 }
 
-/// What a grant tells of instances; only agents are told of them, as directories name proxies.
+/// Returns the instances to include in a grant. Only agents receive them, because directories resolve names
+/// to proxies.
 fn instances_for_follower(
     state: &ControllerState,
     role: Role,
     offsets: &FactOffsets,
-    most_facts: usize,
+    max_facts: usize,
 ) -> FirstFacts<HeardHeartbeat> {
     if role == Role::Directory {
         return FirstFacts::none(state.instances.learned());
     }
     let first = state
         .instances
-        .first_after(state.now, offsets.instances, most_facts);
-    let draining = state
-        .instances
-        .draining_between(state.now, offsets.safety, offsets.instances);
+        .first_after(state.now, offsets.instances, max_facts);
+    let draining =
+        state
+            .instances
+            .draining_between(state.now, offsets.ended_instances, offsets.instances);
     FirstFacts {
         heard: draining.into_iter().chain(first.heard).collect(),
         ..first
     }
 }
 
-/// What a grant tells of members.
+/// Returns the members to include in a grant.
 ///
-/// Only directories are told of them: agents need no more than their number, and with many nodes the list would
-/// be most of what a node hears. Directories name proxies only, and need no instances.
+/// Only directories receive them. Agents need only the number of members, and with many nodes the list would
+/// be most of a node's incoming control traffic.
 fn members_for_follower(
     state: &ControllerState,
     role: Role,
     members_after: u64,
-    most_facts: usize,
+    max_facts: usize,
 ) -> FirstFacts<HeardMember> {
     if role == Role::Proxy {
         return FirstFacts::none(state.members.learned());
     }
     let mut members = state
         .members
-        .first_after(state.now, members_after, most_facts);
+        .first_after(state.now, members_after, max_facts);
     for heard in &mut members.heard {
         heard.member.demand.clear();
     }
     members
 }
 
-/// What a grant holds of the maps that a follower wants.
+/// The updates in a grant for the maps that a follower wants.
 #[derive(Default)]
 struct FollowerMaps {
     updates: Vec<ConsensusMessage>,
-    /// Maps that it has to fetch in pieces.
+    /// Maps that the follower has to fetch in chunks.
     in_chunks: Vec<MapName>,
-    /// Whether it lacks more than the news.
+    /// Whether the follower is missing more changes than `updates` contains.
     more: bool,
 }
 
+/// Returns the changes that a follower is missing, as far as they fit into the grant.
 fn updates_for_follower(
     state: &mut ControllerState,
     follower: SocketAddr,
     renewal: &Renewal,
 ) -> FollowerMaps {
     let now = state.now;
-    let most_bytes = match renewal.extent {
+    let max_bytes = match renewal.extent {
         ResponseExtent::Full => GRANT_UPDATE_BYTES,
-        ResponseExtent::Brief => BRIEF_CHANGES_BYTES,
+        ResponseExtent::Brief => MAX_BRIEF_UPDATE_BYTES,
     };
     let mut maps = FollowerMaps::default();
     for map in renewal.wants.iter().copied() {
-        let held = &renewal.member.versions;
-        let held = held.get(map.index()).copied().unwrap_or_default();
+        let versions = &renewal.member.versions;
+        let version = versions.get(map.index()).copied().unwrap_or_default();
         let voter = &state.voter;
-        match state
-            .snapshots
-            .updates_for_follower(now, voter, map, held, renewal.form, most_bytes)
-        {
+        match state.snapshots.updates_for_follower(
+            now,
+            voter,
+            map,
+            version,
+            renewal.form,
+            max_bytes,
+        ) {
             FollowerUpdate::Nothing => {}
             FollowerUpdate::InChunks => maps.in_chunks.push(map),
-            FollowerUpdate::Partial(part) => {
-                maps.updates.push(part);
+            FollowerUpdate::Partial(changes) => {
+                maps.updates.push(changes);
                 maps.more = true;
             }
             FollowerUpdate::Inline(inline) => {
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -39,119 +39,119 @@
 pub mod parts;
 
 messages! {
-    /// What a controller keeps in a slot.
+    /// The state of a controller that is stored in a slot.
     struct StoredState {
-        /// The number of the node.
+        /// The ID of the node.
         0 node: NodeId,
-        /// Each map with what was promised and accepted, in the order of `ALL_MAPS`.
+        /// Each map with the promised and the accepted proposal, in the order of `ALL_MAPS`.
         1 replicas: Vec<Replica>,
-        /// The founding that was accepted last.
+        /// The last founding that this node accepted.
         2 founding: Option<Founding>,
     }
 }
 
-/// How recent the start of a quorum read must be to count as contact with a majority.
-pub const QUORUM_CONTACT_AGE: Duration = Duration::from_millis(800);
+/// Maximum age of the start of a quorum read that counts as contact with a majority.
+pub const MAX_QUORUM_CONTACT_AGE: Duration = Duration::from_millis(800);
 
-/// All that one controller knows.
+/// The complete state of one controller.
 ///
-/// What must survive a restart is in `voter` and `founding.proposed`; everything else is rebuilt from
-/// what other nodes send.
+/// State that must survive a restart is in `voter` and `founding.proposed`; everything else is rebuilt from
+/// messages of other nodes.
 pub struct ControllerState {
-    /// What the controller was told at its start.
+    /// The options that the controller was started with.
     pub options: ControllerOptions,
-    /// The time of the input that is being handled, by this process's own clock.
+    /// The time of the input that is being handled, by this process's clock.
     pub now: Duration,
-    /// The number of this node, which it keeps over restarts as long as its disk is readable.
+    /// The ID of this node, which stays the same across restarts as long as its disk is readable.
     pub node: NodeId,
-    /// The seeded source of randomness.
+    /// The seeded random source.
     pub random: Chance,
-    /// The incarnation of this process: drawn anew at each start, unlike the node's number.
+    /// The incarnation of this process. Unlike the node ID, it is different after each start.
     pub incarnation: NodeId,
-    /// Stamps messages, and dates those that arrive.
+    /// Adds timestamps to outgoing messages, and determines the age of incoming ones.
     pub envelope_clock: EnvelopeClock,
 
-    /// This node's replicas of all maps, and what it has promised and accepted as a voter.
+    /// This node's replicas of all maps, and the proposals that it has promised and accepted as a voter.
     pub voter: Voter,
     /// One proposer for each map, in the order of `ALL_MAPS`.
     pub proposers: Vec<Proposer>,
-    /// What each proposal in flight was made for, by the proposal's ticket.
+    /// The origin of each proposal in flight, by the proposal's ticket.
     pub proposal_origins: Slab<ProposalOrigin>,
-    /// Since when each map has a change that is neither decided nor known here.
+    /// When each map was first found to have an undecided change, or one that is missing here.
     pub undecided_since: [Option<Duration>; 4],
-    /// Writes to disk.
+    /// The disk, and the writes that are in flight.
     pub storage: Storage,
 
-    /// Snapshots and changes that this node receives.
+    /// Catch-up of this node's replicas from other nodes.
     pub catch_up: CatchUpReceiver,
-    /// Snapshots that this node sends.
+    /// Snapshots that this node sends to others.
     pub snapshots: SnapshotSender,
-    /// Limits how often a complete map is sent in one message.
+    /// Limits how often a full map is sent in one message.
     pub full_map_limit: FullMapLimit,
 
-    /// The founding of the membership.
+    /// The progress of the membership's founding.
     pub founding: FoundingProgress,
-    /// Controllers by their address, each as last heard.
+    /// Other controllers by address, as described by their last seed message.
     pub seeds: BTreeMap<SocketAddr, KnownController>,
 
-    /// Quorum reads.
+    /// The quorum reads in flight, and the results of the last ones.
     pub quorum_reads: QuorumReads,
-    /// When each voter was last heard, and whether it is behind.
+    /// When each controller last responded, and whether it is up to date.
     pub liveness: Liveness,
     /// When the next periodic quorum read is due.
     pub next_quorum_read_at: Duration,
 
-    /// The instances that are heard, here or by another controller.
+    /// The registered instances, whose heartbeats arrive here or at another controller.
     pub instances: Instances,
-    /// Instances' calls that wait for other controllers.
+    /// Instances' calls that wait for responses of other controllers.
     pub instance_calls: Vec<PendingInstanceCall>,
-    /// The number of the last of these calls.
+    /// The number of the last instance call.
     pub last_instance_call: u64,
     /// Reads of the configuration that wait for a quorum read.
     pub reads: Reads,
-    /// Since when this controller has run without a gap of its own.
+    /// When this controller started, or last resumed after a freeze.
     pub running_since: Duration,
     /// The time of the last input.
-    pub took_input_at: Duration,
+    pub last_input_at: Duration,
     /// The time of the last tick.
-    pub ticked_at: Duration,
-    /// Agents and directories that are heard, here or by another controller.
+    pub last_tick_at: Duration,
+    /// Agents and directories, whose renewals arrive here or at another controller.
     pub members: Members,
-    /// When members last renewed here.
+    /// When each member last renewed its lease with this controller.
     pub last_renewals: BTreeMap<NodeId, Duration>,
-    /// What other controllers were sent of instances and members.
+    /// Exchange of instance and member facts with other controllers.
     pub fact_exchange: FactExchange,
 
-    /// One watch for each leadership role.
+    /// The state of each leadership role as seen by this controller.
     pub leaderships: Vec<LeadershipWatch>,
-    /// The solver of the placement, while this controller leads it.
+    /// The placement solver, for the solver role.
     pub solver: Solver,
-    /// The management of key ranges, while this controller leads it.
+    /// The state of the ownership role.
     pub ownership_role: OwnershipRole,
-    /// The management of the voters, while this controller leads it.
+    /// The state of the voter management role.
     pub voter_management: VoterManagement,
-    /// The versions that each node last reported to hold on its disk.
-    pub heard_versions: BTreeMap<NodeId, Vec<Version>>,
-    /// The loss of the majority, if it lasts.
+    /// The versions that each node last reported as synced to its disk.
+    pub reported_synced_versions: BTreeMap<NodeId, Vec<Version>>,
+    /// The loss of the majority, while it lasts.
     pub majority_loss: MajorityLoss,
 
-    /// Since when this controller is shutting down.
+    /// When the graceful shutdown of this controller began, if it did.
     pub stopping_since: Option<Duration>,
-    /// Operators that wait for a change of the configuration.
+    /// Operators that wait for a configuration change.
     pub watchers: Vec<Watcher>,
-    /// Up to which version of the configuration operators may be told that it is accepted: enough agents
-    /// hold it. It never decreases.
-    pub vouched: Version,
+    /// The highest configuration version that may be reported to operators as accepted, because enough agents
+    /// have it. It never decreases.
+    pub confirmed_version: Version,
     /// Changes without a version that are in flight, by the operator's ticket.
     pub unversioned_changes: BTreeMap<u64, UnversionedChange>,
-    /// Responses to operators that wait for the agents.
+    /// Responses to operators that wait until enough agents have a version.
     pub pending_confirmations: Vec<PendingConfirmation>,
     /// The outputs of the input that is being handled.
     pub outputs: Vec<ControllerOutput>,
 }
 
 impl ControllerState {
-    /// The state of a controller that has heard nothing yet.
+    /// Returns the state of a controller that has not received any message yet.
     pub fn new(
         options: ControllerOptions,
         node: NodeId,
@@ -160,8 +160,8 @@
         catch_up: CatchUpReceiver,
         random: Chance,
     ) -> Self {
-        // A proposal number of the incarnation before, which our own voter need not have heard of, must
-        // never be used a second time with another change: so proposers use a number of this incarnation.
+        // A proposal number must never be used for two different changes, and the local voter need not have
+        // seen all numbers that the previous incarnation used. So proposers use the ID of this incarnation.
         let incarnation = NodeId(mix(node.0 ^ random.clone().draw()) >> 1);
         let proposers = ALL_MAPS
             .iter()
@@ -197,8 +197,8 @@
             last_instance_call: 0,
             reads: Reads::default(),
             running_since: Duration::ZERO,
-            took_input_at: Duration::ZERO,
-            ticked_at: Duration::ZERO,
+            last_input_at: Duration::ZERO,
+            last_tick_at: Duration::ZERO,
             members,
             last_renewals: BTreeMap::new(),
             fact_exchange: FactExchange::default(),
@@ -206,11 +206,11 @@
             solver: Solver::default(),
             ownership_role: OwnershipRole::default(),
             voter_management: VoterManagement::default(),
-            heard_versions: BTreeMap::new(),
+            reported_synced_versions: BTreeMap::new(),
             majority_loss: MajorityLoss::default(),
             stopping_since: None,
             watchers: Vec::new(),
-            vouched: Version(0),
+            confirmed_version: Version(0),
             unversioned_changes: BTreeMap::new(),
             pending_confirmations: Vec::new(),
             outputs: Vec::new(),
@@ -218,38 +218,41 @@
         }
     }
 
-    /// This node's replica of a map.
+    /// Returns this node's replica of a map.
     pub fn map(&self, name: MapName) -> &ReplicatedMap {
         self.voter.map(name)
     }
 
-    /// The local version of each map, in the order of `ALL_MAPS`.
+    /// Returns the local version of each map, in the order of `ALL_MAPS`.
     pub fn versions(&self) -> Vec<Version> {
         ALL_MAPS.map(|name| self.map(name).version).to_vec()
     }
 
-    /// Whether a node is alive and has on its disk what this one holds.
-    pub fn is_level(&self, node: NodeId) -> bool {
+    /// Returns whether a node is alive and has synced everything that this one has.
+    pub fn is_synced_replica(&self, node: NodeId) -> bool {
         let own = self.versions();
         self.liveness.alive(self.now, node)
-            && self.heard_versions.get(&node).is_some_and(|synced| {
-                synced.len() == own.len()
-                    && synced.iter().zip(&own).all(|(synced, own)| synced >= own)
-            })
+            && self
+                .reported_synced_versions
+                .get(&node)
+                .is_some_and(|synced| {
+                    synced.len() == own.len()
+                        && synced.iter().zip(&own).all(|(synced, own)| synced >= own)
+                })
     }
 
-    /// The voters, or nothing while the membership is unknown here.
+    /// Returns the voters, or `None` while this node does not know a membership.
     pub fn voters(&self) -> Option<&VoterSet> {
         self.map(MapName::Membership).voters()
     }
 
-    /// Whether this node is a voter, by its own replica of the membership.
+    /// Returns whether this node is a voter according to its replica of the membership.
     pub fn is_voter(&self) -> bool {
         self.voters()
             .is_some_and(|voters| voters.holder(self.node).is_some())
     }
 
-    /// Sends to another node, or to this one by way of the host.
+    /// Sends a message to another node, or to this node itself through the host.
     pub fn send(&mut self, to: SocketAddr, message: Message) {
         self.outputs.push(ControllerOutput::Send { to, message });
     }
@@ -265,7 +268,7 @@
         self.outputs.push(ControllerOutput::LogEvent { event });
     }
 
-    /// Where a node hears this one: a voter's address, or a seed's.
+    /// Returns the address of a node that is a voter or that sent a seed message.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         if let Some(voter) = self.voters().and_then(|voters| voters.holder(node)) {
             return Some(voter.address);
@@ -276,7 +279,7 @@
             .map(|(address, _)| *address)
     }
 
-    /// The other controllers, by the membership and by the seeds.
+    /// Returns the addresses of the other controllers that the membership, the settings and seed messages name.
     pub fn other_controllers(&self) -> BTreeSet<SocketAddr> {
         let membership = self.map(MapName::Membership);
         let mut addresses: BTreeSet<SocketAddr> =
@@ -287,44 +290,44 @@
         addresses
     }
 
-    /// Proposes a change of a map. The outcome is handled by what the origin says.
+    /// Proposes a change of a map. The origin determines how the outcome is handled.
     pub fn propose(&mut self, map: MapName, origin: ProposalOrigin, change: Change) {
         let now = self.now;
         let ticket = self.proposal_origins.insert(origin) as u64;
         self.proposers[map.index()].propose(now, ticket, change);
     }
 
-    /// Whether a proposal of this origin is in flight.
+    /// Returns whether a proposal of this origin is in flight.
     pub fn has_proposal_in_flight(&self, origin: &ProposalOrigin) -> bool {
         self.proposal_origins
             .iter()
             .any(|(_, pending)| pending == origin)
     }
 
-    /// An id for a change of this controller's own that no other incarnation of any node will use.
+    /// Returns an ID for one of this controller's own changes that no other incarnation of any node will use.
     pub fn own_change_id(&mut self, what: &str) -> ChangeId {
-        let draw = self.random.draw();
-        ChangeId::new(format!("{what}-{}-{draw:x}", self.node))
+        let suffix = self.random.draw();
+        ChangeId::new(format!("{what}-{}-{suffix:x}", self.node))
     }
 
-    /// Whether a majority of the voters was heard a moment ago.
+    /// Returns whether a majority of the voters responded within [`MAX_QUORUM_CONTACT_AGE`].
     pub fn has_quorum_contact(&self) -> bool {
         self.quorum_reads
-            .begun_within(self.now, QUORUM_CONTACT_AGE)
+            .begun_within(self.now, MAX_QUORUM_CONTACT_AGE)
             .is_some()
     }
 
-    /// Whether a majority should have been heard by now and was not.
+    /// Returns whether a majority should have responded by now but has not.
     ///
-    /// A controller that has just started or woken up has asked nobody yet, and one that knows no
-    /// membership yet is about to found it: neither counts as cut off.
-    pub fn lacks_quorum_contact(&self) -> bool {
-        let has_run = self.now.saturating_sub(self.running_since) >= QUORUM_CONTACT_AGE;
+    /// A controller that has just started or resumed has not sent any request yet, and one that knows no
+    /// membership may be about to found it. Neither counts as partitioned.
+    pub fn has_lost_quorum_contact(&self) -> bool {
+        let has_run = self.now.saturating_sub(self.running_since) >= MAX_QUORUM_CONTACT_AGE;
         let knows_voters = self.voters().is_some();
         has_run && knows_voters && !self.has_quorum_contact()
     }
 
-    /// Until when this controller can vouch for what it knows, by its last quorum read.
+    /// Returns until when this controller's state counts as current according to its last quorum read.
     pub fn current_until(&self) -> Duration {
         let confirmed = self.quorum_reads.confirmed(self.now);
         confirmed.map_or(Duration::ZERO, |quorum_read| {
@@ -332,21 +335,21 @@
         })
     }
 
-    /// Whether a map lacks more here than the one change that may be undecided.
+    /// Returns whether this node's replica of a map is missing more than the one change that may be undecided.
     ///
-    /// The last change does not count: it may be undecided for a while, and a fleet whose members all wait
-    /// for it would have no leader. Each write of a leader is fenced on top of this.
+    /// The last change does not count: it may stay undecided for a while, and if all controllers waited for
+    /// it there would be no leader. Each write of a leader is fenced in addition.
     pub fn is_behind(&self, name: MapName) -> bool {
-        let after_next = |quorum_read: &QuorumRead| {
+        let misses_more_than_next = |quorum_read: &QuorumRead| {
             quorum_read.versions[name.index()] > self.map(name).version.next()
         };
         self.quorum_reads
             .confirmed(self.now)
-            .is_some_and(after_next)
+            .is_some_and(misses_more_than_next)
     }
 
-    /// Whether this controller knows the latest version of a map, by a quorum read under the present
-    /// membership (see `QuorumRead::is_under`).
+    /// Returns whether this controller has the latest version of a map, according to a quorum read under the
+    /// current membership (see `QuorumRead::is_under`).
     pub fn is_current(&self, name: MapName) -> bool {
         let membership = self.map(MapName::Membership).version;
         let confirmed = self.quorum_reads.confirmed(self.now);
--- a/crates/controller/src/state/options.rs
+++ b/crates/controller/src/state/options.rs
@@ -1,4 +1,4 @@
-//! The options that a controller starts with.
+//! The options that a controller is started with.
 
 use std::net::SocketAddr;
 
@@ -12,29 +12,29 @@
 /// The default capacity of the log, in bytes.
 const DEFAULT_LOG_BYTES: u64 = 8 * 1024 * 1024;
 
-/// What a controller is told at its start.
+/// Options of a controller.
 #[derive(Debug, Clone)]
 pub struct ControllerOptions {
-    /// Where other nodes reach this controller.
+    /// The address at which other nodes reach this controller.
     pub control: SocketAddr,
     /// The failure domain that it runs in.
     pub zone: Zone,
-    /// The addresses of the first controllers, in an order that is the same on all of them.
+    /// The addresses of the initial controllers, in the same order on all of them.
     pub seeds: Vec<SocketAddr>,
     /// The capacity of each of the two slots on disk, in bytes.
     pub slot_capacity: u64,
     /// The capacity of the log between two slots, in bytes.
     pub log_capacity: u64,
-    /// Time-outs and limits of proposals.
+    /// Timeouts and limits of proposals.
     pub proposer: ProposerOptions,
-    /// The policy that the operators set.
+    /// The policy set by the operators.
     pub core: CorePolicy,
-    /// The safeguard that a test leaves out.
+    /// The safeguard that a test disables.
     pub fault_injection: FaultInjection,
 }
 
 impl ControllerOptions {
-    /// Options with the default policy and disk capacity.
+    /// Returns options with the default policy and disk capacity.
     pub fn new(control: SocketAddr, zone: Zone, seeds: Vec<SocketAddr>) -> Self {
         Self {
             control,
--- a/crates/controller/src/state/parts.rs
+++ b/crates/controller/src/state/parts.rs
@@ -1,4 +1,4 @@
-//! Parts of a controller's state that belong to one concern each.
+//! Parts of a controller's state, each of which belongs to one concern.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use caperworks::ownership::OwnerManager;
 use caperworks::replicated_map::MapName;
 
-/// What a proposal was made for; decides what is done with its outcome.
+/// The origin of a proposal, which determines how its outcome is handled.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ProposalOrigin {
     /// An operator's change of the configuration, with the ticket of the call.
     Operator(u64),
-    /// An operator's change of the roster, with the ticket of the call.
+    /// An operator's change of the fallback members, with the ticket of the call.
     FallbackMembers(u64),
-    /// The solver's placement.
+    /// A placement computed by the solver.
     Solver,
-    /// A change of key ownership.
+    /// A change of key range ownership.
     Ownership,
-    /// The take-over or hand-over of a leadership role.
+    /// The acquisition or handover of a leadership role.
     Leadership(&'static str),
-    /// The fence of a map under a new term.
+    /// The fence that a new term sets in a map.
     Fence(MapName),
-    /// A change of the voters or of the roster.
+    /// A change of the voters or of the fallback members.
     VoterManagement,
 }
 
-/// A controller as last heard at its address.
+/// A controller as described by the last seed message from its address.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KnownController {
-    /// Its number, which changes when it loses its disk.
+    /// Its node ID, which changes when it loses its disk.
     pub node: NodeId,
     /// The failure domain that it runs in.
     pub zone: Zone,
@@ -39,69 +39,69 @@
     pub founded: bool,
 }
 
-/// An operator that waits for a change of the configuration.
+/// An operator that waits for a configuration change.
 #[derive(Debug, Clone)]
 pub struct Watcher {
-    /// Names the call.
+    /// Identifies the call.
     pub ticket: u64,
     /// The version that the caller has.
     pub after: Version,
-    /// When it gets a response without a change.
+    /// When the call gets a response even without a change.
     pub until: Duration,
 }
 
-/// A response to an operator that may be given once enough agents hold a version.
+/// A response to an operator that may be sent once enough agents have a version.
 #[derive(Debug, Clone)]
 pub struct PendingConfirmation {
-    /// Names the call.
+    /// Identifies the call.
     pub ticket: u64,
-    /// The version that the agents must hold.
+    /// The version that the agents must have.
     pub version: Version,
-    /// When the wait ends.
+    /// When the wait times out.
     pub until: Duration,
-    /// The response once they do.
+    /// The response once enough agents have the version.
     pub response: OperatorResponse,
-    /// The response when they do not in time.
-    pub otherwise: OperatorResponse,
+    /// The response if the wait times out.
+    pub response_on_timeout: OperatorResponse,
 }
 
-/// The founding of the membership by controllers that know none.
+/// Progress of the membership's founding by controllers that know no membership.
 #[derive(Debug, Clone, Default)]
 pub struct FoundingProgress {
-    /// The founding that this node accepted last; it is on disk.
+    /// The last founding that this node accepted, which is stored on disk.
     pub proposed: Option<Founding>,
-    /// The nodes that accepted the founding that this node proposed.
+    /// The nodes that accepted the founding proposed by this node.
     pub accepted_by: BTreeSet<NodeId>,
-    /// When the other controllers are asked next.
+    /// When the next seed requests are due.
     pub next_ask_at: Duration,
 }
 
-/// The management of key ranges.
+/// The state of the ownership role.
 #[derive(Debug, Default)]
 pub struct OwnershipRole {
-    /// Plans key ranges and grants leases of them.
+    /// Plans key range assignments and grants key range leases.
     pub manager: OwnerManager,
-    /// The epoch under which the manager took up, while this controller leads.
+    /// The epoch of the manager's current term, while this controller is the leader.
     pub epoch: Option<Epoch>,
-    /// The epoch under which the incarnation before led, as the disk tells.
-    pub former_term: Option<Epoch>,
-    /// When key ranges are planned next.
+    /// The epoch under which the previous incarnation was the leader, as recovered from disk.
+    pub previous_epoch: Option<Epoch>,
+    /// When key ranges are next planned.
     pub next_plan_at: Duration,
 }
 
-/// The management of the voters.
+/// The state of the voter management role.
 #[derive(Debug, Clone, Default)]
 pub struct VoterManagement {
-    /// Since when each voter that is not heard has been lost.
+    /// When each unreachable voter last responded.
     pub lost_since: BTreeMap<NodeId, Duration>,
     /// When a change that cannot be made was last logged.
     pub rejection_logged_at: Duration,
 }
 
-/// How long no majority of the voters has been heard.
+/// The time without contact to a majority of the voters.
 #[derive(Debug, Clone, Default)]
 pub struct MajorityLoss {
-    /// Since when no quorum read is recent enough.
+    /// When the last quorum read was first found to be too old.
     pub since: Option<Duration>,
     /// When the loss was last logged.
     pub logged_at: Duration,
--- a/crates/controller/src/state_machine/mod.rs
+++ b/crates/controller/src/state_machine/mod.rs
@@ -95,7 +95,7 @@
             ControllerInput::SeedsChanged { seeds } => state.options.seeds = seeds,
         }
         reads::respond_to_reads(state);
-        agents::respond_to_waiting(state);
+        agents::respond_to_pending_confirmations(state);
         operator_calls::respond_to_watchers(state);
         std::mem::take(&mut state.outputs)
     }
@@ -103,9 +103,9 @@
 
 /// Sets the present time, and records when this controller was not running before it.
 fn advance_clock(state: &mut ControllerState, now: Duration) {
-    if now.saturating_sub(state.took_input_at) >= FREEZE_GAP {
+    if now.saturating_sub(state.last_input_at) >= FREEZE_GAP {
         state.running_since = now;
     }
-    state.took_input_at = now;
+    state.last_input_at = now;
     state.now = now;
 }
--- a/crates/controller/src/state_machine/operator_messages.rs
+++ b/crates/controller/src/state_machine/operator_messages.rs
@@ -106,5 +106,5 @@
     /// Agents on the roster, and whether each is in touch.
     pub fallback_members: Vec<(SocketAddr, bool)>,
     /// Up to which version operators were or could be told that a change is accepted.
-    pub vouched: Version,
+    pub confirmed_version: Version,
 }
--- a/crates/controller/src/state_machine/startup.rs
+++ b/crates/controller/src/state_machine/startup.rs
@@ -109,7 +109,7 @@
     state.founding.proposed = recovered.founding;
     let former = state.map(MapName::Membership).leadership(OWNERSHIP);
     let former = former.filter(|term| term.holder == state.node);
-    state.ownership_role.former_term = former.map(|term| term.epoch);
+    state.ownership_role.previous_epoch = former.map(|term| term.epoch);
     for event in recovered.damage {
         state.log_event(event);
     }
--- a/crates/controller/src/state_machine/ticks.rs
+++ b/crates/controller/src/state_machine/ticks.rs
@@ -43,8 +43,8 @@
         .filter(|(_, renewed)| now.saturating_sub(**renewed) >= timeout)
         .map(|(node, _)| *node)
         .collect();
-    let has_listened = now.saturating_sub(state.ticked_at) < timeout / 2;
-    state.ticked_at = now;
+    let has_listened = now.saturating_sub(state.last_tick_at) < timeout / 2;
+    state.last_tick_at = now;
     for node in silent {
         state.last_renewals.remove(&node);
         if has_listened {
--- a/crates/controller/tests/catch_up_stories.rs
+++ b/crates/controller/tests/catch_up_stories.rs
@@ -589,7 +589,7 @@
     for _ in 0..200 {
         fleet.step();
         let node = fleet.state(2).node;
-        let heard = fleet.state(0).heard_versions.get(&node);
+        let heard = fleet.state(0).reported_synced_versions.get(&node);
         reported |=
             heard.is_some_and(|versions| versions[MapName::Configuration.index()] >= highest);
     }
@@ -601,7 +601,7 @@
     fleet.runs_until_level(2);
     fleet.runs(Duration::from_secs(2));
     let node = fleet.state(2).node;
-    let heard = &fleet.state(0).heard_versions[&node];
+    let heard = &fleet.state(0).reported_synced_versions[&node];
     assert!(
         heard[MapName::Configuration.index()] >= highest,
         "synced, it tells"
