--- a/crates/controller/src/state_machine/dispatch.rs
+++ b/crates/controller/src/state_machine/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of messages: each kind goes to the module that handles it.
+//! Dispatch of messages to the modules that handle them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use caperworks::identifiers::NodeId;
 use caperworks::messages::{Envelope, Message};
 
-/// Handles a message of another node, or of this one.
+/// Handles a message from another node, or from this one.
 ///
-/// Its age is taken from the stamps of its envelope; a message that cannot be dated has none, and each
+/// The age of the message is computed from the timestamps in its envelope. If it cannot be determined, each
 /// handler decides whether that matters. Messages that are meant for followers are ignored.
 pub(super) fn handle_message(state: &mut ControllerState, envelope: Envelope) {
     let age = state.envelope_clock.open(state.now, &envelope);
@@ -45,7 +45,7 @@
         | Message::FactConfirmed { .. }
         | Message::HeartbeatForward { .. }
         | Message::HeartbeatReply { .. } => handle_facts(state, sender, message, age),
-        // These are for followers, and a controller is none.
+        // These messages are meant for followers.
         Message::Grant { .. }
         | Message::Pull { .. }
         | Message::View { .. }
@@ -54,13 +54,13 @@
     }
 }
 
-/// Who sent a message, and where it hears responses.
+/// The sender of a message, and the address for responses.
 struct Sender {
     from: NodeId,
     reply_to: SocketAddr,
 }
 
-/// Messages of consensus, quorum reads and founding.
+/// Handles messages of consensus, quorum reads and founding.
 fn handle_consensus(state: &mut ControllerState, sender: Sender, message: Message) {
     let Sender { from, reply_to } = sender;
     match message {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Messages about instances and members.
+/// Handles messages about instances and members.
 fn handle_facts(
     state: &mut ControllerState,
     sender: Sender,
--- a/crates/controller/src/state_machine/event.rs
+++ b/crates/controller/src/state_machine/event.rs
@@ -1,4 +1,4 @@
-//! Events of the controller that are worth a line in the log.
+//! Events of the controller that are written to the log.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,16 @@
 use caperworks::identifiers::{Epoch, InstanceId, NodeId, Version};
 use caperworks::replicated_map::MapName;
 
-/// An event; the daemon writes it under its number in the catalogue.
+/// An event, which the daemon logs under its number in the event catalogue.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// This controller founded the membership.
     Founded,
-    /// A map reached a new version here.
+    /// This node's replica of a map reached a new version.
     MapUpdated {
         /// The map.
         map: MapName,
-        /// Its version now.
+        /// The new version.
         version: Version,
     },
     /// This controller proposes itself for a leadership role.
@@ -30,62 +30,62 @@
         /// The epoch of the term.
         epoch: Epoch,
     },
-    /// The state no longer fits into a slot of the disk; nothing is written any more.
+    /// The state no longer fits into a disk slot, so nothing is written any more.
     StateTooLarge {
         /// The size of the encoded state.
         bytes: u64,
     },
-    /// The disk refused a write.
+    /// A write to disk failed.
     DiskWriteFailed,
-    /// A complete slot was written after the disk had refused a write.
+    /// A complete slot was written after a failed write.
     DiskRecovered,
-    /// The disk's contents cannot be read; the controller starts under a new number.
+    /// The disk's contents cannot be read, so the controller starts with a new node ID.
     DiskDamaged {
-        /// What happened, in words.
+        /// Describes the damage.
         why: String,
     },
-    /// An instance was not heard for its span, and is deregistered.
+    /// An instance was deregistered because it sent no heartbeat within its lifetime.
     InstanceExpired {
         /// The instance.
         id: InstanceId,
     },
-    /// An agent or a directory was not heard for its span.
+    /// An agent or a directory was removed because it did not renew within its lifetime.
     MemberExpired {
-        /// The number of the node.
+        /// The ID of the node.
         node: NodeId,
     },
-    /// A change of the voters is proposed.
+    /// A voter change was proposed.
     VoterChangeProposed {
-        /// What happened, in words.
+        /// The reason for the change.
         why: String,
     },
-    /// A change of the voters is due, and would leave fewer live voters than a majority.
+    /// A voter change is due but would leave fewer live voters than a majority.
     VoterChangeRejected {
-        /// What happened, in words.
+        /// The reason for the change, and the number of live voters after it.
         why: String,
     },
-    /// A write of a leadership role was rejected because another term has fenced the map.
+    /// A leader's write was rejected because another term has fenced the map.
     Fenced {
-        /// What the write was for, and the items that conflict.
+        /// The origin of the write, and the items that conflict.
         what: String,
     },
     /// A chunk of a snapshot was rejected.
     ChunkRejected {
         /// The map.
         map: MapName,
-        /// Where the chunk came from.
+        /// The address of the sender.
         from: SocketAddr,
-        /// What happened, in words.
+        /// Why the chunk was rejected.
         why: ChunkError,
     },
-    /// No majority of the voters has been heard for a while.
+    /// No majority of the voters has responded within the timeout.
     MajorityLost {
-        /// What happened, in words.
+        /// The voters that are unreachable.
         why: String,
     },
-    /// The shutdown went on although too few other controllers hold this one's state.
+    /// The shutdown completed although too few other controllers have this one's state.
     ShutdownIncomplete {
-        /// What happened, in words.
+        /// How many other controllers have the state, and how many should.
         why: String,
     },
 }
--- a/crates/controller/src/state_machine/input.rs
+++ b/crates/controller/src/state_machine/input.rs
@@ -1,4 +1,4 @@
-//! Inputs of the controller's state machine: everything that may change its state.
+//! Inputs of the controller's state machine: everything that can change its state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,56 +9,56 @@
 use caperworks::identifiers::InstanceId;
 use caperworks::messages::Envelope;
 
-/// One input. Each is handled to its end before the next, at the time that the host passes beside it.
+/// An input. Each input is handled completely before the next, at the time that the host passes with it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerInput {
-    /// Time passed: periodic work that is due is done. The host gives one every few milliseconds.
+    /// Time passed: the periodic work that is due is done. The host sends a tick every few milliseconds.
     Tick,
-    /// A message arrived from another node, or from this one by way of the host.
+    /// A message arrived from another node, or from this one through the host.
     MessageReceived {
-        /// The message with its sender and its stamps.
+        /// The message with its sender and timestamps.
         envelope: Envelope,
     },
-    /// The write with this ticket, and every write before it, is on disk.
+    /// The write with this ticket, and every write before it, is synced to disk.
     WriteSynced {
-        /// The ticket that the output to write had.
+        /// The ticket of the write output.
         ticket: u64,
     },
-    /// The write with this ticket failed: nothing that waits for a write may leave any more.
+    /// The write with this ticket failed: outputs that wait for a write must not be sent.
     WriteFailed {
-        /// The ticket that the output to write had.
+        /// The ticket of the write output.
         ticket: u64,
     },
     /// A call of an operator over HTTP.
     OperatorCall {
-        /// Names the call in the output that responds to it.
+        /// Identifies the call in the output that responds to it.
         ticket: u64,
         /// The call.
         call: OperatorCall,
-        /// When the head of the call was read, by the clock of the inputs.
+        /// When the head of the request was read, on the clock of the inputs.
         received_at: Duration,
     },
-    /// The platform asks for a graceful shutdown.
+    /// The platform requests a graceful shutdown.
     Shutdown,
-    /// A heartbeat that an instance sent straight to this controller.
+    /// A heartbeat that an instance sent directly to this controller.
     Heartbeat {
-        /// Names the call in the output that responds to it.
+        /// Identifies the call in the output that responds to it.
         ticket: u64,
         /// The heartbeat.
         heartbeat: Heartbeat,
-        /// The last stamp that the instance had from this controller, which dates the heartbeat.
+        /// The last timestamp that the instance received from this controller, which tells the heartbeat's age.
         echo: Option<Echo>,
     },
     /// An instance reports that this incarnation of it has ended.
     InstanceEnded {
-        /// Names the call in the output that responds to it.
+        /// Identifies the call in the output that responds to it.
         ticket: u64,
         /// The instance.
         id: InstanceId,
     },
-    /// The settings were read again: the seeds that they name now.
+    /// The settings were reloaded.
     SeedsChanged {
-        /// The addresses of the first controllers.
+        /// The addresses of the initial controllers in the new settings.
         seeds: Vec<SocketAddr>,
     },
 }
--- a/crates/controller/src/state_machine/mod.rs
+++ b/crates/controller/src/state_machine/mod.rs
@@ -1,9 +1,9 @@
-//! The controller's state machine: it takes inputs and returns outputs, and does no I/O of its own.
+//! The controller's state machine: it handles inputs, returns outputs, and does no I/O of its own.
 //!
-//! Time, randomness, disk and network come in from outside, so that the same code runs in the daemon
-//! and under the seeded simulator. Each module here does one job: [`startup`] builds the state from
-//! what lies on disk, [`dispatch`] hands each message to its handler, [`ticks`] does periodic work,
-//! [`storage`] writes to disk and holds back what must not leave before, [`shutdown`] ends gracefully.
+//! Time, randomness, disk and network are provided from outside, so that the same code runs in the daemon
+//! and in the seeded simulator. [`startup`] builds the state from the disk's contents, [`dispatch`] passes
+//! each message to its handler, [`ticks`] does periodic work, [`storage`] writes to disk and holds outputs
+//! back until a write is synced, and [`shutdown`] implements the graceful shutdown.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,20 +27,20 @@
 pub mod storage;
 pub mod ticks;
 
-/// A gap between two inputs that is longer than this was a freeze: ticks come far more often.
+/// Minimum gap between two inputs that counts as a freeze of the process. Ticks arrive far more often.
 const FREEZE_GAP: Duration = Duration::from_millis(500);
 
 /// One controller without its I/O.
 pub struct ControllerMachine {
-    /// All that the controller knows. Only the handlers of inputs change it.
+    /// The controller's state. Only the handlers of inputs change it.
     pub state: ControllerState,
 }
 
 impl ControllerMachine {
-    /// Starts from what lies on disk. The outputs are to be carried out before the first input.
+    /// Starts from the contents of the disk. The outputs must be carried out before the first input.
     ///
     /// Contents that cannot be read are logged and treated as an empty disk. `seed` must differ at each
-    /// start: the number of a new node and the incarnation are drawn from it.
+    /// start, because the ID of a new node and the incarnation are generated from it.
     pub fn start(
         options: ControllerOptions,
         image: &DiskImage,
@@ -50,12 +50,12 @@
         (Self { state }, outputs)
     }
 
-    /// The number of this node, which it keeps over restarts as long as its disk is readable.
+    /// Returns the ID of this node, which stays the same across restarts as long as its disk is readable.
     pub fn node(&self) -> NodeId {
         self.state.node
     }
 
-    /// Makes a message ready to leave for another process.
+    /// Wraps a message in an envelope with sender and timestamps.
     pub fn seal(&self, to: SocketAddr, message: Message) -> Envelope {
         let state = &self.state;
         state
@@ -63,7 +63,7 @@
             .seal(state.now, state.options.control, to, message)
     }
 
-    /// Handles one input at the present time, and returns what follows from it.
+    /// Handles one input at the time `now`, and returns the resulting outputs.
     ///
     /// `now` never goes backwards from one input to the next.
     pub fn input(&mut self, now: Duration, input: ControllerInput) -> Vec<ControllerOutput> {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Sets the present time, and records when this controller was not running before it.
+/// Sets the current time, and records whether this controller has just resumed after a freeze.
 fn advance_clock(state: &mut ControllerState, now: Duration) {
     if now.saturating_sub(state.last_input_at) >= FREEZE_GAP {
         state.running_since = now;
--- a/crates/controller/src/state_machine/operator_messages.rs
+++ b/crates/controller/src/state_machine/operator_messages.rs
@@ -1,4 +1,4 @@
-//! What operators and instances ask of a controller, and what it responds.
+//! Calls of operators to a controller, and its responses to operators and instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use caperworks::ownership::TimestampedResponse;
 use caperworks::replicated_map::{Change, ReplicatedMap};
 
-/// A call of an operator, read and checked as to its form.
+/// A call of an operator, parsed from a request whose form is valid.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorCall {
     /// Propose a change of the configuration.
@@ -26,14 +26,14 @@
     },
     /// Read the complete configuration.
     Read,
-    /// Wait for changes of the configuration after a version, and no longer than `wait`.
+    /// Wait for configuration changes after a version, but no longer than `wait`.
     Watch {
         /// The version that the caller has.
         after: Version,
-        /// How long the caller waits at most.
+        /// The maximum time that the caller waits.
         wait: Duration,
     },
-    /// Remove agents from the roster that will not come back.
+    /// Remove agents that will not come back from the fallback members.
     Retire {
         /// The addresses of the agents.
         dropped: Vec<SocketAddr>,
@@ -45,9 +45,9 @@
 /// The response to a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorResponse {
-    /// How the proposal of a change ended.
+    /// The outcome of a proposed change.
     ProposalOutcome {
-        /// How the proposal ended.
+        /// The outcome.
         proposal_outcome: ProposalOutcome,
     },
     /// The complete configuration.
@@ -59,31 +59,31 @@
     Changes {
         /// The version up to which changes are included.
         version: Version,
-        /// The changes after the version that the caller has, or a snapshot in their place.
+        /// The changes after the version that the caller has, or a snapshot instead.
         update: Option<ConsensusMessage>,
-        /// Whether a majority was heard a moment ago; if not, there may be later changes.
+        /// Whether this controller has recent contact to a majority; if not, there may be later changes.
         is_current: bool,
     },
     /// The controller's view of the fleet.
     Status {
-        /// What this controller knows.
+        /// The status.
         status: Box<ControllerStatus>,
     },
     /// An instance's call is acknowledged.
     Heartbeat {
-        /// The response, with a stamp that the instance gives back with its next heartbeat.
+        /// The response, with a timestamp that the instance returns with its next heartbeat.
         response: TimestampedResponse,
     },
-    /// This controller cannot vouch for what it knows; the caller is to ask another.
+    /// This controller cannot confirm that its state is current; the caller should try another one.
     NotCurrent,
-    /// This controller is shutting down; the caller is to ask another. Nothing was applied.
+    /// This controller is shutting down; the caller should try another one. Nothing was applied.
     ShuttingDown,
 }
 
-/// A controller's view of the fleet, as the status resource shows it.
+/// A controller's view of the fleet, as reported by the status resource.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ControllerStatus {
-    /// The number of this node.
+    /// The ID of this node.
     pub node: NodeId,
     /// The failure domain that this node runs in.
     pub zone: Zone,
@@ -91,20 +91,20 @@
     pub versions: Vec<Version>,
     /// Whether a recent quorum read confirmed that the local configuration is the latest.
     pub is_current: bool,
-    /// Whether the disk refused a write that was not made up for yet.
+    /// Whether a write failed and no complete slot has been written since.
     pub is_disk_failing: bool,
-    /// The voters, and whether each is heard.
+    /// The voters, and whether each is alive.
     pub voters: Vec<(VoterEntry, bool)>,
-    /// The leadership roles, each with its present term.
+    /// The leadership roles, each with its current term.
     pub leaderships: Vec<(&'static str, Option<LeadershipTerm>)>,
-    /// Agents and directories that renew their leases.
+    /// The agents and directories that renew their leases.
     pub members: Vec<Member>,
     /// The last heartbeat of each live instance.
     pub instances: Vec<Heartbeat>,
-    /// The placement in force.
+    /// The current placement.
     pub mapping: Option<Mapping>,
-    /// Agents on the roster, and whether each is in touch.
+    /// The fallback members, and whether each is reachable.
     pub fallback_members: Vec<(SocketAddr, bool)>,
-    /// Up to which version operators were or could be told that a change is accepted.
+    /// The highest configuration version that may be reported to operators as accepted.
     pub confirmed_version: Version,
 }
--- a/crates/controller/src/state_machine/output.rs
+++ b/crates/controller/src/state_machine/output.rs
@@ -1,4 +1,4 @@
-//! Outputs of the controller's state machine: what its host sends, writes, answers and logs.
+//! Outputs of the controller's state machine: messages, writes, responses and log events for its host.
 
 use std::net::SocketAddr;
 
@@ -7,26 +7,26 @@
 use caperworks::messages::Message;
 use caperworks::slots::DiskWrite;
 
-/// One thing for the host to do; outputs are carried out in the order in which they are returned.
+/// An action for the host. Outputs are carried out in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerOutput {
-    /// Send a message to another node, or give it back as an input when it is addressed to this one.
+    /// Send a message to another node, or pass it back as an input if it is addressed to this one.
     Send {
         /// The address of the receiver.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// Write to disk and sync; the host reports `Synced` or `WriteFailed` under this ticket.
+    /// Write to disk and sync. The host reports `WriteSynced` or `WriteFailed` with this ticket.
     Write {
-        /// Names the write.
+        /// Identifies the write.
         ticket: u64,
-        /// What to write, in this sequence.
+        /// The writes, in order.
         writes: Vec<DiskWrite>,
     },
     /// Respond to the call with this ticket. Each call gets at most one response.
     Respond {
-        /// Names the call.
+        /// Identifies the call.
         ticket: u64,
         /// The response.
         response: OperatorResponse,
@@ -36,6 +36,6 @@
         /// The event.
         event: Event,
     },
-    /// The graceful shutdown is done: the process may exit.
+    /// The graceful shutdown is complete: the process may exit.
     ShutdownComplete,
 }
--- a/crates/controller/src/state_machine/shutdown.rs
+++ b/crates/controller/src/state_machine/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: leadership roles are handed over and calls are finished first.
+//! Graceful shutdown: hands over leadership roles and completes calls before the process stops.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use caperworks::leadership::LEADERSHIPS;
 use caperworks::replicated_map::MapName;
 
-/// How long a graceful shutdown waits for leadership roles, operators' calls and replicas.
+/// Maximum time that a graceful shutdown waits for handovers, operators' calls and replicas.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Ends a graceful shutdown once no call waits for this controller, it leads nothing, and enough other
-/// controllers hold its state on disk; or once the time-out is over, which is logged when replicas lack.
+/// Completes a graceful shutdown once no call is pending, this controller leads nothing, and enough other
+/// controllers have synced its state, or once the timeout has passed. Missing replicas are then logged.
 pub(super) fn stop_when_done(state: &mut ControllerState) {
     let Some(since) = state.stopping_since else {
         return;
@@ -26,13 +26,14 @@
         return;
     }
     if replicas < needed {
-        let why = format!("{replicas} other controllers hold it all, {needed} should");
+        let why =
+            format!("{replicas} other controllers have the complete state, {needed} required");
         state.log_event(Event::ShutdownIncomplete { why });
     }
     state.outputs.push(ControllerOutput::ShutdownComplete);
 }
 
-/// Whether this controller holds a leadership role, or an operator waits for it.
+/// Returns whether this controller has a leadership role, or an operator's call is pending.
 fn has_unfinished_work(state: &ControllerState) -> bool {
     let membership = state.map(MapName::Membership);
     let is_leader = LEADERSHIPS
--- a/crates/controller/src/state_machine/startup.rs
+++ b/crates/controller/src/state_machine/startup.rs
@@ -1,4 +1,4 @@
-//! Startup: builds the controller's state from what lies on disk.
+//! Startup: builds the controller's state from the contents of its disk.
 
 use crate::state::options::ControllerOptions;
 use crate::state::{ControllerState, StoredState};
@@ -14,15 +14,15 @@
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 use caperworks::slots::{DiskImage, Recovery, SlotDisk};
 
-/// What a start finds on disk.
+/// The state that was recovered from disk.
 struct RecoveredState {
     node: NodeId,
     founding: Option<Founding>,
     voter: Voter,
     disk: SlotDisk,
-    /// Whether nothing usable was found, so that a complete slot must be written first.
+    /// Whether no usable state was found, so that a complete slot must be written first.
     is_fresh: bool,
-    /// What could not be read.
+    /// The parts that could not be read.
     damage: Vec<Event>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes the state of a slot over and replays the log that follows it.
+    /// Restores the state from a slot and replays the log that follows it.
     fn restore(&mut self, stored: StoredState, log: Vec<Vec<u8>>) {
         self.is_fresh = false;
         self.node = stored.node;
@@ -48,17 +48,17 @@
             match minicbor::decode::<Record>(&line) {
                 Ok(record) => self.voter.replay(record),
                 Err(_) => self.damage.push(Event::DiskDamaged {
-                    why: "a log line cannot be read".to_string(),
+                    why: "a log record cannot be decoded".to_string(),
                 }),
             }
         }
     }
 }
 
-/// Reads slots and log.
+/// Recovers the state from the slots and the log.
 ///
-/// A disk that is damaged anywhere counts as empty: half of what was promised is worse than nothing.
-/// Under a new number the node holds no vote, and copies the maps from the others.
+/// A disk that is damaged anywhere is treated as empty, because a voter that has lost some of its promises
+/// could break consensus. With a new ID the node is not a voter, and copies the maps from the others.
 fn recover(options: &ControllerOptions, image: &DiskImage, random: &mut Chance) -> RecoveredState {
     let mut recovered = RecoveredState::empty(options, random);
     match recovered.disk.recover(image) {
@@ -68,7 +68,7 @@
                 recovered.restore(stored, lines)
             }
             _ => recovered.damage.push(Event::DiskDamaged {
-                why: "the slot's contents cannot be read".to_string(),
+                why: "the state in the slot cannot be decoded".to_string(),
             }),
         },
         Recovery::Damaged(damage) => recovered.damage.push(Event::DiskDamaged {
@@ -87,7 +87,7 @@
     recovered
 }
 
-/// Builds the state of a controller that starts now, and the outputs of its start.
+/// Builds the state of a starting controller, and returns it with the outputs of its start.
 pub(super) fn start(
     options: ControllerOptions,
     image: &DiskImage,
@@ -107,9 +107,9 @@
         random,
     );
     state.founding.proposed = recovered.founding;
-    let former = state.map(MapName::Membership).leadership(OWNERSHIP);
-    let former = former.filter(|term| term.holder == state.node);
-    state.ownership_role.previous_epoch = former.map(|term| term.epoch);
+    let last_term = state.map(MapName::Membership).leadership(OWNERSHIP);
+    let own_term = last_term.filter(|term| term.holder == state.node);
+    state.ownership_role.previous_epoch = own_term.map(|term| term.epoch);
     for event in recovered.damage {
         state.log_event(event);
     }
--- a/crates/controller/src/state_machine/storage.rs
+++ b/crates/controller/src/state_machine/storage.rs
@@ -1,7 +1,7 @@
-//! Writes to disk, and the outputs that must not leave before a write is synced.
+//! Writes to disk, and the outputs that must not be released before a write is synced.
 //!
-//! Invariant: a message that promises something, such as a vote, leaves only after what it promises is
-//! on disk. So each write carries the outputs that depend on it, and a failed write drops them.
+//! Invariant: a message that makes a promise, such as a vote, is sent only after the promise has been synced
+//! to disk. So each write carries the outputs that depend on it, and a failed write drops them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,38 +14,38 @@
 use caperworks::identifiers::Version;
 use caperworks::slots::{DiskWrite, SlotDisk};
 
-/// How long after a failed write a complete slot is tried.
-const WRITE_RETRY_PERIOD: Duration = Duration::from_secs(1);
+/// Time after a failed write until the controller tries to write a complete slot.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A write that is not synced yet.
+/// A write that has not been synced yet.
 struct PendingWrite {
     ticket: u64,
-    /// The versions of all maps that the write brings to disk.
+    /// The versions of all maps that are on disk after the write.
     versions: Vec<Version>,
-    /// What may leave once the write is synced.
+    /// The outputs to release once the write is synced.
     outputs: Vec<ControllerOutput>,
 }
 
-/// The disk as the state machine sees it: what is written, in flight and synced.
+/// The state machine's view of the disk: which writes are in flight, and which state is synced.
 pub struct Storage {
     disk: SlotDisk,
     /// The ticket of the last write.
     last_ticket: u64,
     /// The writes in flight, oldest first.
     pending: VecDeque<PendingWrite>,
-    /// The versions that a restart would find on the disk.
+    /// The versions that a restart would recover from disk.
     synced_versions: Vec<Version>,
-    /// The disk refused a write: no votes are given until a complete slot is written.
+    /// Whether a write failed: this node does not vote until a complete slot is written.
     is_failing: bool,
     retry_at: Duration,
-    /// The last write of a complete slot, until it is synced.
+    /// The ticket of the last write of a complete slot, until it is synced.
     unsynced_slot: Option<u64>,
-    /// The write that brings the last snapshot that was received to disk, until it is synced.
+    /// The ticket of the write of the last received snapshot, until it is synced.
     unsynced_snapshot: Option<u64>,
 }
 
 impl Storage {
-    /// Storage over a disk that was recovered.
+    /// Returns storage on a recovered disk.
     pub fn new(disk: SlotDisk) -> Self {
         Self {
             disk,
@@ -59,32 +59,32 @@
         }
     }
 
-    /// Whether the disk refused a write that was not made up for by a complete slot.
+    /// Returns whether a write failed and no complete slot has been written since.
     pub fn is_failing(&self) -> bool {
         self.is_failing
     }
 
-    /// The length of the log, in bytes.
+    /// Returns the length of the log, in bytes.
     pub fn log_length(&self) -> u64 {
         self.disk.log_length()
     }
 
-    /// Whether a snapshot was received whose write is not synced.
+    /// Returns whether the write of a received snapshot is not synced yet.
     pub fn has_unsynced_snapshot(&self) -> bool {
         self.unsynced_snapshot.is_some()
     }
 
-    /// The versions that a restart would find on the disk.
+    /// Returns the versions that a restart would recover from disk.
     pub fn synced_versions(&self) -> &[Version] {
         &self.synced_versions
     }
 
-    /// Records that these versions are on the disk.
+    /// Records that these versions are synced to disk.
     pub fn mark_synced(&mut self, versions: Vec<Version>) {
         self.synced_versions = versions;
     }
 
-    /// Ends all writes up to a ticket; gives what may leave now.
+    /// Completes all writes up to a ticket, and returns the outputs to release.
     fn complete_writes(&mut self, ticket: u64) -> Vec<ControllerOutput> {
         let mut released = Vec::new();
         while let Some(write) = self.pending.pop_front_if(|write| write.ticket <= ticket) {
@@ -97,7 +97,7 @@
         released
     }
 
-    /// Drops all writes in flight: what was to be written after a lost line has a gap before it.
+    /// Drops all writes in flight, since records after a lost record would leave a gap in the log.
     fn fail_writes(&mut self, ticket: u64) {
         let lost_slot = self.unsynced_slot.take_if(|slot| *slot >= ticket);
         if lost_slot.is_some() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// A write is synced: lets the outputs leave that waited for it.
+/// Handles a synced write by releasing the outputs that waited for it.
 pub(super) fn handle_synced(state: &mut ControllerState, ticket: u64) {
     let released = state.storage.complete_writes(ticket);
     state.outputs.extend(released);
@@ -119,27 +119,28 @@
     }
 }
 
-/// A write failed: drops what waited for it, and stops voting until a complete slot is written.
+/// Handles a failed write by dropping the outputs that waited for it. The node stops voting until a complete
+/// slot is written.
 pub(super) fn handle_write_failed(state: &mut ControllerState, ticket: u64) {
     let storage = &mut state.storage;
     storage.fail_writes(ticket);
-    storage.retry_at = state.now + WRITE_RETRY_PERIOD;
+    storage.retry_at = state.now + WRITE_RETRY_INTERVAL;
     if !storage.is_failing {
         storage.is_failing = true;
         state.log_event(Event::DiskWriteFailed);
     }
 }
 
-/// After a failed write: writes a complete slot when that is due.
+/// Writes a complete slot after a failed write, once the retry is due.
 pub(super) fn retry_failed_write(state: &mut ControllerState) {
     if state.storage.is_failing && state.now >= state.storage.retry_at {
-        state.storage.retry_at = state.now + WRITE_RETRY_PERIOD;
+        state.storage.retry_at = state.now + WRITE_RETRY_INTERVAL;
         state.write_slot(Vec::new());
     }
 }
 
 impl ControllerState {
-    /// The complete state as it is written to a slot.
+    /// Encodes the complete state for a slot.
     fn encode_state(&self) -> Vec<u8> {
         let stored = StoredState {
             node: self.node,
@@ -150,10 +151,10 @@
         minicbor::to_vec(stored).expect("state encodes")
     }
 
-    /// Writes a complete slot; the outputs leave once it is synced.
+    /// Writes a complete slot, and releases the outputs once it is synced.
     ///
-    /// A state that is too large for a slot is not written, since a slot cut short would lose everything;
-    /// the disk then counts as failing, and the outputs never leave.
+    /// A state that is too large for a slot is not written, since a truncated slot would lose everything.
+    /// The disk then counts as failing, and the outputs are dropped.
     pub fn write_slot(&mut self, outputs: Vec<ControllerOutput>) {
         let encoded = self.encode_state();
         if !self.storage.disk.slot_fits(encoded.len()) {
@@ -169,9 +170,9 @@
         self.storage.unsynced_slot = Some(self.storage.last_ticket);
     }
 
-    /// Writes a complete slot with a snapshot that was received.
+    /// Writes a complete slot that includes a received snapshot.
     ///
-    /// Until it is synced, the snapshot does not count as held by this node.
+    /// Until the slot is synced, the snapshot does not count as stored on this node.
     pub fn write_snapshot(&mut self, outputs: Vec<ControllerOutput>) {
         let ticket = self.storage.last_ticket + 1;
         self.write_slot(outputs);
@@ -180,36 +181,36 @@
         }
     }
 
-    /// Appends records to the log, or writes a complete slot when the log is full; the outputs leave once
-    /// that is synced.
+    /// Appends records to the log, or writes a complete slot if the log is full. Releases the outputs once the
+    /// write is synced.
     ///
-    /// While the disk is failing nothing is written and the outputs are dropped: the log has a gap, and
-    /// the slot that makes up for it holds the records too.
+    /// While the disk is failing nothing is written and the outputs are dropped: the log has a gap, and the
+    /// next complete slot will include the records.
     pub fn write_records(&mut self, records: &[Record], outputs: Vec<ControllerOutput>) {
         if self.storage.is_failing {
             return;
         }
-        let lines: Vec<Vec<u8>> = records
+        let encoded: Vec<Vec<u8>> = records
             .iter()
             .map(|record| minicbor::to_vec(record).expect("records encode"))
             .collect();
-        match self.storage.disk.append(&lines) {
+        match self.storage.disk.append(&encoded) {
             Some(write) => self.begin_write(vec![write], outputs),
             None => self.write_slot(outputs),
         }
     }
 
-    /// Begins a write; the outputs leave once it is synced.
+    /// Begins a write, and releases the outputs once it is synced.
     fn begin_write(&mut self, writes: Vec<DiskWrite>, mut outputs: Vec<ControllerOutput>) {
         let versions = self.versions();
-        let leaves_at_once = self.injects(FaultInjection::UnsyncedVotes);
+        let skips_sync = self.injects(FaultInjection::UnsyncedVotes);
         let storage = &mut self.storage;
         storage.last_ticket += 1;
         let ticket = storage.last_ticket;
         storage.disk.wrote(ticket);
         self.outputs
             .push(ControllerOutput::Write { ticket, writes });
-        if leaves_at_once {
+        if skips_sync {
             self.outputs.append(&mut outputs);
         }
         storage.pending.push_back(PendingWrite {
--- a/crates/controller/src/state_machine/ticks.rs
+++ b/crates/controller/src/state_machine/ticks.rs
@@ -1,4 +1,4 @@
-//! Periodic work of a controller, done with each tick when it is due.
+//! Periodic work of a controller, which each tick does if it is due.
 
 use crate::consensus::{founding, proposals, quorum_reads, snapshot_transfer};
 use crate::state::ControllerState;
@@ -14,7 +14,7 @@
     quorum_reads::tick(state);
     snapshot_transfer::tick(state);
     expire_instances_and_members(state);
-    count_silent_members(state);
+    mark_suspected_members(state);
     instance_calls::respond_to_late_calls(state);
     fact_exchange::share_facts(state);
     leadership::tick(state);
@@ -22,7 +22,7 @@
     shutdown::stop_when_done(state);
 }
 
-/// Deregisters instances and members that were not heard for their span.
+/// Removes instances and members whose lifetime has passed without a heartbeat or renewal.
 fn expire_instances_and_members(state: &mut ControllerState) {
     for id in state.instances.expire(state.now) {
         state.log_event(Event::InstanceExpired { id });
@@ -32,22 +32,23 @@
     }
 }
 
-/// Counts members that missed their heartbeats here as not ready.
+/// Marks members as not ready that have not renewed their leases here within the timeout.
 ///
-/// After a gap of our own none is counted: then it was this controller that did not listen.
-fn count_silent_members(state: &mut ControllerState) {
+/// No member is marked if this controller itself did not run for a while, since it could not receive
+/// renewals then.
+fn mark_suspected_members(state: &mut ControllerState) {
     let (now, timeout) = (state.now, state.options.core.member_timeout);
-    let silent: Vec<NodeId> = state
+    let suspected: Vec<NodeId> = state
         .last_renewals
         .iter()
         .filter(|(_, renewed)| now.saturating_sub(**renewed) >= timeout)
         .map(|(node, _)| *node)
         .collect();
-    let has_listened = now.saturating_sub(state.last_tick_at) < timeout / 2;
+    let was_running = now.saturating_sub(state.last_tick_at) < timeout / 2;
     state.last_tick_at = now;
-    for node in silent {
+    for node in suspected {
         state.last_renewals.remove(&node);
-        if has_listened {
+        if was_running {
             state.members.count_silent(now, node);
         }
     }
