--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other of instances and members, which none of them writes down.
+//! Exchange of facts about instances and members among controllers. These facts are not stored on disk.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,80 +10,83 @@
 use caperworks::leadership::SILENCE;
 use caperworks::messages::Message;
 
-const SHARE_PERIOD: Duration = Duration::from_millis(150);
+/// Interval at which new facts are sent to the other controllers.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Up to which place of this controller's own numbering a peer was told.
+/// Offsets in this controller's fact sequences up to which facts were sent to a peer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SharedOffsets {
+pub struct SentOffsets {
     instances: u64,
     members: u64,
 }
 
-/// When a peer was last heard, and in which life.
+/// When a message was last received from a peer, and the peer's incarnation at that time.
 #[derive(Debug, Clone, Copy)]
-struct HeardPeer {
+struct LastSeen {
     at: Duration,
     incarnation: NodeId,
 }
 
-/// The other controllers as far as sharing goes: when each was heard, and what it was told.
+/// The state of the exchange with each other controller.
 #[derive(Debug, Clone, Default)]
 pub struct FactExchange {
-    share_at: Duration,
-    heard: BTreeMap<SocketAddr, HeardPeer>,
-    notified: BTreeMap<SocketAddr, SharedOffsets>,
+    next_exchange_at: Duration,
+    last_seen: BTreeMap<SocketAddr, LastSeen>,
+    sent: BTreeMap<SocketAddr, SentOffsets>,
 }
 
 impl FactExchange {
-    /// Notes that a peer was heard. After a silence, and in another life, it is told everything anew: what was
-    /// sent to it meanwhile may be lost, and what it was told before is forgotten.
+    /// Records that a message from a peer was received.
+    ///
+    /// After the peer missed heartbeats or restarted, all facts are sent to it again: facts sent in the
+    /// meantime may be lost, and a new incarnation has forgotten all earlier ones.
     pub fn handle(&mut self, now: Duration, peer: SocketAddr, incarnation: NodeId) {
-        let before = self.heard.insert(
+        let before = self.last_seen.insert(
             peer,
-            HeardPeer {
+            LastSeen {
                 at: now,
                 incarnation,
             },
         );
-        let knows_what_was_sent = before.is_some_and(|before| {
+        let has_received_facts = before.is_some_and(|before| {
             before.incarnation == incarnation && now.saturating_sub(before.at) < SILENCE
         });
-        if !knows_what_was_sent {
-            self.notified.remove(&peer);
+        if !has_received_facts {
+            self.sent.remove(&peer);
         }
     }
 
-    /// Whether a peer can be told anything at all.
-    fn is_heard(&self, now: Duration, peer: &SocketAddr) -> bool {
-        self.heard
+    /// Returns whether a peer has sent a message recently, so that it can receive facts.
+    fn is_reachable(&self, now: Duration, peer: &SocketAddr) -> bool {
+        self.last_seen
             .get(peer)
-            .is_some_and(|heard| now.saturating_sub(heard.at) < SILENCE)
+            .is_some_and(|seen| now.saturating_sub(seen.at) < SILENCE)
     }
 }
 
-/// Tells each other controller what it has not been told yet.
+/// Sends each other controller the facts that have not been sent to it yet.
 pub fn share_facts(state: &mut ControllerState) {
-    if state.now < state.fact_exchange.share_at {
+    if state.now < state.fact_exchange.next_exchange_at {
         return;
     }
-    state.fact_exchange.share_at = state.now + SHARE_PERIOD;
-    let present = SharedOffsets {
+    state.fact_exchange.next_exchange_at = state.now + EXCHANGE_INTERVAL;
+    let present = SentOffsets {
         instances: state.instances.learned(),
         members: state.members.learned(),
     };
     for to in state.other_controllers() {
-        if !state.fact_exchange.is_heard(state.now, &to) {
+        if !state.fact_exchange.is_reachable(state.now, &to) {
             continue;
         }
-        let before = state.fact_exchange.notified.insert(to, present);
+        let before = state.fact_exchange.sent.insert(to, present);
         let before = before.unwrap_or_default();
         if before != present {
-            tell_after(state, to, before);
+            send_facts_after(state, to, before);
         }
     }
 }
 
-fn tell_after(state: &mut ControllerState, to: SocketAddr, offset: SharedOffsets) {
+fn send_facts_after(state: &mut ControllerState, to: SocketAddr, offset: SentOffsets) {
     let instances = state.instances.after(state.now, offset.instances);
     let gone = state.instances.ended_after(state.now, offset.instances);
     let members = state.members.after(state.now, offset.members);
@@ -98,25 +101,26 @@
     state.send(to, message);
 }
 
-/// Takes in what another controller tells.
+/// Records the facts that another controller sent.
+///
+/// Facts of unknown age are ignored, since every fact is soon sent again.
 pub fn handle_facts(
     state: &mut ControllerState,
     instances: Vec<HeardHeartbeat>,
     members: Vec<HeardMember>,
     gone: Vec<InstanceId>,
-    lain: Option<Duration>,
+    age: Option<Duration>,
 ) {
-    // Why nothing when its age cannot be told: every fact is soon told again.
-    let Some(lain) = lain else {
+    let Some(age) = age else {
         return;
     };
     for heard in instances {
-        state.instances.handle(state.now, &heard.aged(lain));
+        state.instances.handle(state.now, &heard.aged(age));
     }
     for id in gone {
         state.instances.end(state.now, &id);
     }
     for heard in members {
-        state.members.handle(state.now, &heard.aged(lain));
+        state.members.handle(state.now, &heard.aged(age));
     }
 }
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -1,9 +1,8 @@
-//! Instances' calls: heartbeats, drains and deregistrations, and what must hold before one is
-//! acknowledged.
+//! Instances' calls: heartbeats, drains and deregistrations, and the conditions for acknowledging them.
 //!
-//! A call is acknowledged only while a majority of the voters was heard a moment ago, so that a
-//! controller that is cut off sends its instances elsewhere at once. What is said only once and must
-//! not be forgotten, a drain or a deregistration, is acknowledged after a majority of the voters holds it.
+//! A call is acknowledged only while this controller has recent contact to a majority of the voters, so that
+//! a partitioned controller immediately sends its instances elsewhere. Drains and deregistrations are sent
+//! only once and must not be lost, so they are acknowledged after a majority of the voters has them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,19 +20,19 @@
 use caperworks::ownership::{HeartbeatResponse, TimestampedResponse};
 use caperworks::replicated_map::MapName;
 
-/// How long a heartbeat waits for the owner manager's response.
+/// Time that a heartbeat waits for the owner manager's response.
 const OWNER_MANAGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a drain or a deregistration waits for the other controllers; instances wait a second at most.
+/// Time that a drain or a deregistration waits for confirmations. Instances wait for at most one second.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// An instance's call that waits for other controllers before it is answered.
+/// An instance's call that waits for other controllers before it gets a response.
 #[derive(Debug, Clone)]
 pub struct PendingInstanceCall {
     ticket: u64,
-    /// The number under which the other controllers respond.
+    /// Identifies the call in the responses of other controllers.
     number: u64,
     until: Duration,
-    /// How many other voters must hold what it says.
+    /// The number of other voters that must have stored the fact.
     confirmations_needed: usize,
     confirmed_by: BTreeSet<NodeId>,
     awaits_owner_manager: bool,
@@ -50,29 +49,29 @@
     }
 }
 
-/// What a call must wait for before it is acknowledged.
+/// What a call requires before it is acknowledged.
 #[derive(Debug, Clone, Copy)]
 struct Requirements {
     confirmations: usize,
     owner_manager: Option<SocketAddr>,
 }
 
-/// Something that an instance said once and that other controllers must hold.
+/// A fact that an instance sends only once and that other controllers must have.
 #[derive(Debug, Clone)]
 enum Fact {
     Draining(HeardHeartbeat),
     Deregistered(InstanceId),
 }
 
-/// Whether an instance is to send its heartbeat again.
+/// Whether an instance must send its heartbeat again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Resend {
-    /// Its age is not known: it counts only when it comes again, with a stamp of this controller.
+    /// The heartbeat's age is unknown: it must be sent again with a timestamp of this controller to count.
     WithStamp,
     NotNeeded,
 }
 
-/// Handles a heartbeat that an instance sent here.
+/// Handles a heartbeat that an instance sent to this controller.
 pub fn handle_heartbeat(
     state: &mut ControllerState,
     ticket: u64,
@@ -83,8 +82,8 @@
         reject(state, ticket);
         return;
     }
-    // Without stamps nothing dates a heartbeat: it counts as sent just now, and its counter keeps it from
-    // overtaking later ones.
+    // Without timestamps the age of a heartbeat is unknown. It counts as sent just now, and its counter keeps
+    // it from replacing later ones.
     let age = match state.options.core.stamped_heartbeats {
         true => echo.and_then(|echo| echo.lain(state.now, state.incarnation)),
         false => Some(Duration::ZERO),
@@ -93,7 +92,7 @@
         heartbeat,
         age: Duration::ZERO,
     };
-    let response = take_heartbeat(state, heard.clone(), age);
+    let response = record_heartbeat(state, heard.clone(), age);
     if age.is_none() {
         acknowledge(state, ticket, response, Resend::WithStamp);
         return;
@@ -104,11 +103,11 @@
             true => confirmations_needed(state),
             false => 0,
         },
-        owner_manager: owner_manager_to_ask(state, &heard.heartbeat, &response),
+        owner_manager: required_owner_manager(state, &heard.heartbeat, &response),
     };
     let number = begin_call(state, ticket, requirements, response);
     if requirements.confirmations > 0 {
-        ask_for_confirmation(state, number, Fact::Draining(heard.clone()));
+        request_confirmations(state, number, Fact::Draining(heard.clone()));
     }
     if let Some(to) = requirements.owner_manager {
         let ticket = number;
@@ -129,11 +128,11 @@
     };
     let number = begin_call(state, ticket, requirements, HeartbeatResponse::default());
     if requirements.confirmations > 0 {
-        ask_for_confirmation(state, number, Fact::Deregistered(id));
+        request_confirmations(state, number, Fact::Deregistered(id));
     }
 }
 
-/// Acknowledges a call, or lets it wait for what it requires. Returns the call's number.
+/// Acknowledges a call, or keeps it pending until its requirements are met. Returns the call's number.
 fn begin_call(
     state: &mut ControllerState,
     ticket: u64,
@@ -163,15 +162,16 @@
     number
 }
 
-/// Whether this controller may acknowledge facts: it heard a majority of the voters a moment ago.
+/// Returns whether this controller may acknowledge facts, which requires recent contact to a majority of the
+/// voters.
 ///
-/// What it takes in alone nobody else learns of, and instances that it keeps to itself are deregistered by
-/// all others.
+/// Facts recorded by a partitioned controller reach no other controller, and the others would deregister the
+/// instances that send their heartbeats only to it.
 pub fn may_acknowledge(state: &ControllerState) -> bool {
     state.injects(FaultInjection::AcknowledgesWithoutQuorum) || state.has_quorum_contact()
 }
 
-/// How many other voters make a majority together with this controller.
+/// Returns how many other voters form a majority together with this controller.
 fn confirmations_needed(state: &ControllerState) -> usize {
     if state.injects(FaultInjection::AcknowledgesWithoutQuorum) {
         return 0;
@@ -180,10 +180,10 @@
     majority.saturating_sub(usize::from(state.is_voter()))
 }
 
-/// The owner manager that must renew the leases of this heartbeat, if it is another controller.
+/// Returns the owner manager that must renew the leases of this heartbeat, if it is another controller.
 ///
-/// With stamps none is asked: then the agents in between forward heartbeats to the owner manager.
-fn owner_manager_to_ask(
+/// With timestamps the heartbeat is not forwarded here, since agents forward heartbeats to the owner manager.
+fn required_owner_manager(
     state: &ControllerState,
     heartbeat: &Heartbeat,
     response: &HeartbeatResponse,
@@ -214,13 +214,13 @@
     state.respond(ticket, OperatorResponse::Heartbeat { response });
 }
 
-/// Sends the instance to another controller.
+/// Rejects a call, so that the instance sends it to another controller.
 fn reject(state: &mut ControllerState, ticket: u64) {
     state.respond(ticket, OperatorResponse::NotCurrent);
 }
 
-/// Asks all other voters to hold a fact.
-fn ask_for_confirmation(state: &mut ControllerState, number: u64, fact: Fact) {
+/// Requests all other voters to store a fact.
+fn request_confirmations(state: &mut ControllerState, number: u64, fact: Fact) {
     let (heartbeat, ended) = match fact {
         Fact::Draining(heard) => (Some(heard), None),
         Fact::Deregistered(id) => (None, Some(id)),
@@ -239,9 +239,9 @@
     }
 }
 
-/// Takes a drain or a deregistration in that another controller is about to acknowledge.
+/// Stores and confirms a drain or a deregistration that another controller is about to acknowledge.
 ///
-/// Nothing is confirmed when its age is not known: it may be of an instance that ended long ago.
+/// Nothing is confirmed if its age is unknown: it may be from an instance that ended long ago.
 pub fn handle_confirmation_request(
     state: &mut ControllerState,
     reply_to: SocketAddr,
@@ -262,9 +262,9 @@
     state.send(reply_to, Message::FactConfirmed { number });
 }
 
-/// Counts another controller that holds a fact which waits for its acknowledgement.
+/// Counts the confirmation of another controller, and acknowledges the call if there are enough.
 ///
-/// Only voters count: a majority of them has one in common with every later majority.
+/// Only voters count, because a majority of them intersects every later majority.
 pub fn handle_confirmation(state: &mut ControllerState, from: NodeId, number: u64) {
     let is_voter = state
         .voters()
@@ -272,26 +272,26 @@
     if !is_voter {
         return;
     }
-    if let Some(call) = waiting_call(state, number) {
+    if let Some(call) = pending_call(state, number) {
         call.confirmed_by.insert(from);
         acknowledge_complete_calls(state);
     }
 }
 
-/// Takes the owner manager's response to a heartbeat that was forwarded to it.
+/// Handles the owner manager's response to a heartbeat that was forwarded to it.
 pub fn handle_owner_manager_response(
     state: &mut ControllerState,
     number: u64,
     response: HeartbeatResponse,
 ) {
-    if let Some(call) = waiting_call(state, number) {
+    if let Some(call) = pending_call(state, number) {
         call.awaits_owner_manager = false;
         call.response = response;
         acknowledge_complete_calls(state);
     }
 }
 
-fn waiting_call(state: &mut ControllerState, number: u64) -> Option<&mut PendingInstanceCall> {
+fn pending_call(state: &mut ControllerState, number: u64) -> Option<&mut PendingInstanceCall> {
     state
         .instance_calls
         .iter_mut()
@@ -308,15 +308,15 @@
     }
 }
 
-/// Answers the calls that timed out: a heartbeat was heard and only no lease is renewed; a fact that too
-/// few others confirmed is rejected, so that the instance takes it elsewhere.
-pub fn respond_to_late_calls(state: &mut ControllerState) {
+/// Responds to the calls that timed out. A heartbeat is acknowledged without renewing leases. A fact with too
+/// few confirmations is rejected, so that the instance sends it to another controller.
+pub fn respond_to_timed_out_calls(state: &mut ControllerState) {
     let now = state.now;
-    let (late, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut state.instance_calls)
+    let (timed_out, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut state.instance_calls)
         .into_iter()
         .partition(|call| now >= call.until);
     state.instance_calls = waiting;
-    for call in late {
+    for call in timed_out {
         if call.is_confirmed() {
             let response = HeartbeatResponse::default();
             acknowledge(state, call.ticket, response, Resend::NotNeeded);
@@ -326,7 +326,8 @@
     }
 }
 
-/// Answers a heartbeat that another node forwarded. Silence sends it elsewhere.
+/// Responds to a heartbeat that another node forwarded. Without a response, the node forwards it to another
+/// controller.
 pub fn handle_forwarded_heartbeat(
     state: &mut ControllerState,
     reply_to: SocketAddr,
@@ -337,22 +338,22 @@
     if !may_acknowledge(state) {
         return;
     }
-    let response = take_heartbeat(state, heard, age);
+    let response = record_heartbeat(state, heard, age);
     state.send(reply_to, Message::HeartbeatReply { ticket, response });
 }
 
-/// Takes a heartbeat in, and gives the response to it.
+/// Records a heartbeat, and returns the response to it.
 ///
-/// Nothing is taken in of one whose age is not known or too high: it may be of an instance that ended long
-/// ago. One that has deregistered gets no leases: a late heartbeat must not prolong them.
-fn take_heartbeat(
+/// A heartbeat of unknown age or beyond the instance lifetime is not recorded: it may be from an instance
+/// that ended long ago. A deregistered instance gets no leases, since a late heartbeat must not extend them.
+fn record_heartbeat(
     state: &mut ControllerState,
     heard: HeardHeartbeat,
     age: Option<Duration>,
 ) -> HeartbeatResponse {
     let heard = age.map(|age| heard.aged(age));
-    let span = state.instances.span;
-    let recent = heard.filter(|heard| heard.age < span);
+    let lifetime = state.instances.span;
+    let recent = heard.filter(|heard| heard.age < lifetime);
     let Some(heard) = recent else {
         return HeartbeatResponse::default();
     };
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -19,9 +19,9 @@
 use caperworks::map_weighing::Standpoint;
 use caperworks::replicated_map::{Change, Guard, MapName, Put};
 
-/// A change without a version is taken only while its caller surely still waits for the response:
-/// callers go on to another controller after a second of silence.
-const UNVERSIONED_AGE_LIMIT: Duration = Duration::from_millis(700);
+/// Age from which a change without a version is rejected. Callers switch to another controller when there is
+/// no response within one second, so a younger change still has a caller that waits for the response.
+const MAX_UNVERSIONED_CHANGE_AGE: Duration = Duration::from_millis(700);
 
 /// A change without a version of its own, such as the evacuation of a zone, while it is in flight.
 #[derive(Debug, Clone)]
@@ -32,13 +32,13 @@
 
 impl UnversionedChange {
     fn is_too_old(&self, now: Duration) -> bool {
-        now.saturating_sub(self.received_at) >= UNVERSIONED_AGE_LIMIT
+        now.saturating_sub(self.received_at) >= MAX_UNVERSIONED_CHANGE_AGE
     }
 }
 
-/// Handles an operator's call; `received_at` is when its head was read.
+/// Handles an operator's call. `received_at` is when the head of the request was read.
 ///
-/// The response is an output under the same ticket, now or with a later input.
+/// The response is an output with the same ticket, returned with this input or a later one.
 pub fn handle_call(
     state: &mut ControllerState,
     ticket: u64,
@@ -78,10 +78,10 @@
     );
 }
 
-/// Proposes a change of the configuration.
+/// Proposes a configuration change.
 ///
-/// A change that is new is rejected at once when it could not be confirmed, so that the caller finds a
-/// controller that can; one that was accepted before is acknowledged all the same.
+/// A new change is rejected immediately if it could not be confirmed, so that the caller can try another
+/// controller. A change that was accepted before is acknowledged regardless.
 fn apply(state: &mut ControllerState, ticket: u64, change: Change, received_at: Duration) {
     if state.stopping_since.is_some() {
         state.respond(ticket, OperatorResponse::ShuttingDown);
@@ -114,13 +114,13 @@
     proposals::tick(state);
 }
 
-/// Whether a late copy of this call would undo a later one.
+/// Returns whether a late duplicate of this call could undo a later one.
 pub fn is_unversioned_call(call: &OperatorCall) -> bool {
     matches!(call, OperatorCall::Apply { change } if is_unversioned(change))
 }
 
-/// Whether a late copy of this change would undo a later one: some item carries neither the version
-/// that its writer saw nor one of the operators' own.
+/// Returns whether a late duplicate of this change could undo a later one, because some item has neither the
+/// version that its writer had read nor a version number of the operators.
 fn is_unversioned(change: &Change) -> bool {
     change.puts.iter().any(is_unversioned_put)
 }
@@ -129,11 +129,11 @@
     put.expected.is_none() && put.written.is_none()
 }
 
-/// Proposes a change without a version so that it fits only the present versions of its items.
+/// Proposes a change without a version, guarded by the current versions of its items.
 ///
-/// A change that its caller gave up on and sent again elsewhere must not come into force after what the
-/// caller did next. By its age it is rejected when it lay somewhere for long; by the guards it is void
-/// when any of its items was changed meanwhile.
+/// If a caller timed out and sent the change to another controller, the original must not take effect after
+/// the caller's later changes. It is rejected if it is too old, and the guards reject it if any of its items
+/// has changed in the meantime.
 fn propose_fenced(state: &mut ControllerState, ticket: u64, unversioned: UnversionedChange) {
     if unversioned.is_too_old(state.now) {
         respond_with_outcome(state, ticket, ProposalOutcome::NoMajority);
@@ -155,8 +155,8 @@
     propose(state, ticket, change);
 }
 
-/// Handles the end of an operator's proposal; says whether it is proposed anew, because a change without
-/// a version met another change of its item while its caller still waits.
+/// Proposes a change without a version again if it conflicted with another change of its items while its
+/// caller still waits. Returns whether it did.
 pub fn retry_conflicting_change(
     state: &mut ControllerState,
     ticket: u64,
@@ -173,7 +173,7 @@
     true
 }
 
-/// Proposes a roster without these agents.
+/// Proposes to remove these agents from the fallback members.
 fn retire(state: &mut ControllerState, ticket: u64, dropped: &[SocketAddr]) {
     if state.stopping_since.is_some() {
         state.respond(ticket, OperatorResponse::ShuttingDown);
@@ -191,7 +191,7 @@
     }
 }
 
-/// Whether a change was not accepted before.
+/// Returns whether a change has not been accepted before.
 fn is_new(state: &ControllerState, change: &Change) -> bool {
     !matches!(
         state.map(MapName::Configuration).weigh(change),
@@ -228,7 +228,7 @@
     }
 }
 
-/// An update without what is beyond a version; a snapshot that is ahead of it waits.
+/// Returns an update restricted to changes up to a version, or `None` for a snapshot of a later version.
 fn update_up_to(update: ConsensusMessage, version: Version) -> Option<ConsensusMessage> {
     match update {
         ConsensusMessage::Updates { map, mut changes } => {
@@ -242,9 +242,9 @@
     }
 }
 
-/// Responds to watches that there are changes for, and to those whose wait is over.
+/// Responds to watches for which there are changes, and to those that have waited long enough.
 ///
-/// Nothing is shown beyond the version that operators may be told of as accepted.
+/// The responses include no changes beyond the version that may be reported to operators as accepted.
 pub fn respond_to_watchers(state: &mut ControllerState) {
     if state.watchers.is_empty() {
         return;
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -1,9 +1,9 @@
-//! Reads of the configuration by read index: a read is answered from a replica that holds what a
-//! majority of the voters held in a quorum read that began after the read arrived.
+//! Linearizable reads of the configuration with a read index: a read is answered from the local replica once
+//! that has all versions that a majority of the voters reported in a quorum read begun after the read arrived.
 //!
-//! Every change that was accepted before the read arrived is held by one voter of each majority, so
-//! the quorum read tells of it, whatever happened to this controller before. A lease is no substitute: a
-//! controller that was cut off a moment ago still has one.
+//! Every change that was accepted before the read arrived is known to at least one voter of each majority, so
+//! the quorum read reports it, whatever happened to this controller before. A lease is not sufficient: a
+//! controller that was partitioned a moment ago still has one.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::replicated_map::{Change, MapName};
 
-/// How long a read waits for its quorum read and for what that tells of.
+/// Time that a read waits for its quorum read and for the versions that it reports.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// Reads that come closer together than this share a quorum read.
-const QUORUM_READ_SPACING: Duration = Duration::from_millis(25);
+/// Minimum interval between quorum reads for reads. Reads that arrive within it share a quorum read.
+const MIN_QUORUM_READ_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What is answered once the replica is known to be the latest.
+/// What a read returns once the local replica is known to be up to date.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReadKind {
     /// The complete configuration.
     Configuration,
-    /// What is wrong with a change, which is not applied.
+    /// The faults of a change, which is not applied.
     Check {
         /// The change.
         change: Change,
@@ -40,24 +40,23 @@
     kind: ReadKind,
     /// The number of the first quorum read that began after the read arrived.
     quorum_read: u64,
-    /// When the read is rejected.
+    /// When the read times out.
     until: Duration,
 }
 
-/// The reads that wait for their quorum read.
+/// The reads that wait for their quorum reads.
 #[derive(Debug, Clone, Default)]
 pub struct Reads {
     pending: Vec<PendingRead>,
-    /// When the last quorum read for reads began.
+    /// When the last quorum read on behalf of a read began.
     last_begun: Option<Duration>,
     /// Whether a read waits for a quorum read that has not begun yet.
     is_quorum_read_wanted: bool,
 }
 
-/// Takes a read in; it is answered as soon as its quorum read has ended.
+/// Begins a read, which is answered as soon as its quorum read has completed.
 ///
-/// It is rejected at once while no majority is heard, and without a membership: whoever knows no voters
-/// has nothing to read.
+/// It is rejected immediately if no majority is reachable, or if this controller knows no membership.
 pub fn begin_read(state: &mut ControllerState, ticket: u64, kind: ReadKind) {
     match state.options.fault_injection {
         FaultInjection::ReadsWithoutQuorum => {
@@ -85,7 +84,7 @@
     begin_wanted_quorum_read(state);
 }
 
-/// Begins the quorum read that reads wait for, unless one was begun for others a moment ago.
+/// Begins the quorum read that reads wait for, unless the last one began too recently.
 fn begin_wanted_quorum_read(state: &mut ControllerState) {
     if !state.reads.is_quorum_read_wanted {
         return;
@@ -93,7 +92,7 @@
     let is_due = state
         .reads
         .last_begun
-        .is_none_or(|begun| state.now.saturating_sub(begun) >= QUORUM_READ_SPACING);
+        .is_none_or(|begun| state.now.saturating_sub(begun) >= MIN_QUORUM_READ_INTERVAL);
     if is_due {
         state.reads.is_quorum_read_wanted = false;
         quorum_reads::begin(state);
@@ -101,7 +100,7 @@
     }
 }
 
-/// Answers the reads whose quorum read has ended, and rejects those that have waited too long.
+/// Responds to the reads whose quorum read has completed, and rejects those that timed out.
 pub fn respond_to_reads(state: &mut ControllerState) {
     if state.reads.pending.is_empty() {
         return;
@@ -118,10 +117,11 @@
     }
 }
 
-/// Whether a majority responded to this quorum read or a later one, and this controller holds what it told.
+/// Returns whether a majority responded to this quorum read or a later one, and this controller has the
+/// versions that it reported.
 ///
-/// The membership counts too: a majority of voters that were replaced says nothing of what the present
-/// ones accepted; one of them at least knows that it was replaced.
+/// The membership must be up to date too: voters that were replaced do not know what the current voters have
+/// accepted, but at least one of a majority of them knows that they were replaced.
 fn is_answered_by(state: &ControllerState, number: u64) -> bool {
     let Some(quorum_read) = state.quorum_reads.answered_since(number) else {
         return false;
@@ -131,8 +131,8 @@
         .all(|name| quorum_read.versions[name.index()] <= state.map(*name).version)
 }
 
-/// Answers a read from the local replica. The configuration is shown only once enough agents hold it: a
-/// read must not show as accepted what operators could not be told of as accepted.
+/// Responds to a read from the local replica. The configuration is returned only once enough agents have it:
+/// a read must not show a change that has not been confirmed to operators.
 fn respond(state: &mut ControllerState, ticket: u64, kind: ReadKind) {
     match kind {
         ReadKind::Configuration => {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Sends the caller to another controller.
+/// Rejects a read, so that the caller tries another controller.
 fn reject(state: &mut ControllerState, ticket: u64) {
     state.respond(ticket, OperatorResponse::NotCurrent);
 }
--- a/crates/controller/src/state_machine/ticks.rs
+++ b/crates/controller/src/state_machine/ticks.rs
@@ -15,7 +15,7 @@
     snapshot_transfer::tick(state);
     expire_instances_and_members(state);
     mark_suspected_members(state);
-    instance_calls::respond_to_late_calls(state);
+    instance_calls::respond_to_timed_out_calls(state);
     fact_exchange::share_facts(state);
     leadership::tick(state);
     proposals::tick(state);
