--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -1,6 +1,6 @@
-//! The product's own interface over HTTP.
+//! The controller's native HTTP API for operators and instances.
 //!
-//! Paths and fields (`standing`, `beats`, `edition`) are the product's own and stay as they are.
+//! Paths and field names (`standing`, `beats`, `edition`) are part of the API and must not change.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::daemon::handle::ControllerHandle;
 use crate::operator_json::reading::change_set::read_form;
-use crate::operator_json::reading::fallback_members::read_drop;
+use crate::operator_json::reading::fallback_members::read_removed_agents;
 use crate::operator_json::writing::changes::changes_json;
 use crate::operator_json::writing::items::{item_json, map_json};
 use crate::operator_json::writing::outcome::proposal_outcome_json;
@@ -25,30 +25,30 @@
 use runtime::http::heartbeats::{self, HeartbeatError};
 use runtime::http::{json_response, ready_response, small_body, Body, BodyError};
 
-/// The most bytes of a body that is no change set.
-const MOST_SMALL_BODY_BYTES: usize = 64 * 1024;
-/// The longest that a watch waits.
-const MOST_WATCH_WAIT: Duration = Duration::from_secs(30);
-/// Why the body of a change set cannot be taken.
+/// Maximum size of a body that is not a change set.
+const MAX_SMALL_BODY_BYTES: usize = 64 * 1024;
+/// Maximum time that a watch waits.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
+/// The reason why the body of a change set cannot be read.
 #[derive(Debug, PartialEq, Eq, Error)]
 enum ChangeSetBodyError {
-    #[error("a change set has at most {MOST_BYTES} bytes")]
+    #[error("a change set must not be larger than {MOST_BYTES} bytes")]
     TooLarge,
-    #[error("the body broke off")]
-    BrokenOff,
+    #[error("the connection failed before the complete body arrived")]
+    Interrupted,
 }
 
-/// Why a heartbeat cannot be taken.
+/// The reason why a heartbeat cannot be read.
 #[derive(Debug, PartialEq, Eq, Error)]
 enum HeartbeatBodyError {
-    #[error("the body is too large or broke off")]
+    #[error("the body is too large or incomplete")]
     Body,
     #[error("{0}")]
     Form(HeartbeatError),
 }
 
 impl ControllerHandle {
-    /// Responds to a request of the product's own interface.
+    /// Responds to a request to the native API.
     pub async fn respond(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path().to_string();
         let query = request.uri().query().unwrap_or_default().to_string();
@@ -64,7 +64,7 @@
             (&Method::POST, ["v1", "roster"]) => self.retire(request).await,
             (&Method::GET, ["v1", "changes"]) => self.watch(&query).await,
             (&Method::GET, ["v1", "status"]) => self.status().await,
-            (&Method::POST, ["beats"]) => self.take_heartbeat(request).await,
+            (&Method::POST, ["beats"]) => self.handle_heartbeat(request).await,
             _ => json_response(404, &jzon::object! { why: "there is no such resource" }),
         }
     }
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Applies a change set whose form is right. Otherwise it is checked all the same, so that one response
-    /// names every error, of form and of sense.
+    /// Applies a change set whose form is valid. Otherwise the change is only checked, so that one response
+    /// reports the errors in both form and content.
     async fn apply_text(&self, text: &str) -> Response<Body> {
         let (change, errors) = read_form(text);
         let mut faults: Vec<Fault> = errors.into_iter().map(Fault::from).collect();
@@ -99,7 +99,7 @@
             }
             Some(OperatorResponse::ProposalOutcome { proposal_outcome }) => proposal_outcome,
             Some(OperatorResponse::ShuttingDown) => return shutting_down(),
-            // Only the errors of form: what a replica that may be old says of the rest is worth nothing.
+            // Report only the errors of form: a check against a replica that may be outdated is not reliable.
             Some(OperatorResponse::NotCurrent) if !faults.is_empty() => {
                 ProposalOutcome::Faulty(faults)
             }
@@ -109,11 +109,11 @@
         outcome_response(&proposal_outcome)
     }
 
-    /// Removes agents from the roster.
+    /// Removes agents from the fallback members.
     async fn retire(&self, request: Request<Incoming>) -> Response<Body> {
-        let body = small_body(request.into_body(), MOST_SMALL_BODY_BYTES).await;
+        let body = small_body(request.into_body(), MAX_SMALL_BODY_BYTES).await;
         let text = body.unwrap_or_default();
-        let proposal_outcome = match read_drop(&String::from_utf8_lossy(&text)) {
+        let proposal_outcome = match read_removed_agents(&String::from_utf8_lossy(&text)) {
             Err(errors) => ProposalOutcome::Faulty(errors.into_iter().map(Fault::from).collect()),
             Ok(dropped) => match self.call(OperatorCall::Retire { dropped }).await {
                 Some(OperatorResponse::ProposalOutcome { proposal_outcome }) => proposal_outcome,
@@ -150,14 +150,15 @@
         }
     }
 
-    /// Responds with the changes after a version, as soon as there are any or the wait is over.
+    /// Responds with the changes after a version, as soon as there are any or the wait has timed out.
     async fn watch(&self, query: &str) -> Response<Body> {
         let Some(after) = query_number(query, "after").map(Version) else {
-            let why = "give after=EDITION, and wait_ms=MILLISECONDS if you want to wait";
+            let why =
+                "the query needs after=EDITION; to wait for changes, add wait_ms=MILLISECONDS";
             return json_response(400, &jzon::object! { why: why });
         };
         let wait = Duration::from_millis(query_number(query, "wait_ms").unwrap_or(0));
-        let wait = wait.min(MOST_WATCH_WAIT);
+        let wait = wait.min(MAX_WATCH_WAIT);
         match self.call(OperatorCall::Watch { after, wait }).await {
             Some(OperatorResponse::Changes {
                 version,
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Takes a heartbeat of an instance.
-    async fn take_heartbeat(&self, request: Request<Incoming>) -> Response<Body> {
+    /// Handles a heartbeat of an instance.
+    async fn handle_heartbeat(&self, request: Request<Incoming>) -> Response<Body> {
         match read_heartbeat(request).await {
             Err(error) => json_response(400, &jzon::object! { why: error.to_string() }),
             Ok((heartbeat, echo)) => match self.heartbeat(heartbeat, echo).await {
@@ -192,20 +193,20 @@
     match small_body(request.into_body(), MOST_BYTES).await {
         Ok(body) => Ok(String::from_utf8_lossy(&body).into_owned()),
         Err(BodyError::TooLarge) => Err(ChangeSetBodyError::TooLarge),
-        Err(BodyError::Interrupted) => Err(ChangeSetBodyError::BrokenOff),
+        Err(BodyError::Interrupted) => Err(ChangeSetBodyError::Interrupted),
     }
 }
 
 async fn read_heartbeat(
     request: Request<Incoming>,
 ) -> Result<(Heartbeat, Option<Echo>), HeartbeatBodyError> {
-    let body = small_body(request.into_body(), MOST_SMALL_BODY_BYTES)
+    let body = small_body(request.into_body(), MAX_SMALL_BODY_BYTES)
         .await
         .map_err(|_| HeartbeatBodyError::Body)?;
     heartbeats::read_dated(&String::from_utf8_lossy(&body)).map_err(HeartbeatBodyError::Form)
 }
 
-/// A number in a query, if it is there and can be read.
+/// Returns a number from a query, if it is present and can be parsed.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     query
         .split('&')
@@ -219,14 +220,14 @@
     json_response(status, &json)
 }
 
-/// The response while this controller is shutting down.
+/// Returns the response while this controller is shutting down.
 fn shutting_down() -> Response<Body> {
-    let why = "this controller is about to stop: ask another; nothing was applied";
+    let why = "this controller is shutting down: try another one; nothing was applied";
     json_response(503, &jzon::object! { outcome: "refused", why: why })
 }
 
-/// The response while this controller hears no majority.
+/// Returns the response while this controller has no recent contact to a majority.
 fn not_current() -> Response<Body> {
-    let why = "this controller cannot vouch for what it knows: no majority was heard of late";
+    let why = "this controller's state may be outdated: it has no recent contact to a majority";
     json_response(503, &jzon::object! { why: why })
 }
--- a/crates/controller/src/operator_json/errors.rs
+++ b/crates/controller/src/operator_json/errors.rs
@@ -1,21 +1,21 @@
-//! What can be wrong with the form of an operator's JSON.
+//! Errors in the form of an operator's JSON.
 
 use thiserror::Error;
 
 use caperworks::configuration::Fault;
 
-/// One error of form: which field, and what is wrong with it.
+/// An error in the form of a field.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct FormError {
-    /// The path of the field from the body on, such as `put[0].rule.host`.
+    /// The path of the field from the root of the body, such as `put[0].rule.host`.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: FormErrorReason,
 }
 
 impl FormError {
-    /// An error at a field.
+    /// Returns an error for a field.
     pub fn new(field: impl Into<String>, reason: FormErrorReason) -> Self {
         Self {
             field: field.into(),
@@ -34,33 +34,33 @@
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum FormErrorReason {
     /// The body cannot be parsed.
-    #[error("is no JSON: {0}")]
+    #[error("is not valid JSON: {0}")]
     NotJson(jzon::Error),
-    /// Another kind of value stands where an object is needed.
+    /// The value is not an object.
     #[error("must be an object")]
     NotAnObject,
-    /// Another kind of value stands where a string is needed.
+    /// The value is not a string.
     #[error("must be a string")]
     NotAString,
-    /// Another kind of value stands where a list is needed.
+    /// The value is not a list.
     #[error("must be a list")]
     NotAList,
-    /// Another kind of value stands where true or false is needed.
+    /// The value is not a boolean.
     #[error("must be true or false")]
     NotABoolean,
-    /// Another kind of value, a fraction or a negative number stands where a whole number is needed.
-    #[error("must be a whole number from 0 up")]
+    /// The value is not a non-negative integer.
+    #[error("must be a non-negative integer")]
     NotAnInteger,
-    /// Another kind of value, a negative or a huge number stands where a number is needed.
-    #[error("must be a number from 0 up")]
+    /// The value is not a non-negative number within the supported range.
+    #[error("must be a non-negative number")]
     NotANumber,
-    /// The number is larger than the field can hold.
+    /// The number is larger than the field supports.
     #[error("is too large")]
     TooLarge,
-    /// A field that is needed is not there.
+    /// A required field is missing.
     #[error("is missing")]
     Missing,
-    /// A field is there that has no meaning.
+    /// The field is not known.
     #[error("is not a known field")]
     UnknownField,
     /// No kind of item has this name.
@@ -72,16 +72,16 @@
     /// No key space has this name.
     #[error("must be hashed or ranges")]
     UnknownKeySpace,
-    /// The id of a change set is too long.
-    #[error("has at most 128 characters")]
+    /// The ID of a change set is too long.
+    #[error("must not be longer than 128 characters")]
     IdTooLong,
     /// The change set changes nothing.
     #[error("the change set is empty")]
     EmptyChangeSet,
-    /// The text is no address of an agent.
-    #[error("must be an agent's IP number and control port")]
+    /// The text is not an address of an agent.
+    #[error("must be the IP address and control port of an agent")]
     NotAnAgentAddress,
     /// The call names no agent.
-    #[error("names no agent")]
+    #[error("must name at least one agent")]
     NoAgents,
 }
--- a/crates/controller/src/operator_json/reading/change_set.rs
+++ b/crates/controller/src/operator_json/reading/change_set.rs
@@ -1,4 +1,4 @@
-//! Reading of a change set: items to put and to drop, each with the version that its writer saw.
+//! Reading of a change set: items to put and to drop, each with the version that its writer had read.
 
 use jzon::JsonValue;
 
@@ -11,13 +11,13 @@
 use caperworks::map_items::Value;
 use caperworks::replicated_map::{Change, Guard, Put, MAP_READ};
 
-/// The most bytes of a change set's id.
-const MOST_ID_BYTES: usize = 128;
+/// Maximum length of a change set's ID, in bytes.
+const MAX_ID_BYTES: usize = 128;
 
-/// Reads a change set as far as it can be read, with every error of its form.
+/// Reads a change set as far as possible, and returns it with all errors in its form.
 ///
-/// The change is meant to be checked further even when there are errors of form, so that one response
-/// names all that is wrong; it must not be applied then.
+/// A change with errors must not be applied. It can still be checked further, so that one response reports
+/// all errors.
 pub fn read_form(text: &str) -> (Change, Vec<FormError>) {
     let mut change = Change {
         id: ChangeId::new(""),
@@ -37,7 +37,7 @@
         return (change, vec![FormError::new("body", reason)]);
     };
     let id = reader.required_text("id", &mut errors);
-    if id.len() > MOST_ID_BYTES {
+    if id.len() > MAX_ID_BYTES {
         errors.push(FormError::new("id", FormErrorReason::IdTooLong));
     }
     for action in [ItemAction::Put, ItemAction::Drop] {
@@ -61,7 +61,7 @@
     (change, errors)
 }
 
-/// Reads a change set whose form is without error. Gives all errors of form when there are any.
+/// Reads a change set. Returns all errors in its form if there are any.
 pub fn read_change(text: &str) -> Result<Change, Vec<FormError>> {
     let (change, errors) = read_form(text);
     if errors.is_empty() {
@@ -71,7 +71,7 @@
     }
 }
 
-/// What a change set does with an item.
+/// The action of a change set on an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ItemAction {
     Put,
@@ -79,7 +79,7 @@
 }
 
 impl ItemAction {
-    /// The field of the change set that lists the items.
+    /// Returns the field of the change set that lists the items with this action.
     fn field_name(self) -> &'static str {
         match self {
             ItemAction::Put => "put",
@@ -88,7 +88,7 @@
     }
 }
 
-/// The kinds of items, by the names that operators give them.
+/// The kinds of items in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ItemKind {
     Route,
@@ -103,7 +103,7 @@
             .find(|kind| kind.name() == name)
     }
 
-    /// The operators' name, which is also the field that holds the value.
+    /// Returns the kind's name in the API, which is also the field that contains the value.
     fn name(self) -> &'static str {
         match self {
             Self::Route => "rule",
@@ -113,7 +113,7 @@
     }
 }
 
-/// Reads one item to put or to drop; nothing when it has no value that could be put.
+/// Reads one item to put or to drop. Returns `None` if its value cannot be read.
 fn read_item(
     path: &str,
     value: &JsonValue,
@@ -161,11 +161,12 @@
     }
 }
 
-/// The guard that tells how old a change set is: which version of the map its writer had read.
+/// Returns the guard that records which version of the map the change set's writer had read.
 ///
-/// None is needed where each item's version is given and above zero: an item never comes back to a
-/// version, so such a change can't be applied twice. An item that must be absent may have come and gone.
-/// The highest version of an item counts too: whoever saw it had read the map at that version or later.
+/// No guard is needed if every item has an expected version above zero: an item never returns to an earlier
+/// version, so such a change cannot be applied twice. An item that is expected to be absent may have been
+/// created and removed meanwhile. The highest expected version of an item counts as well, because its writer
+/// had read the map at that version or a later one.
 fn guard_of_read_version(puts: &[Put], read: Option<Version>) -> Option<Guard> {
     let seen = |put: &Put| put.expected.filter(|expected| expected.0 > 0);
     if read.is_none() && puts.iter().all(|put| seen(put).is_some()) {
--- a/crates/controller/src/operator_json/reading/fallback_members.rs
+++ b/crates/controller/src/operator_json/reading/fallback_members.rs
@@ -1,12 +1,12 @@
-//! Reading of a call that removes agents from the roster.
+//! Reading of a call that removes agents from the fallback members.
 
 use std::net::SocketAddr;
 
 use crate::operator_json::errors::{FormError, FormErrorReason};
 use crate::operator_json::reading::object_reader::ObjectReader;
 
-/// Reads which agents are to be removed. Gives all errors of form when there are any.
-pub fn read_drop(text: &str) -> Result<Vec<SocketAddr>, Vec<FormError>> {
+/// Reads the addresses of the agents to remove. Returns all errors in the form if there are any.
+pub fn read_removed_agents(text: &str) -> Result<Vec<SocketAddr>, Vec<FormError>> {
     let value = jzon::parse(text)
         .map_err(|error| vec![FormError::new("body", FormErrorReason::NotJson(error))])?;
     let mut errors = Vec::new();
--- a/crates/controller/src/operator_json/reading/mod.rs
+++ b/crates/controller/src/operator_json/reading/mod.rs
@@ -1,7 +1,7 @@
-//! Reading of the operators' JSON: one module for each kind of value.
+//! Reading of the operators' JSON, with one module for each kind of value.
 //!
-//! A reader goes on after an error, so that one response names all of them. What it gives back for a
-//! field that is wrong is of no consequence: nothing is applied when there was any error.
+//! A reader continues after an error, so that one response reports all of them. The value that it returns for
+//! a faulty field does not matter: nothing is applied if there was any error.
 
 pub mod change_set;
 pub mod fallback_members;
--- a/crates/controller/src/operator_json/reading/object_reader.rs
+++ b/crates/controller/src/operator_json/reading/object_reader.rs
@@ -1,4 +1,4 @@
-//! The reader of one JSON object, which collects what is wrong with it.
+//! A reader of JSON objects that collects all errors in their form.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::operator_json::errors::{FormError, FormErrorReason};
 
-/// Reads the fields of one object and remembers which were asked for.
+/// Reads the fields of one object and records which fields are known.
 ///
-/// Each method adds what is wrong to `errors` and goes on. At the end, [`ObjectReader::finish`] reports
-/// the fields that nobody asked for.
+/// Each method adds the errors that it finds to `errors` and continues. Finally, [`ObjectReader::finish`]
+/// reports the unknown fields.
 pub struct ObjectReader<'value> {
     path: String,
     value: &'value JsonValue,
@@ -18,7 +18,7 @@
 }
 
 impl<'value> ObjectReader<'value> {
-    /// A reader of the value at this path; nothing, with an error, when it is no object.
+    /// Returns a reader of the value at this path. Adds an error and returns `None` if it is not an object.
     pub fn new(
         path: impl Into<String>,
         value: &'value JsonValue,
@@ -36,7 +36,7 @@
         })
     }
 
-    /// The path of a field from the body on.
+    /// Returns the path of a field from the root of the body.
     pub fn field(&self, name: &str) -> String {
         if self.path.is_empty() {
             name.to_string()
@@ -49,14 +49,14 @@
         FormError::new(self.field(name), reason)
     }
 
-    /// A field of any kind; nothing when it is not there or null.
+    /// Returns a field of any type, or `None` if it is absent or null.
     pub fn get(&mut self, name: &'static str) -> Option<&'value JsonValue> {
         self.known.insert(name);
         let value = &self.value[name];
         (!value.is_null()).then_some(value)
     }
 
-    /// A string, if it is there.
+    /// Reads an optional string.
     pub fn text(&mut self, name: &'static str, errors: &mut Vec<FormError>) -> Option<String> {
         let value = self.get(name)?;
         let text = value.as_str();
@@ -66,7 +66,7 @@
         text.map(str::to_string)
     }
 
-    /// A string that must be there.
+    /// Reads a required string.
     pub fn required_text(&mut self, name: &'static str, errors: &mut Vec<FormError>) -> String {
         if self.get(name).is_none() {
             errors.push(self.error(name, FormErrorReason::Missing));
@@ -74,7 +74,7 @@
         self.text(name, errors).unwrap_or_default()
     }
 
-    /// A whole number, if it is there.
+    /// Reads an optional integer.
     pub fn number(&mut self, name: &'static str, errors: &mut Vec<FormError>) -> Option<u64> {
         let value = self.get(name)?;
         let number = value.as_u64();
@@ -84,7 +84,7 @@
         number
     }
 
-    /// A whole number of 32 bits, or the default.
+    /// Reads a 32-bit integer, or returns the default if it is absent.
     pub fn small_number(
         &mut self,
         name: &'static str,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A number with fractions, in thousandths; the default is a whole number.
+    /// Reads a decimal number and returns it in thousandths. `default` is in whole units.
     pub fn thousandths(
         &mut self,
         name: &'static str,
@@ -112,7 +112,7 @@
             return default * 1000;
         };
         match value.as_f64().map(|number| (number * 1000.0).round()) {
-            Some(number) if (0.0..=MOST_THOUSANDTHS).contains(&number) => number as u32,
+            Some(number) if (0.0..=MAX_THOUSANDTHS).contains(&number) => number as u32,
             _ => {
                 errors.push(self.error(name, FormErrorReason::NotANumber));
                 default * 1000
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A span in milliseconds, or the default.
+    /// Reads a duration in milliseconds, or returns the default if it is absent.
     pub fn milliseconds(
         &mut self,
         name: &'static str,
@@ -130,7 +130,7 @@
         Duration::from_millis(self.number(name, errors).unwrap_or(default))
     }
 
-    /// True or false, if it is there.
+    /// Reads an optional boolean.
     pub fn boolean(&mut self, name: &'static str, errors: &mut Vec<FormError>) -> Option<bool> {
         let value = self.get(name)?;
         let boolean = value.as_bool();
@@ -140,7 +140,7 @@
         boolean
     }
 
-    /// A list; empty when it is not there.
+    /// Reads a list, which is empty if the field is absent.
     pub fn list(&mut self, name: &'static str, errors: &mut Vec<FormError>) -> &'value [JsonValue] {
         match self.get(name) {
             None => &[],
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A list of strings.
+    /// Reads a list of strings.
     pub fn texts(&mut self, name: &'static str, errors: &mut Vec<FormError>) -> Vec<String> {
         let mut texts = Vec::new();
         for (index, item) in self.list(name, errors).iter().enumerate() {
@@ -167,7 +167,7 @@
         texts
     }
 
-    /// Reports every field that nobody asked for.
+    /// Adds an error for every unknown field.
     pub fn finish(self, errors: &mut Vec<FormError>) {
         for (name, _) in self.value.entries() {
             if !self.known.contains(name) {
@@ -177,5 +177,5 @@
     }
 }
 
-/// The largest number in thousandths that fits into 32 bits, rounded down.
-const MOST_THOUSANDTHS: f64 = 4_000_000_000.0;
+/// The largest accepted number in thousandths, which fits into 32 bits.
+const MAX_THOUSANDTHS: f64 = 4_000_000_000.0;
--- a/crates/controller/src/operator_json/reading/repeated_fields.rs
+++ b/crates/controller/src/operator_json/reading/repeated_fields.rs
@@ -1,8 +1,8 @@
-//! Finds objects in which a field stands twice; the JSON parser keeps only the last of the two.
+//! Detection of objects in which a field is repeated. The JSON parser silently keeps only the last one.
 
 use jzon::JsonValue;
 
-/// How many fields the objects of a value have, the objects inside them included.
+/// Returns the number of fields in a value, including those of nested objects.
 fn count_fields(value: &JsonValue) -> usize {
     let of_entries: usize = value
         .entries()
@@ -11,8 +11,8 @@
     of_entries + value.members().map(count_fields).sum::<usize>()
 }
 
-/// How many fields a JSON text writes: one for each colon outside its strings.
-fn count_written_fields(text: &str) -> usize {
+/// Returns the number of fields in a JSON text, which is the number of colons outside of strings.
+fn count_fields_in_text(text: &str) -> usize {
     let mut fields = 0;
     let mut in_string = false;
     let mut is_escaped = false;
@@ -28,7 +28,7 @@
     fields
 }
 
-/// Whether an object of a JSON text has two fields of one name; the parser keeps only the last of them.
+/// Returns whether any object in a JSON text has two fields of the same name.
 pub fn has_repeated_fields(text: &str, parsed: &JsonValue) -> bool {
-    count_written_fields(text) != count_fields(parsed)
+    count_fields_in_text(text) != count_fields(parsed)
 }
--- a/crates/controller/src/operator_json/reading/route.rs
+++ b/crates/controller/src/operator_json/reading/route.rs
@@ -1,4 +1,4 @@
-//! Reading of a route, which operators call a rule.
+//! Reading of a route, which the API calls a rule.
 
 use jzon::JsonValue;
 
@@ -7,9 +7,9 @@
 use caperworks::identifiers::{Region, ServiceName};
 use caperworks::map_items::{RequestKind, Route, SplitTarget, Value};
 
-/// The limit of a request's body where a route sets none, in bytes.
+/// Default limit of a request's body, in bytes.
 pub const DEFAULT_BODY_LIMIT: u64 = 64 * 1024 * 1024;
-/// The deadline of a request where a route sets none, in milliseconds.
+/// Default deadline of a request, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 2000;
 
 /// Reads a route.
@@ -42,8 +42,8 @@
     Some(Value::Route { route })
 }
 
-/// Reads the service that requests go to; beside a split it may be left out, since the split names the
-/// services then.
+/// Reads the service that receives the requests. It is optional if the route has a split, which names the
+/// services.
 fn read_service_name(
     reader: &mut ObjectReader<'_>,
     split: &[SplitTarget],
@@ -57,14 +57,14 @@
     })
 }
 
-/// Reads the regions that are allowed to serve the route: one, or a list.
+/// Reads the regions that may serve the route, given as one region, a list, or both.
 fn read_homes(reader: &mut ObjectReader<'_>, errors: &mut Vec<FormError>) -> Vec<Region> {
     let home = reader.text("home", errors);
     let homes = reader.texts("homes", errors);
     home.into_iter().chain(homes).map(Region::new).collect()
 }
 
-/// Reads the services that a route's requests are split over, by weight.
+/// Reads the services among which a route's requests are split by weight.
 fn read_split(reader: &mut ObjectReader<'_>, errors: &mut Vec<FormError>) -> Vec<SplitTarget> {
     let mut split = Vec::new();
     for (index, item) in reader.list("split", errors).iter().enumerate() {
@@ -80,7 +80,7 @@
     split
 }
 
-/// Reads which of a route's requests may be repeated.
+/// Reads which of a route's requests may be retried.
 fn read_request_kind(reader: &mut ObjectReader<'_>, errors: &mut Vec<FormError>) -> RequestKind {
     match reader.text("kind", errors).as_deref() {
         None => RequestKind::ByMethod,
--- a/crates/controller/src/operator_json/reading/service.rs
+++ b/crates/controller/src/operator_json/reading/service.rs
@@ -1,4 +1,4 @@
-//! Reading of a service, which operators call a pool.
+//! Reading of a service, which the API calls a pool.
 
 use jzon::JsonValue;
 
@@ -6,15 +6,15 @@
 use crate::operator_json::reading::object_reader::ObjectReader;
 use caperworks::map_items::{KeySpace, Service, Value};
 
-/// The number of key ranges where a service sets none.
+/// Default number of key ranges of a service.
 const DEFAULT_KEY_RANGES: u32 = 64;
-/// The most requests in flight at an instance where a service sets none.
+/// Default maximum number of requests in flight at an instance.
 const DEFAULT_INSTANCE_CAP: u32 = 64;
-/// The most requests in flight for one key where a service sets none.
+/// Default maximum number of requests in flight for one key.
 const DEFAULT_KEY_CAP: u32 = 8;
-/// The rate of a cold instance where a service sets none, in requests per second.
-const DEFAULT_COLD_RATE: u32 = 6;
-/// The slow start of a cold instance where a service sets none, in milliseconds.
+/// Default request rate of an instance in slow start, in requests per second.
+const DEFAULT_SLOW_START_RATE: u32 = 6;
+/// Default duration of an instance's slow start, in milliseconds.
 const DEFAULT_WARM_UP_MS: u64 = 5000;
 
 /// Reads a service.
@@ -29,7 +29,11 @@
         key_ranges: reader.small_number("slices", DEFAULT_KEY_RANGES, errors),
         instance_cap: reader.small_number("instance_cap", DEFAULT_INSTANCE_CAP, errors),
         key_cap: reader.small_number("key_cap", DEFAULT_KEY_CAP, errors),
-        slow_start_rate_milli: reader.thousandths("gentle_per_second", DEFAULT_COLD_RATE, errors),
+        slow_start_rate_milli: reader.thousandths(
+            "gentle_per_second",
+            DEFAULT_SLOW_START_RATE,
+            errors,
+        ),
         warm_up_span: reader.milliseconds("warm_ms", DEFAULT_WARM_UP_MS, errors),
         key_space: read_key_space(&mut reader, errors),
         connection_limit: reader.small_number("connection_limit", 0, errors),
@@ -39,7 +43,7 @@
     Some(Value::Service { service })
 }
 
-/// Reads how keys fall into key ranges.
+/// Reads how keys are mapped to key ranges.
 fn read_key_space(reader: &mut ObjectReader<'_>, errors: &mut Vec<FormError>) -> KeySpace {
     match reader.text("key_space", errors).as_deref() {
         None | Some("hashed") => KeySpace::Hashed,
--- a/crates/controller/src/operator_json/reading/zone.rs
+++ b/crates/controller/src/operator_json/reading/zone.rs
@@ -1,4 +1,4 @@
-//! Reading of a zone, which operators call an area.
+//! Reading of a zone, which the API calls an area.
 
 use jzon::JsonValue;
 
--- a/crates/controller/src/operator_json/writing/changes.rs
+++ b/crates/controller/src/operator_json/writing/changes.rs
@@ -1,4 +1,4 @@
-//! Writing of the response to a watch: the changes since a version, or a snapshot.
+//! Writing of the response to a watch: the changes after a version, or a snapshot.
 
 use jzon::JsonValue;
 
@@ -6,7 +6,7 @@
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::identifiers::Version;
 
-/// Writes changes up to a version. Beside them stands `may_be_old` when no majority was heard of late.
+/// Writes the changes up to a version. Adds `may_be_old` if there is no recent contact to a majority.
 pub fn changes_json(
     version: Version,
     update: Option<ConsensusMessage>,
--- a/crates/controller/src/operator_json/writing/items.rs
+++ b/crates/controller/src/operator_json/writing/items.rs
@@ -1,4 +1,4 @@
-//! Writing of the configuration: the complete map, one item, and the value of an item of each kind.
+//! Writing of the configuration: the complete map, single items, and the values of each kind of item.
 
 use jzon::JsonValue;
 
@@ -24,7 +24,7 @@
     json
 }
 
-/// Writes one value of the configuration as operators write it; values of other maps are null.
+/// Writes a value of the configuration in the same form as operators send it. Values of other maps are null.
 fn value_json(value: &Value) -> JsonValue {
     match value {
         Value::Route { route } => route_json(route),
@@ -57,7 +57,7 @@
     json
 }
 
-/// Writes the fields of a route that operators mostly leave out, where they differ from the default.
+/// Writes the optional fields of a route that differ from their defaults.
 fn write_optional_fields(route: &Route, json: &mut JsonValue) {
     let kind = match route.kind {
         RequestKind::ByMethod => None,
--- a/crates/controller/src/operator_json/writing/mod.rs
+++ b/crates/controller/src/operator_json/writing/mod.rs
@@ -1,4 +1,4 @@
-//! Writing of the operators' JSON: one module for each kind of response.
+//! Writing of the operators' JSON, with one module for each kind of response.
 
 pub mod changes;
 pub mod items;
--- a/crates/controller/src/operator_json/writing/outcome.rs
+++ b/crates/controller/src/operator_json/writing/outcome.rs
@@ -10,7 +10,7 @@
 /// The HTTP status and body of a response.
 type StatusAndBody = (u16, JsonValue);
 
-/// Writes what is wrong with a change set.
+/// Writes the faults of a change set.
 pub fn faults_json(faults: &[Fault]) -> JsonValue {
     faults
         .iter()
@@ -19,9 +19,10 @@
         .into()
 }
 
-/// The HTTP status and body of the response to a proposed change.
+/// Returns the HTTP status and body of the response to a proposed change.
 ///
-/// `refused` says that surely nothing was applied, `unknown` that it may have been or may yet be.
+/// The outcome `refused` means that nothing was applied. With the outcome `unknown`, the change may have been
+/// applied, or may still be.
 pub fn proposal_outcome_json(proposal_outcome: &ProposalOutcome) -> (u16, JsonValue) {
     match proposal_outcome {
         ProposalOutcome::Accepted(version) => (
@@ -45,14 +46,14 @@
             503,
             jzon::object! {
                 outcome: "refused",
-                why: "no majority of the voters could be reached; nothing was applied",
+                why: "no majority of the voters is reachable; nothing was applied",
             },
         ),
         ProposalOutcome::TooFewAgents => (
             503,
             jzon::object! {
                 outcome: "refused",
-                why: "too few agents of the roster are in touch; nothing was applied",
+                why: "too few agents on the roster are reachable; nothing was applied",
             },
         ),
         ProposalOutcome::Unknown => undecided(),
@@ -62,7 +63,7 @@
 fn id_taken(version: Version) -> StatusAndBody {
     let body = jzon::object! {
         outcome: "refused",
-        why: "this id was used for another change set",
+        why: "this id was already used for another change set",
         edition: version.0,
     };
     (409, body)
@@ -101,7 +102,7 @@
 fn versions_forgotten(keys: &[String]) -> StatusAndBody {
     let body = jzon::object! {
         outcome: "unknown",
-        why: "too old to know whether it was accepted: read it back",
+        why: "the change is too old to tell whether it was accepted: read the items back",
         items: keys.to_vec(),
     };
     (503, body)
@@ -110,8 +111,8 @@
 fn id_forgotten(version: Version) -> StatusAndBody {
     let body = jzon::object! {
         outcome: "unknown",
-        why: "too old to know whether this id was accepted before; nothing was applied now: \
-              read it back, and send what is still wanted under a new id, \
+        why: "the change is too old to tell whether this id was accepted before; nothing was applied now: \
+              read the configuration back, and send what is still missing under a new id \
               with the edition that was read",
         edition: version.0,
     };
@@ -121,7 +122,7 @@
 fn undecided() -> StatusAndBody {
     let body = jzon::object! {
         outcome: "unknown",
-        why: "the change was offered and may yet be accepted: \
+        why: "the change was proposed and may still be accepted: \
               send it again under the same id, or read it back",
     };
     (503, body)
--- a/crates/controller/src/operator_json/writing/status.rs
+++ b/crates/controller/src/operator_json/writing/status.rs
@@ -1,4 +1,4 @@
-//! Writing of a controller's view of the fleet.
+//! Writing of a controller's status, which is its view of the fleet.
 
 use jzon::JsonValue;
 
@@ -111,8 +111,8 @@
     status
         .fallback_members
         .iter()
-        .map(|(address, in_touch)| {
-            jzon::object! { agent: address.to_string(), in_touch: *in_touch }
+        .map(|(address, is_reachable)| {
+            jzon::object! { agent: address.to_string(), in_touch: *is_reachable }
         })
         .collect()
 }
--- a/crates/controller/tests/operator_json.rs
+++ b/crates/controller/tests/operator_json.rs
@@ -1,9 +1,9 @@
-//! The texts that operators see when the form of their JSON is wrong.
+//! Error texts that operators receive when the form of their JSON is wrong.
 
 use caperworks::configuration::Fault;
-use controller::operator_json::{read_drop, read_form, FormError};
+use controller::operator_json::{read_form, read_removed_agents, FormError};
 
-/// What is reported, each error as the field and the text of the response.
+/// Returns the errors as they are reported: the field and the text of each.
 fn reported(errors: Vec<FormError>) -> Vec<(String, String)> {
     errors
         .into_iter()
@@ -20,7 +20,7 @@
     assert_eq!(reported(errors), expected, "{text}");
 }
 
-/// A change set that puts one item of this kind with this value.
+/// Returns a change set that puts one item of this kind with this value.
 fn put(kind: &str, value: &str) -> String {
     format!(r#"{{"id": "one", "put": [{{"kind": "{kind}", "name": "n", "{kind}": {value}}}]}}"#)
 }
@@ -33,7 +33,10 @@
         (r#"{"put": []}"#, &[("id", "is missing")]),
         (r#"{"id": 7}"#, &[("id", "must be a string")]),
         (r#"{"id": "one"}"#, &[("put", "the change set is empty")]),
-        (&long_id, &[("id", "has at most 128 characters")]),
+        (
+            &long_id,
+            &[("id", "must not be longer than 128 characters")],
+        ),
         (r#"{"id": "one", "put": 7}"#, &[("put", "must be a list")]),
         (
             r#"{"id": "one", "put": [7]}"#,
@@ -42,7 +45,7 @@
         (
             r#"{"id": "one", "edition": -1, "extra": 1}"#,
             &[
-                ("edition", "must be a whole number from 0 up"),
+                ("edition", "must be a non-negative integer"),
                 ("extra", "is not a known field"),
             ],
         ),
@@ -67,7 +70,11 @@
     let errors = reported(read_form("{").1);
     assert_eq!(errors.len(), 1);
     assert_eq!(errors[0].0, "body");
-    assert!(errors[0].1.starts_with("is no JSON: "), "{}", errors[0].1);
+    assert!(
+        errors[0].1.starts_with("is not valid JSON: "),
+        "{}",
+        errors[0].1
+    );
 }
 
 #[test]
@@ -87,7 +94,7 @@
                 ("put[0].pool.slices", "is too large"),
                 (
                     "put[0].pool.gentle_per_second",
-                    "must be a number from 0 up",
+                    "must be a non-negative number",
                 ),
                 ("put[0].pool.key_space", "must be hashed or ranges"),
             ],
@@ -112,7 +119,7 @@
                 ("put[0].rule.split[0].pool", "is missing"),
                 (
                     "put[0].rule.split[0].weight",
-                    "must be a whole number from 0 up",
+                    "must be a non-negative integer",
                 ),
             ],
         ),
@@ -125,13 +132,16 @@
 fn each_error_in_a_removal_of_agents_has_its_text() {
     for (text, expected) in [
         ("[]", &[("", "must be an object")][..]),
-        ("{}", &[("drop", "names no agent")]),
+        ("{}", &[("drop", "must name at least one agent")]),
         (
             r#"{"drop": ["there"]}"#,
-            &[("drop[0]", "must be an agent's IP number and control port")],
+            &[(
+                "drop[0]",
+                "must be the IP address and control port of an agent",
+            )],
         ),
     ] {
-        let errors = read_drop(text).expect_err("its form is wrong");
+        let errors = read_removed_agents(text).expect_err("its form is wrong");
         expect(errors, expected, text);
     }
 }
