--- a/crates/controller/src/daemon/events.rs
+++ b/crates/controller/src/daemon/events.rs
@@ -1,4 +1,4 @@
-//! The controller's events in the log, each under its number in the catalogue.
+//! Logging of the controller's events, each under its number in the event catalogue.
 
 use crate::state_machine::event::Event;
 use runtime::events::{
--- a/crates/controller/src/daemon/handle.rs
+++ b/crates/controller/src/daemon/handle.rs
@@ -1,4 +1,4 @@
-//! Handles by which calls over HTTP reach the state machine.
+//! Handles through which HTTP calls reach the state machine.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use runtime::clock::Clock;
 use runtime::freeze_guard::FreezeGuard;
 
-/// The way from a call over HTTP to the state machine. Each call gets a handle of its own.
+/// Passes an HTTP call to the state machine. Each call has its own handle.
 #[derive(Clone)]
 pub struct ControllerHandle {
     inbox: Inbox<ControllerInput>,
@@ -24,14 +24,14 @@
     pub(super) ready_until: Arc<ReadyUntil>,
     pub(super) stopping: Arc<AtomicBool>,
     pub(super) freeze_guard: Arc<FreezeGuard>,
-    /// When the head of the call that this handle serves was read.
+    /// When the head of the request was read.
     received_at: Duration,
-    /// Whether that call may have lain in a socket while this process was frozen.
+    /// Whether the request may have waited in a socket while this process was frozen.
     may_be_old: bool,
 }
 
 impl ControllerHandle {
-    /// The handle that those of all calls are copies of.
+    /// Returns the handle from which the handles of all calls are cloned.
     pub(super) fn new(inbox: Inbox<ControllerInput>, clock: Clock) -> Self {
         Self {
             inbox,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A handle for a call whose head was read now.
+    /// Returns a handle for a call whose head has just been read.
     pub(super) fn for_call_received_now(&self) -> Self {
         let now = self.clock.now();
         Self {
@@ -55,8 +55,11 @@
         }
     }
 
-    /// Hands an input in and waits for its response; nothing when the inbox is full or the process ends.
-    async fn ask(&self, input: impl FnOnce(u64) -> ControllerInput) -> Option<OperatorResponse> {
+    /// Submits an input and waits for its response. Returns `None` if the inbox is full or the process ends.
+    async fn request(
+        &self,
+        input: impl FnOnce(u64) -> ControllerInput,
+    ) -> Option<OperatorResponse> {
         let (ticket, response) = self.tickets.draw();
         if !self.inbox.give(input(ticket)) {
             self.tickets.forget(ticket);
@@ -65,16 +68,17 @@
         response.await.ok()
     }
 
-    /// Hands an operator's call in; nothing when the inbox is full or the process ends.
+    /// Submits an operator's call and waits for its response. Returns `None` if the inbox is full or the process
+    /// ends.
     ///
-    /// A change without a version that may have lain in a socket for long is rejected: its caller has gone
-    /// elsewhere since, and may have undone it there.
+    /// A change without a version that may have waited in a socket for a long time is rejected: its caller may
+    /// have switched to another controller since, and may have reverted the change there.
     pub async fn call(&self, call: OperatorCall) -> Option<OperatorResponse> {
         if self.may_be_old && operator_calls::is_unversioned_call(&call) {
             return Some(OperatorResponse::NotCurrent);
         }
         let received_at = self.received_at;
-        self.ask(|ticket| ControllerInput::OperatorCall {
+        self.request(|ticket| ControllerInput::OperatorCall {
             ticket,
             call,
             received_at,
@@ -82,17 +86,17 @@
         .await
     }
 
-    /// Whether this controller hears a majority and is not about to stop.
+    /// Returns whether this controller has contact to a majority and is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.ready_until.is_ready(self.clock.now()) && !self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Whether this controller is about to stop.
+    /// Returns whether this controller is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Hands a heartbeat in; nothing when this controller cannot acknowledge it.
+    /// Submits a heartbeat. Returns `None` if this controller cannot acknowledge it.
     pub async fn heartbeat(
         &self,
         heartbeat: Heartbeat,
@@ -106,20 +110,20 @@
             heartbeat,
             echo,
         };
-        match self.ask(input).await {
+        match self.request(input).await {
             Some(OperatorResponse::Heartbeat { response }) => Some(response),
             _ => None,
         }
     }
 
-    /// Deregisters an incarnation of an instance that has ended; says whether that is acknowledged.
+    /// Deregisters an incarnation of an instance that has ended. Returns whether that was acknowledged.
     pub async fn gone(&self, id: InstanceId) -> bool {
         if self.may_be_old {
             return false;
         }
         let input = |ticket| ControllerInput::InstanceEnded { ticket, id };
         matches!(
-            self.ask(input).await,
+            self.request(input).await,
             Some(OperatorResponse::Heartbeat { .. })
         )
     }
--- a/crates/controller/src/daemon/host.rs
+++ b/crates/controller/src/daemon/host.rs
@@ -1,4 +1,4 @@
-//! The host of the state machine: hands inputs to it and carries its outputs out.
+//! The host of the state machine: passes inputs to it and carries out its outputs.
 
 use std::collections::VecDeque;
 use std::sync::{mpsc, Arc};
@@ -16,23 +16,23 @@
 use runtime::connections::ControlPort;
 use runtime::freeze_guard::FreezeGuard;
 
-/// The state machine with the means to carry its outputs out.
+/// The state machine together with the I/O for its outputs.
 pub(super) struct ControllerHost {
     pub(super) machine: ControllerMachine,
     pub(super) port: ControlPort,
-    /// Writes go to a thread of their own, which reports each as an input.
+    /// The channel to the disk thread, which reports the result of each write as an input.
     pub(super) disk: mpsc::Sender<(u64, Vec<DiskWrite>)>,
-    /// Calls over HTTP that wait for a response.
+    /// HTTP calls that wait for a response.
     pub(super) tickets: Arc<Tickets<OperatorResponse>>,
-    /// Until when the last quorum read lets this controller vouch for what it knows.
+    /// Until when this controller's state counts as current according to the last quorum read.
     pub(super) ready_until: Arc<ReadyUntil>,
-    /// Notified when the graceful shutdown is done.
+    /// Notified when the graceful shutdown is complete.
     pub(super) stopped: Arc<Notify>,
     pub(super) freeze_guard: Arc<FreezeGuard>,
 }
 
 impl ControllerHost {
-    /// Carries outputs out; messages of the controller to itself become inputs that come next.
+    /// Carries out outputs. Messages of the controller to itself are added to `next` as inputs.
     pub(super) fn act(
         &mut self,
         outputs: Vec<ControllerOutput>,
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! The core process: its state machine in an actor, its disk, and its interface over HTTP.
+//! The controller process: its state machine in an actor, its disk, and its HTTP API.
 //!
-//! [`host`] carries the state machine's outputs out, [`handle`] brings calls to it, [`http_api`] is the
-//! product's own interface, and [`events`] writes the log.
+//! [`host`] carries out the state machine's outputs, [`handle`] passes calls to it, [`http_api`] implements the
+//! native API, and [`events`] writes the log.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -36,41 +36,42 @@
 
 pub use self::handle::ControllerHandle;
 
-/// The bytes of a megabyte in the settings.
+/// Number of bytes in a megabyte of the settings.
 const MEGABYTE: u64 = 1024 * 1024;
 
-/// What responds to calls over HTTP: the product's own interface, or another that stands in for it.
+/// A handler of HTTP calls: the native API, or another one that replaces it.
 pub type Interface =
     Arc<dyn Fn(ControllerHandle, Request<Incoming>) -> BoxedResponse + Send + Sync + 'static>;
 
-/// The product's own interface.
+/// Returns the native API.
 pub fn own_interface() -> Interface {
     Arc::new(|handle, request| Box::pin(async move { handle.respond(request).await }))
 }
 
-/// The error of a library below, which says itself what went wrong.
+/// The underlying error, whose text describes what went wrong.
 type Cause = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a controller cannot start. The texts are those of the causes.
+/// The reason why a controller cannot start. The texts are those of the underlying errors.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The limits on file sizes cannot be lifted.
+    /// The signal handler for writes beyond a file size limit cannot be installed.
     #[error(transparent)]
     FileLimits(Cause),
-    /// The data folder cannot be opened or read.
+    /// The data directory cannot be opened or read.
     #[error(transparent)]
     DataFolder(Cause),
-    /// The port for messages of other nodes cannot be opened.
+    /// The port for messages from other nodes cannot be opened.
     #[error(transparent)]
     ControlPort(Cause),
-    /// The port for calls over HTTP cannot be opened.
+    /// The port for HTTP calls cannot be opened.
     #[error(transparent)]
     ServingPort(Cause),
 }
 
-/// Runs a controller until it is asked to stop and the graceful shutdown is done.
+/// Runs a controller until a graceful shutdown is requested and complete.
 ///
-/// An error means that it never started: a port is taken, or the data folder is not usable.
+/// An error means that the controller did not start, because a port is in use or the data directory is not
+/// usable.
 pub async fn run(
     node_settings: NodeSettings,
     reread: Reread,
@@ -100,9 +101,9 @@
     open_actor(host, clock, receiver, node_settings.terms.tick);
     let stopping = handle.stopping.clone();
     serve_calls(&node_settings, handle, interface).await?;
-    let settings = inbox.clone();
+    let settings_inbox = inbox.clone();
     follow_settings(reread, move |seeds| {
-        settings.give(ControllerInput::SeedsChanged { seeds });
+        settings_inbox.give(ControllerInput::SeedsChanged { seeds });
     });
     asked_to_stop().await;
     event(STOPPING, "");
@@ -112,7 +113,7 @@
     Ok(())
 }
 
-/// Starts the state machine from the data folder. The outputs of its start are not carried out yet.
+/// Starts the state machine from the data directory. The outputs of its start are not carried out yet.
 fn recover(
     node_settings: &NodeSettings,
 ) -> Result<(DataFolder, ControllerMachine, Vec<ControllerOutput>), StartError> {
@@ -148,8 +149,8 @@
         .map_err(|error| StartError::ControlPort(error.into()))
 }
 
-/// Starts the thread that writes to disk. Its reports are given even when the inbox is full: without them
-/// nothing that waits for a write would ever leave.
+/// Starts the thread that writes to disk. Its results are delivered even if the inbox is full: otherwise
+/// outputs that wait for a write would never be released.
 fn start_disk_writer(
     folder: DataFolder,
     inbox: Inbox<ControllerInput>,
@@ -176,7 +177,7 @@
     );
 }
 
-/// Serves calls over HTTP, each with a handle of its own.
+/// Serves HTTP calls, each with its own handle.
 async fn serve_calls(
     node_settings: &NodeSettings,
     handle: ControllerHandle,
@@ -187,8 +188,8 @@
         .map_err(|error| StartError::ServingPort(error.into()))?;
     let stop = Arc::new(AtomicBool::new(false));
     tokio::spawn(serve_http(listener, stop, move |_, request| {
-        let answering = interface(handle.for_call_received_now(), request);
-        async move { Ok(answering.await) }
+        let response = interface(handle.for_call_received_now(), request);
+        async move { Ok(response.await) }
     }));
     Ok(())
 }
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -1,9 +1,9 @@
-//! Fault injection: a test leaves one safeguard of a controller out, to prove that the invariant checkers
-//! and scenarios notice when it does not hold.
+//! Fault injection: a test disables one safeguard of a controller, to prove that the invariant checkers and
+//! scenarios detect its absence.
 //!
-//! This is the only seam for it: a controller is started with [`ControllerOptions::inject`], the code
-//! beside a safeguard asks `ControllerState::injects`, and parts of other crates are set up here. The
-//! daemon never injects anything.
+//! All fault injection goes through this module: a test starts a controller with
+//! [`ControllerOptions::inject`], the code next to a safeguard checks `ControllerState::injects`, and the
+//! safeguards in other crates are configured here. The daemon never injects faults.
 
 use crate::state::options::ControllerOptions;
 use crate::state::ControllerState;
@@ -11,46 +11,46 @@
 use caperworks::consensus::proposer::ProposerOptions;
 use caperworks::ownership::OwnerManager;
 
-/// The safeguard that is left out.
+/// The fault that is injected, which is a disabled safeguard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum FaultInjection {
-    /// None: the controller works as it should.
+    /// No fault: all safeguards are enabled.
     #[default]
     None,
-    /// One vote is a majority.
+    /// A single vote counts as a majority.
     SingleVoteMajority,
-    /// Votes leave before they are synced.
+    /// Votes are sent before they are synced to disk.
     UnsyncedVotes,
     /// Leases are granted without a quorum read.
     GrantsWithoutQuorum,
     /// Key ranges are reassigned before their leases expire.
     EarlyReassignment,
-    /// A key range counts as released when a heartbeat does not hold it, whenever it was sent.
+    /// A key range counts as released if any heartbeat does not list it, even one that was sent too early.
     TrustsOldHeartbeats,
-    /// Leases of key ranges are granted for twelve seconds.
+    /// Key range leases are granted for twelve seconds.
     OverlongLeases,
-    /// The sound part of a faulty change set is applied.
+    /// The valid part of a faulty change set is applied.
     PartialChangeSets,
-    /// Reads are answered without having heard a majority.
+    /// Reads are answered without a quorum read.
     ReadsWithoutQuorum,
-    /// Changes are confirmed to operators whether or not the agents hold them.
+    /// Changes are confirmed to operators whether or not the agents have them.
     ConfirmsWithoutAgents,
-    /// Instances' calls are acknowledged by a controller that hears no other.
+    /// Instances' calls are acknowledged by a controller without contact to a majority.
     AcknowledgesWithoutQuorum,
     /// Reads are answered from a quorum read that began before they arrived.
     EarlyQuorumReads,
-    /// Changes without a version are taken whenever they were sent.
+    /// Changes without a version are accepted regardless of their age.
     UnfencedChanges,
-    /// A snapshot that was received counts as held before it is synced.
+    /// A received snapshot counts as stored before it is synced.
     UnsyncedSnapshot,
     /// The digest of a snapshot is not checked.
     UncheckedSnapshot,
-    /// Leadership roles are taken by whoever is next, behind or not.
+    /// The next controller in line becomes leader even while it is behind.
     LeadsWhileBehind,
 }
 
 impl FaultInjection {
-    /// Leaves the safeguard out of the proposers that are made with these options.
+    /// Disables the safeguard in proposers with these options.
     fn apply_to_proposers(self, options: &mut ProposerOptions) {
         if self == Self::SingleVoteMajority {
             options.majority_override = Some(1);
@@ -58,14 +58,14 @@
         options.applies_partially = self == Self::PartialChangeSets;
     }
 
-    /// Leaves the safeguard out of the receiver of snapshots.
+    /// Disables the safeguard in the receiver of snapshots.
     pub(crate) fn apply_to_catch_up(self, receiver: &mut CatchUpReceiver) {
         if self == Self::UncheckedSnapshot {
             receiver.broken = BrokenCatchUp::SkipsDigest;
         }
     }
 
-    /// Leaves the safeguard out of the owner manager.
+    /// Disables the safeguard in the owner manager.
     pub(crate) fn apply_to_owner_manager(self, manager: &mut OwnerManager) {
         manager.hasty = self == Self::EarlyReassignment;
         manager.takes_silence = self == Self::TrustsOldHeartbeats;
@@ -74,7 +74,7 @@
 }
 
 impl ControllerOptions {
-    /// Leaves a safeguard out.
+    /// Injects a fault by disabling a safeguard.
     pub fn inject(mut self, fault: FaultInjection) -> Self {
         self.fault_injection = fault;
         fault.apply_to_proposers(&mut self.proposer);
@@ -83,7 +83,7 @@
 }
 
 impl ControllerState {
-    /// Whether this safeguard is left out.
+    /// Returns whether this fault is injected.
     pub(crate) fn injects(&self, fault: FaultInjection) -> bool {
         self.options.fault_injection == fault
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,11 +1,11 @@
-//! The controller: the core process of caperworks, which agrees with its peers on the maps, grants leases
-//! to followers, holds leadership roles and answers operators and instances.
+//! The controller: the control plane process of caperworks. It agrees with its peers on the replicated maps,
+//! grants leases to followers, takes leadership roles, and serves operators and instances.
 //!
-//! [`state_machine`] takes inputs and returns outputs without any I/O; [`state`] is what it knows. Inputs
-//! go to the modules for one concern each: [`consensus`], [`leadership`], [`renewal`] (leases of
-//! followers), [`fact_exchange`] (instances and members among controllers), [`agents`] (the roster, and
-//! which versions agents hold), [`instance_calls`], [`operator_calls`] and [`reads`]. [`daemon`] runs the
-//! state machine as a process, and [`operator_json`] reads and writes what operators see.
+//! [`state_machine`] handles inputs and returns outputs without any I/O; [`state`] is its state. Inputs go to
+//! modules with one concern each: [`consensus`], [`leadership`], [`renewal`] (leases of followers),
+//! [`fact_exchange`] (instances and members among controllers), [`agents`] (fallback members, and the versions
+//! that agents have), [`instance_calls`], [`operator_calls`] and [`reads`]. [`daemon`] runs the state machine
+//! as a process, and [`operator_json`] reads and writes the JSON of the operators' API.
 
 #![warn(missing_docs)]
 
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! `controller`: one of the core processes.
+//! `controller`: the control plane process.
 
 use std::sync::Arc;
 
@@ -9,16 +9,16 @@
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
 const HELP: &str =
-    "The core of caperworks: keeps the maps, grants leases, does the leadership roles, \
-and answers operators over HTTP";
-/// The settings without which a controller cannot run.
-const NEEDS: [&str; 5] = ["control", "serving", "area", "seeds", "data"];
+    "The control plane of caperworks: replicates the maps, grants leases, takes leadership roles, \
+and serves operators over HTTP";
+/// The settings that a controller requires.
+const REQUIRED_SETTINGS: [&str; 5] = ["control", "serving", "area", "seeds", "data"];
 
 fn main() -> anyhow::Result<()> {
     let flags = read_flags(&node_flags().to_options().descr(HELP));
-    let node_settings = NodeSettings::read_or_end(&flags, &NEEDS);
+    let node_settings = NodeSettings::read_or_end(&flags, &REQUIRED_SETTINGS);
     start_log()?;
-    let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
+    let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
     run_daemon(node_settings.terms.workers, async move {
         Ok(controller::daemon::run(node_settings, reread, own_interface()).await?)
     })
