--- a/crates/controller/tests/catch_up_stories.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -126,12 +126,12 @@
             largest_slot: 0,
             slots_written: 0,
         };
-        (0..3).for_each(|index| fleet.starts(index));
-        fleet.runs(Duration::from_secs(8));
+        (0..3).for_each(|index| fleet.start(index));
+        fleet.run(Duration::from_secs(8));
         fleet
     }
 
-    fn starts(&mut self, index: usize) {
+    fn start(&mut self, index: usize) {
         self.seeds_drawn += 1;
         let seeds = (0..3).map(address).collect();
         let zone = Zone::new(format!("zone-{index}"));
@@ -145,10 +145,10 @@
         let image = self.nodes[index].image.clone();
         let (machine, outputs) = ControllerMachine::start(options, &image, self.seeds_drawn);
         self.nodes[index].machine = Some(machine);
-        self.acts(index, outputs);
+        self.carry_out(index, outputs);
     }
 
-    fn stops(&mut self, index: usize) {
+    fn stop(&mut self, index: usize) {
         self.nodes[index].machine = None;
         self.wire.retain(|carried| carried.to != address(index));
     }
@@ -157,11 +157,11 @@
         &self.nodes[index].machine.as_ref().expect("it runs").state
     }
 
-    fn acts(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
+    fn carry_out(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
             match output {
-                ControllerOutput::Send { to, message } => self.sends(index, to, message),
+                ControllerOutput::Send { to, message } => self.send(index, to, message),
                 ControllerOutput::Write { ticket, writes } => {
                     if self.nodes[index].disk_hangs {
                         continue;
@@ -173,7 +173,7 @@
                             self.slots_written += 1;
                         }
                     }
-                    outputs.extend(self.takes(index, ControllerInput::WriteSynced { ticket }));
+                    outputs.extend(self.input(index, ControllerInput::WriteSynced { ticket }));
                 }
                 ControllerOutput::Respond { ticket, response } => {
                     self.responses.insert(ticket, response);
@@ -188,7 +188,7 @@
         }
     }
 
-    fn sends(&mut self, index: usize, to: SocketAddr, mut message: Message) {
+    fn send(&mut self, index: usize, to: SocketAddr, mut message: Message) {
         if let Message::ConsensusMessage { vote } = &mut message {
             if let (ConsensusMessage::Chunk { chunk }, Some((spoiled, change))) =
                 (&mut *vote, self.spoils)
@@ -214,20 +214,20 @@
         self.wire.push_back(Carried { due, to, envelope });
     }
 
-    fn takes(&mut self, index: usize, input: ControllerInput) -> Vec<ControllerOutput> {
+    fn input(&mut self, index: usize, input: ControllerInput) -> Vec<ControllerOutput> {
         let now = self.now;
         let machine = self.nodes[index].machine.as_mut();
         machine.map_or_else(Vec::new, |machine| machine.input(now, input))
     }
 
-    fn inputs(&mut self, index: usize, input: ControllerInput) {
-        let outputs = self.takes(index, input);
-        self.acts(index, outputs);
-        self.carries();
+    fn handle_input(&mut self, index: usize, input: ControllerInput) {
+        let outputs = self.input(index, input);
+        self.carry_out(index, outputs);
+        self.deliver();
     }
 
     /// Hands over all that is due by now.
-    fn carries(&mut self) {
+    fn deliver(&mut self) {
         while let Some(next) = self.wire.iter().position(|carried| carried.due <= self.now) {
             let Some(carried) = self.wire.remove(next) else {
                 return;
@@ -236,31 +236,31 @@
                 continue;
             };
             let envelope = carried.envelope;
-            let outputs = self.takes(index, ControllerInput::MessageReceived { envelope });
-            self.acts(index, outputs);
+            let outputs = self.input(index, ControllerInput::MessageReceived { envelope });
+            self.carry_out(index, outputs);
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        self.carries();
+        self.deliver();
         for index in 0..4 {
-            self.inputs(index, ControllerInput::Tick);
+            self.handle_input(index, ControllerInput::Tick);
         }
     }
 
-    fn runs(&mut self, span: Duration) {
+    fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.step();
         }
     }
 
-    fn calls(&mut self, index: usize, call: OperatorCall) -> u64 {
+    fn call(&mut self, index: usize, call: OperatorCall) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
         let received_at = self.now;
-        self.inputs(
+        self.handle_input(
             index,
             ControllerInput::OperatorCall {
                 ticket,
@@ -272,14 +272,14 @@
     }
 
     /// Carries one message of the first controller to a place, and what follows from it.
-    fn hands(&mut self, index: usize, vote: ConsensusMessage) -> Vec<ControllerOutput> {
+    fn deliver_to(&mut self, index: usize, vote: ConsensusMessage) -> Vec<ControllerOutput> {
         let machine = self.nodes[0].machine.as_ref().expect("it runs");
         let envelope = machine.seal(address(index), Message::ConsensusMessage { vote });
-        self.takes(index, ControllerInput::MessageReceived { envelope })
+        self.input(index, ControllerInput::MessageReceived { envelope })
     }
 
     /// Lets the first two controllers vote for and commit a change, as a proposer would have them.
-    fn commits(&mut self, change: Change) {
+    fn commit(&mut self, change: Change) {
         let (map, state) = (MapName::Configuration, self.state(0));
         let version = state.map(map).version.next();
         let membership = state.map(MapName::Membership).version;
@@ -306,16 +306,16 @@
         };
         for vote in [prepare, accept, commit] {
             for index in 0..2 {
-                let outputs = self.hands(index, vote.clone());
-                self.acts(index, outputs);
-                self.carries();
+                let outputs = self.deliver_to(index, vote.clone());
+                self.carry_out(index, outputs);
+                self.deliver();
             }
         }
         assert_eq!(self.state(1).map(map).version, version);
     }
 
-    fn reads(&mut self, index: usize) -> OperatorResponse {
-        let ticket = self.calls(index, OperatorCall::Read);
+    fn read(&mut self, index: usize) -> OperatorResponse {
+        let ticket = self.call(index, OperatorCall::Read);
         let until = self.now + Duration::from_secs(1);
         while !self.responses.contains_key(&ticket) && self.now < until {
             self.step();
@@ -323,7 +323,7 @@
         self.responses.remove(&ticket).expect("it is answered")
     }
 
-    fn is_level(&self, index: usize) -> bool {
+    fn is_up_to_date(&self, index: usize) -> bool {
         let state = self.state(index);
         ALL_MAPS
             .iter()
@@ -331,9 +331,9 @@
     }
 
     /// Runs until a place has all maps; tells how long that took.
-    fn runs_until_level(&mut self, index: usize) -> Duration {
+    fn run_until_up_to_date(&mut self, index: usize) -> Duration {
         let began = self.now;
-        while !self.is_level(index) {
+        while !self.is_up_to_date(index) {
             self.step();
             assert!(
                 self.now - began < Duration::from_secs(60),
@@ -344,7 +344,7 @@
     }
 
     /// From now on ways are slow, and what goes over them for catch-up is counted.
-    fn slows_down(&mut self, rate: u64) {
+    fn limit_bandwidth(&mut self, rate: u64) {
         self.way_rate = Some(rate);
         self.traffic = Traffic::default();
     }
@@ -387,13 +387,12 @@
 }
 
 #[test]
-fn given_ten_thousand_changes_over_six_thousand_routes_when_a_member_missed_them_then_all_stays_bounded(
-) {
+fn catch_up_after_ten_thousand_changes_stays_bounded() {
     let mut fleet = Fleet::founded(1);
-    fleet.stops(2);
+    fleet.stop(2);
     let slots_before = fleet.slots_written;
     for number in 0..CHANGES {
-        fleet.commits(routes_change(number..number + 1, ROUTES));
+        fleet.commit(routes_change(number..number + 1, ROUTES));
     }
     let full_map = map_bytes(&fleet, 0);
     println!(
@@ -426,15 +425,15 @@
         (2, SLOW_WAY_BYTES_PER_SECOND, Duration::from_secs(10)),
         (3, WAY_BYTES_PER_SECOND, Duration::from_secs(2)),
     ] {
-        fleet.stops(index);
+        fleet.stop(index);
         if index == 2 {
             fleet.nodes[2].image = image.clone();
         }
-        fleet.runs(SNAPSHOT_IDLE_SPAN);
-        fleet.slows_down(rate);
-        fleet.starts(index);
-        let span = fleet.runs_until_level(index);
-        fleet.runs(Duration::from_secs(2));
+        fleet.run(SNAPSHOT_IDLE_SPAN);
+        fleet.limit_bandwidth(rate);
+        fleet.start(index);
+        let span = fleet.run_until_up_to_date(index);
+        fleet.run(Duration::from_secs(2));
         let traffic = fleet.traffic.clone();
         let messages = traffic.messages();
         println!("place {index} at {rate} bytes/s: level after {span:?}, {messages} messages, {traffic:?}");
@@ -447,7 +446,7 @@
         assert!(traffic.largest <= CHUNK_BYTES + 512, "{traffic:?}");
         assert_eq!(fleet.state(index).catch_up.held_bytes(), 0);
     }
-    fleet.runs(SNAPSHOT_IDLE_SPAN);
+    fleet.run(SNAPSHOT_IDLE_SPAN);
     for index in 0..4 {
         assert_eq!(fleet.state(index).snapshots.held_bytes(), 0);
     }
@@ -456,14 +455,14 @@
 /// A fleet in which one member missed many changes, and comes back over slow ways.
 fn with_a_member_behind(seed: u64, behind: usize, broken: FaultInjection) -> Fleet {
     let mut fleet = Fleet::founded(seed);
-    fleet.stops(behind);
+    fleet.stop(behind);
     fleet.nodes[behind].broken = broken;
-    fleet.runs(Duration::from_secs(8));
+    fleet.run(Duration::from_secs(8));
     for number in 0..ROUTES / 50 {
-        fleet.commits(routes_change(number * 50..(number + 1) * 50, ROUTES));
+        fleet.commit(routes_change(number * 50..(number + 1) * 50, ROUTES));
     }
-    fleet.slows_down(SLOW_WAY_BYTES_PER_SECOND);
-    fleet.starts(behind);
+    fleet.limit_bandwidth(SLOW_WAY_BYTES_PER_SECOND);
+    fleet.start(behind);
     fleet
 }
 
@@ -480,17 +479,17 @@
 }
 
 #[test]
-fn given_a_member_that_is_behind_when_asked_then_it_answers_no_read_and_gives_no_vote() {
+fn controller_that_is_behind_serves_no_reads_and_does_not_vote() {
     let mut fleet = with_a_member_behind(20, 2, FaultInjection::None);
     let mut steps = 0;
     let mut reads = Vec::new();
     loop {
         fleet.step();
-        if fleet.is_level(2) {
+        if fleet.is_up_to_date(2) {
             break;
         }
         steps += 1;
-        reads.push(fleet.calls(2, OperatorCall::Read));
+        reads.push(fleet.call(2, OperatorCall::Read));
         for ticket in &reads {
             let response = fleet.responses.get(ticket);
             let is_refused =
@@ -506,14 +505,14 @@
             version: state.map(MapName::Configuration).version.next(),
             proposal_number: ProposalNumber { round, node },
         };
-        let outputs = fleet.hands(2, vote);
+        let outputs = fleet.deliver_to(2, vote);
         let writes = |output: &ControllerOutput| matches!(output, ControllerOutput::Write { .. });
         let voted = |output: &ControllerOutput| is_promise(output) || writes(output);
         assert!(!outputs.iter().any(voted), "step {steps}: {outputs:?}");
-        fleet.acts(2, outputs);
+        fleet.carry_out(2, outputs);
     }
     assert!(steps > 100, "it was behind for {steps} steps");
-    fleet.runs(Duration::from_secs(2));
+    fleet.run(Duration::from_secs(2));
     let refused = reads
         .iter()
         .filter(|ticket| fleet.responses.get(ticket) == Some(&OperatorResponse::NotCurrent))
@@ -524,7 +523,7 @@
         .filter(|ticket| !fleet.responses.contains_key(ticket))
         .count();
     assert_eq!(unanswered, 0, "each read is answered in the end");
-    let read = fleet.reads(2);
+    let read = fleet.read(2);
     assert!(matches!(read, OperatorResponse::Configuration { .. }));
 }
 
@@ -535,16 +534,16 @@
     assert_eq!(holders[0].address, address(0), "who is first in line");
     let image = fleet.nodes[0].image.clone();
     for number in 0..ROUTES / 50 {
-        fleet.commits(routes_change(number * 50..(number + 1) * 50, ROUTES));
+        fleet.commit(routes_change(number * 50..(number + 1) * 50, ROUTES));
     }
-    fleet.runs(Duration::from_secs(2));
-    fleet.stops(0);
-    fleet.runs(Duration::from_secs(8));
+    fleet.run(Duration::from_secs(2));
+    fleet.stop(0);
+    fleet.run(Duration::from_secs(8));
     // It comes back with the disk of before the changes: as if it had been down for all of them.
     fleet.nodes[0].image = image;
     fleet.nodes[0].broken = broken;
-    fleet.slows_down(SLOW_WAY_BYTES_PER_SECOND);
-    fleet.starts(0);
+    fleet.limit_bandwidth(SLOW_WAY_BYTES_PER_SECOND);
+    fleet.start(0);
     let mut led = false;
     let mut steps = 0;
     while fleet.state(0).map(MapName::Configuration) != fleet.state(1).map(MapName::Configuration) {
@@ -561,7 +560,7 @@
         led |= behind && terms.into_iter().any(|term| term.holder == node);
     }
     assert!(steps > 160, "it was behind for {steps} steps");
-    fleet.runs(Duration::from_secs(8));
+    fleet.run(Duration::from_secs(8));
     let membership = fleet.state(1).map(MapName::Membership);
     let node = fleet.state(0).node;
     let term = membership.leadership(SOLVER).expect("someone leads");
@@ -570,7 +569,7 @@
 }
 
 #[test]
-fn given_the_first_in_line_when_it_is_behind_then_it_takes_no_leadership_role_until_it_is_level() {
+fn controller_that_is_behind_does_not_become_leader() {
     assert!(!leads_while_behind(FaultInjection::None));
     assert!(
         leads_while_behind(FaultInjection::LeadsWhileBehind),
@@ -583,7 +582,7 @@
 fn tells_before_synced(broken: FaultInjection) -> bool {
     let mut fleet = with_a_member_behind(40, 2, broken);
     fleet.nodes[2].disk_hangs = true;
-    fleet.runs_until_level(2);
+    fleet.run_until_up_to_date(2);
     let highest = fleet.state(0).map(MapName::Configuration).version;
     let mut reported = false;
     for _ in 0..200 {
@@ -594,12 +593,12 @@
             heard.is_some_and(|versions| versions[MapName::Configuration.index()] >= highest);
     }
     // The power goes: what was never synced is not there.
-    fleet.stops(2);
+    fleet.stop(2);
     fleet.nodes[2].disk_hangs = false;
-    fleet.starts(2);
+    fleet.start(2);
     assert!(fleet.state(2).map(MapName::Configuration).version < highest);
-    fleet.runs_until_level(2);
-    fleet.runs(Duration::from_secs(2));
+    fleet.run_until_up_to_date(2);
+    fleet.run(Duration::from_secs(2));
     let node = fleet.state(2).node;
     let heard = &fleet.state(0).reported_synced_versions[&node];
     assert!(
@@ -610,8 +609,7 @@
 }
 
 #[test]
-fn given_a_snapshot_that_was_taken_over_when_it_is_not_synced_then_no_round_hears_that_it_is_held()
-{
+fn unsynced_snapshot_is_not_reported_as_synced() {
     assert!(!tells_before_synced(FaultInjection::None));
     assert!(
         tells_before_synced(FaultInjection::UnsyncedSnapshot),
@@ -628,11 +626,11 @@
 }
 
 #[test]
-fn given_pieces_spoiled_on_their_way_when_the_whole_is_there_then_it_is_refused_and_fetched_anew() {
+fn corrupted_snapshot_is_rejected_and_fetched_again() {
     let mut fleet = with_a_member_behind(50, 2, FaultInjection::None);
     fleet.spoils = Some((2, spoil));
     let before = fleet.state(2).map(MapName::Configuration).clone();
-    fleet.runs(Duration::from_secs(20));
+    fleet.run(Duration::from_secs(20));
     assert!(
         fleet.refused.contains(&ChunkError::WrongDigest),
         "{:?}",
@@ -640,11 +638,11 @@
     );
     assert_eq!(fleet.state(2).map(MapName::Configuration), &before);
     fleet.spoils = None;
-    fleet.runs_until_level(2);
+    fleet.run_until_up_to_date(2);
     // The variant without the digest takes what nobody agreed on, and is level with nobody.
     let mut fleet = with_a_member_behind(50, 2, FaultInjection::UncheckedSnapshot);
     fleet.spoils = Some((2, spoil));
-    fleet.runs(Duration::from_secs(20));
+    fleet.run(Duration::from_secs(20));
     let (spoiled, right) = (fleet.state(2), fleet.state(0));
     let name = MapName::Configuration;
     assert_eq!(spoiled.map(name).version, right.map(name).version);
--- a/crates/controller/tests/fleet_stories/turns.rs
+++ b/crates/controller/tests/fleet/controller_switch.rs
@@ -45,7 +45,7 @@
             ..policy()
         };
         let mut fleet = Fleet::new([core.clone(), core.clone(), core], seed);
-        fleet.runs(Duration::from_secs(8));
+        fleet.run(Duration::from_secs(8));
         let heartbeats_began_at = fleet.now;
         let mut world = Self {
             fleet,
@@ -56,23 +56,23 @@
             reported: Vec::new(),
         };
         let put = service_put("records", 1, Some(service()));
-        world.fleet.calls(0, apply("first", vec![put]));
-        world.runs(Duration::from_secs(6));
+        world.fleet.call(0, apply("first", vec![put]));
+        world.run(Duration::from_secs(6));
         let reported: usize = world.reported.iter().map(|(reported, _)| reported).sum();
         assert!(
             reported as u64 >= INSTANCES,
             "only {reported} were told at first"
         );
-        assert!(world.is_fresh(), "the agent has no lease");
+        assert!(world.has_lease(), "the agent has no lease");
         world
     }
 
-    fn is_fresh(&self) -> bool {
+    fn has_lease(&self) -> bool {
         self.fleet.now < self.agent.link.fresh_until()
     }
 
     /// Each instance sends its heartbeats to one controller, evenly spread over their period.
-    fn heartbeats(&mut self) {
+    fn send_due_heartbeats(&mut self) {
         let since = self.fleet.now.saturating_sub(self.heartbeats_began_at);
         let due = INSTANCES as u128 * since.as_micros() / HEARTBEAT_PERIOD.as_micros();
         while u128::from(self.heartbeats) < due {
@@ -80,24 +80,24 @@
             let counter = self.heartbeats / INSTANCES + 1;
             let mut beat = heartbeat(&format!("instance-{number}"), counter);
             beat.address = SocketAddr::from(([127, 0, 0, 2], 8000 + number as u16));
-            self.fleet.heartbeats((number % 3) as usize, beat);
+            self.fleet.send_heartbeat((number % 3) as usize, beat);
             self.heartbeats += 1;
         }
     }
 
-    fn sends(&mut self, sent: Vec<(SocketAddr, Envelope)>) {
+    fn send(&mut self, sent: Vec<(SocketAddr, Envelope)>) {
         let silent = self.silent;
         let heard = sent.into_iter().filter(|(to, _)| Some(*to) != silent);
         self.fleet.wire.extend(heard);
-        self.fleet.carries();
+        self.fleet.deliver();
     }
 
     fn step(&mut self) {
-        self.fleet.runs(STEP);
-        self.heartbeats();
+        self.fleet.run(STEP);
+        self.send_due_heartbeats();
         let now = self.fleet.now;
-        let sent = self.agent.ticks(now);
-        self.sends(sent);
+        let sent = self.agent.tick(now);
+        self.send(sent);
         for (to, envelope) in std::mem::take(&mut self.fleet.to_followers) {
             if to != self.agent.address || Some(envelope.reply_to) == self.silent {
                 continue;
@@ -105,12 +105,12 @@
             if let Message::Grant { granted } = &envelope.message {
                 self.reported.push((granted.instances.len(), granted.more));
             }
-            let sent = self.agent.hears(now, &envelope);
-            self.sends(sent);
+            let sent = self.agent.receive(now, &envelope);
+            self.send(sent);
         }
     }
 
-    fn runs(&mut self, span: Duration) {
+    fn run(&mut self, span: Duration) {
         let until = self.fleet.now + span;
         while self.fleet.now < until {
             self.step();
@@ -119,11 +119,11 @@
 
     /// Silences the controller that the agent follows; gives how many instances the next one tells until
     /// it has told all that the agent lacks.
-    fn turns(&mut self) -> usize {
+    fn switch_controller(&mut self) -> usize {
         let left = self.agent.link.controller();
         self.silent = Some(left);
         self.reported.clear();
-        self.runs(Duration::from_secs(2));
+        self.run(Duration::from_secs(2));
         assert_ne!(self.agent.link.controller(), left, "it did not turn away");
         let full_map = self.reported.iter().position(|(_, more)| !more);
         let full_map = full_map.expect("the next one told all");
@@ -135,19 +135,18 @@
 }
 
 #[test]
-fn given_many_instances_when_a_follower_turns_to_another_controller_then_it_is_told_what_changed_of_late(
-) {
+fn follower_that_switches_controllers_receives_only_recent_facts() {
     for seed in 1..4 {
         let mut world = World::level(seed);
         for turn in 1..=4 {
-            let reported = world.turns();
+            let reported = world.switch_controller();
             assert!(
                 reported <= MOST_REPORTED,
                 "seed {seed}, turn {turn}: {reported} of {INSTANCES} instances were told"
             );
-            assert!(world.is_fresh(), "seed {seed}, turn {turn}: no lease");
+            assert!(world.has_lease(), "seed {seed}, turn {turn}: no lease");
             world.silent = None;
-            world.runs(Duration::from_secs(1));
+            world.run(Duration::from_secs(1));
         }
     }
 }
--- a/crates/controller/tests/fleet_stories/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -73,30 +73,30 @@
                 disk_hangs: false,
                 core,
             });
-            fleet.starts(index);
+            fleet.start(index);
         }
         fleet
     }
 
     /// A fleet that founded itself and vouches for what it knows.
     pub fn founded(seed: u64) -> Self {
-        Self::founded_without(seed, FaultInjection::None)
+        Self::founded_with_fault(seed, FaultInjection::None)
     }
 
     /// The same, with a safeguard left out.
-    pub fn founded_without(seed: u64, broken: FaultInjection) -> Self {
+    pub fn founded_with_fault(seed: u64, broken: FaultInjection) -> Self {
         let mut fleet = Self::new([policy(), policy(), policy()], seed);
         fleet.broken = broken;
         for index in 0..3 {
-            fleet.starts(index);
+            fleet.start(index);
         }
-        fleet.runs(Duration::from_secs(8));
+        fleet.run(Duration::from_secs(8));
         assert_eq!(fleet.founded, 1);
         fleet
     }
 
     /// Starts from what lies on the place's disk.
-    pub fn starts(&mut self, index: usize) {
+    pub fn start(&mut self, index: usize) {
         self.seeds_drawn += 1;
         let seeds = (0..3).map(address).collect();
         let zone = Zone::new(format!("zone-{index}"));
@@ -107,11 +107,11 @@
         let image = self.nodes[index].image.clone();
         let (machine, outputs) = ControllerMachine::start(options, &image, self.seeds_drawn);
         self.nodes[index].machine = Some(machine);
-        self.acts(index, outputs);
+        self.carry_out(index, outputs);
     }
 
     /// Starts a controller with an empty disk at an address of its own.
-    pub fn adds(&mut self, core: CorePolicy) -> usize {
+    pub fn add_controller(&mut self, core: CorePolicy) -> usize {
         self.nodes.push(SimulatedNode {
             machine: None,
             image: DiskImage::default(),
@@ -122,12 +122,12 @@
             },
         });
         let index = self.nodes.len() - 1;
-        self.starts(index);
+        self.start(index);
         index
     }
 
     /// Power is lost; with the disk or without it.
-    pub fn stops(&mut self, index: usize, wiped: bool) {
+    pub fn stop(&mut self, index: usize, wiped: bool) {
         self.nodes[index].machine = None;
         if wiped {
             self.nodes[index].image = DiskImage::default();
@@ -136,7 +136,7 @@
         }
     }
 
-    pub fn acts(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
+    pub fn carry_out(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
             match output {
@@ -151,7 +151,7 @@
                     for write in &writes {
                         lay(&mut self.nodes[index].image, write);
                     }
-                    outputs.extend(self.takes(index, ControllerInput::WriteSynced { ticket }));
+                    outputs.extend(self.input(index, ControllerInput::WriteSynced { ticket }));
                 }
                 ControllerOutput::Respond { ticket, response } => {
                     self.responses.insert(ticket, response);
@@ -167,19 +167,19 @@
         }
     }
 
-    pub fn takes(&mut self, index: usize, input: ControllerInput) -> Vec<ControllerOutput> {
+    pub fn input(&mut self, index: usize, input: ControllerInput) -> Vec<ControllerOutput> {
         let now = self.now;
         let machine = self.nodes[index].machine.as_mut();
         machine.map_or_else(Vec::new, |machine| machine.input(now, input))
     }
 
-    pub fn inputs(&mut self, index: usize, input: ControllerInput) {
-        let outputs = self.takes(index, input);
-        self.acts(index, outputs);
-        self.carries();
+    pub fn handle_input(&mut self, index: usize, input: ControllerInput) {
+        let outputs = self.input(index, input);
+        self.carry_out(index, outputs);
+        self.deliver();
     }
 
-    pub fn carries(&mut self) {
+    pub fn deliver(&mut self) {
         while let Some((to, envelope)) = self.wire.pop_front() {
             let nodes = self.nodes.len();
             let index = (0..nodes).find(|index| address(*index) == to);
@@ -194,26 +194,26 @@
             if is_cut && !own {
                 continue;
             }
-            let outputs = self.takes(index, ControllerInput::MessageReceived { envelope });
-            self.acts(index, outputs);
+            let outputs = self.input(index, ControllerInput::MessageReceived { envelope });
+            self.carry_out(index, outputs);
         }
     }
 
-    pub fn runs(&mut self, span: Duration) {
+    pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
             for index in 0..self.nodes.len() {
-                self.inputs(index, ControllerInput::Tick);
+                self.handle_input(index, ControllerInput::Tick);
             }
         }
     }
 
-    pub fn calls(&mut self, index: usize, call: OperatorCall) -> u64 {
+    pub fn call(&mut self, index: usize, call: OperatorCall) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
         let received_at = self.now;
-        self.inputs(
+        self.handle_input(
             index,
             ControllerInput::OperatorCall {
                 ticket,
@@ -231,13 +231,13 @@
         }
     }
 
-    pub fn reads(&mut self, index: usize) -> OperatorResponse {
-        let ticket = self.calls(index, OperatorCall::Read);
+    pub fn read(&mut self, index: usize) -> OperatorResponse {
+        let ticket = self.call(index, OperatorCall::Read);
         self.responses[&ticket].clone()
     }
 
-    pub fn instances(&mut self, index: usize) -> Vec<String> {
-        let ticket = self.calls(index, OperatorCall::Status);
+    pub fn instance_ids(&mut self, index: usize) -> Vec<String> {
+        let ticket = self.call(index, OperatorCall::Status);
         match &self.responses[&ticket] {
             OperatorResponse::Status { status } => status
                 .instances
@@ -248,11 +248,11 @@
         }
     }
 
-    pub fn heartbeats(&mut self, index: usize, heartbeat: Heartbeat) -> u64 {
+    pub fn send_heartbeat(&mut self, index: usize, heartbeat: Heartbeat) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
         let echo = None;
-        self.inputs(
+        self.handle_input(
             index,
             ControllerInput::Heartbeat {
                 ticket,
@@ -264,10 +264,10 @@
     }
 
     /// An instance tells a controller that its life is over.
-    pub fn ends(&mut self, index: usize, id: &InstanceId) {
+    pub fn deregister(&mut self, index: usize, id: &InstanceId) {
         self.tickets += 1;
         let (ticket, id) = (self.tickets, id.clone());
-        self.inputs(index, ControllerInput::InstanceEnded { ticket, id });
+        self.handle_input(index, ControllerInput::InstanceEnded { ticket, id });
     }
 
     pub fn heartbeat_response(&self, ticket: u64) -> Option<&HeartbeatResponse> {
--- a/crates/controller/tests/fleet_stories/follower.rs
+++ b/crates/controller/tests/fleet/follower.rs
@@ -52,7 +52,7 @@
     }
 
     /// What it sends on a tick.
-    pub fn ticks(&mut self, now: Duration) -> Vec<(SocketAddr, Envelope)> {
+    pub fn tick(&mut self, now: Duration) -> Vec<(SocketAddr, Envelope)> {
         let requests = self.link.tick_catch_up(now);
         let mut sent: Vec<(SocketAddr, Message)> = requests.iter().map(asked).collect();
         if self.link.due(now) {
@@ -63,7 +63,7 @@
     }
 
     /// What it sends on hearing a controller.
-    pub fn hears(&mut self, now: Duration, envelope: &Envelope) -> Vec<(SocketAddr, Envelope)> {
+    pub fn receive(&mut self, now: Duration, envelope: &Envelope) -> Vec<(SocketAddr, Envelope)> {
         self.link.envelope_clock.open(now, envelope);
         let from = envelope.reply_to;
         let requests = match &envelope.message {
--- a/crates/controller/tests/fleet_stories/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -1,12 +1,12 @@
 //! Stories of whole controllers in memory: disks that are lost, founding, heartbeats and instances' ends.
 
+mod controller_switch;
 mod fleet;
 mod follower;
 mod restarts;
 mod slow_links;
 #[path = "../support/mod.rs"]
 mod support;
-mod turns;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -28,14 +28,14 @@
 use controller::state_machine::operator_messages::{OperatorCall, OperatorResponse};
 
 #[test]
-fn given_a_yes_of_two_disks_when_one_is_wiped_and_the_other_restarts_then_the_change_is_there() {
+fn accepted_change_survives_wiped_disk_and_power_loss() {
     for answering in 0..3 {
         for absent in (0..3).filter(|absent| *absent != answering) {
             let mut fleet = Fleet::founded(1 + answering as u64 * 3 + absent as u64);
             fleet.cut.insert(absent);
             let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
-            let ticket = fleet.calls(answering, call);
-            fleet.runs(Duration::from_millis(500));
+            let ticket = fleet.call(answering, call);
+            fleet.run(Duration::from_millis(500));
             let proposal_outcome = fleet.proposal_outcome(ticket);
             assert!(
                 matches!(proposal_outcome, Some(ProposalOutcome::Accepted(_))),
@@ -43,17 +43,17 @@
             );
             // Right after the yes the one that gave it is lost for good, and all lose power.
             for index in 0..3 {
-                fleet.stops(index, index == answering);
+                fleet.stop(index, index == answering);
             }
             fleet.wire.clear();
             fleet.cut.clear();
             fleet.now += Duration::from_secs(1);
             for index in 0..3 {
-                fleet.starts(index);
+                fleet.start(index);
             }
-            fleet.runs(Duration::from_secs(20));
+            fleet.run(Duration::from_secs(20));
             for index in 0..3 {
-                match fleet.reads(index) {
+                match fleet.read(index) {
                     OperatorResponse::Configuration { map } => {
                         let versions: Vec<(&String, u64)> = map
                             .items
@@ -70,17 +70,17 @@
 }
 
 #[test]
-fn given_one_disk_that_works_when_a_change_is_called_for_then_it_is_never_a_yes() {
+fn change_is_not_accepted_with_one_working_disk() {
     let mut fleet = Fleet::founded(40);
     for index in [1, 2] {
         fleet.nodes[index].disk_hangs = true;
     }
-    let ticket = fleet.calls(
+    let ticket = fleet.call(
         0,
         apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
     for _ in 0..400 {
-        fleet.runs(STEP * 4);
+        fleet.run(STEP * 4);
         let proposal_outcome = fleet.proposal_outcome(ticket);
         assert!(
             !matches!(
@@ -97,22 +97,22 @@
 }
 
 #[test]
-fn given_empty_disks_when_no_process_may_found_then_nothing_is_ever_founded() {
+fn controllers_that_may_not_found_never_found_a_membership() {
     let never = CorePolicy {
         may_found: false,
         ..policy()
     };
     let mut fleet = Fleet::new([never.clone(), never.clone(), never], 50);
-    fleet.runs(Duration::from_secs(60));
+    fleet.run(Duration::from_secs(60));
     assert_eq!(fleet.founded, 0);
     for index in 0..3 {
-        assert_eq!(fleet.reads(index), OperatorResponse::NotCurrent);
+        assert_eq!(fleet.read(index), OperatorResponse::NotCurrent);
     }
-    let ticket = fleet.calls(
+    let ticket = fleet.call(
         0,
         apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
-    fleet.runs(Duration::from_secs(10));
+    fleet.run(Duration::from_secs(10));
     assert_eq!(
         fleet.proposal_outcome(ticket),
         Some(&ProposalOutcome::NoMajority)
@@ -120,35 +120,35 @@
 }
 
 #[test]
-fn given_one_process_that_may_not_found_when_the_others_may_then_nothing_is_founded() {
+fn founding_requires_permission_on_every_seed() {
     for wary in 0..3 {
         let mut policies = [policy(), policy(), policy()];
         policies[wary].may_found = false;
         let mut fleet = Fleet::new(policies, 60 + wary as u64);
-        fleet.runs(Duration::from_secs(30));
+        fleet.run(Duration::from_secs(30));
         assert_eq!(fleet.founded, 0, "controller {wary} may not");
     }
 }
 
 #[test]
-fn given_all_disks_lost_when_all_start_again_then_no_second_beginning_is_made_up() {
+fn loss_of_all_disks_does_not_cause_second_founding() {
     let mut fleet = Fleet::founded(70);
     for index in 0..3 {
-        fleet.stops(index, true);
+        fleet.stop(index, true);
     }
     fleet.wire.clear();
     for index in 0..3 {
-        fleet.starts(index);
+        fleet.start(index);
     }
-    fleet.runs(Duration::from_secs(30));
+    fleet.run(Duration::from_secs(30));
     assert_eq!(fleet.founded, 1);
     for index in 0..3 {
-        assert_eq!(fleet.reads(index), OperatorResponse::NotCurrent);
+        assert_eq!(fleet.read(index), OperatorResponse::NotCurrent);
     }
 }
 
 #[test]
-fn given_racing_calls_at_two_controllers_when_both_end_then_both_are_yes_and_the_highest_stand() {
+fn concurrent_changes_are_accepted_and_highest_versions_win() {
     let mut fleet = Fleet::founded(80);
     let limited = |limit: u32| {
         Some(Service {
@@ -162,10 +162,10 @@
     ];
     let right = vec![service_put("a", 1, limited(1)), service_put("b", 2, None)];
     let tickets = [
-        fleet.calls(1, apply("left", left)),
-        fleet.calls(2, apply("right", right)),
+        fleet.call(1, apply("left", left)),
+        fleet.call(2, apply("right", right)),
     ];
-    fleet.runs(Duration::from_secs(3));
+    fleet.run(Duration::from_secs(3));
     for ticket in tickets {
         let proposal_outcome = fleet.proposal_outcome(ticket);
         assert!(
@@ -174,7 +174,7 @@
         );
     }
     for index in 0..3 {
-        let OperatorResponse::Configuration { map } = fleet.reads(index) else {
+        let OperatorResponse::Configuration { map } = fleet.read(index) else {
             panic!("controller {index} cannot vouch");
         };
         let caps: Vec<(String, u32)> = map
@@ -186,22 +186,21 @@
 }
 
 #[test]
-fn given_a_heartbeat_at_any_controller_when_its_service_is_keyed_then_the_owner_managers_answer_comes_back(
-) {
+fn heartbeat_at_any_controller_gets_owner_managers_response() {
     let mut fleet = Fleet::founded(90);
-    fleet.calls(
+    fleet.call(
         0,
         apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
-    fleet.runs(Duration::from_secs(2));
+    fleet.run(Duration::from_secs(2));
     let owner_manager = fleet.owner_manager();
     let other = (owner_manager + 1) % 3;
     let mut counter = 0;
     let mut answered = HeartbeatResponse::default();
     for _ in 0..6 {
         counter += 1;
-        let ticket = fleet.heartbeats(other, heartbeat("one", counter));
-        fleet.runs(Duration::from_millis(600));
+        let ticket = fleet.send_heartbeat(other, heartbeat("one", counter));
+        fleet.run(Duration::from_millis(600));
         let response = fleet.heartbeat_response(ticket).expect("it is answered");
         answered = response.clone();
     }
@@ -215,9 +214,9 @@
     assert_eq!(key_ranges, (0..8).collect::<Vec<u32>>());
     // Without the owner manager the heartbeat is heard all the same, and nothing is said of what it holds.
     fleet.cut.insert(owner_manager);
-    let ticket = fleet.heartbeats(other, heartbeat("one", counter + 1));
+    let ticket = fleet.send_heartbeat(other, heartbeat("one", counter + 1));
     assert_eq!(fleet.heartbeat_response(ticket), None, "it waits a while");
-    fleet.runs(Duration::from_millis(600));
+    fleet.run(Duration::from_millis(600));
     let response = fleet.heartbeat_response(ticket).expect("it is answered");
     assert!(
         !response.by_owner_manager && response.leases.is_empty() && response.release.is_empty()
@@ -225,33 +224,32 @@
 }
 
 #[test]
-fn given_an_instance_that_is_gone_when_a_late_heartbeat_comes_anywhere_then_no_controller_revives_it(
-) {
+fn late_heartbeat_does_not_revive_deregistered_instance() {
     let mut fleet = Fleet::founded(100);
-    fleet.heartbeats(0, heartbeat("one", 5));
-    fleet.runs(Duration::from_millis(500));
+    fleet.send_heartbeat(0, heartbeat("one", 5));
+    fleet.run(Duration::from_millis(500));
     for index in 0..3 {
-        assert_eq!(fleet.instances(index), ["one"], "controller {index}");
+        assert_eq!(fleet.instance_ids(index), ["one"], "controller {index}");
     }
     fleet.tickets += 1;
     let (ticket, id) = (fleet.tickets, InstanceId::new("one"));
-    fleet.inputs(1, ControllerInput::InstanceEnded { ticket, id });
+    fleet.handle_input(1, ControllerInput::InstanceEnded { ticket, id });
     assert!(
         fleet.heartbeat_response(ticket).is_some(),
         "its word is taken"
     );
-    fleet.runs(Duration::from_millis(500));
+    fleet.run(Duration::from_millis(500));
     for index in 0..3 {
-        fleet.heartbeats(index, heartbeat("one", 6 + index as u64));
-        fleet.runs(Duration::from_millis(500));
+        fleet.send_heartbeat(index, heartbeat("one", 6 + index as u64));
+        fleet.run(Duration::from_millis(500));
         for seen in 0..3 {
-            assert!(fleet.instances(seen).is_empty(), "{index} {seen}");
+            assert!(fleet.instance_ids(seen).is_empty(), "{index} {seen}");
         }
     }
     // Another may live at its address at once.
-    fleet.heartbeats(2, heartbeat("two", 1));
-    fleet.runs(Duration::from_millis(500));
-    assert_eq!(fleet.instances(0), ["two"]);
+    fleet.send_heartbeat(2, heartbeat("two", 1));
+    fleet.run(Duration::from_millis(500));
+    assert_eq!(fleet.instance_ids(0), ["two"]);
 }
 
 /// What instances heartbeat and hold, each taking up what it is told to.
@@ -262,7 +260,7 @@
 }
 
 impl Holders {
-    fn heartbeats(
+    fn send_heartbeat(
         &mut self,
         fleet: &mut Fleet,
         index: usize,
@@ -273,7 +271,7 @@
         said.address.set_port(8000 + u16::from(id == "two"));
         let held = self.held.entry(id).or_default();
         said.held_key_ranges = held.iter().copied().collect();
-        let ticket = fleet.heartbeats(index, said);
+        let ticket = fleet.send_heartbeat(index, said);
         let response = fleet
             .heartbeat_response(ticket)
             .expect("it is answered")
@@ -290,17 +288,17 @@
 /// A fleet whose keyed service two instances share, and the place of the owner manager.
 fn shared_by_two(seed: u64) -> (Fleet, Holders, usize) {
     let mut fleet = Fleet::founded(seed);
-    fleet.calls(
+    fleet.call(
         0,
         apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
-    fleet.runs(Duration::from_secs(2));
+    fleet.run(Duration::from_secs(2));
     let owner_manager = fleet.owner_manager();
     let mut holders = Holders::default();
     for _ in 0..40 {
-        holders.heartbeats(&mut fleet, (owner_manager + 1) % 3, "one");
-        holders.heartbeats(&mut fleet, (owner_manager + 1) % 3, "two");
-        fleet.runs(Duration::from_millis(250));
+        holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "one");
+        holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
+        fleet.run(Duration::from_millis(250));
     }
     let (one, two) = (&holders.held["one"], &holders.held["two"]);
     assert!(one.len() >= 3 && two.len() >= 3, "{one:?} {two:?}");
@@ -308,32 +306,31 @@
     (fleet, holders, owner_manager)
 }
 
-fn ends(fleet: &mut Fleet, index: usize, id: &str) {
+fn deregister(fleet: &mut Fleet, index: usize, id: &str) {
     fleet.tickets += 1;
     let (ticket, id) = (fleet.tickets, InstanceId::new(id));
-    fleet.inputs(index, ControllerInput::InstanceEnded { ticket, id });
+    fleet.handle_input(index, ControllerInput::InstanceEnded { ticket, id });
 }
 
 #[test]
-fn given_an_owner_that_ended_when_late_heartbeats_of_it_come_then_nothing_is_prolonged_and_others_own(
-) {
+fn late_heartbeats_do_not_extend_leases_of_ended_owner() {
     // Whether the owner manager hears it itself, or another controller that tells it within a moment.
     for (reported, moment) in [(0, Duration::ZERO), (1, Duration::from_millis(150))] {
         let (mut fleet, mut holders, owner_manager) = shared_by_two(120);
         let owned = holders.held["one"].clone();
         let ended = fleet.now;
-        ends(&mut fleet, (owner_manager + reported) % 3, "one");
+        deregister(&mut fleet, (owner_manager + reported) % 3, "one");
         loop {
-            fleet.runs(Duration::from_millis(50));
+            fleet.run(Duration::from_millis(50));
             let span = fleet.now - ended;
             assert!(span < Duration::from_secs(2), "its key ranges never moved");
             for index in (0..3).filter(|_| span > moment) {
-                let late = holders.heartbeats(&mut fleet, index, "one");
+                let late = holders.send_heartbeat(&mut fleet, index, "one");
                 let named = format!("{reported} {index} after {span:?}: {late:?}");
                 assert!(late.leases.is_empty(), "{named}");
                 assert!(late.release.is_empty(), "{named}");
             }
-            holders.heartbeats(&mut fleet, (owner_manager + 1) % 3, "two");
+            holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
             let two = &holders.held["two"];
             if !two.is_disjoint(&owned) {
                 assert!(span >= Duration::from_millis(500), "moved after {span:?}");
@@ -345,25 +342,24 @@
 }
 
 #[test]
-fn given_an_owner_that_ended_when_its_late_heartbeat_comes_in_the_same_instant_then_it_holds_nothing(
-) {
+fn heartbeat_right_after_deregistration_gets_no_lease() {
     let (mut fleet, mut holders, owner_manager) = shared_by_two(130);
-    ends(&mut fleet, owner_manager, "one");
-    let late = holders.heartbeats(&mut fleet, owner_manager, "one");
+    deregister(&mut fleet, owner_manager, "one");
+    let late = holders.send_heartbeat(&mut fleet, owner_manager, "one");
     assert!(late.leases.is_empty(), "{late:?}");
 }
 
 #[test]
-fn given_a_controller_about_to_stop_when_a_call_comes_then_it_sends_the_caller_elsewhere() {
+fn shutting_down_controller_rejects_changes() {
     let mut fleet = Fleet::founded(110);
-    fleet.inputs(0, ControllerInput::Shutdown);
-    let ticket = fleet.calls(
+    fleet.handle_input(0, ControllerInput::Shutdown);
+    let ticket = fleet.call(
         0,
         apply("call-1", vec![service_put("records", 1, Some(service()))]),
     );
     assert_eq!(fleet.responses[&ticket], OperatorResponse::ShuttingDown);
-    fleet.runs(Duration::from_secs(1));
-    let OperatorResponse::Configuration { map } = fleet.reads(1) else {
+    fleet.run(Duration::from_secs(1));
+    let OperatorResponse::Configuration { map } = fleet.read(1) else {
         panic!("the others go on");
     };
     assert_eq!(map.services().count(), 0, "and nothing is in force");
@@ -392,11 +388,11 @@
 
 impl Fleet {
     /// A call whose head was read `age` ago.
-    fn calls_late(&mut self, index: usize, call: OperatorCall, age: Duration) -> u64 {
+    fn call_received_earlier(&mut self, index: usize, call: OperatorCall, age: Duration) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
         let received_at = self.now.saturating_sub(age);
-        self.inputs(
+        self.handle_input(
             index,
             ControllerInput::OperatorCall {
                 ticket,
@@ -414,7 +410,7 @@
         )
     }
 
-    fn leaves(&self, index: usize, id: &str) -> bool {
+    fn is_draining(&self, index: usize, id: &str) -> bool {
         let state = &self.nodes[index].machine.as_ref().expect("it runs").state;
         state
             .instances
@@ -423,7 +419,7 @@
     }
 
     fn is_closed(&mut self, index: usize) -> bool {
-        match self.reads(index) {
+        match self.read(index) {
             OperatorResponse::Configuration { map } => map.zones().any(|(_, zone)| zone.closed),
             other => panic!("{other:?} is no configuration"),
         }
@@ -433,14 +429,14 @@
 /// How long instances are still acknowledged by an owner manager that is cut off, and whether the
 /// others let go of an instance that goes elsewhere as soon as it is refused.
 fn lone_acknowledgements(broken: FaultInjection) -> (Duration, bool) {
-    let mut fleet = Fleet::founded_without(200, broken);
+    let mut fleet = Fleet::founded_with_fault(200, broken);
     let call = apply("call-1", vec![service_put("records", 1, Some(service()))]);
-    fleet.calls(0, call);
-    fleet.runs(Duration::from_secs(2));
+    fleet.call(0, call);
+    fleet.run(Duration::from_secs(2));
     let owner_manager = fleet.owner_manager();
     let other = (owner_manager + 1) % 3;
-    fleet.heartbeats(owner_manager, heartbeat("one", 1));
-    fleet.runs(Duration::from_millis(500));
+    fleet.send_heartbeat(owner_manager, heartbeat("one", 1));
+    fleet.run(Duration::from_millis(500));
     fleet.cut.insert(owner_manager);
     let cut_at = fleet.now;
     let mut index = owner_manager;
@@ -449,8 +445,8 @@
     let mut was_let_go = false;
     while fleet.now - cut_at < Duration::from_secs(12) {
         counter += 1;
-        let ticket = fleet.heartbeats(index, heartbeat("one", counter));
-        fleet.runs(Duration::from_millis(750));
+        let ticket = fleet.send_heartbeat(index, heartbeat("one", counter));
+        fleet.run(Duration::from_millis(750));
         if index == owner_manager {
             match fleet.responses.get(&ticket) {
                 Some(OperatorResponse::Heartbeat { response }) => {
@@ -461,13 +457,13 @@
                 _ => index = other,
             }
         }
-        was_let_go |= fleet.instances(other).is_empty();
+        was_let_go |= fleet.instance_ids(other).is_empty();
     }
     (acknowledged_for, was_let_go)
 }
 
 #[test]
-fn given_an_owner_manager_that_is_cut_off_when_instances_heartbeat_there_then_it_sends_them_away() {
+fn partitioned_owner_manager_rejects_heartbeats() {
     let (acknowledged_for, was_let_go) = lone_acknowledgements(FaultInjection::None);
     assert!(
         acknowledged_for <= Duration::from_millis(1600),
@@ -482,23 +478,23 @@
 
 /// Whether a drain is known to the others after the controller that acknowledged it was lost.
 fn drain_survives(broken: FaultInjection, notified_at: usize) -> bool {
-    let mut fleet = Fleet::founded_without(210 + notified_at as u64, broken);
-    fleet.heartbeats(notified_at, heartbeat("one", 1));
-    fleet.runs(Duration::from_millis(500));
+    let mut fleet = Fleet::founded_with_fault(210 + notified_at as u64, broken);
+    fleet.send_heartbeat(notified_at, heartbeat("one", 1));
+    fleet.run(Duration::from_millis(500));
     let mut draining = heartbeat("one", 2);
     draining.state = InstanceState::Draining;
-    let ticket = fleet.heartbeats(notified_at, draining);
+    let ticket = fleet.send_heartbeat(notified_at, draining);
     assert!(fleet.is_acknowledged(ticket));
-    fleet.stops(notified_at, false);
+    fleet.stop(notified_at, false);
     let others = (0..3).filter(|index| *index != notified_at);
     others
         .collect::<Vec<_>>()
         .into_iter()
-        .any(|index| fleet.leaves(index, "one"))
+        .any(|index| fleet.is_draining(index, "one"))
 }
 
 #[test]
-fn given_a_drain_that_was_acknowledged_when_that_controller_is_lost_at_once_then_others_know_it() {
+fn acknowledged_drain_survives_loss_of_controller() {
     for notified_at in 0..3 {
         assert!(
             drain_survives(FaultInjection::None, notified_at),
@@ -511,19 +507,19 @@
 }
 
 #[test]
-fn given_a_controller_cut_off_a_moment_ago_when_a_drain_comes_then_it_is_refused_in_time() {
+fn drain_at_newly_partitioned_controller_is_rejected_in_time() {
     let mut fleet = Fleet::founded(220);
-    fleet.heartbeats(0, heartbeat("one", 1));
-    fleet.runs(Duration::from_millis(500));
+    fleet.send_heartbeat(0, heartbeat("one", 1));
+    fleet.run(Duration::from_millis(500));
     fleet.cut.insert(0);
     let mut draining = heartbeat("one", 2);
     draining.state = InstanceState::Draining;
-    let ticket = fleet.heartbeats(0, draining);
+    let ticket = fleet.send_heartbeat(0, draining);
     assert!(
         !fleet.responses.contains_key(&ticket),
         "nobody confirms it yet"
     );
-    fleet.runs(Duration::from_millis(800));
+    fleet.run(Duration::from_millis(800));
     assert_eq!(
         fleet.responses.get(&ticket),
         Some(&OperatorResponse::NotCurrent)
@@ -531,15 +527,15 @@
 }
 
 #[test]
-fn given_an_end_at_a_controller_that_is_cut_off_when_it_comes_then_it_is_not_acknowledged() {
+fn deregistration_at_partitioned_controller_is_not_acknowledged() {
     let mut fleet = Fleet::founded(230);
-    fleet.heartbeats(1, heartbeat("one", 1));
-    fleet.runs(Duration::from_millis(500));
+    fleet.send_heartbeat(1, heartbeat("one", 1));
+    fleet.run(Duration::from_millis(500));
     fleet.cut.insert(0);
-    fleet.runs(Duration::from_secs(1));
+    fleet.run(Duration::from_secs(1));
     fleet.tickets += 1;
     let (ticket, id) = (fleet.tickets, InstanceId::new("one"));
-    fleet.inputs(0, ControllerInput::InstanceEnded { ticket, id });
+    fleet.handle_input(0, ControllerInput::InstanceEnded { ticket, id });
     assert_eq!(
         fleet.responses.get(&ticket),
         Some(&OperatorResponse::NotCurrent)
@@ -548,23 +544,23 @@
 
 /// What a controller that was cut off a moment ago answers a read after a change elsewhere.
 fn read_after_a_cut(broken: FaultInjection) -> Option<OperatorResponse> {
-    let mut fleet = Fleet::founded_without(240, broken);
-    fleet.runs(Duration::from_millis(100));
+    let mut fleet = Fleet::founded_with_fault(240, broken);
+    fleet.run(Duration::from_millis(100));
     fleet.cut.insert(0);
     let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
-    let accepted = fleet.calls(1, call);
-    fleet.runs(Duration::from_millis(50));
+    let accepted = fleet.call(1, call);
+    fleet.run(Duration::from_millis(50));
     assert!(matches!(
         fleet.proposal_outcome(accepted),
         Some(ProposalOutcome::Accepted(_))
     ));
-    let ticket = fleet.calls(0, OperatorCall::Read);
-    fleet.runs(Duration::from_secs(1));
+    let ticket = fleet.call(0, OperatorCall::Read);
+    fleet.run(Duration::from_secs(1));
     fleet.responses.get(&ticket).cloned()
 }
 
 #[test]
-fn given_a_controller_cut_off_a_moment_ago_when_it_is_read_then_it_answers_nothing_old() {
+fn newly_partitioned_controller_serves_no_stale_reads() {
     assert_eq!(
         read_after_a_cut(FaultInjection::None),
         Some(OperatorResponse::NotCurrent)
@@ -577,13 +573,13 @@
 }
 
 #[test]
-fn given_a_controller_cut_off_for_a_while_when_it_is_called_then_it_refuses_at_once() {
+fn partitioned_controller_rejects_calls_immediately() {
     let mut fleet = Fleet::founded(250);
     fleet.cut.insert(0);
-    fleet.runs(Duration::from_secs(1));
-    assert_eq!(fleet.reads(0), OperatorResponse::NotCurrent);
+    fleet.run(Duration::from_secs(1));
+    assert_eq!(fleet.read(0), OperatorResponse::NotCurrent);
     let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
-    let ticket = fleet.calls(0, call);
+    let ticket = fleet.call(0, call);
     assert_eq!(
         fleet.proposal_outcome(ticket),
         Some(&ProposalOutcome::NoMajority)
@@ -591,7 +587,7 @@
 }
 
 #[test]
-fn given_many_reads_at_once_when_they_are_answered_then_they_share_rounds() {
+fn concurrent_reads_share_quorum_reads() {
     let mut fleet = Fleet::founded(260);
     let before = fleet.nodes[0]
         .machine
@@ -601,9 +597,9 @@
         .quorum_reads
         .next_number();
     let tickets: Vec<u64> = (0..200)
-        .map(|_| fleet.calls(0, OperatorCall::Read))
+        .map(|_| fleet.call(0, OperatorCall::Read))
         .collect();
-    fleet.runs(Duration::from_millis(100));
+    fleet.run(Duration::from_millis(100));
     for ticket in tickets {
         assert!(matches!(
             fleet.responses.get(&ticket),
@@ -623,23 +619,23 @@
 /// Whether a zone is closed at the end, when an order to close it was sent, sent again elsewhere
 /// after a silence, taken back, and only then read by the controller that it went to first.
 fn old_call_comes_into_force(broken: FaultInjection) -> bool {
-    let mut fleet = Fleet::founded_without(270, broken);
+    let mut fleet = Fleet::founded_with_fault(270, broken);
     for (id, closed) in [("again", true), ("back", false)] {
-        let ticket = fleet.calls(1, zone_call(id, closed));
-        fleet.runs(Duration::from_millis(200));
+        let ticket = fleet.call(1, zone_call(id, closed));
+        fleet.run(Duration::from_millis(200));
         let outcome = fleet.proposal_outcome(ticket);
         assert!(
             matches!(outcome, Some(ProposalOutcome::Accepted(_))),
             "{id}"
         );
     }
-    fleet.calls_late(0, zone_call("first", true), Duration::from_secs(2));
-    fleet.runs(Duration::from_secs(3));
+    fleet.call_received_earlier(0, zone_call("first", true), Duration::from_secs(2));
+    fleet.run(Duration::from_secs(3));
     fleet.is_closed(2)
 }
 
 #[test]
-fn given_an_order_that_was_sent_again_and_taken_back_when_its_old_copy_comes_then_it_is_refused() {
+fn old_duplicate_of_reverted_change_is_rejected() {
     assert!(!old_call_comes_into_force(FaultInjection::None));
     assert!(
         old_call_comes_into_force(FaultInjection::UnfencedChanges),
@@ -650,14 +646,14 @@
 /// Whether a zone is closed at the end, when the order to close it waits at a controller that is cut
 /// off while the same order and its withdrawal are carried out elsewhere.
 fn waiting_call_comes_into_force(broken: FaultInjection) -> bool {
-    let mut fleet = Fleet::founded_without(280, broken);
+    let mut fleet = Fleet::founded_with_fault(280, broken);
     fleet.cut.insert(0);
-    fleet.calls(0, zone_call("first", true));
+    fleet.call(0, zone_call("first", true));
     // Callers go on to another controller after a second of silence.
-    fleet.runs(Duration::from_secs(1));
+    fleet.run(Duration::from_secs(1));
     for (id, closed) in [("again", true), ("back", false)] {
-        let ticket = fleet.calls(1, zone_call(id, closed));
-        fleet.runs(Duration::from_millis(200));
+        let ticket = fleet.call(1, zone_call(id, closed));
+        fleet.run(Duration::from_millis(200));
         let outcome = fleet.proposal_outcome(ticket);
         assert!(
             matches!(outcome, Some(ProposalOutcome::Accepted(_))),
@@ -665,12 +661,12 @@
         );
     }
     fleet.cut.clear();
-    fleet.runs(Duration::from_secs(4));
+    fleet.run(Duration::from_secs(4));
     fleet.is_closed(2)
 }
 
 #[test]
-fn given_an_order_that_waits_for_a_majority_when_it_was_overtaken_meanwhile_then_it_is_void() {
+fn pending_change_is_rejected_after_being_superseded() {
     assert!(!waiting_call_comes_into_force(FaultInjection::None));
     assert!(
         waiting_call_comes_into_force(FaultInjection::UnfencedChanges),
@@ -679,12 +675,12 @@
 }
 
 #[test]
-fn given_two_orders_for_one_zone_when_they_meet_then_both_are_carried_out_one_after_the_other() {
+fn concurrent_unversioned_changes_of_one_zone_are_all_accepted() {
     let mut fleet = Fleet::founded(290);
     let tickets: Vec<u64> = (0..3)
-        .map(|index| fleet.calls(index, zone_call(&format!("order-{index}"), index != 1)))
+        .map(|index| fleet.call(index, zone_call(&format!("order-{index}"), index != 1)))
         .collect();
-    fleet.runs(Duration::from_secs(2));
+    fleet.run(Duration::from_secs(2));
     for ticket in tickets {
         let outcome = fleet.proposal_outcome(ticket);
         assert!(
@@ -695,23 +691,23 @@
 }
 
 #[test]
-fn given_a_cut_that_ends_when_facts_were_learned_meanwhile_then_the_others_hear_them_at_once() {
+fn facts_propagate_soon_after_partition_heals() {
     let mut fleet = Fleet::founded(300);
     fleet.cut.insert(0);
-    fleet.runs(Duration::from_secs(2));
-    fleet.heartbeats(1, heartbeat("one", 1));
-    fleet.runs(Duration::from_millis(500));
-    assert!(fleet.instances(0).is_empty());
+    fleet.run(Duration::from_secs(2));
+    fleet.send_heartbeat(1, heartbeat("one", 1));
+    fleet.run(Duration::from_millis(500));
+    assert!(fleet.instance_ids(0).is_empty());
     fleet.cut.clear();
-    fleet.runs(Duration::from_millis(450));
-    assert_eq!(fleet.instances(0), ["one"]);
+    fleet.run(Duration::from_millis(450));
+    assert_eq!(fleet.instance_ids(0), ["one"]);
 }
 
 /// When all three controllers vote and hold the same versions, counted from now.
 fn time_to_full(fleet: &mut Fleet) -> Option<Duration> {
     let since = fleet.now;
     while fleet.now < since + Duration::from_secs(30) {
-        fleet.runs(STEP);
+        fleet.run(STEP);
         if is_full(fleet) {
             return Some(fleet.now - since);
         }
@@ -750,8 +746,8 @@
 fn fleet_with_change(seed: u64) -> Fleet {
     let mut fleet = Fleet::founded(seed);
     let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
-    let ticket = fleet.calls(0, call);
-    fleet.runs(Duration::from_secs(1));
+    let ticket = fleet.call(0, call);
+    fleet.run(Duration::from_secs(1));
     let outcome = fleet.proposal_outcome(ticket);
     assert!(matches!(outcome, Some(ProposalOutcome::Accepted(_))));
     fleet
@@ -760,7 +756,7 @@
 /// Expects every controller to read the change of [`fleet_with_change`].
 fn expect_change(fleet: &mut Fleet) {
     for index in 0..3 {
-        match fleet.reads(index) {
+        match fleet.read(index) {
             OperatorResponse::Configuration { map } => {
                 assert!(map.items.contains_key("pool/records"), "place {index}");
             }
@@ -770,25 +766,25 @@
 }
 
 #[test]
-fn given_a_wiped_machine_when_it_comes_back_then_the_core_is_whole_within_the_bound() {
+fn wiped_controller_is_replaced_in_time() {
     // The shortest `sync_time_s` of the sites, from the loss to the last copy.
     let bound = Duration::from_secs(4);
     for wiped in 0..3 {
         let mut fleet = fleet_with_change(60 + wiped as u64);
         let managed = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, wiped);
         assert_eq!(managed, wiped == 0, "each kind of loss is played");
-        fleet.stops(wiped, true);
-        fleet.starts(wiped);
+        fleet.stop(wiped, true);
+        fleet.start(wiped);
         let taken = time_to_full(&mut fleet).expect("it becomes whole");
         println!("wiped {wiped}, with the voter management: {managed}, whole after {taken:?}");
         assert!(taken <= bound, "{taken:?}");
-        fleet.runs(Duration::from_secs(1));
+        fleet.run(Duration::from_secs(1));
         expect_change(&mut fleet);
     }
 }
 
 #[test]
-fn given_a_machine_lost_for_good_when_a_new_one_comes_elsewhere_then_the_core_is_whole_in_time() {
+fn lost_controller_is_replaced_by_new_address_in_time() {
     let bound = Duration::from_secs(4);
     let core = CorePolicy {
         // As the platform sets it.
@@ -797,10 +793,10 @@
     };
     for lost in 0..3 {
         let mut fleet = Fleet::new([core.clone(), core.clone(), core.clone()], 65 + lost as u64);
-        fleet.runs(Duration::from_secs(8));
+        fleet.run(Duration::from_secs(8));
         let managed = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
-        fleet.stops(lost, true);
-        fleet.adds(core.clone());
+        fleet.stop(lost, true);
+        fleet.add_controller(core.clone());
         let taken = time_to_full(&mut fleet).expect("it becomes whole");
         println!("lost {lost}, with the voter management: {managed}, whole after {taken:?}");
         assert!(taken <= bound, "{taken:?}");
@@ -808,12 +804,12 @@
 }
 
 #[test]
-fn given_a_wiped_machine_whose_disk_hangs_when_it_has_copied_all_then_it_gets_no_vote() {
+fn controller_with_hanging_disk_does_not_become_voter() {
     let mut fleet = fleet_with_change(70);
-    fleet.stops(2, true);
+    fleet.stop(2, true);
     fleet.nodes[2].disk_hangs = true;
-    fleet.starts(2);
-    fleet.runs(Duration::from_secs(15));
+    fleet.start(2);
+    fleet.run(Duration::from_secs(15));
     let node = node_at(&fleet, 2).expect("it runs");
     for index in 0..2 {
         let state = &fleet.nodes[index].machine.as_ref().expect("it runs").state;
@@ -821,8 +817,8 @@
     }
     // The others are held up by nothing.
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
-    let ticket = fleet.calls(0, call);
-    fleet.runs(Duration::from_secs(1));
+    let ticket = fleet.call(0, call);
+    fleet.run(Duration::from_secs(1));
     let outcome = fleet.proposal_outcome(ticket);
     assert!(
         matches!(outcome, Some(ProposalOutcome::Accepted(_))),
@@ -831,39 +827,38 @@
 }
 
 #[test]
-fn given_a_polite_stop_when_the_next_controller_has_not_synced_then_another_gets_the_roles() {
+fn shutdown_hands_roles_to_synced_controller() {
     let mut fleet = fleet_with_change(80);
     assert_eq!(role_holder(&fleet, 0, OWNERSHIP), node_at(&fleet, 0));
     fleet.nodes[1].disk_hangs = true;
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
-    fleet.calls(0, call);
-    fleet.runs(Duration::from_secs(1));
-    fleet.inputs(0, ControllerInput::Shutdown);
-    fleet.runs(Duration::from_secs(3));
+    fleet.call(0, call);
+    fleet.run(Duration::from_secs(1));
+    fleet.handle_input(0, ControllerInput::Shutdown);
+    fleet.run(Duration::from_secs(3));
     for role in LEADERSHIPS {
         assert_eq!(role_holder(&fleet, 0, role), node_at(&fleet, 2), "{role}");
     }
 }
 
 #[test]
-fn given_a_replacement_when_another_loses_power_at_any_step_then_the_change_is_kept_and_all_is_whole(
-) {
+fn replacement_completes_when_second_controller_loses_power_at_any_step() {
     for wiped in 0..3 {
         for second in (0..3).filter(|second| *second != wiped) {
             for step in 0..30 {
                 let mut fleet = fleet_with_change(100 + step);
-                fleet.stops(wiped, true);
-                fleet.starts(wiped);
-                fleet.runs(Duration::from_millis(100 * step));
-                fleet.stops(second, false);
-                fleet.runs(Duration::from_secs(2));
-                fleet.starts(second);
+                fleet.stop(wiped, true);
+                fleet.start(wiped);
+                fleet.run(Duration::from_millis(100 * step));
+                fleet.stop(second, false);
+                fleet.run(Duration::from_secs(2));
+                fleet.start(second);
                 let full_map = time_to_full(&mut fleet);
                 assert!(
                     full_map.is_some(),
                     "{wiped}, then {second} after step {step}"
                 );
-                fleet.runs(Duration::from_secs(1));
+                fleet.run(Duration::from_secs(1));
                 expect_change(&mut fleet);
             }
         }
@@ -871,20 +866,19 @@
 }
 
 #[test]
-fn given_a_replacement_when_another_disk_is_wiped_at_any_step_then_all_is_whole_or_the_loss_is_named(
-) {
+fn replacement_completes_or_reports_majority_loss_when_second_disk_is_wiped() {
     let mut named = 0;
     for wiped in 0..3 {
         for second in (0..3).filter(|second| *second != wiped) {
             for step in 0..30 {
                 let mut fleet = fleet_with_change(100 + step);
-                fleet.stops(wiped, true);
-                fleet.starts(wiped);
-                fleet.runs(Duration::from_millis(100 * step));
-                fleet.stops(second, true);
-                fleet.starts(second);
+                fleet.stop(wiped, true);
+                fleet.start(wiped);
+                fleet.run(Duration::from_millis(100 * step));
+                fleet.stop(second, true);
+                fleet.start(second);
                 if time_to_full(&mut fleet).is_some() {
-                    fleet.runs(Duration::from_secs(1));
+                    fleet.run(Duration::from_secs(1));
                     expect_change(&mut fleet);
                     continue;
                 }
@@ -902,16 +896,16 @@
 }
 
 #[test]
-fn given_a_polite_stop_when_too_few_others_have_synced_all_then_it_waits_and_names_it() {
+fn shutdown_waits_for_synced_replicas_and_logs_missing_ones() {
     let mut fleet = fleet_with_change(90);
     fleet.nodes[1].disk_hangs = true;
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
-    fleet.calls(0, call);
-    fleet.runs(Duration::from_secs(1));
-    fleet.inputs(0, ControllerInput::Shutdown);
-    fleet.runs(Duration::from_secs(4));
+    fleet.call(0, call);
+    fleet.run(Duration::from_secs(1));
+    fleet.handle_input(0, ControllerInput::Shutdown);
+    fleet.run(Duration::from_secs(4));
     assert!(fleet.stopped.is_empty());
-    fleet.runs(Duration::from_secs(2));
+    fleet.run(Duration::from_secs(2));
     assert!(fleet.stopped.contains(&0));
     let is_named = |(index, event): &(usize, Event)| {
         *index == 0 && matches!(event, Event::ShutdownIncomplete { .. })
--- a/crates/controller/tests/fleet_stories/restarts.rs
+++ b/crates/controller/tests/fleet/restarts.rs
@@ -20,7 +20,7 @@
     for number in 0..INSTANCES {
         let mut beat = heartbeat(&format!("instance-{number}"), counter);
         beat.address = SocketAddr::from(([127, 0, 0, 2], 8000 + number as u16));
-        fleet.heartbeats(index, beat);
+        fleet.send_heartbeat(index, beat);
     }
 }
 
@@ -28,15 +28,15 @@
 fn follows(fleet: &mut Fleet, follower: &mut FollowerProcess, span: Duration) {
     let until = fleet.now + span;
     while fleet.now < until {
-        fleet.runs(STEP);
-        let sent = follower.ticks(fleet.now);
+        fleet.run(STEP);
+        let sent = follower.tick(fleet.now);
         fleet.wire.extend(sent);
-        fleet.carries();
+        fleet.deliver();
         for (to, envelope) in std::mem::take(&mut fleet.to_followers) {
             if to == follower.address {
-                let sent = follower.hears(fleet.now, &envelope);
+                let sent = follower.receive(fleet.now, &envelope);
                 fleet.wire.extend(sent);
-                fleet.carries();
+                fleet.deliver();
             }
         }
     }
@@ -50,8 +50,7 @@
 }
 
 #[test]
-fn given_a_controller_that_restarts_when_an_instance_ends_meanwhile_then_its_followers_hear_of_it()
-{
+fn followers_learn_of_instance_that_ended_during_controller_restart() {
     for seed in 1..4 {
         let mut fleet = Fleet::founded(seed);
         let mut follower = FollowerProcess::new(0, Role::Proxy, MapName::Ownership);
@@ -64,12 +63,12 @@
         assert!(follower.link.instances.get(&ended).is_some(), "it is known");
         let restarted = asked_by(&follower);
         let other = (restarted + 1) % 3;
-        fleet.stops(restarted, false);
+        fleet.stop(restarted, false);
         fleet.wire.clear();
-        fleet.ends(other, &ended);
-        fleet.runs(DOWN_FOR);
-        fleet.starts(restarted);
-        fleet.runs(Duration::from_millis(450));
+        fleet.deregister(other, &ended);
+        fleet.run(DOWN_FOR);
+        fleet.start(restarted);
+        fleet.run(Duration::from_millis(450));
         follows(&mut fleet, &mut follower, Duration::from_millis(700));
         assert!(
             follower.link.instances.has_ended(&ended),
@@ -80,23 +79,23 @@
 }
 
 #[test]
-fn given_a_controller_that_restarts_when_an_ended_instance_is_heard_late_then_it_is_not_revived() {
+fn late_heartbeat_after_controller_restart_does_not_revive_instance() {
     for seed in 1..4 {
         let mut fleet = Fleet::founded(seed);
         for counter in 1..4 {
             all_heartbeat(&mut fleet, (counter % 3) as usize, counter);
-            fleet.runs(Duration::from_millis(500));
+            fleet.run(Duration::from_millis(500));
         }
         let ended = InstanceId::new("instance-7");
-        fleet.ends(0, &ended);
-        fleet.runs(Duration::from_millis(500));
-        fleet.stops(1, false);
+        fleet.deregister(0, &ended);
+        fleet.run(Duration::from_millis(500));
+        fleet.stop(1, false);
         fleet.wire.clear();
-        fleet.runs(DOWN_FOR);
-        fleet.starts(1);
-        fleet.runs(Duration::from_millis(500));
+        fleet.run(DOWN_FOR);
+        fleet.start(1);
+        fleet.run(Duration::from_millis(500));
         all_heartbeat(&mut fleet, 1, 9);
-        let listed = fleet.instances(1);
+        let listed = fleet.instance_ids(1);
         assert!(
             !listed.contains(&ended.to_string()),
             "seed {seed}: it is listed again"
@@ -105,7 +104,7 @@
 }
 
 #[test]
-fn given_a_stamp_of_a_life_that_is_over_when_it_comes_back_then_it_dates_nothing() {
+fn timestamp_of_previous_incarnation_gives_no_age() {
     let mut fleet = Fleet::founded(1);
     let mut follower = FollowerProcess::new(0, Role::Proxy, MapName::Ownership);
     follows(&mut fleet, &mut follower, Duration::from_secs(2));
@@ -116,8 +115,8 @@
     let clock = &follower.link.envelope_clock;
     let envelope = clock.seal(fleet.now, follower.address, controller, renewal);
     let echo = envelope.echo.expect("it holds a stamp");
-    fleet.stops(restarted, false);
-    fleet.starts(restarted);
+    fleet.stop(restarted, false);
+    fleet.start(restarted);
     let machine = fleet.nodes[restarted].machine.as_ref();
     let machine = machine.expect("it runs");
     let incarnation = machine.state.incarnation;
--- a/crates/controller/tests/fleet_stories/slow_links.rs
+++ b/crates/controller/tests/fleet/slow_links.rs
@@ -50,7 +50,7 @@
 }
 
 impl SlowLink {
-    fn takes(&mut self, to: SocketAddr, envelope: Envelope) {
+    fn enqueue(&mut self, to: SocketAddr, envelope: Envelope) {
         let way = self.ways.entry((envelope.reply_to, to)).or_default();
         if way.len() < MOST_WAITING {
             let bytes = minicbor::to_vec(&envelope).expect("it encodes").len();
@@ -62,7 +62,7 @@
     }
 
     /// Carries what fits into a span; gives what has arrived.
-    fn carries(&mut self, span: Duration, rate: f64) -> Vec<(SocketAddr, Envelope)> {
+    fn transfer(&mut self, span: Duration, rate: f64) -> Vec<(SocketAddr, Envelope)> {
         let mut budget = rate * span.as_secs_f64();
         let mut arrived = Vec::new();
         while budget >= 1.0 {
@@ -123,106 +123,106 @@
         let mut puts: Vec<Put> = (0..ROUTES).map(|number| route_put(number, 1)).collect();
         puts.extend((0..ZONES).map(zone_put));
         puts.push(service_put("records", 1, Some(service())));
-        world.fleet.calls(0, apply("first", puts));
-        world.runs(Duration::from_secs(5));
+        world.fleet.call(0, apply("first", puts));
+        world.run(Duration::from_secs(5));
         world.next_change_at = world.fleet.now;
-        world.runs(Duration::from_secs(5));
-        assert!(world.behind() <= 5, "{} behind at first", world.behind());
+        world.run(Duration::from_secs(5));
+        assert!(world.lag() <= 5, "{} behind at first", world.lag());
         assert!(
-            world.newest() > 40,
+            world.latest_version() > 40,
             "the changes are not taken: {:?}",
             world.fleet.responses.values().next()
         );
         world
     }
 
-    fn changes_one_route(&mut self) {
+    fn change_one_route(&mut self) {
         self.changes += 1;
         let number = self.changes;
         let mut puts: Vec<Put> = (0..ZONES).map(zone_put).collect();
         puts.push(route_put(number % self.routes, 1 + number));
         let call = apply(&format!("change-{number}"), puts);
         let index = (number % 3) as usize;
-        self.fleet.calls(index, call);
+        self.fleet.call(index, call);
     }
 
-    fn heartbeats(&mut self) {
+    fn send_due_heartbeats(&mut self) {
         self.heartbeats += 1;
         for number in 0..INSTANCES {
             let mut beat = heartbeat(&format!("instance-{number}"), self.heartbeats);
             beat.address = SocketAddr::from(([127, 0, 0, 2], 8000 + number as u16));
-            self.fleet.heartbeats((number % 3) as usize, beat);
+            self.fleet.send_heartbeat((number % 3) as usize, beat);
         }
     }
 
-    fn sends(&mut self, sent: Vec<(SocketAddr, Envelope)>) {
+    fn send(&mut self, sent: Vec<(SocketAddr, Envelope)>) {
         self.fleet.wire.extend(sent);
-        self.fleet.carries();
+        self.fleet.deliver();
     }
 
     fn step(&mut self) {
-        self.fleet.runs(STEP);
+        self.fleet.run(STEP);
         let now = self.fleet.now;
         if now >= self.next_change_at {
             self.next_change_at += self.change_period;
-            self.changes_one_route();
+            self.change_one_route();
         }
         if now >= self.next_heartbeats_at {
             self.next_heartbeats_at = now + HEARTBEAT_PERIOD;
-            self.heartbeats();
+            self.send_due_heartbeats();
         }
         for index in 0..self.followers.len() {
-            let sent = self.followers[index].ticks(now);
-            self.sends(sent);
+            let sent = self.followers[index].tick(now);
+            self.send(sent);
         }
         for (to, envelope) in std::mem::take(&mut self.fleet.to_followers) {
-            self.link.takes(to, envelope);
+            self.link.enqueue(to, envelope);
         }
-        for (to, envelope) in self.link.carries(STEP, self.rate) {
+        for (to, envelope) in self.link.transfer(STEP, self.rate) {
             for index in 0..self.followers.len() {
                 if self.followers[index].address == to {
-                    let sent = self.followers[index].hears(now, &envelope);
-                    self.sends(sent);
+                    let sent = self.followers[index].receive(now, &envelope);
+                    self.send(sent);
                 }
             }
         }
     }
 
-    fn runs(&mut self, span: Duration) {
+    fn run(&mut self, span: Duration) {
         let until = self.fleet.now + span;
         while self.fleet.now < until {
             self.step();
         }
     }
 
-    fn newest(&self) -> u64 {
+    fn latest_version(&self) -> u64 {
         let machine = self.fleet.nodes[0].machine.as_ref().expect("it runs");
         machine.state.map(MapName::Configuration).version.0
     }
 
     /// How many changes the follower that is furthest behind lacks.
-    fn behind(&self) -> u64 {
+    fn lag(&self) -> u64 {
         let held = self.followers.iter().map(FollowerProcess::version);
-        self.newest() - held.min().expect("there are some")
+        self.latest_version() - held.min().expect("there are some")
     }
 
     /// All machines lose power, and return with what lay on their disks.
-    fn loses_power(&mut self) {
+    fn restart_all(&mut self) {
         for index in 0..3 {
-            self.fleet.stops(index, false);
+            self.fleet.stop(index, false);
         }
         self.fleet.wire.clear();
         self.link.ways.clear();
         self.fleet.now += Duration::from_secs(1);
         for index in 0..3 {
-            self.fleet.starts(index);
+            self.fleet.start(index);
         }
         self.followers = followers();
         self.next_change_at = self.fleet.now + Duration::from_secs(1);
         self.next_heartbeats_at = self.fleet.now;
     }
 
-    fn all_fresh(&self) -> bool {
+    fn all_have_leases(&self) -> bool {
         let now = self.fleet.now;
         let is_fresh = |follower: &FollowerProcess| now < follower.link.fresh_until();
         self.followers.iter().all(is_fresh)
@@ -271,42 +271,48 @@
 }
 
 #[test]
-fn given_a_link_that_was_full_for_a_while_when_it_has_room_again_then_followers_are_soon_level() {
+fn followers_catch_up_after_link_congestion() {
     for seed in 1..4 {
         let mut world = World::level(seed);
         // Other traffic takes the link for a while, and changes that had to wait come all at once.
         world.rate = LEFT_RATE;
         world.change_period = CHANGE_PERIOD / 4;
-        world.runs(Duration::from_secs(6));
+        world.run(Duration::from_secs(6));
         world.rate = LINK_RATE;
         world.change_period = CHANGE_PERIOD;
-        world.runs(Duration::from_secs(3));
-        let behind = world.behind();
+        world.run(Duration::from_secs(3));
+        let behind = world.lag();
         assert!(
             behind <= 5,
             "seed {seed}: {behind} changes behind after 3 s"
         );
-        assert!(world.all_fresh(), "seed {seed}: a follower has no lease");
+        assert!(
+            world.all_have_leases(),
+            "seed {seed}: a follower has no lease"
+        );
     }
 }
 
 #[test]
-fn given_hundreds_of_changes_when_all_machines_lose_power_then_followers_are_soon_level() {
+fn followers_catch_up_after_power_loss_of_all_controllers() {
     for seed in 1..4 {
         let mut world = World::level(seed);
         world.routes = 4 * ROUTES;
         world.change_period = CHANGE_PERIOD / 4;
-        world.runs(Duration::from_secs(20));
+        world.run(Duration::from_secs(20));
         world.change_period = CHANGE_PERIOD;
-        world.loses_power();
+        world.restart_all();
         // Clients that were turned away come back, and take most of the link.
         world.rate = LINK_RATE / 3.0;
-        world.runs(Duration::from_secs(6));
-        let behind = world.behind();
+        world.run(Duration::from_secs(6));
+        let behind = world.lag();
         assert!(
             behind <= 5,
             "seed {seed}: {behind} changes behind after 6 s"
         );
-        assert!(world.all_fresh(), "seed {seed}: a follower has no lease");
+        assert!(
+            world.all_have_leases(),
+            "seed {seed}: a follower has no lease"
+        );
     }
 }
--- a/crates/controller/tests/interface_stories.rs
+++ b/crates/controller/tests/operator_api.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn given_a_change_set_when_read_then_it_says_which_version_of_the_map_its_writer_had_read() {
+fn change_set_is_guarded_by_version_that_its_writer_had_read() {
     let versioned = r#""edition": 7,"#;
     let absent = r#""edition": 0,"#;
     let reported = r#""edition": 40,"#;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn given_a_change_set_under_an_edition_when_the_map_forgot_ids_since_then_it_is_not_applied() {
+fn change_set_older_than_remembered_ids_is_not_applied() {
     let mut map = ReplicatedMap::empty();
     let (first, _) = read_form(&change_set("", &[""]));
     map.apply(&first);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn given_an_answer_that_confirms_nothing_when_told_then_it_says_why_and_what_stands() {
+fn unconfirmed_outcomes_report_reason_and_current_state() {
     let confirmed = ConfirmedVersion {
         version: 5,
         digest: 0xab,
