--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::support::controllers::{address, lay, policy, STEP};
+use crate::support::controllers::{address, apply_write, policy, STEP};
 use caperworks::catch_up::{ChunkError, SnapshotChunk, CHUNK_BYTES, SNAPSHOT_IDLE_SPAN};
 use caperworks::consensus::messages::{ConsensusMessage, ProposalNumber};
 use caperworks::feed::HISTORY_WEIGHT;
@@ -91,8 +91,8 @@
     /// What a way carries in a second, if that is bounded.
     way_rate: Option<u64>,
     responses: BTreeMap<u64, OperatorResponse>,
-    tickets: u64,
-    seeds_drawn: u64,
+    last_ticket: u64,
+    last_seed: u64,
     /// What all sent each other for catch-up since it was last reset.
     traffic: Traffic,
     refused: Vec<ChunkError>,
@@ -118,8 +118,8 @@
             ways: BTreeMap::new(),
             way_rate: None,
             responses: BTreeMap::new(),
-            tickets: 0,
-            seeds_drawn: seed * 1000,
+            last_ticket: 0,
+            last_seed: seed * 1000,
             traffic: Traffic::default(),
             refused: Vec::new(),
             spoils: None,
@@ -132,7 +132,7 @@
     }
 
     fn start(&mut self, index: usize) {
-        self.seeds_drawn += 1;
+        self.last_seed += 1;
         let seeds = (0..3).map(address).collect();
         let zone = Zone::new(format!("zone-{index}"));
         let options = ControllerOptions::new(address(index), zone, seeds)
@@ -143,7 +143,7 @@
             })
             .inject(self.nodes[index].broken);
         let image = self.nodes[index].image.clone();
-        let (machine, outputs) = ControllerMachine::start(options, &image, self.seeds_drawn);
+        let (machine, outputs) = ControllerMachine::start(options, &image, self.last_seed);
         self.nodes[index].machine = Some(machine);
         self.carry_out(index, outputs);
     }
@@ -167,7 +167,7 @@
                         continue;
                     }
                     for write in &writes {
-                        lay(&mut self.nodes[index].image, write);
+                        apply_write(&mut self.nodes[index].image, write);
                         if let DiskWrite::Slot { bytes, .. } = write {
                             self.largest_slot = self.largest_slot.max(bytes.len());
                             self.slots_written += 1;
@@ -257,8 +257,8 @@
     }
 
     fn call(&mut self, index: usize, call: OperatorCall) -> u64 {
-        self.tickets += 1;
-        let ticket = self.tickets;
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let received_at = self.now;
         self.handle_input(
             index,
--- a/crates/controller/tests/fleet/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -1,10 +1,10 @@
-//! Whole controllers in one process, with what instances and operators ask of them.
+//! A simulated fleet of complete controllers, with calls of instances and operators.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::support::controllers::{address, lay, policy, STEP};
+use crate::support::controllers::{address, apply_write, policy, STEP};
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{ChangeId, Incarnation, InstanceId, ServiceName, Zone};
@@ -26,28 +26,28 @@
 pub struct SimulatedNode {
     pub machine: Option<ControllerMachine>,
     pub image: DiskImage,
-    /// Writes are taken in and never carried out.
+    /// Whether the disk hangs: writes are accepted and never carried out.
     pub disk_hangs: bool,
     pub core: CorePolicy,
 }
 
-/// Controllers in one process: messages are carried by hand, writes are synced at once.
+/// Controllers in one process. The test delivers the messages, and writes are synced immediately.
 pub struct Fleet {
     pub nodes: Vec<SimulatedNode>,
     pub now: Duration,
     pub wire: VecDeque<(SocketAddr, Envelope)>,
-    /// What was sent to addresses that are no controller's.
+    /// Messages to addresses that do not belong to a controller.
     pub to_followers: Vec<(SocketAddr, Envelope)>,
-    /// Places that nothing comes to and nothing leaves.
-    pub cut: BTreeSet<usize>,
+    /// Controllers that are partitioned from all others.
+    pub partitioned: BTreeSet<usize>,
     pub responses: BTreeMap<u64, OperatorResponse>,
     pub founded: u32,
     pub events: Vec<(usize, Event)>,
-    /// Places whose polite stop is done.
+    /// Controllers whose graceful shutdown is complete.
     pub stopped: BTreeSet<usize>,
-    pub seeds_drawn: u64,
-    pub tickets: u64,
-    pub broken: FaultInjection,
+    pub last_seed: u64,
+    pub last_ticket: u64,
+    pub fault: FaultInjection,
 }
 
 impl Fleet {
@@ -57,14 +57,14 @@
             now: Duration::ZERO,
             wire: VecDeque::new(),
             to_followers: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             responses: BTreeMap::new(),
             founded: 0,
             events: Vec::new(),
             stopped: BTreeSet::new(),
-            seeds_drawn: seed * 1000,
-            tickets: 0,
-            broken: FaultInjection::None,
+            last_seed: seed * 1000,
+            last_ticket: 0,
+            fault: FaultInjection::None,
         };
         for (index, core) in policies.into_iter().enumerate() {
             fleet.nodes.push(SimulatedNode {
@@ -78,15 +78,15 @@
         fleet
     }
 
-    /// A fleet that founded itself and vouches for what it knows.
+    /// Returns a fleet that has founded its membership and is current.
     pub fn founded(seed: u64) -> Self {
         Self::founded_with_fault(seed, FaultInjection::None)
     }
 
-    /// The same, with a safeguard left out.
-    pub fn founded_with_fault(seed: u64, broken: FaultInjection) -> Self {
+    /// Returns a founded fleet in which a fault is injected.
+    pub fn founded_with_fault(seed: u64, fault: FaultInjection) -> Self {
         let mut fleet = Self::new([policy(), policy(), policy()], seed);
-        fleet.broken = broken;
+        fleet.fault = fault;
         for index in 0..3 {
             fleet.start(index);
         }
@@ -95,22 +95,22 @@
         fleet
     }
 
-    /// Starts from what lies on the place's disk.
+    /// Starts a controller from the contents of its disk.
     pub fn start(&mut self, index: usize) {
-        self.seeds_drawn += 1;
+        self.last_seed += 1;
         let seeds = (0..3).map(address).collect();
         let zone = Zone::new(format!("zone-{index}"));
         let options = ControllerOptions::new(address(index), zone, seeds)
             .disk_capacity(1 << 20, 1 << 16)
             .core(self.nodes[index].core.clone())
-            .inject(self.broken);
+            .inject(self.fault);
         let image = self.nodes[index].image.clone();
-        let (machine, outputs) = ControllerMachine::start(options, &image, self.seeds_drawn);
+        let (machine, outputs) = ControllerMachine::start(options, &image, self.last_seed);
         self.nodes[index].machine = Some(machine);
         self.carry_out(index, outputs);
     }
 
-    /// Starts a controller with an empty disk at an address of its own.
+    /// Starts a controller with an empty disk at a new address, and returns its index.
     pub fn add_controller(&mut self, core: CorePolicy) -> usize {
         self.nodes.push(SimulatedNode {
             machine: None,
@@ -126,12 +126,12 @@
         index
     }
 
-    /// Power is lost; with the disk or without it.
+    /// Stops a controller by power loss, and wipes its disk if requested.
     pub fn stop(&mut self, index: usize, wiped: bool) {
         self.nodes[index].machine = None;
         if wiped {
             self.nodes[index].image = DiskImage::default();
-            // Why: only the very first start may found.
+            // Only the very first start may found a membership.
             self.nodes[index].core.may_found = false;
         }
     }
@@ -141,7 +141,10 @@
         while let Some(output) = outputs.pop_front() {
             match output {
                 ControllerOutput::Send { to, message } => {
-                    let machine = self.nodes[index].machine.as_ref().expect("it runs");
+                    let machine = self.nodes[index]
+                        .machine
+                        .as_ref()
+                        .expect("the controller is running");
                     self.wire.push_back((to, machine.seal(to, message)));
                 }
                 ControllerOutput::Write { ticket, writes } => {
@@ -149,7 +152,7 @@
                         continue;
                     }
                     for write in &writes {
-                        lay(&mut self.nodes[index].image, write);
+                        apply_write(&mut self.nodes[index].image, write);
                     }
                     outputs.extend(self.input(index, ControllerInput::WriteSynced { ticket }));
                 }
@@ -188,10 +191,10 @@
                 self.to_followers.push((to, envelope));
                 continue;
             };
-            let own = from == Some(index);
-            let is_cut =
-                self.cut.contains(&index) || from.is_some_and(|from| self.cut.contains(&from));
-            if is_cut && !own {
+            let is_own = from == Some(index);
+            let is_partitioned = self.partitioned.contains(&index)
+                || from.is_some_and(|from| self.partitioned.contains(&from));
+            if is_partitioned && !is_own {
                 continue;
             }
             let outputs = self.input(index, ControllerInput::MessageReceived { envelope });
@@ -210,8 +213,8 @@
     }
 
     pub fn call(&mut self, index: usize, call: OperatorCall) -> u64 {
-        self.tickets += 1;
-        let ticket = self.tickets;
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let received_at = self.now;
         self.handle_input(
             index,
@@ -227,7 +230,7 @@
     pub fn proposal_outcome(&self, ticket: u64) -> Option<&ProposalOutcome> {
         match self.responses.get(&ticket)? {
             OperatorResponse::ProposalOutcome { proposal_outcome } => Some(proposal_outcome),
-            other => panic!("{other:?} is no verdict"),
+            other => panic!("{other:?} is not a proposal outcome"),
         }
     }
 
@@ -244,13 +247,13 @@
                 .iter()
                 .map(|heartbeat| heartbeat.id.to_string())
                 .collect(),
-            other => panic!("{other:?} is no status"),
+            other => panic!("{other:?} is not a status"),
         }
     }
 
     pub fn send_heartbeat(&mut self, index: usize, heartbeat: Heartbeat) -> u64 {
-        self.tickets += 1;
-        let ticket = self.tickets;
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let echo = None;
         self.handle_input(
             index,
@@ -263,27 +266,31 @@
         ticket
     }
 
-    /// An instance tells a controller that its life is over.
+    /// Deregisters an instance at a controller.
     pub fn deregister(&mut self, index: usize, id: &InstanceId) {
-        self.tickets += 1;
-        let (ticket, id) = (self.tickets, id.clone());
+        self.last_ticket += 1;
+        let (ticket, id) = (self.last_ticket, id.clone());
         self.handle_input(index, ControllerInput::InstanceEnded { ticket, id });
     }
 
     pub fn heartbeat_response(&self, ticket: u64) -> Option<&HeartbeatResponse> {
         match self.responses.get(&ticket)? {
             OperatorResponse::Heartbeat { response } => Some(&response.response),
-            other => panic!("{other:?} is no answer to a beat"),
+            other => panic!("{other:?} is not a response to a heartbeat"),
         }
     }
 
     pub fn owner_manager(&self) -> usize {
-        let state = &self.nodes[0].machine.as_ref().expect("it runs").state;
+        let state = &self.nodes[0]
+            .machine
+            .as_ref()
+            .expect("the controller is running")
+            .state;
         let owner_manager =
-            ownership::owner_manager_address(state).expect("someone has the leadership role");
+            ownership::owner_manager_address(state).expect("the ownership role has a leader");
         (0..3)
             .find(|index| address(*index) == owner_manager)
-            .expect("it is one of us")
+            .expect("the leader is one of the controllers")
     }
 }
 
--- a/crates/controller/tests/fleet/follower.rs
+++ b/crates/controller/tests/fleet/follower.rs
@@ -1,4 +1,4 @@
-//! A process that follows the core, as whole controllers in memory see it.
+//! A simulated follower: a process that keeps a lease with the controllers and follows the maps.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use caperworks::reduced_map::FeedForm;
 use caperworks::replicated_map::MapName;
 
-/// A process beside a proxy that follows the core.
+/// An agent or a directory that follows the controllers.
 pub struct FollowerProcess {
     pub address: SocketAddr,
     pub role: Role,
@@ -51,10 +51,10 @@
         }
     }
 
-    /// What it sends on a tick.
+    /// Returns the messages to send on a tick.
     pub fn tick(&mut self, now: Duration) -> Vec<(SocketAddr, Envelope)> {
         let requests = self.link.tick_catch_up(now);
-        let mut sent: Vec<(SocketAddr, Message)> = requests.iter().map(asked).collect();
+        let mut sent: Vec<(SocketAddr, Message)> = requests.iter().map(request_message).collect();
         if self.link.due(now) {
             let member = self.member(now);
             sent.push(self.link.renew(now, member));
@@ -62,7 +62,7 @@
         self.sealed(now, sent)
     }
 
-    /// What it sends on hearing a controller.
+    /// Handles a message from a controller, and returns the messages to send.
     pub fn receive(&mut self, now: Duration, envelope: &Envelope) -> Vec<(SocketAddr, Envelope)> {
         self.link.envelope_clock.open(now, envelope);
         let from = envelope.reply_to;
@@ -81,7 +81,7 @@
             }
             _ => Vec::new(),
         };
-        let sent = requests.iter().map(asked).collect();
+        let sent = requests.iter().map(request_message).collect();
         self.sealed(now, sent)
     }
 
@@ -100,8 +100,8 @@
     }
 }
 
-/// The message that asks for a piece of a map, and whom.
-fn asked(request: &CatchUpRequest) -> (SocketAddr, Message) {
+/// Returns the message that requests a chunk of a map, and its receiver.
+fn request_message(request: &CatchUpRequest) -> (SocketAddr, Message) {
     let vote = request.message();
     (request.to, Message::ConsensusMessage { vote })
 }
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -1,12 +1,12 @@
 //! Stories of whole controllers in memory: disks that are lost, founding, heartbeats and instances' ends.
 
-mod controller_switch;
 mod fleet;
 mod follower;
 mod restarts;
 mod slow_links;
 #[path = "../support/mod.rs"]
 mod support;
+mod switchover;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     for answering in 0..3 {
         for absent in (0..3).filter(|absent| *absent != answering) {
             let mut fleet = Fleet::founded(1 + answering as u64 * 3 + absent as u64);
-            fleet.cut.insert(absent);
+            fleet.partitioned.insert(absent);
             let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
             let ticket = fleet.call(answering, call);
             fleet.run(Duration::from_millis(500));
@@ -46,7 +46,7 @@
                 fleet.stop(index, index == answering);
             }
             fleet.wire.clear();
-            fleet.cut.clear();
+            fleet.partitioned.clear();
             fleet.now += Duration::from_secs(1);
             for index in 0..3 {
                 fleet.start(index);
@@ -213,7 +213,7 @@
         .collect();
     assert_eq!(key_ranges, (0..8).collect::<Vec<u32>>());
     // Without the owner manager the heartbeat is heard all the same, and nothing is said of what it holds.
-    fleet.cut.insert(owner_manager);
+    fleet.partitioned.insert(owner_manager);
     let ticket = fleet.send_heartbeat(other, heartbeat("one", counter + 1));
     assert_eq!(fleet.heartbeat_response(ticket), None, "it waits a while");
     fleet.run(Duration::from_millis(600));
@@ -231,8 +231,8 @@
     for index in 0..3 {
         assert_eq!(fleet.instance_ids(index), ["one"], "controller {index}");
     }
-    fleet.tickets += 1;
-    let (ticket, id) = (fleet.tickets, InstanceId::new("one"));
+    fleet.last_ticket += 1;
+    let (ticket, id) = (fleet.last_ticket, InstanceId::new("one"));
     fleet.handle_input(1, ControllerInput::InstanceEnded { ticket, id });
     assert!(
         fleet.heartbeat_response(ticket).is_some(),
@@ -307,8 +307,8 @@
 }
 
 fn deregister(fleet: &mut Fleet, index: usize, id: &str) {
-    fleet.tickets += 1;
-    let (ticket, id) = (fleet.tickets, InstanceId::new(id));
+    fleet.last_ticket += 1;
+    let (ticket, id) = (fleet.last_ticket, InstanceId::new(id));
     fleet.handle_input(index, ControllerInput::InstanceEnded { ticket, id });
 }
 
@@ -389,8 +389,8 @@
 impl Fleet {
     /// A call whose head was read `age` ago.
     fn call_received_earlier(&mut self, index: usize, call: OperatorCall, age: Duration) -> u64 {
-        self.tickets += 1;
-        let ticket = self.tickets;
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let received_at = self.now.saturating_sub(age);
         self.handle_input(
             index,
@@ -437,7 +437,7 @@
     let other = (owner_manager + 1) % 3;
     fleet.send_heartbeat(owner_manager, heartbeat("one", 1));
     fleet.run(Duration::from_millis(500));
-    fleet.cut.insert(owner_manager);
+    fleet.partitioned.insert(owner_manager);
     let cut_at = fleet.now;
     let mut index = owner_manager;
     let mut acknowledged_for = Duration::ZERO;
@@ -511,7 +511,7 @@
     let mut fleet = Fleet::founded(220);
     fleet.send_heartbeat(0, heartbeat("one", 1));
     fleet.run(Duration::from_millis(500));
-    fleet.cut.insert(0);
+    fleet.partitioned.insert(0);
     let mut draining = heartbeat("one", 2);
     draining.state = InstanceState::Draining;
     let ticket = fleet.send_heartbeat(0, draining);
@@ -531,10 +531,10 @@
     let mut fleet = Fleet::founded(230);
     fleet.send_heartbeat(1, heartbeat("one", 1));
     fleet.run(Duration::from_millis(500));
-    fleet.cut.insert(0);
+    fleet.partitioned.insert(0);
     fleet.run(Duration::from_secs(1));
-    fleet.tickets += 1;
-    let (ticket, id) = (fleet.tickets, InstanceId::new("one"));
+    fleet.last_ticket += 1;
+    let (ticket, id) = (fleet.last_ticket, InstanceId::new("one"));
     fleet.handle_input(0, ControllerInput::InstanceEnded { ticket, id });
     assert_eq!(
         fleet.responses.get(&ticket),
@@ -546,7 +546,7 @@
 fn read_after_a_cut(broken: FaultInjection) -> Option<OperatorResponse> {
     let mut fleet = Fleet::founded_with_fault(240, broken);
     fleet.run(Duration::from_millis(100));
-    fleet.cut.insert(0);
+    fleet.partitioned.insert(0);
     let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
     let accepted = fleet.call(1, call);
     fleet.run(Duration::from_millis(50));
@@ -575,7 +575,7 @@
 #[test]
 fn partitioned_controller_rejects_calls_immediately() {
     let mut fleet = Fleet::founded(250);
-    fleet.cut.insert(0);
+    fleet.partitioned.insert(0);
     fleet.run(Duration::from_secs(1));
     assert_eq!(fleet.read(0), OperatorResponse::NotCurrent);
     let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
@@ -647,7 +647,7 @@
 /// off while the same order and its withdrawal are carried out elsewhere.
 fn waiting_call_comes_into_force(broken: FaultInjection) -> bool {
     let mut fleet = Fleet::founded_with_fault(280, broken);
-    fleet.cut.insert(0);
+    fleet.partitioned.insert(0);
     fleet.call(0, zone_call("first", true));
     // Callers go on to another controller after a second of silence.
     fleet.run(Duration::from_secs(1));
@@ -660,7 +660,7 @@
             "{id}"
         );
     }
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     fleet.run(Duration::from_secs(4));
     fleet.is_closed(2)
 }
@@ -693,12 +693,12 @@
 #[test]
 fn facts_propagate_soon_after_partition_heals() {
     let mut fleet = Fleet::founded(300);
-    fleet.cut.insert(0);
+    fleet.partitioned.insert(0);
     fleet.run(Duration::from_secs(2));
     fleet.send_heartbeat(1, heartbeat("one", 1));
     fleet.run(Duration::from_millis(500));
     assert!(fleet.instance_ids(0).is_empty());
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     fleet.run(Duration::from_millis(450));
     assert_eq!(fleet.instance_ids(0), ["one"]);
 }
--- a/crates/controller/tests/fleet/restarts.rs
+++ b/crates/controller/tests/fleet/restarts.rs
@@ -1,5 +1,5 @@
-//! Stories of controllers that restart at once, with their disks: what they heard before is gone, and their
-//! numbering of facts begins anew.
+//! Controllers that restart quickly and keep their disks. A restart loses all received facts, and the
+//! numbering of facts starts again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use caperworks::identifiers::InstanceId;
 use caperworks::replicated_map::MapName;
 
-/// Less than it takes the others to count a controller as silent.
-const DOWN_FOR: Duration = Duration::from_millis(300);
+/// Shorter than the timeout after which the others suspect a controller.
+const DOWNTIME: Duration = Duration::from_millis(300);
 const INSTANCES: u64 = 40;
 
-/// All instances heartbeat to a controller that runs.
-fn all_heartbeat(fleet: &mut Fleet, index: usize, counter: u64) {
+/// Sends a heartbeat of every instance to a controller.
+fn send_all_heartbeats(fleet: &mut Fleet, index: usize, counter: u64) {
     for number in 0..INSTANCES {
         let mut beat = heartbeat(&format!("instance-{number}"), counter);
         beat.address = SocketAddr::from(([127, 0, 0, 2], 8000 + number as u16));
@@ -24,8 +24,8 @@
     }
 }
 
-/// Carries messages between a follower and the controllers for a while.
-fn follows(fleet: &mut Fleet, follower: &mut FollowerProcess, span: Duration) {
+/// Runs the controllers for a while and delivers messages between them and a follower.
+fn run_with_follower(fleet: &mut Fleet, follower: &mut FollowerProcess, span: Duration) {
     let until = fleet.now + span;
     while fleet.now < until {
         fleet.run(STEP);
@@ -42,11 +42,11 @@
     }
 }
 
-/// Which of the controllers a follower asks.
-fn asked_by(follower: &FollowerProcess) -> usize {
+/// Returns which controller a follower sends its requests to.
+fn controller_of(follower: &FollowerProcess) -> usize {
     let controller = follower.link.controller();
-    let is_it = |index: &usize| address(*index) == controller;
-    (0..3).find(is_it).expect("it is one of the controllers")
+    let is_followed = |index: &usize| address(*index) == controller;
+    (0..3).find(is_followed).expect("one of the controllers")
 }
 
 #[test]
@@ -54,26 +54,29 @@
     for seed in 1..4 {
         let mut fleet = Fleet::founded(seed);
         let mut follower = FollowerProcess::new(0, Role::Proxy, MapName::Ownership);
-        // Many heartbeats, so that the controllers' numbering of facts has come far.
+        // Many heartbeats, so that the controllers' fact offsets are well above those after a restart.
         for counter in 1..8 {
-            all_heartbeat(&mut fleet, (counter % 3) as usize, counter);
-            follows(&mut fleet, &mut follower, Duration::from_millis(500));
+            send_all_heartbeats(&mut fleet, (counter % 3) as usize, counter);
+            run_with_follower(&mut fleet, &mut follower, Duration::from_millis(500));
         }
         let ended = InstanceId::new("instance-7");
-        assert!(follower.link.instances.get(&ended).is_some(), "it is known");
-        let restarted = asked_by(&follower);
+        assert!(
+            follower.link.instances.get(&ended).is_some(),
+            "the follower does not know the instance"
+        );
+        let restarted = controller_of(&follower);
         let other = (restarted + 1) % 3;
         fleet.stop(restarted, false);
         fleet.wire.clear();
         fleet.deregister(other, &ended);
-        fleet.run(DOWN_FOR);
+        fleet.run(DOWNTIME);
         fleet.start(restarted);
         fleet.run(Duration::from_millis(450));
-        follows(&mut fleet, &mut follower, Duration::from_millis(700));
+        run_with_follower(&mut fleet, &mut follower, Duration::from_millis(700));
         assert!(
             follower.link.instances.has_ended(&ended),
-            "seed {seed}: the follower of {restarted}, now of {}, does not know that it ended",
-            asked_by(&follower)
+            "seed {seed}: the follower of {restarted}, now of {}, does not know that the instance ended",
+            controller_of(&follower)
         );
     }
 }
@@ -83,7 +86,7 @@
     for seed in 1..4 {
         let mut fleet = Fleet::founded(seed);
         for counter in 1..4 {
-            all_heartbeat(&mut fleet, (counter % 3) as usize, counter);
+            send_all_heartbeats(&mut fleet, (counter % 3) as usize, counter);
             fleet.run(Duration::from_millis(500));
         }
         let ended = InstanceId::new("instance-7");
@@ -91,14 +94,14 @@
         fleet.run(Duration::from_millis(500));
         fleet.stop(1, false);
         fleet.wire.clear();
-        fleet.run(DOWN_FOR);
+        fleet.run(DOWNTIME);
         fleet.start(1);
         fleet.run(Duration::from_millis(500));
-        all_heartbeat(&mut fleet, 1, 9);
+        send_all_heartbeats(&mut fleet, 1, 9);
         let listed = fleet.instance_ids(1);
         assert!(
             !listed.contains(&ended.to_string()),
-            "seed {seed}: it is listed again"
+            "seed {seed}: the ended instance is listed again"
         );
     }
 }
@@ -107,18 +110,18 @@
 fn timestamp_of_previous_incarnation_gives_no_age() {
     let mut fleet = Fleet::founded(1);
     let mut follower = FollowerProcess::new(0, Role::Proxy, MapName::Ownership);
-    follows(&mut fleet, &mut follower, Duration::from_secs(2));
-    let restarted = asked_by(&follower);
+    run_with_follower(&mut fleet, &mut follower, Duration::from_secs(2));
+    let restarted = controller_of(&follower);
     let controller = address(restarted);
     let member = follower.member(fleet.now);
     let (_, renewal) = follower.link.renew(fleet.now, member);
     let clock = &follower.link.envelope_clock;
     let envelope = clock.seal(fleet.now, follower.address, controller, renewal);
-    let echo = envelope.echo.expect("it holds a stamp");
+    let echo = envelope.echo.expect("a timestamp");
     fleet.stop(restarted, false);
     fleet.start(restarted);
     let machine = fleet.nodes[restarted].machine.as_ref();
-    let machine = machine.expect("it runs");
+    let machine = machine.expect("the controller is running");
     let incarnation = machine.state.incarnation;
     assert_eq!(echo.lain(fleet.now, incarnation), None);
 }
--- a/crates/controller/tests/fleet/slow_links.rs
+++ b/crates/controller/tests/fleet/slow_links.rs
@@ -1,7 +1,7 @@
-//! Stories of followers whose machine has a slow link, while the configuration changes ten times a second.
+//! Followers behind a slow link, while the configuration changes ten times per second.
 //!
-//! An agent and a directory share the machine's link. Each controller has one way to each of them, on which
-//! messages keep their order; the link's rate is shared among the ways that have something to carry.
+//! An agent and a directory share the link of their machine. Each controller has one connection to each of
+//! them, which preserves the order of messages; the link's bandwidth is shared among the busy connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,19 +16,19 @@
 use caperworks::messages::Envelope;
 use caperworks::replicated_map::{MapName, Put, Written};
 
-/// As many messages wait on one way to a process, as in the runtime's connections.
-const MOST_WAITING: usize = 512;
-/// What a machine's link carries, in bytes a second.
-const LINK_RATE: f64 = 300_000.0;
-/// What is left of it while other traffic takes the rest.
-const LEFT_RATE: f64 = 20_000.0;
+/// Maximum number of messages queued on one connection, as in the runtime's connections.
+const MAX_QUEUED_MESSAGES: usize = 512;
+/// Bandwidth of a machine's link, in bytes per second.
+const LINK_BYTES_PER_SECOND: f64 = 300_000.0;
+/// Bandwidth that remains while the link is congested by other traffic, in bytes per second.
+const CONGESTED_BYTES_PER_SECOND: f64 = 20_000.0;
 const ROUTES: u64 = 200;
 const INSTANCES: u64 = 170;
-const HEARTBEAT_PERIOD: Duration = Duration::from_millis(1500);
-const CHANGE_PERIOD: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 const ZONES: u64 = 4;
 
-/// The agent and the directory of one machine, which hold nothing yet.
+/// Returns the agent and the directory of one machine, without any state.
 fn followers() -> [FollowerProcess; 2] {
     [
         FollowerProcess::new(0, Role::Proxy, MapName::Ownership),
@@ -36,51 +36,61 @@
     ]
 }
 
-/// A message on its way, and how much of it is still to be carried.
-struct Carried {
+/// A message in transit, and how much of it is still to be transferred.
+struct InTransit {
     envelope: Envelope,
     bytes_left: f64,
 }
 
-/// One machine's link: each way from a controller to a process keeps its order.
+/// The link of one machine. Each connection from a controller to a process preserves the order of messages.
 #[derive(Default)]
 struct SlowLink {
-    ways: BTreeMap<(SocketAddr, SocketAddr), VecDeque<Carried>>,
-    carried_bytes: f64,
+    connections: BTreeMap<(SocketAddr, SocketAddr), VecDeque<InTransit>>,
+    transferred_bytes: f64,
 }
 
 impl SlowLink {
     fn enqueue(&mut self, to: SocketAddr, envelope: Envelope) {
-        let way = self.ways.entry((envelope.reply_to, to)).or_default();
-        if way.len() < MOST_WAITING {
-            let bytes = minicbor::to_vec(&envelope).expect("it encodes").len();
-            way.push_back(Carried {
+        let connection = self.connections.entry((envelope.reply_to, to)).or_default();
+        if connection.len() < MAX_QUEUED_MESSAGES {
+            let bytes = minicbor::to_vec(&envelope)
+                .expect("the envelope encodes")
+                .len();
+            connection.push_back(InTransit {
                 envelope,
                 bytes_left: bytes as f64,
             });
         }
     }
 
-    /// Carries what fits into a span; gives what has arrived.
-    fn transfer(&mut self, span: Duration, rate: f64) -> Vec<(SocketAddr, Envelope)> {
-        let mut budget = rate * span.as_secs_f64();
+    /// Transfers as many bytes as the rate allows in an interval. Returns the messages that arrived.
+    fn transfer(&mut self, interval: Duration, rate: f64) -> Vec<(SocketAddr, Envelope)> {
+        let mut budget = rate * interval.as_secs_f64();
         let mut arrived = Vec::new();
         while budget >= 1.0 {
-            let busy = self.ways.values().filter(|way| !way.is_empty()).count();
+            let busy = self
+                .connections
+                .values()
+                .filter(|connection| !connection.is_empty())
+                .count();
             if busy == 0 {
                 break;
             }
             let share = budget / busy as f64;
-            for ((_, to), way) in &mut self.ways {
-                let Some(first) = way.front_mut() else {
+            for ((_, to), connection) in &mut self.connections {
+                let Some(first) = connection.front_mut() else {
                     continue;
                 };
-                let carried = first.bytes_left.min(share);
-                first.bytes_left -= carried;
-                budget -= carried;
-                self.carried_bytes += carried;
+                let transferred = first.bytes_left.min(share);
+                first.bytes_left -= transferred;
+                budget -= transferred;
+                self.transferred_bytes += transferred;
                 if first.bytes_left < 0.5 {
-                    arrived.extend(way.pop_front().map(|carried| (*to, carried.envelope)));
+                    arrived.extend(
+                        connection
+                            .pop_front()
+                            .map(|message| (*to, message.envelope)),
+                    );
                 }
             }
         }
@@ -88,32 +98,33 @@
     }
 }
 
-/// Controllers, and the two processes of one machine that follow them.
+/// Controllers, and the two followers of one machine.
 struct World {
     fleet: Fleet,
     followers: [FollowerProcess; 2],
     link: SlowLink,
-    rate: f64,
-    change_period: Duration,
+    /// The link's present bandwidth, in bytes per second.
+    bandwidth: f64,
+    change_interval: Duration,
     next_change_at: Duration,
     next_heartbeats_at: Duration,
     changes: u64,
     heartbeats: u64,
-    /// Over so many routes the changes go; those beyond the first are added by them.
+    /// The number of routes among which the changes rotate. Those beyond the initial ones are added by changes.
     routes: u64,
 }
 
 impl World {
-    /// A fleet with routes, instances, and followers that hold all of it.
-    fn level(seed: u64) -> Self {
+    /// Returns a fleet with routes and instances, and followers that are up to date.
+    fn up_to_date(seed: u64) -> Self {
         let fleet = Fleet::founded(seed);
         let now = fleet.now;
         let mut world = Self {
             fleet,
             followers: followers(),
             link: SlowLink::default(),
-            rate: LINK_RATE,
-            change_period: CHANGE_PERIOD,
+            bandwidth: LINK_BYTES_PER_SECOND,
+            change_interval: CHANGE_INTERVAL,
             next_change_at: Duration::MAX,
             next_heartbeats_at: now,
             changes: 0,
@@ -127,10 +138,10 @@
         world.run(Duration::from_secs(5));
         world.next_change_at = world.fleet.now;
         world.run(Duration::from_secs(5));
-        assert!(world.lag() <= 5, "{} behind at first", world.lag());
+        assert!(world.lag() <= 5, "initially {} changes behind", world.lag());
         assert!(
             world.latest_version() > 40,
-            "the changes are not taken: {:?}",
+            "the changes are not accepted: {:?}",
             world.fleet.responses.values().next()
         );
         world
@@ -164,11 +175,11 @@
         self.fleet.run(STEP);
         let now = self.fleet.now;
         if now >= self.next_change_at {
-            self.next_change_at += self.change_period;
+            self.next_change_at += self.change_interval;
             self.change_one_route();
         }
         if now >= self.next_heartbeats_at {
-            self.next_heartbeats_at = now + HEARTBEAT_PERIOD;
+            self.next_heartbeats_at = now + HEARTBEAT_INTERVAL;
             self.send_due_heartbeats();
         }
         for index in 0..self.followers.len() {
@@ -178,7 +189,7 @@
         for (to, envelope) in std::mem::take(&mut self.fleet.to_followers) {
             self.link.enqueue(to, envelope);
         }
-        for (to, envelope) in self.link.transfer(STEP, self.rate) {
+        for (to, envelope) in self.link.transfer(STEP, self.bandwidth) {
             for index in 0..self.followers.len() {
                 if self.followers[index].address == to {
                     let sent = self.followers[index].receive(now, &envelope);
@@ -196,23 +207,26 @@
     }
 
     fn latest_version(&self) -> u64 {
-        let machine = self.fleet.nodes[0].machine.as_ref().expect("it runs");
+        let machine = self.fleet.nodes[0]
+            .machine
+            .as_ref()
+            .expect("the controller is running");
         machine.state.map(MapName::Configuration).version.0
     }
 
-    /// How many changes the follower that is furthest behind lacks.
+    /// Returns how many changes the slowest follower is behind.
     fn lag(&self) -> u64 {
-        let held = self.followers.iter().map(FollowerProcess::version);
-        self.latest_version() - held.min().expect("there are some")
+        let versions = self.followers.iter().map(FollowerProcess::version);
+        self.latest_version() - versions.min().expect("followers")
     }
 
-    /// All machines lose power, and return with what lay on their disks.
+    /// Restarts all machines after a power loss. Controllers keep their disks; followers lose their state.
     fn restart_all(&mut self) {
         for index in 0..3 {
             self.fleet.stop(index, false);
         }
         self.fleet.wire.clear();
-        self.link.ways.clear();
+        self.link.connections.clear();
         self.fleet.now += Duration::from_secs(1);
         for index in 0..3 {
             self.fleet.start(index);
@@ -224,8 +238,8 @@
 
     fn all_have_leases(&self) -> bool {
         let now = self.fleet.now;
-        let is_fresh = |follower: &FollowerProcess| now < follower.link.fresh_until();
-        self.followers.iter().all(is_fresh)
+        let has_lease = |follower: &FollowerProcess| now < follower.link.fresh_until();
+        self.followers.iter().all(has_lease)
     }
 }
 
@@ -246,7 +260,7 @@
     }
 }
 
-/// A route in about as many bytes as operators write.
+/// Returns a change of a route that is about as large as those that operators send.
 fn route_put(number: u64, version: u64) -> Put {
     let service = ServiceName::new("records");
     Put {
@@ -273,19 +287,16 @@
 #[test]
 fn followers_catch_up_after_link_congestion() {
     for seed in 1..4 {
-        let mut world = World::level(seed);
-        // Other traffic takes the link for a while, and changes that had to wait come all at once.
-        world.rate = LEFT_RATE;
-        world.change_period = CHANGE_PERIOD / 4;
+        let mut world = World::up_to_date(seed);
+        // Other traffic congests the link for a while, and delayed changes arrive in a burst.
+        world.bandwidth = CONGESTED_BYTES_PER_SECOND;
+        world.change_interval = CHANGE_INTERVAL / 4;
         world.run(Duration::from_secs(6));
-        world.rate = LINK_RATE;
-        world.change_period = CHANGE_PERIOD;
+        world.bandwidth = LINK_BYTES_PER_SECOND;
+        world.change_interval = CHANGE_INTERVAL;
         world.run(Duration::from_secs(3));
-        let behind = world.lag();
-        assert!(
-            behind <= 5,
-            "seed {seed}: {behind} changes behind after 3 s"
-        );
+        let lag = world.lag();
+        assert!(lag <= 5, "seed {seed}: {lag} changes behind after 3 s");
         assert!(
             world.all_have_leases(),
             "seed {seed}: a follower has no lease"
@@ -296,20 +307,17 @@
 #[test]
 fn followers_catch_up_after_power_loss_of_all_controllers() {
     for seed in 1..4 {
-        let mut world = World::level(seed);
+        let mut world = World::up_to_date(seed);
         world.routes = 4 * ROUTES;
-        world.change_period = CHANGE_PERIOD / 4;
+        world.change_interval = CHANGE_INTERVAL / 4;
         world.run(Duration::from_secs(20));
-        world.change_period = CHANGE_PERIOD;
+        world.change_interval = CHANGE_INTERVAL;
         world.restart_all();
-        // Clients that were turned away come back, and take most of the link.
-        world.rate = LINK_RATE / 3.0;
+        // Rejected clients reconnect, and their traffic takes most of the link.
+        world.bandwidth = LINK_BYTES_PER_SECOND / 3.0;
         world.run(Duration::from_secs(6));
-        let behind = world.lag();
-        assert!(
-            behind <= 5,
-            "seed {seed}: {behind} changes behind after 6 s"
-        );
+        let lag = world.lag();
+        assert!(lag <= 5, "seed {seed}: {lag} changes behind after 6 s");
         assert!(
             world.all_have_leases(),
             "seed {seed}: a follower has no lease"
--- a/crates/controller/tests/fleet/controller_switch.rs
+++ b/crates/controller/tests/fleet/switchover.rs
@@ -1,4 +1,4 @@
-//! Stories of a follower that turns from a silent controller to another one.
+//! A follower that switches to another controller when its own stops responding.
 
 use crate::fleet::apply;
 use crate::fleet::heartbeat;
@@ -17,29 +17,31 @@
 use std::time::Duration;
 
 const INSTANCES: u64 = 200;
-/// How often each of them sends a heartbeat.
-const HEARTBEAT_PERIOD: Duration = Duration::from_millis(2000);
-/// A heartbeat that says nothing new is passed on only so often, as on the operators' platform.
+/// Interval between the heartbeats of an instance.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2000);
+/// Minimum interval at which an unchanged heartbeat is propagated, as on the operators' platform.
 const HEARTBEAT_REFRESH: Duration = Duration::from_millis(2160);
-/// Every second heartbeat is passed on, all of them in the same 2 s of four. A follower turns within 0.6 s of its
-/// last answer, and is told again what was learned 0.3 s before that: at most in 1.2 s of those two.
-const MOST_REPORTED: usize = 120;
+/// Upper bound of the instances that are reported after a switch. Every second heartbeat of an instance is
+/// propagated, and these heartbeats fall into the same 2 s of every 4 s. A follower switches within 0.6 s of
+/// the last response, and receives again the facts of the 0.3 s before that response: together they cover at
+/// most 1.2 s of those 2 s.
+const MAX_REPORTED: usize = 120;
 
-/// Controllers, and an agent that does not hear all of them.
+/// Controllers, and an agent that cannot reach all of them.
 struct World {
     fleet: Fleet,
     agent: FollowerProcess,
-    /// Neither hears the agent nor reaches it.
-    silent: Option<SocketAddr>,
+    /// The controller that is partitioned from the agent.
+    partitioned: Option<SocketAddr>,
     heartbeats: u64,
     heartbeats_began_at: Duration,
-    /// The instances that each answer told since it was asked last, and whether there was more to tell.
+    /// For each grant since the last switch: the number of instances in it, and whether more were missing.
     reported: Vec<(usize, bool)>,
 }
 
 impl World {
-    /// A fleet with instances, and an agent that was told all of them.
-    fn level(seed: u64) -> Self {
+    /// Returns a fleet with instances, and an agent that has received all of them.
+    fn up_to_date(seed: u64) -> Self {
         let core = CorePolicy {
             heartbeat_refresh: HEARTBEAT_REFRESH,
             ..policy()
@@ -50,7 +52,7 @@
         let mut world = Self {
             fleet,
             agent: FollowerProcess::new(0, Role::Proxy, MapName::Ownership),
-            silent: None,
+            partitioned: None,
             heartbeats: 0,
             heartbeats_began_at,
             reported: Vec::new(),
@@ -61,7 +63,7 @@
         let reported: usize = world.reported.iter().map(|(reported, _)| reported).sum();
         assert!(
             reported as u64 >= INSTANCES,
-            "only {reported} were told at first"
+            "only {reported} instances were reported initially"
         );
         assert!(world.has_lease(), "the agent has no lease");
         world
@@ -71,10 +73,11 @@
         self.fleet.now < self.agent.link.fresh_until()
     }
 
-    /// Each instance sends its heartbeats to one controller, evenly spread over their period.
+    /// Sends the heartbeats that are due. Each instance sends them to one controller, and the instances are
+    /// evenly spread over the interval.
     fn send_due_heartbeats(&mut self) {
         let since = self.fleet.now.saturating_sub(self.heartbeats_began_at);
-        let due = INSTANCES as u128 * since.as_micros() / HEARTBEAT_PERIOD.as_micros();
+        let due = INSTANCES as u128 * since.as_micros() / HEARTBEAT_INTERVAL.as_micros();
         while u128::from(self.heartbeats) < due {
             let number = self.heartbeats % INSTANCES;
             let counter = self.heartbeats / INSTANCES + 1;
@@ -86,9 +89,9 @@
     }
 
     fn send(&mut self, sent: Vec<(SocketAddr, Envelope)>) {
-        let silent = self.silent;
-        let heard = sent.into_iter().filter(|(to, _)| Some(*to) != silent);
-        self.fleet.wire.extend(heard);
+        let partitioned = self.partitioned;
+        let reachable = sent.into_iter().filter(|(to, _)| Some(*to) != partitioned);
+        self.fleet.wire.extend(reachable);
         self.fleet.deliver();
     }
 
@@ -99,7 +102,7 @@
         let sent = self.agent.tick(now);
         self.send(sent);
         for (to, envelope) in std::mem::take(&mut self.fleet.to_followers) {
-            if to != self.agent.address || Some(envelope.reply_to) == self.silent {
+            if to != self.agent.address || Some(envelope.reply_to) == self.partitioned {
                 continue;
             }
             if let Message::Grant { granted } = &envelope.message {
@@ -117,17 +120,21 @@
         }
     }
 
-    /// Silences the controller that the agent follows; gives how many instances the next one tells until
-    /// it has told all that the agent lacks.
+    /// Partitions the agent from its controller. Returns how many instances the next controller reports until
+    /// the agent has received all that it was missing.
     fn switch_controller(&mut self) -> usize {
-        let left = self.agent.link.controller();
-        self.silent = Some(left);
+        let previous = self.agent.link.controller();
+        self.partitioned = Some(previous);
         self.reported.clear();
         self.run(Duration::from_secs(2));
-        assert_ne!(self.agent.link.controller(), left, "it did not turn away");
-        let full_map = self.reported.iter().position(|(_, more)| !more);
-        let full_map = full_map.expect("the next one told all");
-        self.reported[..=full_map]
+        assert_ne!(
+            self.agent.link.controller(),
+            previous,
+            "the agent did not switch"
+        );
+        let last_grant = self.reported.iter().position(|(_, more)| !more);
+        let last_grant = last_grant.expect("the next controller reported all instances");
+        self.reported[..=last_grant]
             .iter()
             .map(|(reported, _)| reported)
             .sum()
@@ -137,15 +144,15 @@
 #[test]
 fn follower_that_switches_controllers_receives_only_recent_facts() {
     for seed in 1..4 {
-        let mut world = World::level(seed);
-        for turn in 1..=4 {
+        let mut world = World::up_to_date(seed);
+        for round in 1..=4 {
             let reported = world.switch_controller();
             assert!(
-                reported <= MOST_REPORTED,
-                "seed {seed}, turn {turn}: {reported} of {INSTANCES} instances were told"
+                reported <= MAX_REPORTED,
+                "seed {seed}, round {round}: {reported} of {INSTANCES} instances were reported"
             );
-            assert!(world.has_lease(), "seed {seed}, turn {turn}: no lease");
-            world.silent = None;
+            assert!(world.has_lease(), "seed {seed}, round {round}: no lease");
+            world.partitioned = None;
             world.run(Duration::from_secs(1));
         }
     }
--- a/crates/controller/tests/operator_api.rs
+++ b/crates/controller/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! Stories of the product's own interface: how old a change set may be, and what its caller is told.
+//! The native API: how old a change set may be, and which response its caller gets.
 
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version};
@@ -7,8 +7,8 @@
 use caperworks::version_history::ConfirmedVersion;
 use controller::operator_json::{proposal_outcome_json, read_form};
 
-/// The guard on the map's version that a change set is read with.
-fn map_read(text: &str) -> Option<u64> {
+/// Returns the version in the guard that a change set gets when it is read.
+fn guarded_version(text: &str) -> Option<u64> {
     let (change, faults) = read_form(text);
     assert_eq!(faults, Vec::new(), "{text}");
     change
@@ -44,7 +44,7 @@
         (r#""edition": 3,"#, vec![versioned], Some(7)),
     ] {
         let text = change_set(read, &items);
-        assert_eq!(map_read(&text), expected, "{text}");
+        assert_eq!(guarded_version(&text), expected, "{text}");
     }
     let (_, faults) = read_form(&change_set(r#""edition": "new","#, &[""]));
     assert_eq!(faults.len(), 1);
--- a/crates/controller/tests/stored_state.rs
+++ b/crates/controller/tests/stored_state.rs
@@ -1,5 +1,4 @@
-//! The state in a controller's slot, as earlier builds wrote it, decodes to the same value and
-//! encodes to the same bytes.
+//! A slot's state that an earlier build has written decodes to the same value and encodes to the same bytes.
 
 use caperworks::consensus::messages::AcceptedProposal;
 use caperworks::consensus::messages::ProposalNumber;
@@ -26,7 +25,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bytes in hexadecimal digits, one value to a line. The fixture is never written anew.
+/// Bytes as hexadecimal digits, one value per line. The fixture must never be regenerated.
 const STORED_STATES: &str = include_str!("fixtures/stored_states.hex");
 
 fn hexadecimal(bytes: &[u8]) -> String {
@@ -91,7 +90,7 @@
     }
 }
 
-/// A controller with a promise and an accepted proposal, and one that has just started.
+/// Returns the state of a controller with a promise and an accepted proposal, and of one that has just started.
 fn states() -> [StoredState; 2] {
     let founding = Founding {
         attempt: 2,
--- a/crates/controller/tests/support/controllers.rs
+++ b/crates/controller/tests/support/controllers.rs
@@ -1,4 +1,4 @@
-//! Addresses, policy and disks of controllers in memory.
+//! Addresses, policy and disks for tests with controllers in memory.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use caperworks::policy::CorePolicy;
 use caperworks::slots::{DiskImage, DiskWrite};
 
-/// How often a controller ticks.
+/// Interval between the ticks of a controller.
 pub const STEP: Duration = Duration::from_millis(25);
 
 pub fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + index as u16))
 }
 
-/// Three voters on disks of their own, of which two must have synced a change.
+/// Three voters with separate disks, two of which must have synced a change.
 pub fn policy() -> CorePolicy {
     CorePolicy {
         proxies_serve_on: true,
@@ -25,8 +25,8 @@
     }
 }
 
-/// Carries a write out on a disk.
-pub fn lay(image: &mut DiskImage, write: &DiskWrite) {
+/// Applies a write to a disk.
+pub fn apply_write(image: &mut DiskImage, write: &DiskWrite) {
     let (part, offset, bytes) = match write {
         DiskWrite::Slot { second, bytes } => (&mut image.slots[usize::from(*second)], 0, bytes),
         DiskWrite::Log { offset, bytes } => (&mut image.log, *offset as usize, bytes),
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What stories of whole controllers in memory share.
+//! Shared support for tests with controllers in memory.
 
 pub mod controllers;
