--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Stories of whole controllers that are behind: after thousands of changes, on slow ways.
+//! Catch-up of complete controllers that are behind by thousands of changes, over slow links.
 
 mod support;
 
@@ -29,34 +29,35 @@
 const ROUTES: u64 = 6_000;
 const CHANGES: u64 = 10_000;
 const SLOT_CAPACITY: u64 = 16 * 1024 * 1024;
-/// Less than a deployment has, so that the log overflows several times.
+/// Smaller than in a deployment, so that the log overflows several times.
 const LOG_CAPACITY: u64 = 1024 * 1024;
-/// What a way carries in the slow part of a story, and where a member is to be behind for long.
-const WAY_BYTES_PER_SECOND: u64 = 2 * 1024 * 1024;
-const SLOW_WAY_BYTES_PER_SECOND: u64 = 128 * 1024;
-const WAY_DELAY: Duration = Duration::from_millis(10);
+/// Bandwidth of a link while the bandwidth is limited.
+const LINK_BYTES_PER_SECOND: u64 = 2 * 1024 * 1024;
+/// Bandwidth of a link in tests in which a controller is to be behind for a long time.
+const SLOW_LINK_BYTES_PER_SECOND: u64 = 128 * 1024;
+const LINK_DELAY: Duration = Duration::from_millis(10);
 
 struct SimulatedNode {
     machine: Option<ControllerMachine>,
     image: DiskImage,
-    broken: FaultInjection,
-    /// Writes wait here while the disk hangs.
+    fault: FaultInjection,
+    /// Whether the disk hangs: writes are accepted and never carried out.
     disk_hangs: bool,
 }
 
-/// What is done to a piece on its way.
-type Spoil = fn(&mut SnapshotChunk);
+/// Corrupts a chunk in transit.
+type CorruptChunk = fn(&mut SnapshotChunk);
 
-struct Carried {
+struct InTransit {
     due: Duration,
     to: SocketAddr,
     envelope: Envelope,
 }
 
-/// What came to and from one place for catch-up.
+/// Catch-up messages by kind, and their sizes.
 #[derive(Debug, Default, Clone)]
 struct Traffic {
-    polls: u64,
+    requests: u64,
     responses: u64,
     chunks: u64,
     full_maps: u64,
@@ -66,12 +67,12 @@
 
 impl Traffic {
     fn messages(&self) -> u64 {
-        self.polls + self.responses + self.chunks + self.full_maps
+        self.requests + self.responses + self.chunks + self.full_maps
     }
 
     fn count(&mut self, vote: &ConsensusMessage, bytes: usize) {
         match vote {
-            ConsensusMessage::CatchUp { .. } => self.polls += 1,
+            ConsensusMessage::CatchUp { .. } => self.requests += 1,
             ConsensusMessage::Updates { .. } => self.responses += 1,
             ConsensusMessage::Chunk { .. } => self.chunks += 1,
             ConsensusMessage::Snapshot { .. } => self.full_maps += 1,
@@ -85,44 +86,44 @@
 struct Fleet {
     nodes: Vec<SimulatedNode>,
     now: Duration,
-    wire: VecDeque<Carried>,
-    /// When the way from one place to another is free again; all are instant while none is slow.
-    ways: BTreeMap<(SocketAddr, SocketAddr), Duration>,
-    /// What a way carries in a second, if that is bounded.
-    way_rate: Option<u64>,
+    wire: VecDeque<InTransit>,
+    /// When each link is free again. Messages arrive immediately while the bandwidth is not limited.
+    link_free_at: BTreeMap<(SocketAddr, SocketAddr), Duration>,
+    /// The bandwidth of each link in bytes per second, if it is limited.
+    link_rate: Option<u64>,
     responses: BTreeMap<u64, OperatorResponse>,
     last_ticket: u64,
     last_seed: u64,
-    /// What all sent each other for catch-up since it was last reset.
+    /// The catch-up traffic since the bandwidth was last limited.
     traffic: Traffic,
-    refused: Vec<ChunkError>,
-    /// Changes pieces on their way to this place.
-    spoils: Option<(usize, Spoil)>,
+    rejected: Vec<ChunkError>,
+    /// Corrupts the chunks that are sent to this controller.
+    corruption: Option<(usize, CorruptChunk)>,
     largest_slot: usize,
     slots_written: u64,
 }
 
 impl Fleet {
-    /// Three controllers that founded themselves, and a fourth place that is empty.
+    /// Returns a fleet of three controllers that have founded a membership, and a fourth that is not started.
     fn founded(seed: u64) -> Self {
-        let index = |_| SimulatedNode {
+        let stopped_node = |_| SimulatedNode {
             machine: None,
             image: DiskImage::default(),
-            broken: FaultInjection::None,
+            fault: FaultInjection::None,
             disk_hangs: false,
         };
         let mut fleet = Self {
-            nodes: (0..4).map(index).collect(),
+            nodes: (0..4).map(stopped_node).collect(),
             now: Duration::ZERO,
             wire: VecDeque::new(),
-            ways: BTreeMap::new(),
-            way_rate: None,
+            link_free_at: BTreeMap::new(),
+            link_rate: None,
             responses: BTreeMap::new(),
             last_ticket: 0,
             last_seed: seed * 1000,
             traffic: Traffic::default(),
-            refused: Vec::new(),
-            spoils: None,
+            rejected: Vec::new(),
+            corruption: None,
             largest_slot: 0,
             slots_written: 0,
         };
@@ -141,7 +142,7 @@
                 may_found: index < 3,
                 ..policy()
             })
-            .inject(self.nodes[index].broken);
+            .inject(self.nodes[index].fault);
         let image = self.nodes[index].image.clone();
         let (machine, outputs) = ControllerMachine::start(options, &image, self.last_seed);
         self.nodes[index].machine = Some(machine);
@@ -150,11 +151,15 @@
 
     fn stop(&mut self, index: usize) {
         self.nodes[index].machine = None;
-        self.wire.retain(|carried| carried.to != address(index));
+        self.wire.retain(|message| message.to != address(index));
     }
 
     fn state(&self, index: usize) -> &ControllerState {
-        &self.nodes[index].machine.as_ref().expect("it runs").state
+        &self.nodes[index]
+            .machine
+            .as_ref()
+            .expect("the controller is running")
+            .state
     }
 
     fn carry_out(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
@@ -180,7 +185,7 @@
                 }
                 ControllerOutput::LogEvent { event } => {
                     if let Event::ChunkRejected { why, .. } = event {
-                        self.refused.push(why);
+                        self.rejected.push(why);
                     }
                 }
                 ControllerOutput::ShutdownComplete => {}
@@ -190,28 +195,33 @@
 
     fn send(&mut self, index: usize, to: SocketAddr, mut message: Message) {
         if let Message::ConsensusMessage { vote } = &mut message {
-            if let (ConsensusMessage::Chunk { chunk }, Some((spoiled, change))) =
-                (&mut *vote, self.spoils)
+            if let (ConsensusMessage::Chunk { chunk }, Some((receiver, corrupt))) =
+                (&mut *vote, self.corruption)
             {
-                if to == address(spoiled) {
-                    change(chunk);
+                if to == address(receiver) {
+                    corrupt(chunk);
                 }
             }
         }
-        let machine = self.nodes[index].machine.as_ref().expect("it runs");
+        let machine = self.nodes[index]
+            .machine
+            .as_ref()
+            .expect("the controller is running");
         let envelope = machine.seal(to, message);
         let mut due = self.now;
-        if let Some(rate) = self.way_rate {
-            let bytes = minicbor::to_vec(&envelope).expect("it encodes").len();
+        if let Some(rate) = self.link_rate {
+            let bytes = minicbor::to_vec(&envelope)
+                .expect("the envelope encodes")
+                .len();
             if let Message::ConsensusMessage { vote } = &envelope.message {
                 self.traffic.count(vote, bytes);
             }
-            let span = Duration::from_micros(bytes as u64 * 1_000_000 / rate);
-            let free = self.ways.entry((address(index), to)).or_default();
-            *free = (*free).max(self.now) + span;
-            due = *free + WAY_DELAY;
+            let transfer_time = Duration::from_micros(bytes as u64 * 1_000_000 / rate);
+            let free_at = self.link_free_at.entry((address(index), to)).or_default();
+            *free_at = (*free_at).max(self.now) + transfer_time;
+            due = *free_at + LINK_DELAY;
         }
-        self.wire.push_back(Carried { due, to, envelope });
+        self.wire.push_back(InTransit { due, to, envelope });
     }
 
     fn input(&mut self, index: usize, input: ControllerInput) -> Vec<ControllerOutput> {
@@ -226,16 +236,16 @@
         self.deliver();
     }
 
-    /// Hands over all that is due by now.
+    /// Delivers all messages that are due.
     fn deliver(&mut self) {
-        while let Some(next) = self.wire.iter().position(|carried| carried.due <= self.now) {
-            let Some(carried) = self.wire.remove(next) else {
+        while let Some(next) = self.wire.iter().position(|message| message.due <= self.now) {
+            let Some(message) = self.wire.remove(next) else {
                 return;
             };
-            let Some(index) = (0..4).find(|index| address(*index) == carried.to) else {
+            let Some(index) = (0..4).find(|index| address(*index) == message.to) else {
                 continue;
             };
-            let envelope = carried.envelope;
+            let envelope = message.envelope;
             let outputs = self.input(index, ControllerInput::MessageReceived { envelope });
             self.carry_out(index, outputs);
         }
@@ -271,14 +281,17 @@
         ticket
     }
 
-    /// Carries one message of the first controller to a place, and what follows from it.
+    /// Delivers a message of the first controller to another one, and returns the resulting outputs.
     fn deliver_to(&mut self, index: usize, vote: ConsensusMessage) -> Vec<ControllerOutput> {
-        let machine = self.nodes[0].machine.as_ref().expect("it runs");
+        let machine = self.nodes[0]
+            .machine
+            .as_ref()
+            .expect("the controller is running");
         let envelope = machine.seal(address(index), Message::ConsensusMessage { vote });
         self.input(index, ControllerInput::MessageReceived { envelope })
     }
 
-    /// Lets the first two controllers vote for and commit a change, as a proposer would have them.
+    /// Makes the first two controllers accept and commit a change, by sending them a proposer's messages.
     fn commit(&mut self, change: Change) {
         let (map, state) = (MapName::Configuration, self.state(0));
         let version = state.map(map).version.next();
@@ -320,7 +333,7 @@
         while !self.responses.contains_key(&ticket) && self.now < until {
             self.step();
         }
-        self.responses.remove(&ticket).expect("it is answered")
+        self.responses.remove(&ticket).expect("a response")
     }
 
     fn is_up_to_date(&self, index: usize) -> bool {
@@ -330,22 +343,22 @@
             .all(|name| state.map(*name) == self.state(0).map(*name))
     }
 
-    /// Runs until a place has all maps; tells how long that took.
+    /// Runs until a controller has all maps. Returns how long that took.
     fn run_until_up_to_date(&mut self, index: usize) -> Duration {
         let began = self.now;
         while !self.is_up_to_date(index) {
             self.step();
             assert!(
                 self.now - began < Duration::from_secs(60),
-                "it never catches up"
+                "the controller does not catch up"
             );
         }
         self.now - began
     }
 
-    /// From now on ways are slow, and what goes over them for catch-up is counted.
+    /// Limits the bandwidth of all links from now on, and starts counting the catch-up traffic.
     fn limit_bandwidth(&mut self, rate: u64) {
-        self.way_rate = Some(rate);
+        self.link_rate = Some(rate);
         self.traffic = Traffic::default();
     }
 }
@@ -380,10 +393,10 @@
     }
 }
 
-/// The size of the largest map of a place, encoded.
+/// Returns the encoded size of a controller's largest map, which is the configuration.
 fn map_bytes(fleet: &Fleet, index: usize) -> u64 {
     let map = fleet.state(index).map(MapName::Configuration);
-    minicbor::to_vec(map).expect("it encodes").len() as u64
+    minicbor::to_vec(map).expect("the map encodes").len() as u64
 }
 
 #[test]
@@ -409,21 +422,21 @@
         let answered = state.map(MapName::Configuration).answered.len();
         assert!(answered <= REMEMBERED_CHANGES);
     }
-    // Both places wrote their whole state more than once; what each item remembers of its versions
-    // makes the map grow a little after the last of these.
+    // Both controllers wrote a complete slot more than once. The map has grown a little since the last one,
+    // because of the version history of each item.
     assert!(
         fleet.slots_written - slots_before >= 4,
-        "the log overflowed"
+        "the log did not overflow"
     );
     assert!(fleet.largest_slot > full_map as usize * 3 / 4);
     assert!(fleet.largest_slot <= 2 * 1024 * 1024);
     assert!(fleet.slots_written < 60, "{} slots", fleet.slots_written);
-    // A member that was down for all of it, on fast and slow ways, then one that is new and empty.
+    // A controller that was down during all changes, over fast and slow links, and then a new one without state.
     let image = fleet.nodes[2].image.clone();
-    for (index, rate, most_span) in [
-        (2, WAY_BYTES_PER_SECOND, Duration::from_secs(2)),
-        (2, SLOW_WAY_BYTES_PER_SECOND, Duration::from_secs(10)),
-        (3, WAY_BYTES_PER_SECOND, Duration::from_secs(2)),
+    for (index, rate, max_duration) in [
+        (2, LINK_BYTES_PER_SECOND, Duration::from_secs(2)),
+        (2, SLOW_LINK_BYTES_PER_SECOND, Duration::from_secs(10)),
+        (3, LINK_BYTES_PER_SECOND, Duration::from_secs(2)),
     ] {
         fleet.stop(index);
         if index == 2 {
@@ -432,12 +445,12 @@
         fleet.run(SNAPSHOT_IDLE_SPAN);
         fleet.limit_bandwidth(rate);
         fleet.start(index);
-        let span = fleet.run_until_up_to_date(index);
+        let duration = fleet.run_until_up_to_date(index);
         fleet.run(Duration::from_secs(2));
         let traffic = fleet.traffic.clone();
         let messages = traffic.messages();
-        println!("place {index} at {rate} bytes/s: level after {span:?}, {messages} messages, {traffic:?}");
-        assert!(span < most_span, "{span:?}");
+        println!("controller {index} at {rate} bytes/s: up to date after {duration:?}, {messages} messages, {traffic:?}");
+        assert!(duration < max_duration, "{duration:?}");
         assert_eq!(traffic.full_maps, 0);
         let chunks = full_map.div_ceil(CHUNK_BYTES as u64);
         assert!(traffic.chunks <= chunks + 4, "{traffic:?}");
@@ -452,16 +465,16 @@
     }
 }
 
-/// A fleet in which one member missed many changes, and comes back over slow ways.
-fn with_a_member_behind(seed: u64, behind: usize, broken: FaultInjection) -> Fleet {
+/// Returns a fleet in which one controller has missed many changes, and restarts with slow links.
+fn fleet_with_lagging_controller(seed: u64, behind: usize, fault: FaultInjection) -> Fleet {
     let mut fleet = Fleet::founded(seed);
     fleet.stop(behind);
-    fleet.nodes[behind].broken = broken;
+    fleet.nodes[behind].fault = fault;
     fleet.run(Duration::from_secs(8));
     for number in 0..ROUTES / 50 {
         fleet.commit(routes_change(number * 50..(number + 1) * 50, ROUTES));
     }
-    fleet.limit_bandwidth(SLOW_WAY_BYTES_PER_SECOND);
+    fleet.limit_bandwidth(SLOW_LINK_BYTES_PER_SECOND);
     fleet.start(behind);
     fleet
 }
@@ -480,7 +493,7 @@
 
 #[test]
 fn controller_that_is_behind_serves_no_reads_and_does_not_vote() {
-    let mut fleet = with_a_member_behind(20, 2, FaultInjection::None);
+    let mut fleet = fleet_with_lagging_controller(20, 2, FaultInjection::None);
     let mut steps = 0;
     let mut reads = Vec::new();
     loop {
@@ -492,9 +505,9 @@
         reads.push(fleet.call(2, OperatorCall::Read));
         for ticket in &reads {
             let response = fleet.responses.get(ticket);
-            let is_refused =
+            let is_not_served =
                 response.is_none_or(|response| *response == OperatorResponse::NotCurrent);
-            assert!(is_refused, "step {steps}: {response:?}");
+            assert!(is_not_served, "step {steps}: {response:?}");
         }
         let state = fleet.state(0);
         let round = 2_000_000 + steps;
@@ -506,32 +519,38 @@
             proposal_number: ProposalNumber { round, node },
         };
         let outputs = fleet.deliver_to(2, vote);
-        let writes = |output: &ControllerOutput| matches!(output, ControllerOutput::Write { .. });
-        let voted = |output: &ControllerOutput| is_promise(output) || writes(output);
-        assert!(!outputs.iter().any(voted), "step {steps}: {outputs:?}");
+        let is_write = |output: &ControllerOutput| matches!(output, ControllerOutput::Write { .. });
+        let is_vote = |output: &ControllerOutput| is_promise(output) || is_write(output);
+        assert!(!outputs.iter().any(is_vote), "step {steps}: {outputs:?}");
         fleet.carry_out(2, outputs);
     }
-    assert!(steps > 100, "it was behind for {steps} steps");
+    assert!(
+        steps > 100,
+        "the controller was behind for only {steps} steps"
+    );
     fleet.run(Duration::from_secs(2));
-    let refused = reads
+    let rejected = reads
         .iter()
         .filter(|ticket| fleet.responses.get(ticket) == Some(&OperatorResponse::NotCurrent))
         .count();
-    assert!(refused > 50, "{refused} of {steps} reads were refused");
+    assert!(
+        rejected > 50,
+        "only {rejected} of {steps} reads were rejected"
+    );
     let unanswered = reads
         .iter()
         .filter(|ticket| !fleet.responses.contains_key(ticket))
         .count();
-    assert_eq!(unanswered, 0, "each read is answered in the end");
+    assert_eq!(unanswered, 0, "reads without a response");
     let read = fleet.read(2);
     assert!(matches!(read, OperatorResponse::Configuration { .. }));
 }
 
-/// Whether a member ever has a leadership role while it is behind; it is first in line for them.
-fn leads_while_behind(broken: FaultInjection) -> bool {
+/// Returns whether a controller that is behind becomes leader. It is the first candidate for every role.
+fn leads_while_behind(fault: FaultInjection) -> bool {
     let mut fleet = Fleet::founded(30);
     let holders = &fleet.state(0).voters().expect("it is founded").holders;
-    assert_eq!(holders[0].address, address(0), "who is first in line");
+    assert_eq!(holders[0].address, address(0), "the first candidate");
     let image = fleet.nodes[0].image.clone();
     for number in 0..ROUTES / 50 {
         fleet.commit(routes_change(number * 50..(number + 1) * 50, ROUTES));
@@ -539,32 +558,35 @@
     fleet.run(Duration::from_secs(2));
     fleet.stop(0);
     fleet.run(Duration::from_secs(8));
-    // It comes back with the disk of before the changes: as if it had been down for all of them.
+    // It restarts with its disk from before the changes, as if it had been down during all of them.
     fleet.nodes[0].image = image;
-    fleet.nodes[0].broken = broken;
-    fleet.limit_bandwidth(SLOW_WAY_BYTES_PER_SECOND);
+    fleet.nodes[0].fault = fault;
+    fleet.limit_bandwidth(SLOW_LINK_BYTES_PER_SECOND);
     fleet.start(0);
     let mut led = false;
     let mut steps = 0;
     while fleet.state(0).map(MapName::Configuration) != fleet.state(1).map(MapName::Configuration) {
         fleet.step();
         steps += 1;
-        assert!(steps < 4000, "it never catches up");
+        assert!(steps < 4000, "the controller does not catch up");
         let node = fleet.state(0).node;
         let membership = fleet.state(1).map(MapName::Membership);
         let terms = LEADERSHIPS
             .iter()
             .filter_map(|name| membership.leadership(name));
-        let behind = fleet.state(0).map(MapName::Configuration).version
+        let is_behind = fleet.state(0).map(MapName::Configuration).version
             < fleet.state(1).map(MapName::Configuration).version;
-        led |= behind && terms.into_iter().any(|term| term.holder == node);
+        led |= is_behind && terms.into_iter().any(|term| term.holder == node);
     }
-    assert!(steps > 160, "it was behind for {steps} steps");
+    assert!(
+        steps > 160,
+        "the controller was behind for only {steps} steps"
+    );
     fleet.run(Duration::from_secs(8));
     let membership = fleet.state(1).map(MapName::Membership);
     let node = fleet.state(0).node;
-    let term = membership.leadership(SOLVER).expect("someone leads");
-    assert_eq!(term.holder, node, "once it is level, its turn comes");
+    let term = membership.leadership(SOLVER).expect("a leader");
+    assert_eq!(term.holder, node, "an up-to-date controller becomes leader");
     led
 }
 
@@ -573,14 +595,14 @@
     assert!(!leads_while_behind(FaultInjection::None));
     assert!(
         leads_while_behind(FaultInjection::LeadsWhileBehind),
-        "the story sees a variant that does"
+        "the injected fault was not detected"
     );
 }
 
-/// Runs until the member has all maps in memory while its disk takes nothing; tells whether it
-/// said to a round that it holds them.
-fn tells_before_synced(broken: FaultInjection) -> bool {
-    let mut fleet = with_a_member_behind(40, 2, broken);
+/// Runs until a controller has all maps in memory while its disk hangs. Returns whether it reported the maps
+/// as synced in a quorum read.
+fn reports_unsynced_snapshot(fault: FaultInjection) -> bool {
+    let mut fleet = fleet_with_lagging_controller(40, 2, fault);
     fleet.nodes[2].disk_hangs = true;
     fleet.run_until_up_to_date(2);
     let highest = fleet.state(0).map(MapName::Configuration).version;
@@ -588,11 +610,11 @@
     for _ in 0..200 {
         fleet.step();
         let node = fleet.state(2).node;
-        let heard = fleet.state(0).reported_synced_versions.get(&node);
+        let synced = fleet.state(0).reported_synced_versions.get(&node);
         reported |=
-            heard.is_some_and(|versions| versions[MapName::Configuration.index()] >= highest);
+            synced.is_some_and(|versions| versions[MapName::Configuration.index()] >= highest);
     }
-    // The power goes: what was never synced is not there.
+    // After a power loss the unsynced snapshot is missing.
     fleet.stop(2);
     fleet.nodes[2].disk_hangs = false;
     fleet.start(2);
@@ -600,25 +622,25 @@
     fleet.run_until_up_to_date(2);
     fleet.run(Duration::from_secs(2));
     let node = fleet.state(2).node;
-    let heard = &fleet.state(0).reported_synced_versions[&node];
+    let synced = &fleet.state(0).reported_synced_versions[&node];
     assert!(
-        heard[MapName::Configuration.index()] >= highest,
-        "synced, it tells"
+        synced[MapName::Configuration.index()] >= highest,
+        "the synced snapshot is not reported"
     );
     reported
 }
 
 #[test]
 fn unsynced_snapshot_is_not_reported_as_synced() {
-    assert!(!tells_before_synced(FaultInjection::None));
+    assert!(!reports_unsynced_snapshot(FaultInjection::None));
     assert!(
-        tells_before_synced(FaultInjection::UnsyncedSnapshot),
-        "the story sees a variant that does"
+        reports_unsynced_snapshot(FaultInjection::UnsyncedSnapshot),
+        "the injected fault was not detected"
     );
 }
 
-/// Turns one route of a piece into another.
-fn spoil(chunk: &mut SnapshotChunk) {
+/// Changes the host name of a route in a chunk.
+fn corrupt_route(chunk: &mut SnapshotChunk) {
     let index = chunk.bytes.windows(5).position(|bytes| bytes == b"host-");
     if let Some(index) = index.filter(|_| chunk.offset > 0) {
         chunk.bytes[index] ^= 0x02;
@@ -627,24 +649,24 @@
 
 #[test]
 fn corrupted_snapshot_is_rejected_and_fetched_again() {
-    let mut fleet = with_a_member_behind(50, 2, FaultInjection::None);
-    fleet.spoils = Some((2, spoil));
+    let mut fleet = fleet_with_lagging_controller(50, 2, FaultInjection::None);
+    fleet.corruption = Some((2, corrupt_route));
     let before = fleet.state(2).map(MapName::Configuration).clone();
     fleet.run(Duration::from_secs(20));
     assert!(
-        fleet.refused.contains(&ChunkError::WrongDigest),
+        fleet.rejected.contains(&ChunkError::WrongDigest),
         "{:?}",
-        fleet.refused
+        fleet.rejected
     );
     assert_eq!(fleet.state(2).map(MapName::Configuration), &before);
-    fleet.spoils = None;
+    fleet.corruption = None;
     fleet.run_until_up_to_date(2);
-    // The variant without the digest takes what nobody agreed on, and is level with nobody.
-    let mut fleet = with_a_member_behind(50, 2, FaultInjection::UncheckedSnapshot);
-    fleet.spoils = Some((2, spoil));
+    // Without the digest check, the controller accepts a corrupted map that differs from all others.
+    let mut fleet = fleet_with_lagging_controller(50, 2, FaultInjection::UncheckedSnapshot);
+    fleet.corruption = Some((2, corrupt_route));
     fleet.run(Duration::from_secs(20));
-    let (spoiled, right) = (fleet.state(2), fleet.state(0));
+    let (corrupted, correct) = (fleet.state(2), fleet.state(0));
     let name = MapName::Configuration;
-    assert_eq!(spoiled.map(name).version, right.map(name).version);
-    assert_ne!(spoiled.map(name), right.map(name));
+    assert_eq!(corrupted.map(name).version, correct.map(name).version);
+    assert_ne!(corrupted.map(name), correct.map(name));
 }
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Stories of whole controllers in memory: disks that are lost, founding, heartbeats and instances' ends.
+//! Complete controllers in memory: founding, lost disks, partitions, changes of voters, and instances' calls.
 
 mod fleet;
 mod follower;
@@ -41,7 +41,7 @@
                 matches!(proposal_outcome, Some(ProposalOutcome::Accepted(_))),
                 "{proposal_outcome:?}"
             );
-            // Right after the yes the one that gave it is lost for good, and all lose power.
+            // Right after the response, the disk of the responding controller is lost and all lose power.
             for index in 0..3 {
                 fleet.stop(index, index == answering);
             }
@@ -62,7 +62,7 @@
                             .collect();
                         assert_eq!(versions, [(&"pool/records".to_string(), 3)]);
                     }
-                    other => panic!("{answering} {absent}: controller {index} says {other:?}"),
+                    other => panic!("{answering} {absent}: controller {index}: {other:?}"),
                 }
             }
         }
@@ -92,17 +92,17 @@
     }
     assert!(
         fleet.proposal_outcome(ticket).is_some(),
-        "and it is told so"
+        "the caller gets no response"
     );
 }
 
 #[test]
 fn controllers_that_may_not_found_never_found_a_membership() {
-    let never = CorePolicy {
+    let core = CorePolicy {
         may_found: false,
         ..policy()
     };
-    let mut fleet = Fleet::new([never.clone(), never.clone(), never], 50);
+    let mut fleet = Fleet::new([core.clone(), core.clone(), core], 50);
     fleet.run(Duration::from_secs(60));
     assert_eq!(fleet.founded, 0);
     for index in 0..3 {
@@ -121,12 +121,15 @@
 
 #[test]
 fn founding_requires_permission_on_every_seed() {
-    for wary in 0..3 {
+    for excluded in 0..3 {
         let mut policies = [policy(), policy(), policy()];
-        policies[wary].may_found = false;
-        let mut fleet = Fleet::new(policies, 60 + wary as u64);
+        policies[excluded].may_found = false;
+        let mut fleet = Fleet::new(policies, 60 + excluded as u64);
         fleet.run(Duration::from_secs(30));
-        assert_eq!(fleet.founded, 0, "controller {wary} may not");
+        assert_eq!(
+            fleet.founded, 0,
+            "controller {excluded} may not found a membership"
+        );
     }
 }
 
@@ -175,7 +178,7 @@
     }
     for index in 0..3 {
         let OperatorResponse::Configuration { map } = fleet.read(index) else {
-            panic!("controller {index} cannot vouch");
+            panic!("controller {index} is not current");
         };
         let caps: Vec<(String, u32)> = map
             .services()
@@ -196,28 +199,32 @@
     let owner_manager = fleet.owner_manager();
     let other = (owner_manager + 1) % 3;
     let mut counter = 0;
-    let mut answered = HeartbeatResponse::default();
+    let mut last_response = HeartbeatResponse::default();
     for _ in 0..6 {
         counter += 1;
         let ticket = fleet.send_heartbeat(other, heartbeat("one", counter));
         fleet.run(Duration::from_millis(600));
-        let response = fleet.heartbeat_response(ticket).expect("it is answered");
-        answered = response.clone();
+        let response = fleet.heartbeat_response(ticket).expect("a response");
+        last_response = response.clone();
     }
-    assert!(answered.by_owner_manager);
-    assert_eq!(answered.owner_manager, Some(address(owner_manager)));
-    let key_ranges: Vec<u32> = answered
+    assert!(last_response.by_owner_manager);
+    assert_eq!(last_response.owner_manager, Some(address(owner_manager)));
+    let key_ranges: Vec<u32> = last_response
         .leases
         .iter()
         .map(|lease| lease.key_range)
         .collect();
     assert_eq!(key_ranges, (0..8).collect::<Vec<u32>>());
-    // Without the owner manager the heartbeat is heard all the same, and nothing is said of what it holds.
+    // Without the owner manager the heartbeat is still acknowledged, but no lease is renewed or released.
     fleet.partitioned.insert(owner_manager);
     let ticket = fleet.send_heartbeat(other, heartbeat("one", counter + 1));
-    assert_eq!(fleet.heartbeat_response(ticket), None, "it waits a while");
+    assert_eq!(
+        fleet.heartbeat_response(ticket),
+        None,
+        "waits for the owner manager"
+    );
     fleet.run(Duration::from_millis(600));
-    let response = fleet.heartbeat_response(ticket).expect("it is answered");
+    let response = fleet.heartbeat_response(ticket).expect("a response");
     assert!(
         !response.by_owner_manager && response.leases.is_empty() && response.release.is_empty()
     );
@@ -236,30 +243,34 @@
     fleet.handle_input(1, ControllerInput::InstanceEnded { ticket, id });
     assert!(
         fleet.heartbeat_response(ticket).is_some(),
-        "its word is taken"
+        "the deregistration is not acknowledged"
     );
     fleet.run(Duration::from_millis(500));
     for index in 0..3 {
         fleet.send_heartbeat(index, heartbeat("one", 6 + index as u64));
         fleet.run(Duration::from_millis(500));
-        for seen in 0..3 {
-            assert!(fleet.instance_ids(seen).is_empty(), "{index} {seen}");
+        for observer in 0..3 {
+            assert!(
+                fleet.instance_ids(observer).is_empty(),
+                "{index} {observer}"
+            );
         }
     }
-    // Another may live at its address at once.
+    // Another instance can use the address immediately.
     fleet.send_heartbeat(2, heartbeat("two", 1));
     fleet.run(Duration::from_millis(500));
     assert_eq!(fleet.instance_ids(0), ["two"]);
 }
 
-/// What instances heartbeat and hold, each taking up what it is told to.
+/// Instances that send heartbeats and accept all key range leases that they are granted.
 #[derive(Default)]
-struct Holders {
+struct LeaseHolders {
     counter: u64,
-    held: BTreeMap<&'static str, BTreeSet<u32>>,
+    /// The key ranges that each instance has leases for.
+    leases: BTreeMap<&'static str, BTreeSet<u32>>,
 }
 
-impl Holders {
+impl LeaseHolders {
     fn send_heartbeat(
         &mut self,
         fleet: &mut Fleet,
@@ -267,16 +278,16 @@
         id: &'static str,
     ) -> HeartbeatResponse {
         self.counter += 1;
-        let mut said = heartbeat(id, self.counter);
-        said.address.set_port(8000 + u16::from(id == "two"));
-        let held = self.held.entry(id).or_default();
-        said.held_key_ranges = held.iter().copied().collect();
-        let ticket = fleet.send_heartbeat(index, said);
+        let mut heartbeat = heartbeat(id, self.counter);
+        heartbeat.address.set_port(8000 + u16::from(id == "two"));
+        let leased = self.leases.entry(id).or_default();
+        heartbeat.held_key_ranges = leased.iter().copied().collect();
+        let ticket = fleet.send_heartbeat(index, heartbeat);
         let response = fleet
             .heartbeat_response(ticket)
-            .expect("it is answered")
+            .expect("a response")
             .clone();
-        *held = response
+        *leased = response
             .leases
             .iter()
             .map(|lease| lease.key_range)
@@ -285,8 +296,8 @@
     }
 }
 
-/// A fleet whose keyed service two instances share, and the place of the owner manager.
-fn shared_by_two(seed: u64) -> (Fleet, Holders, usize) {
+/// Returns a fleet with a keyed service that two instances share, and the index of the owner manager.
+fn fleet_with_two_owners(seed: u64) -> (Fleet, LeaseHolders, usize) {
     let mut fleet = Fleet::founded(seed);
     fleet.call(
         0,
@@ -294,13 +305,13 @@
     );
     fleet.run(Duration::from_secs(2));
     let owner_manager = fleet.owner_manager();
-    let mut holders = Holders::default();
+    let mut holders = LeaseHolders::default();
     for _ in 0..40 {
         holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "one");
         holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
         fleet.run(Duration::from_millis(250));
     }
-    let (one, two) = (&holders.held["one"], &holders.held["two"]);
+    let (one, two) = (&holders.leases["one"], &holders.leases["two"]);
     assert!(one.len() >= 3 && two.len() >= 3, "{one:?} {two:?}");
     assert_eq!(one.len() + two.len(), 8);
     (fleet, holders, owner_manager)
@@ -314,26 +325,33 @@
 
 #[test]
 fn late_heartbeats_do_not_extend_leases_of_ended_owner() {
-    // Whether the owner manager hears it itself, or another controller that tells it within a moment.
-    for (reported, moment) in [(0, Duration::ZERO), (1, Duration::from_millis(150))] {
-        let (mut fleet, mut holders, owner_manager) = shared_by_two(120);
-        let owned = holders.held["one"].clone();
-        let ended = fleet.now;
-        deregister(&mut fleet, (owner_manager + reported) % 3, "one");
+    // The deregistration arrives either at the owner manager, or at another controller that propagates it within
+    // 150 ms.
+    for (offset, propagation_time) in [(0, Duration::ZERO), (1, Duration::from_millis(150))] {
+        let (mut fleet, mut holders, owner_manager) = fleet_with_two_owners(120);
+        let owned = holders.leases["one"].clone();
+        let ended_at = fleet.now;
+        deregister(&mut fleet, (owner_manager + offset) % 3, "one");
         loop {
             fleet.run(Duration::from_millis(50));
-            let span = fleet.now - ended;
-            assert!(span < Duration::from_secs(2), "its key ranges never moved");
-            for index in (0..3).filter(|_| span > moment) {
+            let elapsed = fleet.now - ended_at;
+            assert!(
+                elapsed < Duration::from_secs(2),
+                "the key ranges were never reassigned"
+            );
+            for index in (0..3).filter(|_| elapsed > propagation_time) {
                 let late = holders.send_heartbeat(&mut fleet, index, "one");
-                let named = format!("{reported} {index} after {span:?}: {late:?}");
-                assert!(late.leases.is_empty(), "{named}");
-                assert!(late.release.is_empty(), "{named}");
+                let context = format!("{offset} {index} after {elapsed:?}: {late:?}");
+                assert!(late.leases.is_empty(), "{context}");
+                assert!(late.release.is_empty(), "{context}");
             }
             holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
-            let two = &holders.held["two"];
+            let two = &holders.leases["two"];
             if !two.is_disjoint(&owned) {
-                assert!(span >= Duration::from_millis(500), "moved after {span:?}");
+                assert!(
+                    elapsed >= Duration::from_millis(500),
+                    "reassigned after {elapsed:?}"
+                );
                 assert_eq!(*two, (0..8).collect());
                 break;
             }
@@ -343,7 +361,7 @@
 
 #[test]
 fn heartbeat_right_after_deregistration_gets_no_lease() {
-    let (mut fleet, mut holders, owner_manager) = shared_by_two(130);
+    let (mut fleet, mut holders, owner_manager) = fleet_with_two_owners(130);
     deregister(&mut fleet, owner_manager, "one");
     let late = holders.send_heartbeat(&mut fleet, owner_manager, "one");
     assert!(late.leases.is_empty(), "{late:?}");
@@ -360,12 +378,12 @@
     assert_eq!(fleet.responses[&ticket], OperatorResponse::ShuttingDown);
     fleet.run(Duration::from_secs(1));
     let OperatorResponse::Configuration { map } = fleet.read(1) else {
-        panic!("the others go on");
+        panic!("the other controllers do not serve reads");
     };
-    assert_eq!(map.services().count(), 0, "and nothing is in force");
+    assert_eq!(map.services().count(), 0, "the change was applied");
 }
 
-/// An order to close a zone or to open it, beside another zone that is open.
+/// Returns a change without a version that closes or opens a zone, and also creates another, open zone.
 fn zone_call(id: &str, closed: bool) -> OperatorCall {
     let zone_put = |name: &str, closed: bool, written: Option<Written>| Put {
         key: format!("area/{name}"),
@@ -387,7 +405,7 @@
 }
 
 impl Fleet {
-    /// A call whose head was read `age` ago.
+    /// Makes a call whose head was read `age` ago.
     fn call_received_earlier(&mut self, index: usize, call: OperatorCall, age: Duration) -> u64 {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
@@ -411,7 +429,11 @@
     }
 
     fn is_draining(&self, index: usize, id: &str) -> bool {
-        let state = &self.nodes[index].machine.as_ref().expect("it runs").state;
+        let state = &self.nodes[index]
+            .machine
+            .as_ref()
+            .expect("the controller is running")
+            .state;
         state
             .instances
             .get(&InstanceId::new(id))
@@ -421,15 +443,15 @@
     fn is_closed(&mut self, index: usize) -> bool {
         match self.read(index) {
             OperatorResponse::Configuration { map } => map.zones().any(|(_, zone)| zone.closed),
-            other => panic!("{other:?} is no configuration"),
+            other => panic!("{other:?} is not a configuration"),
         }
     }
 }
 
-/// How long instances are still acknowledged by an owner manager that is cut off, and whether the
-/// others let go of an instance that goes elsewhere as soon as it is refused.
-fn lone_acknowledgements(broken: FaultInjection) -> (Duration, bool) {
-    let mut fleet = Fleet::founded_with_fault(200, broken);
+/// Returns how long a partitioned owner manager still acknowledges heartbeats, and whether the other controllers
+/// deregister an instance that switches to them as soon as it is rejected.
+fn acknowledgements_while_partitioned(fault: FaultInjection) -> (Duration, bool) {
+    let mut fleet = Fleet::founded_with_fault(200, fault);
     let call = apply("call-1", vec![service_put("records", 1, Some(service()))]);
     fleet.call(0, call);
     fleet.run(Duration::from_secs(2));
@@ -438,47 +460,51 @@
     fleet.send_heartbeat(owner_manager, heartbeat("one", 1));
     fleet.run(Duration::from_millis(500));
     fleet.partitioned.insert(owner_manager);
-    let cut_at = fleet.now;
+    let partitioned_at = fleet.now;
     let mut index = owner_manager;
     let mut acknowledged_for = Duration::ZERO;
     let mut counter = 1;
-    let mut was_let_go = false;
-    while fleet.now - cut_at < Duration::from_secs(12) {
+    let mut was_deregistered = false;
+    while fleet.now - partitioned_at < Duration::from_secs(12) {
         counter += 1;
         let ticket = fleet.send_heartbeat(index, heartbeat("one", counter));
         fleet.run(Duration::from_millis(750));
         if index == owner_manager {
             match fleet.responses.get(&ticket) {
                 Some(OperatorResponse::Heartbeat { response }) => {
-                    acknowledged_for = fleet.now - cut_at;
-                    let named = response.response.owner_manager;
-                    assert!(named.is_none() || named == Some(address(owner_manager)));
+                    acknowledged_for = fleet.now - partitioned_at;
+                    let reported = response.response.owner_manager;
+                    assert!(reported.is_none() || reported == Some(address(owner_manager)));
                 }
                 _ => index = other,
             }
         }
-        was_let_go |= fleet.instance_ids(other).is_empty();
+        was_deregistered |= fleet.instance_ids(other).is_empty();
     }
-    (acknowledged_for, was_let_go)
+    (acknowledged_for, was_deregistered)
 }
 
 #[test]
 fn partitioned_owner_manager_rejects_heartbeats() {
-    let (acknowledged_for, was_let_go) = lone_acknowledgements(FaultInjection::None);
+    let (acknowledged_for, was_deregistered) =
+        acknowledgements_while_partitioned(FaultInjection::None);
     assert!(
         acknowledged_for <= Duration::from_millis(1600),
         "acknowledged for {acknowledged_for:?}"
     );
-    assert!(!was_let_go, "the others let the instance go");
-    let (acknowledged_for, was_let_go) =
-        lone_acknowledgements(FaultInjection::AcknowledgesWithoutQuorum);
+    assert!(
+        !was_deregistered,
+        "the other controllers deregistered the instance"
+    );
+    let (acknowledged_for, was_deregistered) =
+        acknowledgements_while_partitioned(FaultInjection::AcknowledgesWithoutQuorum);
     assert!(acknowledged_for > Duration::from_secs(10));
-    assert!(was_let_go, "the variant is seen");
+    assert!(was_deregistered, "the injected fault was not detected");
 }
 
-/// Whether a drain is known to the others after the controller that acknowledged it was lost.
-fn drain_survives(broken: FaultInjection, notified_at: usize) -> bool {
-    let mut fleet = Fleet::founded_with_fault(210 + notified_at as u64, broken);
+/// Returns whether the others know of a drain after the controller that acknowledged it was lost.
+fn drain_survives(fault: FaultInjection, notified_at: usize) -> bool {
+    let mut fleet = Fleet::founded_with_fault(210 + notified_at as u64, fault);
     fleet.send_heartbeat(notified_at, heartbeat("one", 1));
     fleet.run(Duration::from_millis(500));
     let mut draining = heartbeat("one", 2);
@@ -498,12 +524,12 @@
     for notified_at in 0..3 {
         assert!(
             drain_survives(FaultInjection::None, notified_at),
-            "told {notified_at}"
+            "drain at controller {notified_at}"
         );
     }
     let lost = (0..3)
         .any(|notified_at| !drain_survives(FaultInjection::AcknowledgesWithoutQuorum, notified_at));
-    assert!(lost, "the variant is seen");
+    assert!(lost, "the injected fault was not detected");
 }
 
 #[test]
@@ -517,7 +543,7 @@
     let ticket = fleet.send_heartbeat(0, draining);
     assert!(
         !fleet.responses.contains_key(&ticket),
-        "nobody confirms it yet"
+        "the drain must wait for confirmations"
     );
     fleet.run(Duration::from_millis(800));
     assert_eq!(
@@ -542,9 +568,9 @@
     );
 }
 
-/// What a controller that was cut off a moment ago answers a read after a change elsewhere.
-fn read_after_a_cut(broken: FaultInjection) -> Option<OperatorResponse> {
-    let mut fleet = Fleet::founded_with_fault(240, broken);
+/// Returns the response of a newly partitioned controller to a read after a change was accepted elsewhere.
+fn read_after_partition(fault: FaultInjection) -> Option<OperatorResponse> {
+    let mut fleet = Fleet::founded_with_fault(240, fault);
     fleet.run(Duration::from_millis(100));
     fleet.partitioned.insert(0);
     let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
@@ -562,13 +588,13 @@
 #[test]
 fn newly_partitioned_controller_serves_no_stale_reads() {
     assert_eq!(
-        read_after_a_cut(FaultInjection::None),
+        read_after_partition(FaultInjection::None),
         Some(OperatorResponse::NotCurrent)
     );
-    let old = read_after_a_cut(FaultInjection::EarlyQuorumReads);
+    let stale = read_after_partition(FaultInjection::EarlyQuorumReads);
     assert!(
-        matches!(old, Some(OperatorResponse::Configuration { .. })),
-        "the variant is seen: {old:?}"
+        matches!(stale, Some(OperatorResponse::Configuration { .. })),
+        "the injected fault was not detected: {stale:?}"
     );
 }
 
@@ -613,13 +639,15 @@
         .state
         .quorum_reads
         .next_number();
-    assert!(after - before <= 5, "{} rounds", after - before);
+    assert!(after - before <= 5, "{} quorum reads", after - before);
 }
 
-/// Whether a zone is closed at the end, when an order to close it was sent, sent again elsewhere
-/// after a silence, taken back, and only then read by the controller that it went to first.
-fn old_call_comes_into_force(broken: FaultInjection) -> bool {
-    let mut fleet = Fleet::founded_with_fault(270, broken);
+/// Returns whether an old duplicate of a change takes effect.
+///
+/// A caller sends a change that closes a zone, sends it again to another controller after a timeout, and then
+/// reverts it. Only then does the first controller read the original call.
+fn old_duplicate_takes_effect(fault: FaultInjection) -> bool {
+    let mut fleet = Fleet::founded_with_fault(270, fault);
     for (id, closed) in [("again", true), ("back", false)] {
         let ticket = fleet.call(1, zone_call(id, closed));
         fleet.run(Duration::from_millis(200));
@@ -636,20 +664,22 @@
 
 #[test]
 fn old_duplicate_of_reverted_change_is_rejected() {
-    assert!(!old_call_comes_into_force(FaultInjection::None));
+    assert!(!old_duplicate_takes_effect(FaultInjection::None));
     assert!(
-        old_call_comes_into_force(FaultInjection::UnfencedChanges),
-        "the variant is seen"
+        old_duplicate_takes_effect(FaultInjection::UnfencedChanges),
+        "the injected fault was not detected"
     );
 }
 
-/// Whether a zone is closed at the end, when the order to close it waits at a controller that is cut
-/// off while the same order and its withdrawal are carried out elsewhere.
-fn waiting_call_comes_into_force(broken: FaultInjection) -> bool {
-    let mut fleet = Fleet::founded_with_fault(280, broken);
+/// Returns whether a pending change takes effect after it was superseded.
+///
+/// A change that closes a zone is pending at a partitioned controller, while the same change and its reversal
+/// are accepted elsewhere.
+fn pending_change_takes_effect(fault: FaultInjection) -> bool {
+    let mut fleet = Fleet::founded_with_fault(280, fault);
     fleet.partitioned.insert(0);
     fleet.call(0, zone_call("first", true));
-    // Callers go on to another controller after a second of silence.
+    // Callers switch to another controller when there is no response within one second.
     fleet.run(Duration::from_secs(1));
     for (id, closed) in [("again", true), ("back", false)] {
         let ticket = fleet.call(1, zone_call(id, closed));
@@ -667,10 +697,10 @@
 
 #[test]
 fn pending_change_is_rejected_after_being_superseded() {
-    assert!(!waiting_call_comes_into_force(FaultInjection::None));
+    assert!(!pending_change_takes_effect(FaultInjection::None));
     assert!(
-        waiting_call_comes_into_force(FaultInjection::UnfencedChanges),
-        "the variant is seen"
+        pending_change_takes_effect(FaultInjection::UnfencedChanges),
+        "the injected fault was not detected"
     );
 }
 
@@ -703,35 +733,36 @@
     assert_eq!(fleet.instance_ids(0), ["one"]);
 }
 
-/// When all three controllers vote and hold the same versions, counted from now.
-fn time_to_full(fleet: &mut Fleet) -> Option<Duration> {
+/// Returns the time until all three controllers are voters and have the same versions, or `None` if that takes
+/// longer than 30 s.
+fn time_to_recovery(fleet: &mut Fleet) -> Option<Duration> {
     let since = fleet.now;
     while fleet.now < since + Duration::from_secs(30) {
         fleet.run(STEP);
-        if is_full(fleet) {
+        if is_recovered(fleet) {
             return Some(fleet.now - since);
         }
     }
     None
 }
 
-fn is_full(fleet: &Fleet) -> bool {
+fn is_recovered(fleet: &Fleet) -> bool {
     let states: Vec<&ControllerState> = fleet
         .nodes
         .iter()
-        .filter_map(|index| Some(&index.machine.as_ref()?.state))
+        .filter_map(|node| Some(&node.machine.as_ref()?.state))
         .collect();
     let nodes: BTreeSet<NodeId> = states.iter().map(|state| state.node).collect();
-    let level = |state: &&ControllerState| {
+    let is_up_to_date = |state: &&ControllerState| {
         let voters = state.voters().map_or(BTreeSet::new(), |voters| {
             voters.holders.iter().map(|holder| holder.node).collect()
         });
         voters == nodes && state.voter.possible() == states[0].voter.possible()
     };
-    states.len() == 3 && states.iter().all(level)
+    states.len() == 3 && states.iter().all(is_up_to_date)
 }
 
-/// The node with a leadership role, as a place sees it.
+/// Returns the node with a leadership role, as seen by one controller.
 fn role_holder(fleet: &Fleet, index: usize, role: &str) -> Option<NodeId> {
     let state = &fleet.nodes[index].machine.as_ref()?.state;
     let term = state.map(MapName::Membership).leadership(role)?;
@@ -742,7 +773,7 @@
     Some(fleet.nodes[index].machine.as_ref()?.node())
 }
 
-/// A fleet in which an operator was told yes for a change.
+/// Returns a fleet in which a change was accepted.
 fn fleet_with_change(seed: u64) -> Fleet {
     let mut fleet = Fleet::founded(seed);
     let call = apply("call-1", vec![service_put("records", 3, Some(service()))]);
@@ -753,30 +784,34 @@
     fleet
 }
 
-/// Expects every controller to read the change of [`fleet_with_change`].
+/// Asserts that every controller returns the change of [`fleet_with_change`].
 fn expect_change(fleet: &mut Fleet) {
     for index in 0..3 {
         match fleet.read(index) {
             OperatorResponse::Configuration { map } => {
-                assert!(map.items.contains_key("pool/records"), "place {index}");
+                assert!(map.items.contains_key("pool/records"), "controller {index}");
             }
-            other => panic!("controller {index} says {other:?}"),
+            other => panic!("controller {index} responded with {other:?}"),
         }
     }
 }
 
 #[test]
 fn wiped_controller_is_replaced_in_time() {
-    // The shortest `sync_time_s` of the sites, from the loss to the last copy.
+    // The shortest `sync_time_s` of the deployments, which counts from the loss to the last synced replica.
     let bound = Duration::from_secs(4);
     for wiped in 0..3 {
         let mut fleet = fleet_with_change(60 + wiped as u64);
-        let managed = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, wiped);
-        assert_eq!(managed, wiped == 0, "each kind of loss is played");
+        let was_voter_manager = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, wiped);
+        assert_eq!(
+            was_voter_manager,
+            wiped == 0,
+            "the losses include that of the voter manager and of other controllers"
+        );
         fleet.stop(wiped, true);
         fleet.start(wiped);
-        let taken = time_to_full(&mut fleet).expect("it becomes whole");
-        println!("wiped {wiped}, with the voter management: {managed}, whole after {taken:?}");
+        let taken = time_to_recovery(&mut fleet).expect("the fleet recovers");
+        println!("wiped {wiped}, voter manager: {was_voter_manager}, recovered after {taken:?}");
         assert!(taken <= bound, "{taken:?}");
         fleet.run(Duration::from_secs(1));
         expect_change(&mut fleet);
@@ -787,18 +822,18 @@
 fn lost_controller_is_replaced_by_new_address_in_time() {
     let bound = Duration::from_secs(4);
     let core = CorePolicy {
-        // As the platform sets it.
+        // As set on the operators' platform.
         controller_lost: Duration::from_millis(2500),
         ..policy()
     };
     for lost in 0..3 {
         let mut fleet = Fleet::new([core.clone(), core.clone(), core.clone()], 65 + lost as u64);
         fleet.run(Duration::from_secs(8));
-        let managed = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
+        let was_voter_manager = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
         fleet.stop(lost, true);
         fleet.add_controller(core.clone());
-        let taken = time_to_full(&mut fleet).expect("it becomes whole");
-        println!("lost {lost}, with the voter management: {managed}, whole after {taken:?}");
+        let taken = time_to_recovery(&mut fleet).expect("the fleet recovers");
+        println!("lost {lost}, voter manager: {was_voter_manager}, recovered after {taken:?}");
         assert!(taken <= bound, "{taken:?}");
     }
 }
@@ -810,12 +845,16 @@
     fleet.nodes[2].disk_hangs = true;
     fleet.start(2);
     fleet.run(Duration::from_secs(15));
-    let node = node_at(&fleet, 2).expect("it runs");
+    let node = node_at(&fleet, 2).expect("the controller is running");
     for index in 0..2 {
-        let state = &fleet.nodes[index].machine.as_ref().expect("it runs").state;
+        let state = &fleet.nodes[index]
+            .machine
+            .as_ref()
+            .expect("the controller is running")
+            .state;
         assert!(state.voters().expect("voters").holder(node).is_none());
     }
-    // The others are held up by nothing.
+    // The other controllers still accept changes.
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
     let ticket = fleet.call(0, call);
     fleet.run(Duration::from_secs(1));
@@ -853,11 +892,8 @@
                 fleet.stop(second, false);
                 fleet.run(Duration::from_secs(2));
                 fleet.start(second);
-                let full_map = time_to_full(&mut fleet);
-                assert!(
-                    full_map.is_some(),
-                    "{wiped}, then {second} after step {step}"
-                );
+                let taken = time_to_recovery(&mut fleet);
+                assert!(taken.is_some(), "{wiped}, then {second} after step {step}");
                 fleet.run(Duration::from_secs(1));
                 expect_change(&mut fleet);
             }
@@ -867,7 +903,7 @@
 
 #[test]
 fn replacement_completes_or_reports_majority_loss_when_second_disk_is_wiped() {
-    let mut named = 0;
+    let mut reported = 0;
     for wiped in 0..3 {
         for second in (0..3).filter(|second| *second != wiped) {
             for step in 0..30 {
@@ -877,22 +913,22 @@
                 fleet.run(Duration::from_millis(100 * step));
                 fleet.stop(second, true);
                 fleet.start(second);
-                if time_to_full(&mut fleet).is_some() {
+                if time_to_recovery(&mut fleet).is_some() {
                     fleet.run(Duration::from_secs(1));
                     expect_change(&mut fleet);
                     continue;
                 }
-                named += 1;
-                let is_named = fleet
+                reported += 1;
+                let is_reported = fleet
                     .events
                     .iter()
                     .any(|(_, event)| matches!(event, Event::MajorityLost { .. }));
-                assert!(is_named, "{wiped}, then {second} after step {step}");
+                assert!(is_reported, "{wiped}, then {second} after step {step}");
             }
         }
     }
-    println!("of 180 second wipes {named} were named");
-    assert!(named < 180);
+    println!("of 180 second wipes {reported} lost the majority, which was reported");
+    assert!(reported < 180);
 }
 
 #[test]
@@ -907,8 +943,8 @@
     assert!(fleet.stopped.is_empty());
     fleet.run(Duration::from_secs(2));
     assert!(fleet.stopped.contains(&0));
-    let is_named = |(index, event): &(usize, Event)| {
+    let is_reported = |(index, event): &(usize, Event)| {
         *index == 0 && matches!(event, Event::ShutdownIncomplete { .. })
     };
-    assert!(fleet.events.iter().any(is_named));
+    assert!(fleet.events.iter().any(is_reported));
 }
