--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -114,13 +114,13 @@
     let Some(age) = age else {
         return;
     };
-    for heard in instances {
-        state.instances.handle(state.now, &heard.aged(age));
+    for received in instances {
+        state.instances.handle(state.now, &received.aged(age));
     }
     for id in gone {
         state.instances.end(state.now, &id);
     }
-    for heard in members {
-        state.members.handle(state.now, &heard.aged(age));
+    for received in members {
+        state.members.handle(state.now, &received.aged(age));
     }
 }
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -88,30 +88,36 @@
         true => echo.and_then(|echo| echo.lain(state.now, state.incarnation)),
         false => Some(Duration::ZERO),
     };
-    let heard = HeardHeartbeat {
+    let received = HeardHeartbeat {
         heartbeat,
         age: Duration::ZERO,
     };
-    let response = record_heartbeat(state, heard.clone(), age);
+    let response = record_heartbeat(state, received.clone(), age);
     if age.is_none() {
         acknowledge(state, ticket, response, Resend::WithStamp);
         return;
     }
-    let is_draining = heard.heartbeat.state == InstanceState::Draining;
+    let is_draining = received.heartbeat.state == InstanceState::Draining;
     let requirements = Requirements {
         confirmations: match is_draining {
             true => confirmations_needed(state),
             false => 0,
         },
-        owner_manager: required_owner_manager(state, &heard.heartbeat, &response),
+        owner_manager: required_owner_manager(state, &received.heartbeat, &response),
     };
     let number = begin_call(state, ticket, requirements, response);
     if requirements.confirmations > 0 {
-        request_confirmations(state, number, Fact::Draining(heard.clone()));
+        request_confirmations(state, number, Fact::Draining(received.clone()));
     }
     if let Some(to) = requirements.owner_manager {
         let ticket = number;
-        state.send(to, Message::HeartbeatForward { ticket, heard });
+        state.send(
+            to,
+            Message::HeartbeatForward {
+                ticket,
+                heard: received,
+            },
+        );
     }
 }
 
@@ -222,7 +228,7 @@
 /// Requests all other voters to store a fact.
 fn request_confirmations(state: &mut ControllerState, number: u64, fact: Fact) {
     let (heartbeat, ended) = match fact {
-        Fact::Draining(heard) => (Some(heard), None),
+        Fact::Draining(received) => (Some(received), None),
         Fact::Deregistered(id) => (None, Some(id)),
     };
     let voters = state.map(MapName::Membership).voter_addresses(false);
@@ -253,8 +259,8 @@
     let Some(age) = age else {
         return;
     };
-    if let Some(heard) = heartbeat {
-        state.instances.handle(state.now, &heard.aged(age));
+    if let Some(received) = heartbeat {
+        state.instances.handle(state.now, &received.aged(age));
     }
     if let Some(id) = ended {
         state.instances.end(state.now, &id);
@@ -332,13 +338,13 @@
     state: &mut ControllerState,
     reply_to: SocketAddr,
     ticket: u64,
-    heard: HeardHeartbeat,
+    received: HeardHeartbeat,
     age: Option<Duration>,
 ) {
     if !may_acknowledge(state) {
         return;
     }
-    let response = record_heartbeat(state, heard, age);
+    let response = record_heartbeat(state, received, age);
     state.send(reply_to, Message::HeartbeatReply { ticket, response });
 }
 
@@ -348,18 +354,18 @@
 /// that ended long ago. A deregistered instance gets no leases, since a late heartbeat must not extend them.
 fn record_heartbeat(
     state: &mut ControllerState,
-    heard: HeardHeartbeat,
+    received: HeardHeartbeat,
     age: Option<Duration>,
 ) -> HeartbeatResponse {
-    let heard = age.map(|age| heard.aged(age));
+    let received = age.map(|age| received.aged(age));
     let lifetime = state.instances.span;
-    let recent = heard.filter(|heard| heard.age < lifetime);
-    let Some(heard) = recent else {
+    let recent = received.filter(|received| received.age < lifetime);
+    let Some(received) = recent else {
         return HeartbeatResponse::default();
     };
-    state.instances.handle(state.now, &heard);
-    if state.instances.has_ended(&heard.heartbeat.id) {
+    state.instances.handle(state.now, &received);
+    if state.instances.has_ended(&received.heartbeat.id) {
         return HeartbeatResponse::default();
     }
-    ownership::respond_to_heartbeat(state, &heard.heartbeat)
+    ownership::respond_to_heartbeat(state, &received.heartbeat)
 }
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -27,11 +27,11 @@
     // A renewal of unknown age is granted too, because the lease counts from when the follower sent the
     // request. Only the member's liveness depends on the age.
     if let Some(age) = age {
-        let heard = HeardMember {
+        let received = HeardMember {
             member: member.clone(),
             age,
         };
-        state.members.handle(now, &heard);
+        state.members.handle(now, &received);
         state
             .last_renewals
             .insert(member.node, now.saturating_sub(age));
@@ -181,8 +181,8 @@
     let mut members = state
         .members
         .first_after(state.now, members_after, max_facts);
-    for heard in &mut members.heard {
-        heard.member.demand.clear();
+    for received in &mut members.heard {
+        received.member.demand.clear();
     }
     members
 }
