--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -44,7 +44,7 @@
     Arc<dyn Fn(ControllerHandle, Request<Incoming>) -> BoxedResponse + Send + Sync + 'static>;
 
 /// Returns the native API.
-pub fn own_interface() -> Interface {
+pub fn native_interface() -> Interface {
     Arc::new(|handle, request| Box::pin(async move { handle.respond(request).await }))
 }
 
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bpaf::Parser;
-use controller::daemon::own_interface;
+use controller::daemon::native_interface;
 use runtime::actor::{run_daemon, Reread};
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
@@ -20,6 +20,6 @@
     start_log()?;
     let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
     run_daemon(node_settings.terms.workers, async move {
-        Ok(controller::daemon::run(node_settings, reread, own_interface()).await?)
+        Ok(controller::daemon::run(node_settings, reread, native_interface()).await?)
     })
 }
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -110,7 +110,7 @@
 >;
 
 /// The product's own interface.
-pub fn own_interface() -> Interface {
+pub fn native_interface() -> Interface {
     Arc::new(respond)
 }
 
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -18,6 +18,6 @@
     let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
         node_settings.terms.workers,
-        directory::daemon::run(node_settings, reread, directory::daemon::own_interface()),
+        directory::daemon::run(node_settings, reread, directory::daemon::native_interface()),
     )
 }
