--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -51,8 +51,8 @@
         })
 }
 
-/// Returns the highest configuration version that enough of the fallback members have for every majority of
-/// them to include one that has it.
+/// Returns the highest configuration version for which every majority of the fallback members includes an agent
+/// that has it.
 fn version_held_by_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> Version {
     let agents = reachable_agents(state);
     let fallback_members_version = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -38,8 +38,8 @@
 impl FactExchange {
     /// Records that a message from a peer was received.
     ///
-    /// After the peer missed heartbeats or restarted, all facts are sent to it again: facts sent in the
-    /// meantime may be lost, and a new incarnation has forgotten all earlier ones.
+    /// All facts are sent again to a peer that was unreachable or has restarted: facts sent in the meantime may be
+    /// lost, and a new incarnation has none of the earlier ones.
     pub fn handle(&mut self, now: Duration, peer: SocketAddr, incarnation: NodeId) {
         let before = self.last_seen.insert(
             peer,
