--- a/crates/controller/src/consensus/founding.rs
+++ b/crates/controller/src/consensus/founding.rs
@@ -25,12 +25,12 @@
 /// Sends seed requests to the other controllers until this one is a voter, and proposes the founding once
 /// all seeds have reported that they know no membership.
 pub fn tick(state: &mut ControllerState) {
-    if state.now < state.founding.next_ask_at {
+    if state.now < state.founding.next_request_at {
         return;
     }
-    state.founding.next_ask_at = state.now + SEED_REQUEST_INTERVAL;
+    state.founding.next_request_at = state.now + SEED_REQUEST_INTERVAL;
     if !is_founded(state) || !state.is_voter() {
-        ask_controllers(state);
+        send_seed_requests(state);
     }
     if let Some(voters) = founding_voters(state) {
         propose_founding(state, voters);
@@ -42,7 +42,7 @@
 }
 
 /// Sends a seed request to every known controller, because the voter manager need not be one of the seeds.
-fn ask_controllers(state: &mut ControllerState) {
+fn send_seed_requests(state: &mut ControllerState) {
     let founded = is_founded(state);
     for controller in state.other_controllers() {
         let zone = state.options.zone.clone();
--- a/crates/controller/src/daemon/handle.rs
+++ b/crates/controller/src/daemon/handle.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns a handle for a call whose head has just been read.
-    pub(super) fn for_call_received_now(&self) -> Self {
+    pub(super) fn for_new_call(&self) -> Self {
         let now = self.clock.now();
         Self {
             received_at: now,
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -188,7 +188,7 @@
         .map_err(|error| StartError::ServingPort(error.into()))?;
     let stop = Arc::new(AtomicBool::new(false));
     tokio::spawn(serve_http(listener, stop, move |_, request| {
-        let response = interface(handle.for_call_received_now(), request);
+        let response = interface(handle.for_new_call(), request);
         async move { Ok(response.await) }
     }));
     Ok(())
--- a/crates/controller/src/leadership/handover.rs
+++ b/crates/controller/src/leadership/handover.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns how many other controllers with a vote are alive and have synced everything that this one has.
-pub fn replicas_elsewhere(state: &ControllerState) -> usize {
+pub fn synced_replica_count(state: &ControllerState) -> usize {
     other_controller_voters(state)
         .filter(|node| state.is_synced_replica(*node))
         .count()
@@ -35,7 +35,7 @@
 
 /// Returns how many other controllers must have the state before this one stops: as many as are required to
 /// confirm a change to an operator, since this controller's disk may never come back.
-pub fn replicas_needed(state: &ControllerState) -> usize {
+pub fn required_replica_count(state: &ControllerState) -> usize {
     let others = other_controller_voters(state).count();
     state
         .options
--- a/crates/controller/src/state/parts.rs
+++ b/crates/controller/src/state/parts.rs
@@ -73,7 +73,7 @@
     /// The nodes that accepted the founding proposed by this node.
     pub accepted_by: BTreeSet<NodeId>,
     /// When the next seed requests are due.
-    pub next_ask_at: Duration,
+    pub next_request_at: Duration,
 }
 
 /// The state of the ownership role.
--- a/crates/controller/src/state_machine/shutdown.rs
+++ b/crates/controller/src/state_machine/shutdown.rs
@@ -19,8 +19,8 @@
     let Some(since) = state.stopping_since else {
         return;
     };
-    let replicas = handover::replicas_elsewhere(state);
-    let needed = handover::replicas_needed(state);
+    let replicas = handover::synced_replica_count(state);
+    let needed = handover::required_replica_count(state);
     let is_busy = has_unfinished_work(state) || replicas < needed;
     if is_busy && state.now.saturating_sub(since) < SHUTDOWN_TIMEOUT {
         return;
