--- a/crates/controller/tests/fleet_stories/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -1,10 +1,10 @@
-//! Whole controllers in one process, with what instances and operators ask of them.
+//! A simulated fleet of complete controllers, with calls of instances and operators.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::support::controllers::{address, lay, policy, STEP};
+use crate::support::controllers::{address, apply_write, policy, STEP};
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{ChangeId, Incarnation, InstanceId, ServiceName, Zone};
@@ -26,28 +26,28 @@
 pub struct SimulatedNode {
     pub machine: Option<ControllerMachine>,
     pub image: DiskImage,
-    /// Writes are taken in and never carried out.
+    /// Whether the disk hangs: writes are accepted and never carried out.
     pub disk_hangs: bool,
     pub core: CorePolicy,
 }
 
-/// Controllers in one process: messages are carried by hand, writes are synced at once.
+/// Controllers in one process. The test delivers the messages, and writes are synced immediately.
 pub struct Fleet {
     pub nodes: Vec<SimulatedNode>,
     pub now: Duration,
     pub wire: VecDeque<(SocketAddr, Envelope)>,
-    /// What was sent to addresses that are no controller's.
+    /// Messages to addresses that do not belong to a controller.
     pub to_followers: Vec<(SocketAddr, Envelope)>,
-    /// Places that nothing comes to and nothing leaves.
-    pub cut: BTreeSet<usize>,
+    /// Controllers that are partitioned from all others.
+    pub partitioned: BTreeSet<usize>,
     pub responses: BTreeMap<u64, OperatorResponse>,
     pub founded: u32,
     pub events: Vec<(usize, Event)>,
-    /// Places whose polite stop is done.
+    /// Controllers whose graceful shutdown is complete.
     pub stopped: BTreeSet<usize>,
-    pub seeds_drawn: u64,
-    pub tickets: u64,
-    pub broken: FaultInjection,
+    pub last_seed: u64,
+    pub last_ticket: u64,
+    pub fault: FaultInjection,
 }
 
 impl Fleet {
@@ -57,14 +57,14 @@
             now: Duration::ZERO,
             wire: VecDeque::new(),
             to_followers: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             responses: BTreeMap::new(),
             founded: 0,
             events: Vec::new(),
             stopped: BTreeSet::new(),
-            seeds_drawn: seed * 1000,
-            tickets: 0,
-            broken: FaultInjection::None,
+            last_seed: seed * 1000,
+            last_ticket: 0,
+            fault: FaultInjection::None,
         };
         for (index, core) in policies.into_iter().enumerate() {
             fleet.nodes.push(SimulatedNode {
@@ -73,45 +73,45 @@
                 disk_hangs: false,
                 core,
             });
-            fleet.starts(index);
+            fleet.start(index);
         }
         fleet
     }
 
-    /// A fleet that founded itself and vouches for what it knows.
+    /// Returns a fleet that has founded its membership and is current.
     pub fn founded(seed: u64) -> Self {
-        Self::founded_without(seed, FaultInjection::None)
+        Self::founded_with_fault(seed, FaultInjection::None)
     }
 
-    /// The same, with a safeguard left out.
-    pub fn founded_without(seed: u64, broken: FaultInjection) -> Self {
+    /// Returns a founded fleet in which a fault is injected.
+    pub fn founded_with_fault(seed: u64, fault: FaultInjection) -> Self {
         let mut fleet = Self::new([policy(), policy(), policy()], seed);
-        fleet.broken = broken;
+        fleet.fault = fault;
         for index in 0..3 {
-            fleet.starts(index);
+            fleet.start(index);
         }
-        fleet.runs(Duration::from_secs(8));
+        fleet.run(Duration::from_secs(8));
         assert_eq!(fleet.founded, 1);
         fleet
     }
 
-    /// Starts from what lies on the place's disk.
-    pub fn starts(&mut self, index: usize) {
-        self.seeds_drawn += 1;
+    /// Starts a controller from the contents of its disk.
+    pub fn start(&mut self, index: usize) {
+        self.last_seed += 1;
         let seeds = (0..3).map(address).collect();
         let zone = Zone::new(format!("zone-{index}"));
         let options = ControllerOptions::new(address(index), zone, seeds)
             .disk_capacity(1 << 20, 1 << 16)
             .core(self.nodes[index].core.clone())
-            .inject(self.broken);
+            .inject(self.fault);
         let image = self.nodes[index].image.clone();
-        let (machine, outputs) = ControllerMachine::start(options, &image, self.seeds_drawn);
+        let (machine, outputs) = ControllerMachine::start(options, &image, self.last_seed);
         self.nodes[index].machine = Some(machine);
-        self.acts(index, outputs);
+        self.carry_out(index, outputs);
     }
 
-    /// Starts a controller with an empty disk at an address of its own.
-    pub fn adds(&mut self, core: CorePolicy) -> usize {
+    /// Starts a controller with an empty disk at a new address, and returns its index.
+    pub fn add_controller(&mut self, core: CorePolicy) -> usize {
         self.nodes.push(SimulatedNode {
             machine: None,
             image: DiskImage::default(),
@@ -122,26 +122,29 @@
             },
         });
         let index = self.nodes.len() - 1;
-        self.starts(index);
+        self.start(index);
         index
     }
 
-    /// Power is lost; with the disk or without it.
-    pub fn stops(&mut self, index: usize, wiped: bool) {
+    /// Stops a controller by power loss, and wipes its disk if requested.
+    pub fn stop(&mut self, index: usize, wiped: bool) {
         self.nodes[index].machine = None;
         if wiped {
             self.nodes[index].image = DiskImage::default();
-            // Why: only the very first start may found.
+            // Only the very first start may found a membership.
             self.nodes[index].core.may_found = false;
         }
     }
 
-    pub fn acts(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
+    pub fn carry_out(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
         let mut outputs = VecDeque::from(outputs);
         while let Some(output) = outputs.pop_front() {
             match output {
                 ControllerOutput::Send { to, message } => {
-                    let machine = self.nodes[index].machine.as_ref().expect("it runs");
+                    let machine = self.nodes[index]
+                        .machine
+                        .as_ref()
+                        .expect("the controller is running");
                     self.wire.push_back((to, machine.seal(to, message)));
                 }
                 ControllerOutput::Write { ticket, writes } => {
@@ -149,9 +152,9 @@
                         continue;
                     }
                     for write in &writes {
-                        lay(&mut self.nodes[index].image, write);
+                        apply_write(&mut self.nodes[index].image, write);
                     }
-                    outputs.extend(self.takes(index, ControllerInput::WriteSynced { ticket }));
+                    outputs.extend(self.input(index, ControllerInput::WriteSynced { ticket }));
                 }
                 ControllerOutput::Respond { ticket, response } => {
                     self.responses.insert(ticket, response);
@@ -167,19 +170,19 @@
         }
     }
 
-    pub fn takes(&mut self, index: usize, input: ControllerInput) -> Vec<ControllerOutput> {
+    pub fn input(&mut self, index: usize, input: ControllerInput) -> Vec<ControllerOutput> {
         let now = self.now;
         let machine = self.nodes[index].machine.as_mut();
         machine.map_or_else(Vec::new, |machine| machine.input(now, input))
     }
 
-    pub fn inputs(&mut self, index: usize, input: ControllerInput) {
-        let outputs = self.takes(index, input);
-        self.acts(index, outputs);
-        self.carries();
+    pub fn handle_input(&mut self, index: usize, input: ControllerInput) {
+        let outputs = self.input(index, input);
+        self.carry_out(index, outputs);
+        self.deliver();
     }
 
-    pub fn carries(&mut self) {
+    pub fn deliver(&mut self) {
         while let Some((to, envelope)) = self.wire.pop_front() {
             let nodes = self.nodes.len();
             let index = (0..nodes).find(|index| address(*index) == to);
@@ -188,32 +191,32 @@
                 self.to_followers.push((to, envelope));
                 continue;
             };
-            let own = from == Some(index);
-            let is_cut =
-                self.cut.contains(&index) || from.is_some_and(|from| self.cut.contains(&from));
-            if is_cut && !own {
+            let is_own = from == Some(index);
+            let is_partitioned = self.partitioned.contains(&index)
+                || from.is_some_and(|from| self.partitioned.contains(&from));
+            if is_partitioned && !is_own {
                 continue;
             }
-            let outputs = self.takes(index, ControllerInput::MessageReceived { envelope });
-            self.acts(index, outputs);
+            let outputs = self.input(index, ControllerInput::MessageReceived { envelope });
+            self.carry_out(index, outputs);
         }
     }
 
-    pub fn runs(&mut self, span: Duration) {
+    pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
             for index in 0..self.nodes.len() {
-                self.inputs(index, ControllerInput::Tick);
+                self.handle_input(index, ControllerInput::Tick);
             }
         }
     }
 
-    pub fn calls(&mut self, index: usize, call: OperatorCall) -> u64 {
-        self.tickets += 1;
-        let ticket = self.tickets;
+    pub fn call(&mut self, index: usize, call: OperatorCall) -> u64 {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let received_at = self.now;
-        self.inputs(
+        self.handle_input(
             index,
             ControllerInput::OperatorCall {
                 ticket,
@@ -227,32 +230,32 @@
     pub fn proposal_outcome(&self, ticket: u64) -> Option<&ProposalOutcome> {
         match self.responses.get(&ticket)? {
             OperatorResponse::ProposalOutcome { proposal_outcome } => Some(proposal_outcome),
-            other => panic!("{other:?} is no verdict"),
+            other => panic!("{other:?} is not a proposal outcome"),
         }
     }
 
-    pub fn reads(&mut self, index: usize) -> OperatorResponse {
-        let ticket = self.calls(index, OperatorCall::Read);
+    pub fn read(&mut self, index: usize) -> OperatorResponse {
+        let ticket = self.call(index, OperatorCall::Read);
         self.responses[&ticket].clone()
     }
 
-    pub fn instances(&mut self, index: usize) -> Vec<String> {
-        let ticket = self.calls(index, OperatorCall::Status);
+    pub fn instance_ids(&mut self, index: usize) -> Vec<String> {
+        let ticket = self.call(index, OperatorCall::Status);
         match &self.responses[&ticket] {
             OperatorResponse::Status { status } => status
                 .instances
                 .iter()
                 .map(|heartbeat| heartbeat.id.to_string())
                 .collect(),
-            other => panic!("{other:?} is no status"),
+            other => panic!("{other:?} is not a status"),
         }
     }
 
-    pub fn heartbeats(&mut self, index: usize, heartbeat: Heartbeat) -> u64 {
-        self.tickets += 1;
-        let ticket = self.tickets;
+    pub fn send_heartbeat(&mut self, index: usize, heartbeat: Heartbeat) -> u64 {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let echo = None;
-        self.inputs(
+        self.handle_input(
             index,
             ControllerInput::Heartbeat {
                 ticket,
@@ -263,27 +266,31 @@
         ticket
     }
 
-    /// An instance tells a controller that its life is over.
-    pub fn ends(&mut self, index: usize, id: &InstanceId) {
-        self.tickets += 1;
-        let (ticket, id) = (self.tickets, id.clone());
-        self.inputs(index, ControllerInput::InstanceEnded { ticket, id });
+    /// Deregisters an instance at a controller.
+    pub fn deregister(&mut self, index: usize, id: &InstanceId) {
+        self.last_ticket += 1;
+        let (ticket, id) = (self.last_ticket, id.clone());
+        self.handle_input(index, ControllerInput::InstanceEnded { ticket, id });
     }
 
     pub fn heartbeat_response(&self, ticket: u64) -> Option<&HeartbeatResponse> {
         match self.responses.get(&ticket)? {
             OperatorResponse::Heartbeat { response } => Some(&response.response),
-            other => panic!("{other:?} is no answer to a beat"),
+            other => panic!("{other:?} is not a response to a heartbeat"),
         }
     }
 
     pub fn owner_manager(&self) -> usize {
-        let state = &self.nodes[0].machine.as_ref().expect("it runs").state;
+        let state = &self.nodes[0]
+            .machine
+            .as_ref()
+            .expect("the controller is running")
+            .state;
         let owner_manager =
-            ownership::owner_manager_address(state).expect("someone has the leadership role");
+            ownership::owner_manager_address(state).expect("the ownership role has a leader");
         (0..3)
             .find(|index| address(*index) == owner_manager)
-            .expect("it is one of us")
+            .expect("the leader is one of the controllers")
     }
 }
 
