--- a/crates/caperworks/src/leadership/liveness.rs
+++ b/crates/caperworks/src/leadership/liveness.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::identifiers::NodeId;
-use crate::leadership::{BEHIND_LIMIT, SILENCE, STEADY, SUCCESSOR_SPAN};
+use crate::leadership::{BEHIND_LIMIT, STEADY, SUCCESSOR_SPAN, SUSPICION_TIMEOUT};
 
 /// Since when a node was heard from without a gap, and when last.
 #[derive(Debug, Clone, Copy)]
@@ -27,7 +27,7 @@
             since: now,
             last: now,
         });
-        if now.saturating_sub(entry.last) >= SILENCE {
+        if now.saturating_sub(entry.last) >= SUSPICION_TIMEOUT {
             entry.since = now;
         }
         entry.last = now;
@@ -76,7 +76,7 @@
     pub fn alive(&self, now: Duration, node: NodeId) -> bool {
         self.heard
             .get(&node)
-            .is_some_and(|heard| now.saturating_sub(heard.last) < SILENCE)
+            .is_some_and(|heard| now.saturating_sub(heard.last) < SUSPICION_TIMEOUT)
     }
 
     /// Whether a node has been heard from without a gap for [`STEADY`].
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -7,7 +7,7 @@
 use crate::state::ControllerState;
 use caperworks::facts::{HeardHeartbeat, HeardMember};
 use caperworks::identifiers::{InstanceId, NodeId};
-use caperworks::leadership::SILENCE;
+use caperworks::leadership::SUSPICION_TIMEOUT;
 use caperworks::messages::Message;
 
 const SHARE_PERIOD: Duration = Duration::from_millis(150);
@@ -46,7 +46,7 @@
             },
         );
         let knows_what_was_sent = before.is_some_and(|before| {
-            before.incarnation == incarnation && now.saturating_sub(before.at) < SILENCE
+            before.incarnation == incarnation && now.saturating_sub(before.at) < SUSPICION_TIMEOUT
         });
         if !knows_what_was_sent {
             self.notified.remove(&peer);
@@ -57,7 +57,7 @@
     fn is_heard(&self, now: Duration, peer: &SocketAddr) -> bool {
         self.heard
             .get(peer)
-            .is_some_and(|heard| now.saturating_sub(heard.at) < SILENCE)
+            .is_some_and(|heard| now.saturating_sub(heard.at) < SUSPICION_TIMEOUT)
     }
 }
 
--- a/crates/controller/src/leadership/majority_loss.rs
+++ b/crates/controller/src/leadership/majority_loss.rs
@@ -5,7 +5,7 @@
 use crate::state::ControllerState;
 use crate::state_machine::event::Event;
 use caperworks::identifiers::NodeId;
-use caperworks::leadership::SILENCE;
+use caperworks::leadership::SUSPICION_TIMEOUT;
 use caperworks::map_items::VoterEntry;
 
 /// How often the loss of the majority is logged while it lasts.
@@ -45,7 +45,7 @@
     }
     let since = *state.majority_loss.since.get_or_insert(now);
     let is_due = now >= state.majority_loss.logged_at + LOG_PERIOD;
-    if now.saturating_sub(since) < SILENCE || !is_due {
+    if now.saturating_sub(since) < SUSPICION_TIMEOUT || !is_due {
         return;
     }
     state.majority_loss.logged_at = now;
