--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::identifiers::{Incarnation, InstanceId, NodeId, RouteName, ServiceName, Version, Zone};
-use crate::ownership::LetGo;
+use crate::ownership::ReleasedKeyRange;
 
 messages! {
     #[derive(Copy, Eq)]
@@ -27,7 +27,7 @@
         8 load: u32,
         9 up: Duration,
         10 held_key_ranges: Vec<u32>,
-        11 let_go: Vec<LetGo>,
+        11 let_go: Vec<ReleasedKeyRange>,
         /// How much longer it says that it is cold.
         12 warm_up_left: Duration,
     }
--- a/crates/caperworks/src/ownership.rs
+++ b/crates/caperworks/src/ownership.rs
@@ -21,7 +21,7 @@
 mod table;
 
 pub use self::instance_leases::HeldLeases;
-pub use self::messages::{HeartbeatResponse, KeyRangeLease, LetGo, TimestampedResponse};
+pub use self::messages::{HeartbeatResponse, KeyRangeLease, ReleasedKeyRange, TimestampedResponse};
 pub use self::moves::MOVES_AT_ONCE;
 pub use self::owner_manager::{OwnerManager, OwnershipView};
 pub use self::spans::{OwnerManagerSpans, KEY_RANGE_LEASE_SPAN, OWNER_MANAGER_WAIT};
--- a/crates/caperworks/src/ownership/instance_leases.rs
+++ b/crates/caperworks/src/ownership/instance_leases.rs
@@ -10,7 +10,7 @@
 
 use crate::identifiers::Epoch;
 use crate::leases::DRIFT_MARGIN;
-use crate::ownership::messages::{HeartbeatResponse, LetGo};
+use crate::ownership::messages::{HeartbeatResponse, ReleasedKeyRange};
 
 /// A lease on one key range.
 #[derive(Debug, Clone, Copy)]
@@ -96,10 +96,10 @@
     }
 
     /// What the next heartbeat reports as released.
-    pub fn let_go(&self) -> Vec<LetGo> {
+    pub fn let_go(&self) -> Vec<ReleasedKeyRange> {
         self.released
             .iter()
-            .map(|(key_range, epoch)| LetGo {
+            .map(|(key_range, epoch)| ReleasedKeyRange {
                 key_range: *key_range,
                 epoch: Some(*epoch),
                 handover: None,
--- a/crates/caperworks/src/ownership/key_range_state.rs
+++ b/crates/caperworks/src/ownership/key_range_state.rs
@@ -5,7 +5,7 @@
 
 use crate::facts::Heartbeat;
 use crate::identifiers::Epoch;
-use crate::ownership::messages::LetGo;
+use crate::ownership::messages::ReleasedKeyRange;
 use crate::ownership::spans::OwnerManagerSpans;
 
 /// The state of one key range under one epoch.
@@ -91,7 +91,7 @@
 
     /// Whether the owner's word covers this epoch. A word without an epoch is about what the owner
     /// held last, so it counts only in a heartbeat after the one in whose answer it was told.
-    fn is_released_by(&self, word: &LetGo, heartbeat: &Heartbeat) -> bool {
+    fn is_released_by(&self, word: &ReleasedKeyRange, heartbeat: &Heartbeat) -> bool {
         match word.epoch {
             Some(epoch) => epoch >= self.epoch,
             None => self
--- a/crates/caperworks/src/ownership/messages.rs
+++ b/crates/caperworks/src/ownership/messages.rs
@@ -21,7 +21,7 @@
     /// An epoch of a key range that an instance has released for good; without an epoch the one that
     /// it held last. What it hands over is for the next owner.
     #[derive(Eq)]
-    struct LetGo { 0 key_range: u32, 1 epoch: Option<Epoch>, 2 handover: Option<String> }
+    struct ReleasedKeyRange { 0 key_range: u32, 1 epoch: Option<Epoch>, 2 handover: Option<String> }
 
     /// The answer to a heartbeat: the leases of the instance, and what it must release.
     #[derive(Default)]
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -11,8 +11,8 @@
 use caperworks::instances::Instances;
 use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
 use caperworks::ownership::{
-    HeartbeatResponse, LetGo, OwnerManager, OwnerManagerSpans, OwnershipView, KEY_RANGE_LEASE_SPAN,
-    OWNER_MANAGER_WAIT,
+    HeartbeatResponse, OwnerManager, OwnerManagerSpans, OwnershipView, ReleasedKeyRange,
+    KEY_RANGE_LEASE_SPAN, OWNER_MANAGER_WAIT,
 };
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
@@ -150,7 +150,7 @@
             let_go: instance
                 .let_go
                 .iter()
-                .map(|(key_range, handover)| LetGo {
+                .map(|(key_range, handover)| ReleasedKeyRange {
                     key_range: *key_range,
                     epoch: None,
                     handover: Some(handover.clone()),
@@ -352,7 +352,7 @@
     // A heartbeat that speaks of an earlier time: it let go of the key range then, and holds nothing.
     let mut late = bench.heartbeat_of("a");
     late.held_key_ranges.clear();
-    late.let_go = vec![LetGo {
+    late.let_go = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
         handover: Some("of an earlier time".to_string()),
@@ -387,7 +387,7 @@
             .map(|_| {
                 let mut heartbeat = bench.heartbeat_of("a");
                 heartbeat.held_key_ranges.clear();
-                heartbeat.let_go = vec![LetGo {
+                heartbeat.let_go = vec![ReleasedKeyRange {
                     key_range: 0,
                     epoch: None,
                     handover: None,
@@ -430,7 +430,7 @@
     bench.runs(seconds(2), &["b"], 1);
     let mut heartbeat = bench.heartbeat_of("a");
     heartbeat.held_key_ranges.clear();
-    heartbeat.let_go = vec![LetGo {
+    heartbeat.let_go = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
         handover: None,
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -59,7 +59,7 @@
 use caperworks::messages::UsageLine;
 use caperworks::ownership::HeartbeatResponse;
 use caperworks::ownership::KeyRangeLease;
-use caperworks::ownership::LetGo;
+use caperworks::ownership::ReleasedKeyRange;
 use caperworks::partition_fallback::FallbackMembers;
 use caperworks::partition_fallback::FallbackRequest;
 use caperworks::partition_fallback::FallbackResponse;
@@ -492,7 +492,7 @@
         load: 7,
         up: millis(123_456),
         held_key_ranges: vec![1, 5],
-        let_go: vec![LetGo {
+        let_go: vec![ReleasedKeyRange {
             key_range: 9,
             epoch: Some(Epoch(2)),
             handover: Some("offset 12".to_string()),
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -5,7 +5,9 @@
 use caperworks::envelope_clock::{Echo, Stamp};
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{Epoch, Incarnation, InstanceId, NodeId, ServiceName, Zone};
-use caperworks::ownership::{HeartbeatResponse, KeyRangeLease, LetGo, TimestampedResponse};
+use caperworks::ownership::{
+    HeartbeatResponse, KeyRangeLease, ReleasedKeyRange, TimestampedResponse,
+};
 use jzon::JsonValue;
 use thiserror::Error;
 
@@ -128,9 +130,9 @@
     }
 }
 
-fn read_let_go(value: &JsonValue) -> Result<Vec<LetGo>, HeartbeatError> {
+fn read_let_go(value: &JsonValue) -> Result<Vec<ReleasedKeyRange>, HeartbeatError> {
     let read = |entry: &JsonValue| {
-        Some(LetGo {
+        Some(ReleasedKeyRange {
             key_range: entry["slice"].as_u32()?,
             epoch: Some(Epoch(entry["epoch"].as_u64()?)),
             handover: entry["handover"].as_str().map(str::to_string),
--- a/crates/runtime/tests/heartbeat_json.rs
+++ b/crates/runtime/tests/heartbeat_json.rs
@@ -6,7 +6,9 @@
 use caperworks::envelope_clock::{Echo, Stamp};
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{Epoch, Incarnation, InstanceId, NodeId, ServiceName, Zone};
-use caperworks::ownership::{HeartbeatResponse, KeyRangeLease, LetGo, TimestampedResponse};
+use caperworks::ownership::{
+    HeartbeatResponse, KeyRangeLease, ReleasedKeyRange, TimestampedResponse,
+};
 use runtime::http::heartbeats;
 
 #[test]
@@ -23,7 +25,7 @@
         load: 3,
         up: Duration::from_millis(8500),
         held_key_ranges: vec![4, 17],
-        let_go: vec![LetGo {
+        let_go: vec![ReleasedKeyRange {
             key_range: 5,
             epoch: Some(Epoch(12)),
             handover: Some("5c0e".to_string()),
