--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::machine::{AgentMachine, AgentOutput};
-use caperworks::facts::HeardHeartbeat;
+use caperworks::facts::ReceivedHeartbeat;
 use caperworks::identifiers::Version;
 use caperworks::messages::Message;
 use caperworks::partition_fallback::{
@@ -108,7 +108,7 @@
         let Some((number, others)) = self.fallback_quorum.ask(now, membership, lease_until) else {
             return;
         };
-        let heartbeats: Vec<HeardHeartbeat> = std::mem::take(&mut self.beaten)
+        let heartbeats: Vec<ReceivedHeartbeat> = std::mem::take(&mut self.beaten)
             .iter()
             .filter_map(|id| self.link.instances.heard(now, id))
             .collect();
--- a/crates/agent/src/heartbeats.rs
+++ b/crates/agent/src/heartbeats.rs
@@ -5,7 +5,7 @@
 
 use crate::machine::{AgentMachine, AgentOutput};
 use caperworks::envelope_clock::Echo;
-use caperworks::facts::{HeardHeartbeat, Heartbeat};
+use caperworks::facts::{Heartbeat, ReceivedHeartbeat};
 use caperworks::messages::Message;
 use caperworks::ownership::{HeartbeatResponse, TimestampedResponse};
 
@@ -50,7 +50,7 @@
             });
             return;
         };
-        let heard = HeardHeartbeat { heartbeat, age };
+        let heard = ReceivedHeartbeat { heartbeat, age };
         self.link.instances.handle(now, &heard);
         self.beaten.insert(heard.heartbeat.id.clone());
         self.next_heartbeat += 1;
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -8,7 +8,7 @@
 use caperworks::catch_up::{TransferPosition, CHUNK_BYTES};
 use caperworks::consensus::messages::{ConsensusMessage, ProposalNumber};
 use caperworks::envelope_clock::Echo;
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
     steady_hash, ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
@@ -111,10 +111,13 @@
             })
             .collect();
         for number in renewals.into_iter().filter(|_| core != Core::Silent) {
-            let instances = self.heard.iter().map(|(id, (at, counter))| HeardHeartbeat {
-                heartbeat: heartbeat(id, *counter),
-                age: now.saturating_sub(*at),
-            });
+            let instances = self
+                .heard
+                .iter()
+                .map(|(id, (at, counter))| ReceivedHeartbeat {
+                    heartbeat: heartbeat(id, *counter),
+                    age: now.saturating_sub(*at),
+                });
             let granted = Granted {
                 proxies: 1,
                 number,
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone};
 use caperworks::instances::Instances;
 use caperworks::map_items::{Service, Value};
@@ -46,7 +46,7 @@
         let heartbeat = heartbeat(id, 7000 + index as u16, 1, Vec::new());
         instances.handle(
             now,
-            &HeardHeartbeat {
+            &ReceivedHeartbeat {
                 heartbeat,
                 age: Duration::ZERO,
             },
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -71,11 +71,11 @@
     }
 
     /// A fact on its way between our processes, with the age it had when it left.
-    struct HeardHeartbeat { 0 heartbeat: Heartbeat, 1 age: Duration }
+    struct ReceivedHeartbeat { 0 heartbeat: Heartbeat, 1 age: Duration }
     struct HeardMember { 0 member: Member, 1 age: Duration }
 }
 
-impl HeardHeartbeat {
+impl ReceivedHeartbeat {
     /// The same, after it lay on its way for so long.
     pub fn aged(mut self, lain: Duration) -> Self {
         self.age += lain;
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -6,7 +6,7 @@
 
 use crate::facts::offset_before;
 use crate::facts::InstanceState;
-use crate::facts::{first_learned, FirstFacts, HeardHeartbeat, Heartbeat, Kept};
+use crate::facts::{first_learned, FirstFacts, Heartbeat, Kept, ReceivedHeartbeat};
 use crate::identifiers::InstanceId;
 
 /// An instance not heard of for this long is gone.
@@ -55,7 +55,7 @@
 
 impl Instances {
     /// Merges a heartbeat in; says whether it was news.
-    pub fn handle(&mut self, now: Duration, heard: &HeardHeartbeat) -> bool {
+    pub fn handle(&mut self, now: Duration, heard: &ReceivedHeartbeat) -> bool {
         let heard_at = now.saturating_sub(heard.age);
         if now.saturating_sub(heard_at) >= self.span || self.ended.contains_key(&heard.heartbeat.id)
         {
@@ -253,7 +253,7 @@
     }
 
     /// The facts learned after a place, with their present age.
-    pub fn after(&self, now: Duration, offset: u64) -> Vec<HeardHeartbeat> {
+    pub fn after(&self, now: Duration, offset: u64) -> Vec<ReceivedHeartbeat> {
         self.first_after(now, offset, usize::MAX).heard
     }
 
@@ -266,7 +266,7 @@
         now: Duration,
         offset: u64,
         most: usize,
-    ) -> FirstFacts<HeardHeartbeat> {
+    ) -> FirstFacts<ReceivedHeartbeat> {
         let (first, more) = first_learned(self.known.values(), offset, most);
         let last = first.last().map(|kept| kept.learned);
         let place_of_first = last.filter(|_| more).unwrap_or(self.learned);
@@ -276,7 +276,7 @@
         let heard = first
             .into_iter()
             .chain(later_draining)
-            .map(|kept| HeardHeartbeat {
+            .map(|kept| ReceivedHeartbeat {
                 heartbeat: kept.fact.for_followers(),
                 age: now.saturating_sub(kept.heard_at),
             });
@@ -288,12 +288,17 @@
     }
 
     /// The instances that drain, with their present age.
-    pub fn draining(&self, now: Duration) -> Vec<HeardHeartbeat> {
+    pub fn draining(&self, now: Duration) -> Vec<ReceivedHeartbeat> {
         self.draining_between(now, 0, self.learned)
     }
 
     /// Those of them that were learned after one offset and up to another.
-    pub fn draining_between(&self, now: Duration, after: u64, up_to: u64) -> Vec<HeardHeartbeat> {
+    pub fn draining_between(
+        &self,
+        now: Duration,
+        after: u64,
+        up_to: u64,
+    ) -> Vec<ReceivedHeartbeat> {
         let drains = |kept: &&Kept<Heartbeat>| {
             kept.fact.state == InstanceState::Draining
                 && kept.learned > after
@@ -301,7 +306,7 @@
         };
         let draining = self.known.values().filter(drains);
         draining
-            .map(|kept| HeardHeartbeat {
+            .map(|kept| ReceivedHeartbeat {
                 heartbeat: kept.fact.for_followers(),
                 age: now.saturating_sub(kept.heard_at),
             })
@@ -309,8 +314,8 @@
     }
 
     /// What is known of one instance, with its present age.
-    pub fn heard(&self, now: Duration, id: &InstanceId) -> Option<HeardHeartbeat> {
-        self.known.get(id).map(|kept| HeardHeartbeat {
+    pub fn heard(&self, now: Duration, id: &InstanceId) -> Option<ReceivedHeartbeat> {
+        self.known.get(id).map(|kept| ReceivedHeartbeat {
             heartbeat: kept.fact.clone(),
             age: now.saturating_sub(kept.heard_at),
         })
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -5,7 +5,7 @@
 
 use crate::consensus::messages::ConsensusMessage;
 use crate::envelope_clock::{Echo, Stamp};
-use crate::facts::{Demand, HeardHeartbeat, HeardMember, Heartbeat, Member};
+use crate::facts::{Demand, HeardMember, Heartbeat, Member, ReceivedHeartbeat};
 use crate::identifiers::{InstanceId, NodeId, RouteName, ServiceName, Version, Zone};
 use crate::map_items::VoterSet;
 use crate::ownership::HeartbeatResponse;
@@ -62,7 +62,7 @@
         0 number: u64,
         1 quorum_read_age: Duration,
         2 versions: Vec<Version>,
-        3 instances: Vec<HeardHeartbeat>,
+        3 instances: Vec<ReceivedHeartbeat>,
         4 instances_offset: u64,
         5 members: Vec<HeardMember>,
         6 members_offset: u64,
@@ -135,17 +135,17 @@
         4 SeedResponse { 0 zone: Zone, 1 founded: bool },
         5 FoundingRequest { 0 founding: Founding },
         6 FoundingResponse { 0 attempt: u64 },
-        7 Facts { 0 instances: Vec<HeardHeartbeat>, 1 members: Vec<HeardMember>, 2 gone: Vec<InstanceId> },
+        7 Facts { 0 instances: Vec<ReceivedHeartbeat>, 1 members: Vec<HeardMember>, 2 gone: Vec<InstanceId> },
         8 Renew { 0 renewal: Renewal },
         9 Grant { 0 granted: Granted },
-        10 HeartbeatForward { 0 ticket: u64, 1 heard: HeardHeartbeat },
+        10 HeartbeatForward { 0 ticket: u64, 1 heard: ReceivedHeartbeat },
         11 HeartbeatReply { 0 ticket: u64, 1 response: HeartbeatResponse },
         12 Pull { 0 pull: Pull },
         13 View { 0 view: ProxyView },
         14 FallbackRequest { 0 ask: FallbackRequest },
         15 FallbackResponse { 0 tell: FallbackResponse },
         /// A drain or an end that is acknowledged once a majority of the voters holds it.
-        16 ConfirmFact { 0 number: u64, 1 heartbeat: Option<HeardHeartbeat>, 2 ended: Option<InstanceId> },
+        16 ConfirmFact { 0 number: u64, 1 heartbeat: Option<ReceivedHeartbeat>, 2 ended: Option<InstanceId> },
         17 FactConfirmed { 0 number: u64 },
     }
 }
--- a/crates/caperworks/src/partition_fallback/messages.rs
+++ b/crates/caperworks/src/partition_fallback/messages.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::consensus::messages::ConsensusMessage;
-use crate::facts::HeardHeartbeat;
+use crate::facts::ReceivedHeartbeat;
 use crate::identifiers::Version;
 
 messages! {
@@ -20,7 +20,7 @@
     struct FallbackRequest {
         0 number: u64,
         1 versions: Vec<Version>,
-        2 heartbeats: Vec<HeardHeartbeat>,
+        2 heartbeats: Vec<ReceivedHeartbeat>,
     }
 
     /// The answer, with the updates that the asker lacks, and the version of the membership under which
@@ -33,7 +33,7 @@
         /// The instances that drain, as far as the sender has heard: whoever is kept fresh by other agents
         /// must know them like one that holds a lease of the core.
         #[cbor(default)]
-        4 draining: Vec<HeardHeartbeat>,
+        4 draining: Vec<ReceivedHeartbeat>,
     }
 }
 
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState, Member, Role};
+use caperworks::facts::{Heartbeat, InstanceState, Member, ReceivedHeartbeat, Role};
 use caperworks::identifiers::{Incarnation, InstanceId, NodeId, ServiceName, Version, Zone};
 use caperworks::instances::Instances;
 use caperworks::link::{CoreLink, Responder, SLOW_LINK_SPAN, SLOW_RESPONSE};
@@ -55,7 +55,7 @@
     }
 }
 
-fn heard(id: &str, counter: u64) -> HeardHeartbeat {
+fn heard(id: &str, counter: u64) -> ReceivedHeartbeat {
     let heartbeat = Heartbeat {
         id: InstanceId::new(id),
         incarnation: Incarnation(0),
@@ -72,7 +72,7 @@
         warm_up_left: Duration::ZERO,
     };
     let age = Duration::ZERO;
-    HeardHeartbeat { heartbeat, age }
+    ReceivedHeartbeat { heartbeat, age }
 }
 
 /// An answer of a controller that has a majority behind it and holds what the follower holds.
@@ -282,7 +282,7 @@
     instances.handle(millis(1000), &draining);
     let reported = |offset: u64| {
         let first = instances.first_after(millis(1100), offset, 16);
-        let drains = |heard: &&HeardHeartbeat| heard.heartbeat.state == InstanceState::Draining;
+        let drains = |heard: &&ReceivedHeartbeat| heard.heartbeat.state == InstanceState::Draining;
         let draining = first.heard.iter().filter(drains).count();
         (first.heard.len(), draining, first.offset, first.more)
     };
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -10,7 +10,7 @@
 };
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::{Echo, Stamp};
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::feed::{FeedCache, Follower, HISTORY_WEIGHT};
 use caperworks::identifiers::{
     Chance, ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
@@ -632,8 +632,8 @@
     );
 }
 
-fn heartbeat(id: &str, incarnation: u64, counter: u64, port: u16) -> HeardHeartbeat {
-    HeardHeartbeat {
+fn heartbeat(id: &str, incarnation: u64, counter: u64, port: u16) -> ReceivedHeartbeat {
+    ReceivedHeartbeat {
         heartbeat: Heartbeat {
             id: InstanceId::new(id),
             incarnation: Incarnation(incarnation),
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use caperworks::dispatch::ProxyKnowledge;
-use caperworks::facts::{HeardHeartbeat, HeardMember, Heartbeat, InstanceState, Member, Role};
+use caperworks::facts::{HeardMember, Heartbeat, InstanceState, Member, ReceivedHeartbeat, Role};
 use caperworks::identifiers::{
     steady_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
@@ -40,7 +40,7 @@
 
 fn hears(instances: &mut Instances, now: Duration, heartbeat: Heartbeat) -> bool {
     let age = Duration::ZERO;
-    instances.handle(now, &HeardHeartbeat { heartbeat, age })
+    instances.handle(now, &ReceivedHeartbeat { heartbeat, age })
 }
 
 /// The instances that a follower at this place is told of.
--- a/crates/caperworks/tests/gone_stories.rs
+++ b/crates/caperworks/tests/gone_stories.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState, Member, Role};
+use caperworks::facts::{Heartbeat, InstanceState, Member, ReceivedHeartbeat, Role};
 use caperworks::identifiers::{
     steady_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
@@ -17,9 +17,9 @@
     Duration::from_millis(number)
 }
 
-fn heartbeat(id: &str, counter: u64) -> HeardHeartbeat {
+fn heartbeat(id: &str, counter: u64) -> ReceivedHeartbeat {
     let port = 7000 + (steady_hash(id) % 1000) as u16;
-    HeardHeartbeat {
+    ReceivedHeartbeat {
         heartbeat: Heartbeat {
             id: InstanceId::new(id),
             incarnation: Incarnation(0),
--- a/crates/caperworks/tests/ownership_stories.rs
+++ b/crates/caperworks/tests/ownership_stories.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
     steady_hash, ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone,
 };
@@ -80,7 +80,7 @@
         let age = Duration::ZERO;
         self.instances.handle(
             now,
-            &HeardHeartbeat {
+            &ReceivedHeartbeat {
                 heartbeat: heartbeat.clone(),
                 age,
             },
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -6,7 +6,7 @@
 
 use caperworks::directory_responses::{whereabouts, whereabouts_of_host};
 use caperworks::facts::{
-    Demand, GroupStand, HeardHeartbeat, HeardMember, Heartbeat, InstanceState, Member, Role,
+    Demand, GroupStand, HeardMember, Heartbeat, InstanceState, Member, ReceivedHeartbeat, Role,
 };
 use caperworks::home_bounds::HomeBounds;
 use caperworks::identifiers::{
@@ -336,7 +336,7 @@
         let now = Duration::from_secs(1);
         self.instances.handle(
             now,
-            &HeardHeartbeat {
+            &ReceivedHeartbeat {
                 heartbeat,
                 age: Duration::ZERO,
             },
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
     steady_hash, Chance, ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone,
 };
@@ -162,7 +162,7 @@
 
     /// The heartbeat comes to the owner manager; its answer is not taken in.
     fn hears(&mut self, now: Duration, heartbeat: &Heartbeat) -> HeartbeatResponse {
-        let heard = HeardHeartbeat {
+        let heard = ReceivedHeartbeat {
             heartbeat: heartbeat.clone(),
             age: Duration::ZERO,
         };
@@ -402,7 +402,7 @@
         }
         bench.instance("a").state = InstanceState::Draining;
         let heartbeat = bench.heartbeat_of("a");
-        let heard = HeardHeartbeat {
+        let heard = ReceivedHeartbeat {
             heartbeat,
             age: Duration::ZERO,
         };
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -6,7 +6,7 @@
 
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::dispatch::{Failure, ProxyKnowledge, ServiceShard, Target, RESPONSE_SPAN};
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
 };
@@ -42,8 +42,8 @@
     }
 }
 
-fn heard(name: &str, counter: u64) -> HeardHeartbeat {
-    HeardHeartbeat {
+fn heard(name: &str, counter: u64) -> ReceivedHeartbeat {
+    ReceivedHeartbeat {
         heartbeat: heartbeat(name, counter),
         age: Duration::ZERO,
     }
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -16,11 +16,11 @@
 use caperworks::envelope_clock::Stamp;
 use caperworks::facts::Demand;
 use caperworks::facts::GroupStand;
-use caperworks::facts::HeardHeartbeat;
 use caperworks::facts::HeardMember;
 use caperworks::facts::Heartbeat;
 use caperworks::facts::InstanceState;
 use caperworks::facts::Member;
+use caperworks::facts::ReceivedHeartbeat;
 use caperworks::facts::Role;
 use caperworks::identifiers::ChangeId;
 use caperworks::identifiers::Epoch;
@@ -501,14 +501,14 @@
     }
 }
 
-fn heard_heartbeats() -> Vec<HeardHeartbeat> {
+fn heard_heartbeats() -> Vec<ReceivedHeartbeat> {
     [
         InstanceState::Warming,
         InstanceState::Serving,
         InstanceState::Draining,
     ]
     .into_iter()
-    .map(|state| HeardHeartbeat {
+    .map(|state| ReceivedHeartbeat {
         heartbeat: heartbeat(state),
         age: millis(321),
     })
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::state::ControllerState;
-use caperworks::facts::{HeardHeartbeat, HeardMember};
+use caperworks::facts::{HeardMember, ReceivedHeartbeat};
 use caperworks::identifiers::{InstanceId, NodeId};
 use caperworks::leadership::SUSPICION_TIMEOUT;
 use caperworks::messages::Message;
@@ -101,7 +101,7 @@
 /// Takes in what another controller tells.
 pub fn handle_facts(
     state: &mut ControllerState,
-    instances: Vec<HeardHeartbeat>,
+    instances: Vec<ReceivedHeartbeat>,
     members: Vec<HeardMember>,
     gone: Vec<InstanceId>,
     lain: Option<Duration>,
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -14,7 +14,7 @@
 use crate::state::ControllerState;
 use crate::state_machine::operator_messages::OperatorResponse;
 use caperworks::envelope_clock::Echo;
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{InstanceId, NodeId};
 use caperworks::map_items::VoterSet;
 use caperworks::messages::Message;
@@ -60,7 +60,7 @@
 /// Something that an instance said once and that other controllers must hold.
 #[derive(Debug, Clone)]
 enum Fact {
-    Draining(HeardHeartbeat),
+    Draining(ReceivedHeartbeat),
     Deregistered(InstanceId),
 }
 
@@ -89,7 +89,7 @@
         true => echo.and_then(|echo| echo.lain(state.now, state.incarnation)),
         false => Some(Duration::ZERO),
     };
-    let heard = HeardHeartbeat {
+    let heard = ReceivedHeartbeat {
         heartbeat,
         age: Duration::ZERO,
     };
@@ -246,7 +246,7 @@
     state: &mut ControllerState,
     reply_to: SocketAddr,
     number: u64,
-    heartbeat: Option<HeardHeartbeat>,
+    heartbeat: Option<ReceivedHeartbeat>,
     ended: Option<InstanceId>,
     age: Option<Duration>,
 ) {
@@ -331,7 +331,7 @@
     state: &mut ControllerState,
     reply_to: SocketAddr,
     ticket: u64,
-    heard: HeardHeartbeat,
+    heard: ReceivedHeartbeat,
     age: Option<Duration>,
 ) {
     if !may_acknowledge(state) {
@@ -347,7 +347,7 @@
 /// ago. One that has deregistered gets no leases: a late heartbeat must not prolong them.
 fn take_heartbeat(
     state: &mut ControllerState,
-    heard: HeardHeartbeat,
+    heard: ReceivedHeartbeat,
     age: Option<Duration>,
 ) -> HeartbeatResponse {
     let heard = age.map(|age| heard.aged(age));
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -7,7 +7,7 @@
 use crate::state::ControllerState;
 use caperworks::catch_up::{FollowerUpdate, GRANT_UPDATE_BYTES};
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::facts::{FirstFacts, HeardHeartbeat, HeardMember, Role};
+use caperworks::facts::{FirstFacts, HeardMember, ReceivedHeartbeat, Role};
 use caperworks::leases::LEASE_SPAN;
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
@@ -140,7 +140,7 @@
     role: Role,
     offsets: &FactOffsets,
     most_facts: usize,
-) -> FirstFacts<HeardHeartbeat> {
+) -> FirstFacts<ReceivedHeartbeat> {
     if role == Role::Directory {
         return FirstFacts::none(state.instances.learned());
     }
