--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -72,7 +72,7 @@
 
     /// A fact on its way between our processes, with the age it had when it left.
     struct ReceivedHeartbeat { 0 heartbeat: Heartbeat, 1 age: Duration }
-    struct HeardMember { 0 member: Member, 1 age: Duration }
+    struct ReceivedMember { 0 member: Member, 1 age: Duration }
 }
 
 impl ReceivedHeartbeat {
@@ -83,7 +83,7 @@
     }
 }
 
-impl HeardMember {
+impl ReceivedMember {
     /// The same, after it lay on its way for so long.
     pub fn aged(mut self, lain: Duration) -> Self {
         self.age += lain;
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::facts::offset_before;
-use crate::facts::{first_learned, FirstFacts, HeardMember, Kept, Member, Role};
+use crate::facts::{first_learned, FirstFacts, Kept, Member, ReceivedMember, Role};
 use crate::identifiers::NodeId;
 
 /// A member whose lease was not renewed for this long is no member.
@@ -20,7 +20,7 @@
 }
 
 impl Members {
-    pub fn handle(&mut self, now: Duration, heard: &HeardMember) -> bool {
+    pub fn handle(&mut self, now: Duration, heard: &ReceivedMember) -> bool {
         let heard_at = now.saturating_sub(heard.age);
         if now.saturating_sub(heard_at) >= MEMBER_SPAN {
             return false;
@@ -105,15 +105,20 @@
         offset_before(self.known.values(), moment)
     }
 
-    pub fn after(&self, now: Duration, offset: u64) -> Vec<HeardMember> {
+    pub fn after(&self, now: Duration, offset: u64) -> Vec<ReceivedMember> {
         self.first_after(now, offset, usize::MAX).heard
     }
 
     /// The first facts learned after a place and at most so many, with their present age.
-    pub fn first_after(&self, now: Duration, offset: u64, most: usize) -> FirstFacts<HeardMember> {
+    pub fn first_after(
+        &self,
+        now: Duration,
+        offset: u64,
+        most: usize,
+    ) -> FirstFacts<ReceivedMember> {
         let (first, more) = first_learned(self.known.values(), offset, most);
         let last = first.last().map(|kept| kept.learned);
-        let heard = first.into_iter().map(|kept| HeardMember {
+        let heard = first.into_iter().map(|kept| ReceivedMember {
             member: kept.fact.clone(),
             age: now.saturating_sub(kept.heard_at),
         });
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -5,7 +5,7 @@
 
 use crate::consensus::messages::ConsensusMessage;
 use crate::envelope_clock::{Echo, Stamp};
-use crate::facts::{Demand, HeardMember, Heartbeat, Member, ReceivedHeartbeat};
+use crate::facts::{Demand, Heartbeat, Member, ReceivedHeartbeat, ReceivedMember};
 use crate::identifiers::{InstanceId, NodeId, RouteName, ServiceName, Version, Zone};
 use crate::map_items::VoterSet;
 use crate::ownership::HeartbeatResponse;
@@ -64,7 +64,7 @@
         2 versions: Vec<Version>,
         3 instances: Vec<ReceivedHeartbeat>,
         4 instances_offset: u64,
-        5 members: Vec<HeardMember>,
+        5 members: Vec<ReceivedMember>,
         6 members_offset: u64,
         7 updates: Vec<ConsensusMessage>,
         8 assured: bool,
@@ -135,7 +135,7 @@
         4 SeedResponse { 0 zone: Zone, 1 founded: bool },
         5 FoundingRequest { 0 founding: Founding },
         6 FoundingResponse { 0 attempt: u64 },
-        7 Facts { 0 instances: Vec<ReceivedHeartbeat>, 1 members: Vec<HeardMember>, 2 gone: Vec<InstanceId> },
+        7 Facts { 0 instances: Vec<ReceivedHeartbeat>, 1 members: Vec<ReceivedMember>, 2 gone: Vec<InstanceId> },
         8 Renew { 0 renewal: Renewal },
         9 Grant { 0 granted: Granted },
         10 HeartbeatForward { 0 ticket: u64, 1 heard: ReceivedHeartbeat },
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use caperworks::dispatch::ProxyKnowledge;
-use caperworks::facts::{HeardMember, Heartbeat, InstanceState, Member, ReceivedHeartbeat, Role};
+use caperworks::facts::{
+    Heartbeat, InstanceState, Member, ReceivedHeartbeat, ReceivedMember, Role,
+};
 use caperworks::identifiers::{
     steady_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
@@ -224,7 +226,7 @@
 
 fn renews(members: &mut Members, now: Duration, member: Member) -> bool {
     let age = Duration::ZERO;
-    members.handle(now, &HeardMember { member, age })
+    members.handle(now, &ReceivedMember { member, age })
 }
 
 fn ready(members: &Members) -> Vec<u64> {
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -6,7 +6,7 @@
 
 use caperworks::directory_responses::{whereabouts, whereabouts_of_host};
 use caperworks::facts::{
-    Demand, GroupStand, HeardMember, Heartbeat, InstanceState, Member, ReceivedHeartbeat, Role,
+    Demand, GroupStand, Heartbeat, InstanceState, Member, ReceivedHeartbeat, ReceivedMember, Role,
 };
 use caperworks::home_bounds::HomeBounds;
 use caperworks::identifiers::{
@@ -309,7 +309,7 @@
         };
         self.members.handle(
             now,
-            &HeardMember {
+            &ReceivedMember {
                 member,
                 age: Duration::ZERO,
             },
@@ -519,7 +519,7 @@
         draining: false,
     };
     let age = Duration::ZERO;
-    let heard = HeardMember { member, age };
+    let heard = ReceivedMember { member, age };
     bench.members.handle(Duration::from_secs(2), &heard);
 }
 
@@ -537,7 +537,7 @@
     member.counter = bench.counter;
     member.demand[0].locality = Duration::ZERO;
     let age = Duration::ZERO;
-    bench.members.handle(now, &HeardMember { member, age });
+    bench.members.handle(now, &ReceivedMember { member, age });
 }
 
 #[test]
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -16,11 +16,11 @@
 use caperworks::envelope_clock::Stamp;
 use caperworks::facts::Demand;
 use caperworks::facts::GroupStand;
-use caperworks::facts::HeardMember;
 use caperworks::facts::Heartbeat;
 use caperworks::facts::InstanceState;
 use caperworks::facts::Member;
 use caperworks::facts::ReceivedHeartbeat;
+use caperworks::facts::ReceivedMember;
 use caperworks::facts::Role;
 use caperworks::identifiers::ChangeId;
 use caperworks::identifiers::Epoch;
@@ -546,10 +546,10 @@
     }
 }
 
-fn heard_members() -> Vec<HeardMember> {
+fn heard_members() -> Vec<ReceivedMember> {
     [Role::Proxy, Role::Directory]
         .into_iter()
-        .map(|role| HeardMember {
+        .map(|role| ReceivedMember {
             member: member(role),
             age: millis(654),
         })
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::state::ControllerState;
-use caperworks::facts::{HeardMember, ReceivedHeartbeat};
+use caperworks::facts::{ReceivedHeartbeat, ReceivedMember};
 use caperworks::identifiers::{InstanceId, NodeId};
 use caperworks::leadership::SUSPICION_TIMEOUT;
 use caperworks::messages::Message;
@@ -102,7 +102,7 @@
 pub fn handle_facts(
     state: &mut ControllerState,
     instances: Vec<ReceivedHeartbeat>,
-    members: Vec<HeardMember>,
+    members: Vec<ReceivedMember>,
     gone: Vec<InstanceId>,
     lain: Option<Duration>,
 ) {
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -7,7 +7,7 @@
 use crate::state::ControllerState;
 use caperworks::catch_up::{FollowerUpdate, GRANT_UPDATE_BYTES};
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::facts::{FirstFacts, HeardMember, ReceivedHeartbeat, Role};
+use caperworks::facts::{FirstFacts, ReceivedHeartbeat, ReceivedMember, Role};
 use caperworks::leases::LEASE_SPAN;
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
@@ -24,7 +24,7 @@
     // Why answered all the same: the grant counts from when the member asked, and only whether it
     // is alive now hangs on the age of its question.
     if let Some(age) = lain {
-        let heard = HeardMember {
+        let heard = ReceivedMember {
             member: member.clone(),
             age,
         };
@@ -165,7 +165,7 @@
     role: Role,
     members_after: u64,
     most_facts: usize,
-) -> FirstFacts<HeardMember> {
+) -> FirstFacts<ReceivedMember> {
     if role == Role::Proxy {
         return FirstFacts::none(state.members.learned());
     }
