--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -40,7 +40,7 @@
 
     /// The zone that a group's clients say they stand in.
     #[derive(Eq)]
-    struct GroupStand { 0 group: String, 1 zone: Zone }
+    struct GroupZone { 0 group: String, 1 zone: Zone }
 
     struct Demand {
         0 group: String,
@@ -63,7 +63,7 @@
         9 versions: Vec<Version>,
         10 draining: bool,
         /// Where groups of clients say that they stand, as a directory heard it.
-        11 stands: Vec<GroupStand>,
+        11 stands: Vec<GroupZone>,
         /// Its demand is as told before, and left out here.
         12 same_demand: bool,
         /// A controller that it renewed at has not heard it since; what it says next goes before this.
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -6,7 +6,7 @@
 
 use caperworks::directory_responses::{whereabouts, whereabouts_of_host};
 use caperworks::facts::{
-    Demand, GroupStand, Heartbeat, InstanceState, Member, ReceivedHeartbeat, ReceivedMember, Role,
+    Demand, GroupZone, Heartbeat, InstanceState, Member, ReceivedHeartbeat, ReceivedMember, Role,
 };
 use caperworks::home_bounds::HomeBounds;
 use caperworks::identifiers::{
@@ -502,7 +502,7 @@
     let member = Member {
         same_demand: false,
         silent: false,
-        stands: vec![GroupStand {
+        stands: vec![GroupZone {
             group: "10.1.2.0/24".to_string(),
             zone: Zone::new(zone),
         }],
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -15,7 +15,7 @@
 use caperworks::envelope_clock::Echo;
 use caperworks::envelope_clock::Stamp;
 use caperworks::facts::Demand;
-use caperworks::facts::GroupStand;
+use caperworks::facts::GroupZone;
 use caperworks::facts::Heartbeat;
 use caperworks::facts::InstanceState;
 use caperworks::facts::Member;
@@ -537,7 +537,7 @@
         demand: vec![demand()],
         versions: vec![Version(1), Version(2), Version(3), Version(4)],
         draining: true,
-        stands: vec![GroupStand {
+        stands: vec![GroupZone {
             group: "mobile".to_string(),
             zone: Zone::from("north-a"),
         }],
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -7,7 +7,7 @@
 use caperworks::catch_up::CatchUpRequest;
 use caperworks::configuration::RouteTable;
 use caperworks::directory_responses::{whereabouts, whereabouts_of_host, Whereabouts};
-use caperworks::facts::{GroupStand, Member, Role};
+use caperworks::facts::{GroupZone, Member, Role};
 use caperworks::home_bounds::HomeBounds;
 use caperworks::identifiers::{Chance, NodeId, Region, RouteName, Version, Zone};
 use caperworks::link::Responder;
@@ -184,7 +184,7 @@
     /// What this directory says of itself when it renews its lease.
     fn member(&mut self) -> Member {
         self.counter += 1;
-        let stands = self.stands.iter().map(|(group, zone)| GroupStand {
+        let stands = self.stands.iter().map(|(group, zone)| GroupZone {
             group: group.clone(),
             zone: zone.clone(),
         });
