--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -11,7 +11,9 @@
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::Echo;
 use caperworks::facts::{Heartbeat, Member, Role};
-use caperworks::identifiers::{Chance, InstanceId, NodeId, RouteName, ServiceName, Version, Zone};
+use caperworks::identifiers::{
+    InstanceId, NodeId, RandomSource, RouteName, ServiceName, Version, Zone,
+};
 use caperworks::link::Responder;
 use caperworks::link::{CoreLink, RejectedChunk};
 use caperworks::link_figures::LinkFigures;
@@ -165,7 +167,7 @@
 
 impl AgentMachine {
     pub fn start(options: AgentOptions, seed: u64) -> Self {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
             .in_form(options.feed_form);
--- a/crates/caperworks/examples/consensus.rs
+++ b/crates/caperworks/examples/consensus.rs
@@ -7,7 +7,7 @@
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::proposer::{ProposalOutcome, Proposer, ProposerOptions};
 use caperworks::consensus::voter::Voter;
-use caperworks::identifiers::{Chance, ChangeId, NodeId, Region, Version, Zone};
+use caperworks::identifiers::{ChangeId, NodeId, RandomSource, Region, Version, Zone};
 use caperworks::map_items::{Value, VoterEntry, VoterSet, ZoneSettings};
 use caperworks::replicated_map::{Change, MapName, Put};
 
@@ -45,7 +45,7 @@
 
     // Node 1 proposes a change to the configuration.
     let me = NodeId(1);
-    let mut chance = Chance::seeded(1);
+    let mut chance = RandomSource::seeded(1);
     let mut proposer = Proposer::new(MapName::Configuration, me, ProposerOptions::default());
     let change = Change {
         id: ChangeId::new("open-e1"),
--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -11,7 +11,7 @@
 use crate::consensus::proposer::pending::PendingProposal;
 use crate::consensus::proposer::phase::Phase;
 use crate::consensus::voter::Voter;
-use crate::identifiers::{Chance, NodeId, Version};
+use crate::identifiers::{NodeId, RandomSource, Version};
 use crate::replicated_map::{Change, MapName};
 
 mod accept_phase;
@@ -96,7 +96,12 @@
 
     /// Handles time passing: expires pending changes, gives up a phase that is stuck, and starts the
     /// next one. Called several times within [`ProposerOptions::phase_span`].
-    pub fn tick(&mut self, now: Duration, voter: &Voter, chance: &mut Chance) -> ProposerOutcome {
+    pub fn tick(
+        &mut self,
+        now: Duration,
+        voter: &Voter,
+        chance: &mut RandomSource,
+    ) -> ProposerOutcome {
         let mut outcome = ProposerOutcome::default();
         self.expire_pending(now, &mut outcome);
         self.abandon_phase_of_old_membership(voter);
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -7,7 +7,7 @@
     InstanceWatch, KeyWatch, ProxyKnowledge, RetryBudget, SlowStartBucket, Target,
 };
 use crate::facts::Heartbeat;
-use crate::identifiers::{Chance, InstanceId};
+use crate::identifiers::{InstanceId, RandomSource};
 use crate::map_items::Service;
 
 /// How many failures in a row put an instance aside.
@@ -30,7 +30,7 @@
     /// How many requests for one key this proxy may have under way: its part of the service's cap.
     pub(crate) key_share: f64,
     pub(crate) budget: RetryBudget,
-    pub(crate) chance: Chance,
+    pub(crate) chance: RandomSource,
     /// Until when at least one instance is put aside.
     pub(crate) any_ejected_until: Duration,
     /// Only for proving the observers: one key may have all of its owner.
@@ -46,7 +46,7 @@
             keys: HashMap::new(),
             key_share: 1.0,
             budget: RetryBudget::default(),
-            chance: Chance::seeded(seed),
+            chance: RandomSource::seeded(seed),
             any_ejected_until: Duration::ZERO,
             no_key_cap: false,
             without_passive_evidence: false,
--- a/crates/caperworks/src/identifiers.rs
+++ b/crates/caperworks/src/identifiers.rs
@@ -102,11 +102,11 @@
 
 /// A small seeded source of chance (splitmix), so that a run can be played again from its seed.
 #[derive(Debug, Clone)]
-pub struct Chance {
+pub struct RandomSource {
     state: u64,
 }
 
-impl Chance {
+impl RandomSource {
     /// A source with this seed: equal seeds give equal draws.
     pub fn seeded(seed: u64) -> Self {
         Self { state: seed }
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -13,7 +13,7 @@
 use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::feed::{FeedCache, Follower, HISTORY_WEIGHT};
 use caperworks::identifiers::{
-    Chance, ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
+    ChangeId, Incarnation, InstanceId, NodeId, RandomSource, Region, ServiceName, Version, Zone,
 };
 use caperworks::instances::Instances;
 use caperworks::leadership::{first_in_order, Liveness};
@@ -82,7 +82,7 @@
     voters: BTreeMap<u64, Voter>,
     proposers: BTreeMap<u64, Proposer>,
     down: BTreeSet<u64>,
-    chance: Chance,
+    chance: RandomSource,
     now: Duration,
     proposal_outcomes: Vec<(u64, ProposalOutcome)>,
 }
@@ -107,7 +107,7 @@
             voters,
             proposers,
             down: BTreeSet::new(),
-            chance: Chance::seeded(1),
+            chance: RandomSource::seeded(1),
             now: Duration::ZERO,
             proposal_outcomes: Vec::new(),
         }
@@ -768,7 +768,7 @@
         envelope
     );
     // Garbage of any kind is an error and never a panic.
-    let mut chance = Chance::seeded(3);
+    let mut chance = RandomSource::seeded(3);
     for _ in 0..20_000 {
         let mut garbled = bytes.clone();
         for _ in 0..=chance.below(4) {
--- a/crates/caperworks/tests/disk_stories.rs
+++ b/crates/caperworks/tests/disk_stories.rs
@@ -1,7 +1,7 @@
 //! Stories of slots and log: torn writes, old formats and unknown ones.
 
 use caperworks::disk_frame::{read_frame, FrameKind, DISK_FORMAT, FRAME_HEADER_BYTES};
-use caperworks::identifiers::Chance;
+use caperworks::identifiers::RandomSource;
 use caperworks::slots::{DiskFile, DiskImage, DiskWrite, Recovery, SlotDisk, UnknownFormat};
 
 const SLOT_CAPACITY: usize = 16 * 1024;
@@ -45,7 +45,7 @@
 }
 
 /// Carries out some of the sectors of a write, by chance, in no order.
-fn lay_some_sectors(image: &mut DiskImage, write: &DiskWrite, chance: &mut Chance) {
+fn lay_some_sectors(image: &mut DiskImage, write: &DiskWrite, chance: &mut RandomSource) {
     let first = match write {
         DiskWrite::Slot { .. } => 0,
         DiskWrite::Log { offset, .. } => *offset as usize,
@@ -63,7 +63,7 @@
 }
 
 fn state(seed: u64, length: usize) -> Vec<u8> {
-    let mut chance = Chance::seeded(seed);
+    let mut chance = RandomSource::seeded(seed);
     (0..length).map(|_| chance.draw() as u8).collect()
 }
 
@@ -168,7 +168,7 @@
 #[test]
 fn given_a_slot_write_with_torn_sectors_when_recovered_then_it_is_the_state_before_or_after() {
     for seed in 0..400 {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let (mut disk, image, before) = synced_disk(1 + seed % 3, seed % 7);
         let next = state(1000 + seed, 1000 + chance.below(6000) as usize);
         let after = Recovery::Found {
@@ -211,7 +211,7 @@
 
 /// Writes several batches without a sync, tears them by sector, and recovers.
 fn torn_log(seed: u64) -> (DiskImage, Vec<Vec<u8>>, Vec<Vec<u8>>) {
-    let mut chance = Chance::seeded(seed);
+    let mut chance = RandomSource::seeded(seed);
     let (mut disk, mut image, whole) = synced_disk(2, seed % 9);
     let Recovery::Found { lines: synced, .. } = whole else {
         panic!("it is whole");
--- a/crates/caperworks/tests/one_number_stories.rs
+++ b/crates/caperworks/tests/one_number_stories.rs
@@ -10,7 +10,7 @@
     ProposalOutcome, Proposer, ProposerOptions, ProposerOutcome,
 };
 use caperworks::consensus::voter::{Voter, VoterOutcome};
-use caperworks::identifiers::{steady_hash_of, Chance, ChangeId, NodeId, Version, Zone};
+use caperworks::identifiers::{steady_hash_of, ChangeId, NodeId, RandomSource, Version, Zone};
 use caperworks::map_items::{Service, Value, VoterEntry, VoterSet};
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap, Written};
 use caperworks::version_history::REMEMBERED_VERSIONS;
@@ -216,7 +216,7 @@
 
 /// Three nodes, two operators, and everything that may go wrong between them.
 struct World {
-    chance: Chance,
+    chance: RandomSource,
     now: Duration,
     options: ProposerOptions,
     nodes: BTreeMap<u64, Node>,
@@ -241,7 +241,7 @@
             nodes.insert(number, Node::started(number, voter, &options));
         }
         Self {
-            chance: Chance::seeded(seed),
+            chance: RandomSource::seeded(seed),
             now: Duration::ZERO,
             options,
             nodes,
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -10,7 +10,7 @@
 };
 use caperworks::home_bounds::HomeBounds;
 use caperworks::identifiers::{
-    steady_hash, Chance, ChangeId, Epoch, Incarnation, InstanceId, NodeId, Region, RouteName,
+    steady_hash, ChangeId, Epoch, Incarnation, InstanceId, NodeId, RandomSource, Region, RouteName,
     ServiceName, Zone,
 };
 use caperworks::instances::Instances;
@@ -40,7 +40,7 @@
 }
 
 /// A random problem with room for all or not.
-fn problem(chance: &mut Chance) -> (Vec<ClientGroup>, Vec<Site>) {
+fn problem(chance: &mut RandomSource) -> (Vec<ClientGroup>, Vec<Site>) {
     let sites: Vec<Site> = (0..4)
         .map(|number| site(&format!("area-{number}"), chance.below(120) as u32))
         .collect();
@@ -73,7 +73,7 @@
 fn given_random_problems_when_solved_to_the_last_unit_then_no_pair_would_rather_be_together() {
     let mut judged = 0;
     for seed in 0..400 {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let (groups, sites) = problem(&mut chance);
         let solution = solve(&groups, &sites, 0.0);
         for (site_index, site) in sites.iter().enumerate() {
@@ -145,7 +145,7 @@
 #[test]
 fn given_an_epsilon_when_solved_then_little_is_left_over_and_proposals_stay_few() {
     for seed in 0..200 {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let (groups, mut sites) = problem(&mut chance);
         for site in &mut sites {
             site.capacity += 200;
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -12,8 +12,8 @@
 };
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
-    steady_hash, Chance, ChangeId, Epoch, Incarnation, InstanceId, NodeId, Region, ServiceName,
-    Version, Zone,
+    steady_hash, ChangeId, Epoch, Incarnation, InstanceId, NodeId, RandomSource, Region,
+    ServiceName, Version, Zone,
 };
 use caperworks::link::SLOW_LINK_SPAN;
 use caperworks::map_items::{
@@ -379,7 +379,7 @@
     let mut split = route();
     split.service = ServiceName::new("never");
     split.split = vec![part("a", 1), part("none", 0), part("b", 30), part("c", 69)];
-    let mut chance = Chance::seeded(5);
+    let mut chance = RandomSource::seeded(5);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..100_000 {
         let service = split.service_for(chance.draw()).to_string();
@@ -405,7 +405,7 @@
 
 #[test]
 fn given_no_split_when_drawn_then_the_routes_own_service_takes_all() {
-    let mut chance = Chance::seeded(6);
+    let mut chance = RandomSource::seeded(6);
     for _ in 0..100 {
         assert_eq!(route().service_for(chance.draw()).as_str(), "records");
     }
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -6,7 +6,7 @@
 
 use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
-    steady_hash, Chance, ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone,
+    steady_hash, ChangeId, Epoch, Incarnation, InstanceId, RandomSource, ServiceName, Zone,
 };
 use caperworks::instances::Instances;
 use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
@@ -553,7 +553,7 @@
 fn given_instances_that_come_and_go_when_many_days_pass_then_no_key_range_is_held_by_two() {
     let names = ["a", "b", "c", "d"];
     for seed in 0..20 {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let mut bench = Bench::new(8);
         let mut away = BTreeSet::new();
         for step in 0..400 {
--- a/crates/caperworks/tests/reduced_map_stories.rs
+++ b/crates/caperworks/tests/reduced_map_stories.rs
@@ -3,7 +3,7 @@
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::consensus::voter::{Voter, VoterOutcome};
 use caperworks::feed::Follower;
-use caperworks::identifiers::{Chance, ChangeId};
+use caperworks::identifiers::{ChangeId, RandomSource};
 use caperworks::map_items::{Route, Value};
 use caperworks::map_weighing::Standpoint;
 use caperworks::reduced_map::FeedForm;
@@ -13,7 +13,7 @@
 const KEYS_PUT: u64 = 6;
 
 /// A put of a route: under a version of the operators' own or without one, set or dropped.
-fn drawn_put(chance: &mut Chance) -> Put {
+fn drawn_put(chance: &mut RandomSource) -> Put {
     let key = chance.below(KEYS_PUT);
     let version = chance.below(12);
     let is_set = chance.below(4) > 0;
@@ -34,7 +34,7 @@
     }
 }
 
-fn drawn_change(chance: &mut Chance, number: u64) -> Change {
+fn drawn_change(chance: &mut RandomSource, number: u64) -> Change {
     let puts = 1 + chance.below(3);
     Change {
         id: ChangeId::new(format!("change-{number}")),
@@ -44,7 +44,11 @@
 }
 
 /// The changes that voters agree on: they refuse what does not fit.
-fn agreed(map: &mut ReplicatedMap, chance: &mut Chance, number: u64) -> Option<NumberedChange> {
+fn agreed(
+    map: &mut ReplicatedMap,
+    chance: &mut RandomSource,
+    number: u64,
+) -> Option<NumberedChange> {
     let change = drawn_change(chance, number);
     if map.weigh(&change) != Standpoint::Fits {
         return None;
@@ -65,7 +69,7 @@
 fn given_any_changes_when_followed_in_the_reduced_form_then_the_items_are_those_of_the_voters() {
     let mut agreed_on = 0;
     for seed in 0..400 {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let mut held = ReplicatedMap::empty();
         let mut follower = Follower::default();
         // One that begins with a map and one that begins with nothing see the same.
@@ -121,7 +125,7 @@
 
 #[test]
 fn given_a_voter_when_reduced_news_or_a_reduced_map_comes_then_it_takes_nothing_of_it() {
-    let mut chance = Chance::seeded(1);
+    let mut chance = RandomSource::seeded(1);
     let mut held = ReplicatedMap::empty();
     let changes: Vec<NumberedChange> = (0..20)
         .filter_map(|number| agreed(&mut held, &mut chance, number))
--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/version_stories.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use caperworks::configuration::{check_configuration, RouteTable, MOST_BYTES};
-use caperworks::identifiers::{Chance, ChangeId, Region, ServiceName, Version};
+use caperworks::identifiers::{ChangeId, RandomSource, Region, ServiceName, Version};
 use caperworks::map_items::{Route, Service, SplitTarget, Value, ZoneSettings};
 use caperworks::map_weighing::Standpoint;
 use caperworks::replicated_map::{
@@ -125,7 +125,7 @@
 #[test]
 fn given_puts_in_any_sequence_when_all_are_applied_then_the_highest_version_stands() {
     let puts = [(1, Some(10)), (2, None), (3, Some(30)), (4, None)];
-    let mut chance = Chance::seeded(7);
+    let mut chance = RandomSource::seeded(7);
     for highest in [3, 4] {
         for _ in 0..200 {
             let mut drawn = puts[..highest].to_vec();
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -24,7 +24,7 @@
 use caperworks::consensus::proposer::Proposer;
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::EnvelopeClock;
-use caperworks::identifiers::{mix, Chance, ChangeId, NodeId, Version};
+use caperworks::identifiers::{mix, ChangeId, NodeId, RandomSource, Version};
 use caperworks::instances::Instances;
 use caperworks::leadership::{LeadershipWatch, Liveness, LEADERSHIPS};
 use caperworks::leases::{QuorumRead, QuorumReads, DRIFT_MARGIN, LEASE_SPAN};
@@ -65,7 +65,7 @@
     /// The number of this node, which it keeps over restarts as long as its disk is readable.
     pub node: NodeId,
     /// The seeded source of randomness.
-    pub random: Chance,
+    pub random: RandomSource,
     /// The incarnation of this process: drawn anew at each start, unlike the node's number.
     pub incarnation: NodeId,
     /// Stamps messages, and dates those that arrive.
@@ -158,7 +158,7 @@
         voter: Voter,
         storage: Storage,
         catch_up: CatchUpReceiver,
-        random: Chance,
+        random: RandomSource,
     ) -> Self {
         // A proposal number of the incarnation before, which our own voter need not have heard of, must
         // never be used a second time with another change: so proposers use a number of this incarnation.
--- a/crates/controller/src/state_machine/startup.rs
+++ b/crates/controller/src/state_machine/startup.rs
@@ -8,7 +8,7 @@
 use caperworks::catch_up::CatchUpReceiver;
 use caperworks::consensus::messages::Record;
 use caperworks::consensus::voter::Voter;
-use caperworks::identifiers::{mix, Chance, NodeId};
+use caperworks::identifiers::{mix, NodeId, RandomSource};
 use caperworks::leadership::OWNERSHIP;
 use caperworks::messages::Founding;
 use caperworks::replicated_map::{MapName, ALL_MAPS};
@@ -27,7 +27,7 @@
 }
 
 impl RecoveredState {
-    fn empty(options: &ControllerOptions, random: &mut Chance) -> Self {
+    fn empty(options: &ControllerOptions, random: &mut RandomSource) -> Self {
         Self {
             node: NodeId(random.draw() >> 1),
             founding: None,
@@ -59,7 +59,11 @@
 ///
 /// A disk that is damaged anywhere counts as empty: half of what was promised is worse than nothing.
 /// Under a new number the node holds no vote, and copies the maps from the others.
-fn recover(options: &ControllerOptions, image: &DiskImage, random: &mut Chance) -> RecoveredState {
+fn recover(
+    options: &ControllerOptions,
+    image: &DiskImage,
+    random: &mut RandomSource,
+) -> RecoveredState {
     let mut recovered = RecoveredState::empty(options, random);
     match recovered.disk.recover(image) {
         Recovery::Empty => {}
@@ -93,7 +97,7 @@
     image: &DiskImage,
     seed: u64,
 ) -> (ControllerState, Vec<ControllerOutput>) {
-    let mut random = Chance::seeded(seed);
+    let mut random = RandomSource::seeded(seed);
     let recovered = recover(&options, image, &mut random);
     let mut catch_up = CatchUpReceiver::new(mix(seed), options.slot_capacity);
     options.fault_injection.apply_to_catch_up(&mut catch_up);
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -9,7 +9,7 @@
 use caperworks::directory_responses::{whereabouts, whereabouts_of_host, Whereabouts};
 use caperworks::facts::{GroupZone, Member, Role};
 use caperworks::home_bounds::HomeBounds;
-use caperworks::identifiers::{Chance, NodeId, Region, RouteName, Version, Zone};
+use caperworks::identifiers::{NodeId, RandomSource, Region, RouteName, Version, Zone};
 use caperworks::link::Responder;
 use caperworks::link::{CoreLink, RejectedChunk};
 use caperworks::link_figures::LinkFigures;
@@ -105,7 +105,7 @@
     regions: BTreeMap<Zone, Region>,
     /// The proxies as last heard: kept when the core falls silent.
     proxies: Vec<(Zone, SocketAddr)>,
-    chance: Chance,
+    chance: RandomSource,
     /// Where groups of clients said that they stand.
     stands: BTreeMap<String, Zone>,
     ready: bool,
@@ -113,7 +113,7 @@
 
 impl DirectoryMachine {
     pub fn start(options: DirectoryOptions, seed: u64) -> Self {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
             .in_form(FeedForm::Reduced);
--- a/crates/model-check/src/world/proposals.rs
+++ b/crates/model-check/src/world/proposals.rs
@@ -10,7 +10,7 @@
 use crate::world::{Request, World};
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::proposer::{ProposalOutcome, ProposerOutcome};
-use caperworks::identifiers::{Chance, ChangeId, NodeId, Version};
+use caperworks::identifiers::{ChangeId, NodeId, RandomSource, Version};
 use caperworks::replicated_map::MapName;
 
 impl World {
@@ -23,9 +23,9 @@
             let (proposer, voter) = node.proposer(map);
             let mut outcome = ProposerOutcome::default();
             if proposer.has_proposal() {
-                outcome = proposer.tick(Duration::ZERO, voter, &mut Chance::seeded(1));
+                outcome = proposer.tick(Duration::ZERO, voter, &mut RandomSource::seeded(1));
             }
-            let begun = proposer.tick(PROPOSAL_TIME, voter, &mut Chance::seeded(1));
+            let begun = proposer.tick(PROPOSAL_TIME, voter, &mut RandomSource::seeded(1));
             outcome.to_voters.extend(begun.to_voters);
             outcome.proposal_outcomes.extend(begun.proposal_outcomes);
             outcome
--- a/crates/model-check/tests/random_schedules.rs
+++ b/crates/model-check/tests/random_schedules.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::{any, prop, prop_assert, proptest, ProptestConfig};
 
-use caperworks::identifiers::{Chance, NodeId};
+use caperworks::identifiers::{NodeId, RandomSource};
 use model_check::bound::{Bound, MembershipStep, Mistake};
 use model_check::invariants::Violation;
 use model_check::world::World;
@@ -67,7 +67,7 @@
 #[test]
 fn given_random_schedules_when_votes_leave_before_they_are_synced_then_one_finds_it() {
     let bound = wide().with_mistake(Mistake::VotesBeforeSync);
-    let mut chance = Chance::seeded(1);
+    let mut chance = RandomSource::seeded(1);
     let found = (0..300).any(|_| {
         let picks: Vec<u16> = (0..400).map(|_| chance.draw() as u16).collect();
         play(&bound, &picks).is_err()
--- a/crates/proxy/tests/support/behaviour.rs
+++ b/crates/proxy/tests/support/behaviour.rs
@@ -1,7 +1,7 @@
 //! What the hostile server may do with a request.
 
 use crate::support::wire::in_chunks;
-use caperworks::identifiers::Chance;
+use caperworks::identifiers::RandomSource;
 
 /// What the server does with one request. All but the first group run it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -102,7 +102,7 @@
 ];
 
 impl Behaviour {
-    pub fn draw(chance: &mut Chance) -> Self {
+    pub fn draw(chance: &mut RandomSource) -> Self {
         let total: u64 = WEIGHTED.iter().map(|(_, weight)| weight).sum();
         let mut drawn = chance.below(total);
         for (behaviour, weight) in WEIGHTED {
--- a/crates/proxy/tests/support/client.rs
+++ b/crates/proxy/tests/support/client.rs
@@ -9,7 +9,7 @@
 
 use crate::support::journal::{Journal, ObservedResponse, SentRequest};
 use crate::support::wire::{body_of, in_chunks, Cut, Wire};
-use caperworks::identifiers::Chance;
+use caperworks::identifiers::RandomSource;
 use runtime::http::OUTCOME_HEADER;
 
 /// Uploads are longer than what the proxy holds whole.
@@ -46,7 +46,7 @@
     (ClientMove::Pipelined, 6),
 ];
 
-fn draw_move(chance: &mut Chance) -> ClientMove {
+fn draw_move(chance: &mut RandomSource) -> ClientMove {
     let total: u64 = MOVES.iter().map(|(_, weight)| weight).sum();
     let mut drawn = chance.below(total);
     for (client_move, weight) in MOVES {
@@ -63,7 +63,7 @@
     pub name: String,
     pub proxy: SocketAddr,
     pub journal: Arc<Journal>,
-    pub chance: Chance,
+    pub chance: RandomSource,
     wire: Option<Wire<TcpStream>>,
     sent: u32,
 }
@@ -75,7 +75,12 @@
 }
 
 impl Client {
-    pub fn new(name: String, proxy: SocketAddr, journal: Arc<Journal>, chance: Chance) -> Self {
+    pub fn new(
+        name: String,
+        proxy: SocketAddr,
+        journal: Arc<Journal>,
+        chance: RandomSource,
+    ) -> Self {
         Self {
             name,
             proxy,
--- a/crates/proxy/tests/support/journal.rs
+++ b/crates/proxy/tests/support/journal.rs
@@ -8,7 +8,7 @@
 use crate::support::fixture::Manner;
 use crate::support::wire::{is_complete_body_of, WireHead};
 use caperworks::dispatch::{RETRY_FLOOR, RETRY_PERCENT};
-use caperworks::identifiers::Chance;
+use caperworks::identifiers::RandomSource;
 use runtime::locks::locked;
 
 /// A request as its client sent it.
@@ -176,7 +176,7 @@
     ///
     /// Why only those: an answer made up in the name of a request that is under way elsewhere
     /// could be told from its own by nobody.
-    pub fn another_than(&self, id: &str, chance: &mut Chance) -> String {
+    pub fn another_than(&self, id: &str, chance: &mut RandomSource) -> String {
         let entries = locked(&self.entries);
         let others: Vec<&String> = entries.seen.keys().filter(|known| *known != id).collect();
         let drawn = chance.below(others.len() as u64) as usize;
--- a/crates/proxy/tests/support/schedule.rs
+++ b/crates/proxy/tests/support/schedule.rs
@@ -8,7 +8,7 @@
 use crate::support::fixture::{address_of, listen_for, Manner, ProxyFixture};
 use crate::support::journal::{Journal, Tally};
 use crate::support::server::HostileServer;
-use caperworks::identifiers::{mix, Chance};
+use caperworks::identifiers::{mix, RandomSource};
 use proxy::carrier::BrokenCarrier;
 use runtime::clock::Clock;
 
@@ -37,7 +37,7 @@
     let clock = Clock::start();
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
-        let chance = Chance::seeded(mix(seed ^ number << 40));
+        let chance = RandomSource::seeded(mix(seed ^ number << 40));
         let name = format!("s{seed}-c{number}");
         let client = Client::new(name, proxy.address, journal.clone(), chance);
         clients.spawn(client.run(REQUESTS_OF_EACH));
--- a/crates/proxy/tests/support/server.rs
+++ b/crates/proxy/tests/support/server.rs
@@ -11,7 +11,7 @@
 use crate::support::fixture::Manner;
 use crate::support::journal::Journal;
 use crate::support::wire::{body_of, Cut, Wire, WireHead};
-use caperworks::identifiers::{mix, steady_hash, Chance};
+use caperworks::identifiers::{mix, steady_hash, RandomSource};
 
 const LARGE: usize = 100_000;
 const SMALL: usize = 900;
@@ -88,8 +88,8 @@
     }
 
     /// Why by request and arrival: the same seed then does the same whatever the timing.
-    fn chance_for(&self, id: &str, arrival: u32) -> Chance {
-        Chance::seeded(mix(self.seed ^ steady_hash(id) ^ u64::from(arrival) << 32))
+    fn chance_for(&self, id: &str, arrival: u32) -> RandomSource {
+        RandomSource::seeded(mix(self.seed ^ steady_hash(id) ^ u64::from(arrival) << 32))
     }
 }
 
@@ -163,7 +163,7 @@
     }
 
     /// A request that came before on this connection, or else any other.
-    fn earlier_than(&self, id: &str, chance: &mut Chance) -> Asked {
+    fn earlier_than(&self, id: &str, chance: &mut RandomSource) -> Asked {
         let drawn = chance.below(self.earlier.len() as u64) as usize;
         if let Some(earlier) = self.earlier.get(drawn) {
             return earlier.clone();
@@ -188,7 +188,7 @@
         &mut self,
         behaviour: Behaviour,
         asked: &Asked,
-        chance: &mut Chance,
+        chance: &mut RandomSource,
     ) -> Result<Next, Cut> {
         if behaviour.is_good() {
             return self.respond_well(behaviour, asked, chance).await;
@@ -324,7 +324,7 @@
         &mut self,
         behaviour: Behaviour,
         asked: &Asked,
-        chance: &mut Chance,
+        chance: &mut RandomSource,
     ) -> Result<Next, Cut> {
         let Asked { id, name } = asked;
         self.server.journal.respond_completely(id);
--- a/crates/simulator/src/disks.rs
+++ b/crates/simulator/src/disks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use caperworks::identifiers::Chance;
+use caperworks::identifiers::RandomSource;
 use caperworks::slots::{DiskImage, DiskWrite};
 
 /// One controller's disk: what is synced, and what is written but not synced.
@@ -58,7 +58,7 @@
     }
 
     /// The power went: a part of what was not synced may be there, cut off anywhere.
-    pub fn power_lost(&mut self, chance: &mut Chance) {
+    pub fn power_lost(&mut self, chance: &mut RandomSource) {
         let writes: Vec<DiskWrite> = self
             .unsynced
             .drain(..)
--- a/crates/simulator/src/narrow_link.rs
+++ b/crates/simulator/src/narrow_link.rs
@@ -3,7 +3,7 @@
 use crate::connections::is_superseding;
 use crate::connections::Segment;
 use crate::connections::SegmentKind;
-use caperworks::identifiers::Chance;
+use caperworks::identifiers::RandomSource;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -134,7 +134,7 @@
 
 impl NarrowLink {
     /// Draws the lengths of the queues of other traffic anew, if it is time.
-    pub fn draw_queues(&mut self, now: Duration, chance: &mut Chance) {
+    pub fn draw_queues(&mut self, now: Duration, chance: &mut RandomSource) {
         let drawn_at = self.queues_drawn_at;
         if drawn_at.is_some_and(|drawn_at| now.saturating_sub(drawn_at) < QUEUE_PERIOD) {
             return;
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -14,7 +14,7 @@
 use crate::world::events::{Due, HeartbeatTicket};
 use crate::world::nodes::Node;
 use caperworks::consensus::proposer::ProposalOutcome;
-use caperworks::identifiers::{Chance, ChangeId, Region, Version, Zone};
+use caperworks::identifiers::{ChangeId, RandomSource, Region, Version, Zone};
 use caperworks::replicated_map::Change;
 use runtime::scenario::Scenario;
 
@@ -48,7 +48,7 @@
 /// A fleet, its clients and operators, and the observers.
 pub struct World {
     pub now: Duration,
-    pub chance: Chance,
+    pub chance: RandomSource,
     pub nodes: Vec<Node>,
     pub network: Network,
     pub observers: Observers,
@@ -97,7 +97,7 @@
     pub fn new(scenario: Scenario, day: Day, seed: u64) -> Self {
         let mut world = Self {
             now: Duration::ZERO,
-            chance: Chance::seeded(seed),
+            chance: RandomSource::seeded(seed),
             nodes: Vec::new(),
             network: Network {
                 same_zone: Duration::from_micros(200),
--- a/crates/simulator/tests/connections.rs
+++ b/crates/simulator/tests/connections.rs
@@ -1,7 +1,7 @@
 //! Connections for control messages, and the links that carry them.
 
-use caperworks::identifiers::Chance;
 use caperworks::identifiers::NodeId;
+use caperworks::identifiers::RandomSource;
 use caperworks::identifiers::Version;
 use caperworks::messages::Envelope;
 use caperworks::messages::Message;
@@ -220,7 +220,7 @@
 fn through_at(fill: &LinkFill) -> (Duration, Duration) {
     let mut link = NarrowLink::default();
     link.fill(fill);
-    link.draw_queues(ms(0), &mut Chance::seeded(1));
+    link.draw_queues(ms(0), &mut RandomSource::seeded(1));
     let mut connections = Connections::new(hasty());
     let syn = connections.write(ms(0), OPENER, ACCEPTOR, envelope(1));
     let syn = syn.expect("the first message opens");
