--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/terms.rs
@@ -48,7 +48,7 @@
 impl Terms {
     /// What proxies do that are partitioned from the core: serve on with stale state, or refuse.
     pub fn serve_on(&mut self, serves_stale: bool) {
-        self.core.proxies_serve_on = serves_stale;
+        self.core.proxies_serve_stale = serves_stale;
         self.proxy.serves_stale = serves_stale;
     }
 }
