--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -216,7 +216,7 @@
 
     /// Only for proving the observers: takes grants whose news has not arrived.
     pub fn be_careless(&mut self) {
-        self.link.lease.careless = true;
+        self.link.lease.skips_checks = true;
     }
 
     /// Only for proving the observers.
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -159,7 +159,7 @@
     sent: VecDeque<(u64, Duration)>,
     grants: VecDeque<HeldGrant>,
     /// Only for proving the observers: treats every grant as if its versions were held.
-    pub careless: bool,
+    pub skips_checks: bool,
 }
 
 impl Default for LeaseHolder {
@@ -169,7 +169,7 @@
             number: 0,
             sent: VecDeque::new(),
             grants: VecDeque::new(),
-            careless: false,
+            skips_checks: false,
         }
     }
 }
@@ -208,7 +208,7 @@
     pub fn fresh_until(&self, follower: &Follower, wants: &[MapName]) -> Duration {
         self.grants
             .iter()
-            .filter(|grant| self.careless || follower.has_versions(&grant.versions, wants))
+            .filter(|grant| self.skips_checks || follower.has_versions(&grant.versions, wants))
             .map(|grant| grant.until)
             .max()
             .unwrap_or(Duration::ZERO)
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -411,7 +411,8 @@
             granted.versions.clone(),
         );
         let follower = self.feed_cache.follower();
-        let holds = self.lease.careless || follower.has_versions(&granted.versions, &self.wants);
+        let holds =
+            self.lease.skips_checks || follower.has_versions(&granted.versions, &self.wants);
         // A follower that knows itself behind is in touch with the core, however fast it was told so.
         self.slow_response_at = (is_slow || !holds).then_some(now);
         // A controller that grants but cannot bring the changes that its grant names is of no use, and is left
--- a/crates/simulator/src/actors/instance.rs
+++ b/crates/simulator/src/actors/instance.rs
@@ -51,7 +51,7 @@
     pub sends_garbage: u32,
     pub refuses: u32,
     /// Works as if every request were for it, whatever its headers say.
-    pub careless: bool,
+    pub skips_checks: bool,
 }
 
 impl SimInstance {
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -65,7 +65,7 @@
                 loses_responses: 0,
                 sends_garbage: 0,
                 refuses: 0,
-                careless: self.day.careless_instances,
+                skips_checks: self.day.careless_instances,
             })),
         };
         (body, Vec::new())
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -113,7 +113,7 @@
         });
         let refuses = instance.refuses > 0;
         instance.refuses = instance.refuses.saturating_sub(1);
-        let fits = instance.careless || (ours && held);
+        let fits = instance.skips_checks || (ours && held);
         if refuses || !fits {
             let response = match ours {
                 true => InstanceResponse::NotRun,
@@ -171,7 +171,7 @@
             instance.held_leases.ended(key_range);
         }
         let mut response = Some(InstanceResponse::NotRun);
-        if still || instance.careless {
+        if still || instance.skips_checks {
             self.record_work(instance, &done);
             response = response_of(instance, done.request);
         }
