--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -326,7 +326,7 @@
         self.link.members.expire(now);
         let gone = match self.options.proxy_serves_on {
             true => self.link.count_silent_instances(now),
-            false => self.link.instances.count_silent(now),
+            false => self.link.instances.mark_suspected(now),
         };
         for id in gone {
             let event = AgentEvent::InstanceGone { id };
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -191,7 +191,7 @@
     /// just became so; the ones that stayed silent for [`SILENT_SPAN`] are forgotten.
     ///
     /// Why not taken out at once: it may be their heartbeats that are cut off, and not their answers.
-    pub fn count_silent(&mut self, now: Duration) -> Vec<InstanceId> {
+    pub fn mark_suspected(&mut self, now: Duration) -> Vec<InstanceId> {
         self.forget_ended(now);
         self.forget_long_silent(now);
         let span = self.span;
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -261,7 +261,7 @@
             .assured_since
             .is_some_and(|since| now.saturating_sub(since) >= span);
         if heard_long {
-            self.instances.count_silent(now)
+            self.instances.mark_suspected(now)
         } else {
             Vec::new()
         }
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -73,7 +73,7 @@
     /// Counts a member that fell silent here as not ready, for everyone, until it is heard again.
     ///
     /// Why under the same counter: whoever has heard it later than we have knows better.
-    pub fn count_silent(&mut self, now: Duration, node: NodeId) {
+    pub fn mark_suspected(&mut self, now: Duration, node: NodeId) {
         let Some(kept) = self.known.get_mut(&node).filter(|kept| kept.fact.ready) else {
             return;
         };
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -241,7 +241,7 @@
         renews(&mut members, millis(1000), member(node, 5));
     }
     let offset = members.learned();
-    members.count_silent(millis(2000), NodeId(1));
+    members.mark_suspected(millis(2000), NodeId(1));
     assert_eq!(ready(&members), [2]);
     // Followers hear of it at once, and only once.
     let after = members.after(millis(2000), offset);
@@ -251,8 +251,8 @@
         (NodeId(1), false)
     );
     let offset = members.learned();
-    members.count_silent(millis(2100), NodeId(1));
-    members.count_silent(millis(2100), NodeId(7));
+    members.mark_suspected(millis(2100), NodeId(1));
+    members.mark_suspected(millis(2100), NodeId(7));
     assert_eq!(members.learned(), offset);
     // A renewal from before the silence that comes late changes nothing.
     assert!(!renews(&mut members, millis(2200), member(1, 4)));
@@ -268,7 +268,7 @@
     let (mut here, mut elsewhere) = (Members::default(), Members::default());
     renews(&mut here, millis(1000), member(1, 5));
     renews(&mut elsewhere, millis(1900), member(1, 8));
-    here.count_silent(millis(2000), NodeId(1));
+    here.mark_suspected(millis(2000), NodeId(1));
     assert_eq!(ready(&here), Vec::<u64>::new());
     let now = millis(2010);
     for heard in here.after(now, 0) {
@@ -281,7 +281,7 @@
     // Who has not heard it later takes the silence over.
     let mut third = Members::default();
     renews(&mut third, millis(1000), member(1, 8));
-    here.count_silent(millis(2020), NodeId(1));
+    here.mark_suspected(millis(2020), NodeId(1));
     for heard in here.after(millis(2030), 0) {
         assert!(third.handle(millis(2030), &heard));
     }
@@ -292,7 +292,7 @@
 fn given_a_member_counted_as_silent_when_its_very_next_renewal_comes_then_it_is_ready() {
     let mut members = Members::default();
     renews(&mut members, millis(1000), member(1, 5));
-    members.count_silent(millis(2000), NodeId(1));
+    members.mark_suspected(millis(2000), NodeId(1));
     assert!(renews(&mut members, millis(2100), member(1, 6)));
     assert_eq!(ready(&members), [1]);
 }
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -245,14 +245,14 @@
     instances.handle(millis(1000), &heard("a", 1));
     let offset = instances.learned();
     let silent_at = millis(1000) + INSTANCE_SPAN;
-    assert_eq!(instances.count_silent(silent_at - millis(1)), []);
-    assert_eq!(instances.count_silent(silent_at), vec![id.clone()]);
+    assert_eq!(instances.mark_suspected(silent_at - millis(1)), []);
+    assert_eq!(instances.mark_suspected(silent_at), vec![id.clone()]);
     assert!(instances.is_silent(&id));
     let reported = instances.after(silent_at, offset);
     assert_eq!(reported.len(), 1, "followers are told of it");
-    assert_eq!(instances.count_silent(silent_at + millis(10)), [], "once");
+    assert_eq!(instances.mark_suspected(silent_at + millis(10)), [], "once");
     let forgotten_at = silent_at + SILENT_SPAN;
-    instances.count_silent(forgotten_at);
+    instances.mark_suspected(forgotten_at);
     assert!(instances.get(&id).is_none());
     assert!(!instances.is_silent(&id));
 }
@@ -263,7 +263,7 @@
     let mut instances = Instances::default();
     instances.refresh = millis(60_000);
     instances.handle(millis(1000), &heard("a", 1));
-    instances.count_silent(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
     let offset = instances.learned();
     let back = millis(5000);
     assert!(instances.handle(back, &heard("a", 2)));
@@ -276,7 +276,7 @@
     let mut instances = Instances::default();
     let id = InstanceId::new("a");
     instances.handle(millis(1000), &heard("a", 1));
-    instances.count_silent(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
     instances.end(millis(4500), &id);
     assert!(instances.get(&id).is_none());
     assert!(!instances.is_silent(&id));
@@ -286,7 +286,7 @@
 fn given_a_silent_instance_when_another_takes_its_address_then_it_is_gone_at_once() {
     let mut instances = Instances::default();
     instances.handle(millis(1000), &heard("a", 1));
-    instances.count_silent(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
     let mut successor = heard("b", 1);
     successor.heartbeat.address = heartbeat("a", 1).address;
     assert!(instances.handle(millis(4500), &successor));
@@ -305,7 +305,7 @@
         !instances.handle(millis(2000), &next),
         "not while it is heard"
     );
-    instances.count_silent(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
     assert!(instances.handle(millis(4100), &next));
     let id = InstanceId::new("a");
     let known = instances.get(&id).map(|known| known.incarnation);
@@ -320,10 +320,10 @@
     instances.handle(millis(1000), &heard("a", 1));
     let back = millis(1000) + INSTANCE_SPAN + SILENT_SPAN * 2;
     let id = InstanceId::new("a");
-    assert_eq!(instances.count_silent(back), vec![id.clone()]);
+    assert_eq!(instances.mark_suspected(back), vec![id.clone()]);
     assert!(instances.is_silent(&id));
-    instances.count_silent(back + SILENT_SPAN - millis(1));
+    instances.mark_suspected(back + SILENT_SPAN - millis(1));
     assert!(instances.get(&id).is_some());
-    instances.count_silent(back + SILENT_SPAN);
+    instances.mark_suspected(back + SILENT_SPAN);
     assert!(instances.get(&id).is_none());
 }
--- a/crates/controller/src/state_machine/ticks.rs
+++ b/crates/controller/src/state_machine/ticks.rs
@@ -48,7 +48,7 @@
     for node in silent {
         state.last_renewals.remove(&node);
         if has_listened {
-            state.members.count_silent(now, node);
+            state.members.mark_suspected(now, node);
         }
     }
 }
