--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -13,7 +13,7 @@
 pub const INSTANCE_SPAN: Duration = Duration::from_millis(3000);
 /// For how long a follower remembers an instance that fell silent, for proxies that still get its
 /// answers.
-pub const SILENT_SPAN: Duration = Duration::from_secs(30);
+pub const SUSPECTED_RETENTION: Duration = Duration::from_secs(30);
 /// For how long an instance that said it ended is remembered as gone.
 const ENDED_SPAN: Duration = Duration::from_secs(30);
 
@@ -225,7 +225,7 @@
     /// out of reach nobody's silence counts, however long it lasts.
     fn forget_long_silent(&mut self, now: Duration) {
         let silent = self.silent.iter();
-        let over = silent.filter(|(_, since)| now.saturating_sub(**since) >= SILENT_SPAN);
+        let over = silent.filter(|(_, since)| now.saturating_sub(**since) >= SUSPECTED_RETENTION);
         let over: Vec<InstanceId> = over.map(|(id, _)| id.clone()).collect();
         self.forget(&over);
     }
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -10,7 +10,7 @@
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
 };
-use caperworks::instances::{Instances, INSTANCE_SPAN, SILENT_SPAN};
+use caperworks::instances::{Instances, INSTANCE_SPAN, SUSPECTED_RETENTION};
 use caperworks::map_items::{Route, Service, Value, ZoneSettings};
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
@@ -251,7 +251,7 @@
     let reported = instances.after(silent_at, offset);
     assert_eq!(reported.len(), 1, "followers are told of it");
     assert_eq!(instances.mark_suspected(silent_at + millis(10)), [], "once");
-    let forgotten_at = silent_at + SILENT_SPAN;
+    let forgotten_at = silent_at + SUSPECTED_RETENTION;
     instances.mark_suspected(forgotten_at);
     assert!(instances.get(&id).is_none());
     assert!(!instances.is_silent(&id));
@@ -318,12 +318,12 @@
 ) {
     let mut instances = Instances::default();
     instances.handle(millis(1000), &heard("a", 1));
-    let back = millis(1000) + INSTANCE_SPAN + SILENT_SPAN * 2;
+    let back = millis(1000) + INSTANCE_SPAN + SUSPECTED_RETENTION * 2;
     let id = InstanceId::new("a");
     assert_eq!(instances.mark_suspected(back), vec![id.clone()]);
     assert!(instances.is_silent(&id));
-    instances.mark_suspected(back + SILENT_SPAN - millis(1));
+    instances.mark_suspected(back + SUSPECTED_RETENTION - millis(1));
     assert!(instances.get(&id).is_some());
-    instances.mark_suspected(back + SILENT_SPAN);
+    instances.mark_suspected(back + SUSPECTED_RETENTION);
     assert!(instances.get(&id).is_none());
 }
