--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -10,7 +10,7 @@
 
 use crate::machine::{AgentEvent, AgentInput, AgentMachine, AgentOptions, AgentOutput};
 use caperworks::identifiers::Zone;
-use caperworks::leases::LEASE_SPAN;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::link::RejectedChunk;
 use caperworks::messages::UsageLine;
 use caperworks::ownership::TimestampedResponse;
@@ -139,7 +139,11 @@
         feed_form: node_settings.terms.core.agents_feed_form(),
         proxy_serves_on: node_settings.terms.proxy.serves_stale,
         instance_span: node_settings.terms.core.instance_span,
-        lease_span: node_settings.terms.proxy.lease_span.unwrap_or(LEASE_SPAN),
+        lease_span: node_settings
+            .terms
+            .proxy
+            .lease_span
+            .unwrap_or(LEASE_DURATION),
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
         demand_period: node_settings.terms.core.member_refresh,
     };
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -12,7 +12,7 @@
 use caperworks::identifiers::{
     steady_hash, ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
-use caperworks::leases::LEASE_SPAN;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::link::SLOW_LINK_SPAN;
 use caperworks::map_items::{Route, Value, VoterEntry, VoterSet};
 use caperworks::messages::{Envelope, Granted, Message, ProxyView, Pull};
@@ -76,7 +76,7 @@
             feed_form: FeedForm::Complete,
             proxy_serves_on,
             instance_span: SPAN,
-            lease_span: LEASE_SPAN,
+            lease_span: LEASE_DURATION,
         };
         Self {
             machine: AgentMachine::start(options, 1),
--- a/crates/caperworks/src/leadership.rs
+++ b/crates/caperworks/src/leadership.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::leases::LEASE_SPAN;
+use crate::leases::LEASE_DURATION;
 
 mod election;
 mod liveness;
@@ -31,4 +31,4 @@
 /// A controller that reported older versions than ours for this long gets no role.
 pub const BEHIND_LIMIT: Duration = SUSPICION_TIMEOUT;
 /// How long a new leader waits before it acts, so that the lease of the one before has expired.
-pub const TAKEOVER_WAIT: Duration = LEASE_SPAN;
+pub const TAKEOVER_WAIT: Duration = LEASE_DURATION;
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -11,7 +11,7 @@
 use crate::replicated_map::{MapName, ALL_MAPS};
 
 /// How long a lease lives, counted from the start of the round behind it.
-pub const LEASE_SPAN: Duration = Duration::from_millis(3000);
+pub const LEASE_DURATION: Duration = Duration::from_millis(3000);
 /// What a holder gives up of the span, so that clocks that run apart cannot stretch it.
 pub const DRIFT_MARGIN: Duration = Duration::from_millis(100);
 /// A round older than this is no ground for a new grant.
@@ -130,7 +130,7 @@
 
     /// Whether a majority was heard in a round that began within the lease span.
     pub fn confirmed(&self, now: Duration) -> Option<&QuorumRead> {
-        self.begun_within(now, LEASE_SPAN - DRIFT_MARGIN)
+        self.begun_within(now, LEASE_DURATION - DRIFT_MARGIN)
     }
 
     /// Drops the rounds under way, and the latest if it was not under the membership until now.
@@ -165,7 +165,7 @@
 impl Default for LeaseHolder {
     fn default() -> Self {
         Self {
-            span: LEASE_SPAN,
+            span: LEASE_DURATION,
             number: 0,
             sent: VecDeque::new(),
             grants: VecDeque::new(),
@@ -196,7 +196,7 @@
         };
         // Why from our sending: the grantor answered after it, so the round began no earlier than
         // our sending less the age it told; counting from here can only be too short.
-        let span = self.span.min(LEASE_SPAN).saturating_sub(DRIFT_MARGIN);
+        let span = self.span.min(LEASE_DURATION).saturating_sub(DRIFT_MARGIN);
         let until = (sent_at + span).saturating_sub(quorum_read_age);
         self.grants.push_back(HeldGrant { until, versions });
         if self.grants.len() > REMEMBERED_GRANTS {
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -6,7 +6,7 @@
 
 use crate::feed::Follower;
 use crate::identifiers::Version;
-use crate::leases::{DRIFT_MARGIN, LEASE_SPAN};
+use crate::leases::{DRIFT_MARGIN, LEASE_DURATION};
 use crate::partition_fallback::messages::FallbackResponse;
 use crate::partition_fallback::{
     majority_of, FALLBACK_LEAD, FALLBACK_MAPS, FALLBACK_SPAN, SETTLE_SPAN,
@@ -105,7 +105,7 @@
             self.requests.clear();
         }
         let is_proved = now < lease_until
-            && lease_until >= self.fallback_members_since + SETTLE_SPAN + LEASE_SPAN
+            && lease_until >= self.fallback_members_since + SETTLE_SPAN + LEASE_DURATION
             && version > Version(0);
         self.is_qualified |= is_proved || self.broken == BrokenFallback::Forgetful;
     }
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -17,7 +17,7 @@
 };
 use caperworks::instances::Instances;
 use caperworks::leadership::{first_in_order, Liveness};
-use caperworks::leases::{LeaseHolder, QuorumReads, DRIFT_MARGIN, LEASE_SPAN};
+use caperworks::leases::{LeaseHolder, QuorumReads, DRIFT_MARGIN, LEASE_DURATION};
 use caperworks::map_items::{Route, Service, Value, VoterEntry, VoterSet, ZoneSettings};
 use caperworks::messages::{Envelope, Message};
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap, Written, ALL_MAPS};
@@ -622,7 +622,7 @@
     let until = lease.fresh_until(&follower, &ALL_MAPS);
     assert_eq!(
         until,
-        millis(1000) + LEASE_SPAN - DRIFT_MARGIN - millis(300)
+        millis(1000) + LEASE_DURATION - DRIFT_MARGIN - millis(300)
     );
     lease.granted(99, Duration::ZERO, Vec::new());
     assert_eq!(
@@ -1092,9 +1092,9 @@
     let wants = [MapName::Configuration];
     for (span, lives) in [
         (Duration::from_millis(2250), Duration::from_millis(2150)),
-        (LEASE_SPAN, LEASE_SPAN - DRIFT_MARGIN),
+        (LEASE_DURATION, LEASE_DURATION - DRIFT_MARGIN),
         // A span that is too long would outlive what owner managers wait for.
-        (LEASE_SPAN * 2, LEASE_SPAN - DRIFT_MARGIN),
+        (LEASE_DURATION * 2, LEASE_DURATION - DRIFT_MARGIN),
     ] {
         let mut holder = LeaseHolder::default();
         holder.span = span;
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -8,7 +8,7 @@
 use caperworks::catch_up::{FollowerUpdate, GRANT_UPDATE_BYTES};
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::facts::{FirstFacts, ReceivedHeartbeat, ReceivedMember, Role};
-use caperworks::leases::LEASE_SPAN;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
@@ -66,7 +66,7 @@
     let written = written.map_or(0, |mapping| mapping.proxies);
     let proxies = written.max(state.members.ready_proxies().count() as u32);
     let assured = quorum_read.is_some();
-    let (quorum_read_age, versions) = quorum_read.unwrap_or((LEASE_SPAN, Vec::new()));
+    let (quorum_read_age, versions) = quorum_read.unwrap_or((LEASE_DURATION, Vec::new()));
     let granted = Granted {
         number: renewal.number,
         quorum_read_age,
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -27,7 +27,7 @@
 use caperworks::identifiers::{mix, ChangeId, NodeId, RandomSource, Version};
 use caperworks::instances::Instances;
 use caperworks::leadership::{LeadershipWatch, Liveness, LEADERSHIPS};
-use caperworks::leases::{QuorumRead, QuorumReads, DRIFT_MARGIN, LEASE_SPAN};
+use caperworks::leases::{QuorumRead, QuorumReads, DRIFT_MARGIN, LEASE_DURATION};
 use caperworks::map_items::VoterSet;
 use caperworks::members::Members;
 use caperworks::messages;
@@ -328,7 +328,7 @@
     pub fn current_until(&self) -> Duration {
         let confirmed = self.quorum_reads.confirmed(self.now);
         confirmed.map_or(Duration::ZERO, |quorum_read| {
-            quorum_read.started + LEASE_SPAN - DRIFT_MARGIN
+            quorum_read.started + LEASE_DURATION - DRIFT_MARGIN
         })
     }
 
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -6,7 +6,7 @@
 
 use caperworks::facts::{Member, Role};
 use caperworks::identifiers::{NodeId, Zone};
-use caperworks::leases::LEASE_SPAN;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::messages::{Envelope, Granted, Message, Renewal, ResponseExtent};
 use caperworks::reduced_map::FeedForm;
 use runtime::connections::{ControlPort, PortEvent};
@@ -65,7 +65,7 @@
 fn grant(number: u64) -> Message {
     let granted = Granted {
         number,
-        quorum_read_age: LEASE_SPAN,
+        quorum_read_age: LEASE_DURATION,
         versions: Vec::new(),
         instances: Vec::new(),
         instances_offset: 0,
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -12,7 +12,7 @@
 use agent::machine::{AgentMachine, AgentOptions};
 use caperworks::identifiers::{Incarnation, InstanceId};
 use caperworks::instances::INSTANCE_SPAN;
-use caperworks::leases::LEASE_SPAN;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::ownership::HeldLeases;
 use caperworks::policy::CorePolicy;
 use controller::state::options::ControllerOptions;
@@ -91,7 +91,7 @@
             feed_form: self.day.policy.core().agents_feed_form(),
             proxy_serves_on: self.day.policy.serves_stale,
             instance_span: INSTANCE_SPAN,
-            lease_span: LEASE_SPAN,
+            lease_span: LEASE_DURATION,
             heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
             control: node.address,
