--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -8,7 +8,7 @@
 use caperworks::identifiers::{ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone};
 use caperworks::instances::Instances;
 use caperworks::map_items::{Service, Value};
-use caperworks::ownership::{HeldLeases, OwnerManager, OwnershipView, KEY_RANGE_LEASE_SPAN};
+use caperworks::ownership::{HeldLeases, OwnerManager, OwnershipView, KEY_RANGE_LEASE_DURATION};
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
 fn heartbeat(name: &str, port: u16, counter: u64, held_key_ranges: Vec<u32>) -> Heartbeat {
@@ -85,7 +85,7 @@
     let need = Duration::from_secs(2);
     assert!(held_leases.may_start(now, lease.key_range, lease.epoch, need));
     assert!(!held_leases.may_start(
-        now + KEY_RANGE_LEASE_SPAN,
+        now + KEY_RANGE_LEASE_DURATION,
         lease.key_range,
         lease.epoch,
         need
--- a/crates/caperworks/src/ownership/spans.rs
+++ b/crates/caperworks/src/ownership/spans.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// How long a lease on a key range lives.
-pub const KEY_RANGE_LEASE_SPAN: Duration = Duration::from_millis(6000);
+pub const KEY_RANGE_LEASE_DURATION: Duration = Duration::from_millis(6000);
 /// The longest that a lease granted by the owner manager before may still live after a takeover: it
 /// may have gone on granting until its own lease ended.
 pub const OWNER_MANAGER_WAIT: Duration = Duration::from_millis(9000);
@@ -28,7 +28,7 @@
 impl Default for OwnerManagerSpans {
     fn default() -> Self {
         Self {
-            lease: KEY_RANGE_LEASE_SPAN,
+            lease: KEY_RANGE_LEASE_DURATION,
             drift: Duration::ZERO,
             wait: OWNER_MANAGER_WAIT,
             wait_after_own: OWNER_MANAGER_WAIT,
--- a/crates/caperworks/tests/ownership_stories.rs
+++ b/crates/caperworks/tests/ownership_stories.rs
@@ -12,7 +12,7 @@
 use caperworks::map_items::{Service, Value};
 use caperworks::ownership::{
     HeartbeatResponse, HeldLeases, KeyRangeLease, OwnerManager, OwnershipView,
-    KEY_RANGE_LEASE_SPAN, OWNER_MANAGER_WAIT,
+    KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT,
 };
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
@@ -210,7 +210,7 @@
         bench.heartbeats(now, "evidence-2", seconds(40) + now);
         if bench.plans(now) > 0 {
             assert!(
-                now >= seconds(20) + KEY_RANGE_LEASE_SPAN,
+                now >= seconds(20) + KEY_RANGE_LEASE_DURATION,
                 "moved already at {now:?}"
             );
             assert!(
@@ -297,7 +297,7 @@
         handover: None,
     };
     let grant = HeartbeatResponse {
-        leases: vec![lease(KEY_RANGE_LEASE_SPAN)],
+        leases: vec![lease(KEY_RANGE_LEASE_DURATION)],
         release: Vec::new(),
         ..HeartbeatResponse::default()
     };
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -12,7 +12,7 @@
 use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
 use caperworks::ownership::{
     HeartbeatResponse, OwnerManager, OwnerManagerSpans, OwnershipView, ReleasedKeyRange,
-    KEY_RANGE_LEASE_SPAN, OWNER_MANAGER_WAIT,
+    KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT,
 };
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
@@ -262,7 +262,7 @@
         for (name, instance) in &self.known {
             for key_range in &instance.held_key_ranges {
                 let (reported, _) = instance.reported[key_range];
-                if now < reported + KEY_RANGE_LEASE_SPAN {
+                if now < reported + KEY_RANGE_LEASE_DURATION {
                     let other = held.insert(*key_range, name);
                     assert_eq!(other, None, "{name} shares slice {key_range} at {now:?}");
                 }
