--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -10,7 +10,7 @@
 use crate::identifiers::InstanceId;
 
 /// An instance not heard of for this long is gone.
-pub const INSTANCE_SPAN: Duration = Duration::from_millis(3000);
+pub const INSTANCE_TIMEOUT: Duration = Duration::from_millis(3000);
 /// For how long a follower remembers an instance that fell silent, for proxies that still get its
 /// answers.
 pub const SUSPECTED_RETENTION: Duration = Duration::from_secs(30);
@@ -46,7 +46,7 @@
             ended: BTreeMap::new(),
             silent: BTreeMap::new(),
             learned: 0,
-            span: INSTANCE_SPAN,
+            span: INSTANCE_TIMEOUT,
             refresh: Duration::ZERO,
             removed: 0,
         }
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::instances::INSTANCE_SPAN;
+use crate::instances::INSTANCE_TIMEOUT;
 use crate::members::MEMBER_SPAN;
 use crate::ownership::OwnerManagerSpans;
 use crate::reduced_map::FeedForm;
@@ -54,7 +54,7 @@
             witness_voters: 2,
             may_found: true,
             stamped_heartbeats: true,
-            instance_span: INSTANCE_SPAN,
+            instance_span: INSTANCE_TIMEOUT,
             owner_manager: OwnerManagerSpans::default(),
             listen: Duration::from_millis(1200),
             requests_per_slot: 1,
--- a/crates/caperworks/tests/gone_stories.rs
+++ b/crates/caperworks/tests/gone_stories.rs
@@ -7,7 +7,7 @@
 use caperworks::identifiers::{
     steady_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
-use caperworks::instances::{Instances, INSTANCE_SPAN};
+use caperworks::instances::{Instances, INSTANCE_TIMEOUT};
 use caperworks::link::CoreLink;
 use caperworks::link::Responder;
 use caperworks::messages::{Granted, Message};
@@ -225,6 +225,6 @@
         }
     }
     let gone_at = gone_at.expect("the one that is silent goes in the end");
-    assert!(gone_at >= back + INSTANCE_SPAN, "gone at {gone_at:?}");
-    assert!(gone_at <= back + INSTANCE_SPAN + millis(1500));
+    assert!(gone_at >= back + INSTANCE_TIMEOUT, "gone at {gone_at:?}");
+    assert!(gone_at <= back + INSTANCE_TIMEOUT + millis(1500));
 }
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -10,7 +10,7 @@
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
 };
-use caperworks::instances::{Instances, INSTANCE_SPAN, SUSPECTED_RETENTION};
+use caperworks::instances::{Instances, INSTANCE_TIMEOUT, SUSPECTED_RETENTION};
 use caperworks::map_items::{Route, Service, Value, ZoneSettings};
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
@@ -244,7 +244,7 @@
     let id = InstanceId::new("a");
     instances.handle(millis(1000), &heard("a", 1));
     let offset = instances.learned();
-    let silent_at = millis(1000) + INSTANCE_SPAN;
+    let silent_at = millis(1000) + INSTANCE_TIMEOUT;
     assert_eq!(instances.mark_suspected(silent_at - millis(1)), []);
     assert_eq!(instances.mark_suspected(silent_at), vec![id.clone()]);
     assert!(instances.is_silent(&id));
@@ -263,7 +263,7 @@
     let mut instances = Instances::default();
     instances.refresh = millis(60_000);
     instances.handle(millis(1000), &heard("a", 1));
-    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
     let offset = instances.learned();
     let back = millis(5000);
     assert!(instances.handle(back, &heard("a", 2)));
@@ -276,7 +276,7 @@
     let mut instances = Instances::default();
     let id = InstanceId::new("a");
     instances.handle(millis(1000), &heard("a", 1));
-    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
     instances.end(millis(4500), &id);
     assert!(instances.get(&id).is_none());
     assert!(!instances.is_silent(&id));
@@ -286,7 +286,7 @@
 fn given_a_silent_instance_when_another_takes_its_address_then_it_is_gone_at_once() {
     let mut instances = Instances::default();
     instances.handle(millis(1000), &heard("a", 1));
-    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
     let mut successor = heard("b", 1);
     successor.heartbeat.address = heartbeat("a", 1).address;
     assert!(instances.handle(millis(4500), &successor));
@@ -305,7 +305,7 @@
         !instances.handle(millis(2000), &next),
         "not while it is heard"
     );
-    instances.mark_suspected(millis(1000) + INSTANCE_SPAN);
+    instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
     assert!(instances.handle(millis(4100), &next));
     let id = InstanceId::new("a");
     let known = instances.get(&id).map(|known| known.incarnation);
@@ -318,7 +318,7 @@
 ) {
     let mut instances = Instances::default();
     instances.handle(millis(1000), &heard("a", 1));
-    let back = millis(1000) + INSTANCE_SPAN + SUSPECTED_RETENTION * 2;
+    let back = millis(1000) + INSTANCE_TIMEOUT + SUSPECTED_RETENTION * 2;
     let id = InstanceId::new("a");
     assert_eq!(instances.mark_suspected(back), vec![id.clone()]);
     assert!(instances.is_silent(&id));
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -11,7 +11,7 @@
 use crate::world::World;
 use agent::machine::{AgentMachine, AgentOptions};
 use caperworks::identifiers::{Incarnation, InstanceId};
-use caperworks::instances::INSTANCE_SPAN;
+use caperworks::instances::INSTANCE_TIMEOUT;
 use caperworks::leases::LEASE_DURATION;
 use caperworks::ownership::HeldLeases;
 use caperworks::policy::CorePolicy;
@@ -90,7 +90,7 @@
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
             proxy_serves_on: self.day.policy.serves_stale,
-            instance_span: INSTANCE_SPAN,
+            instance_span: INSTANCE_TIMEOUT,
             lease_span: LEASE_DURATION,
             heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
