--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -138,7 +138,7 @@
         seeds: node_settings.seeds.clone(),
         feed_form: node_settings.terms.core.agents_feed_form(),
         proxy_serves_on: node_settings.terms.proxy.serves_stale,
-        instance_span: node_settings.terms.core.instance_span,
+        instance_timeout: node_settings.terms.core.instance_timeout,
         lease_span: node_settings
             .terms
             .proxy
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -90,7 +90,7 @@
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
             proxy_serves_on: self.day.policy.serves_stale,
-            instance_span: INSTANCE_TIMEOUT,
+            instance_timeout: INSTANCE_TIMEOUT,
             lease_span: LEASE_DURATION,
             heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
