--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -139,10 +139,10 @@
         feed_form: node_settings.terms.core.agents_feed_form(),
         proxy_serves_on: node_settings.terms.proxy.serves_stale,
         instance_timeout: node_settings.terms.core.instance_timeout,
-        lease_span: node_settings
+        lease_duration: node_settings
             .terms
             .proxy
-            .lease_span
+            .lease_duration
             .unwrap_or(LEASE_DURATION),
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
         demand_period: node_settings.terms.core.member_refresh,
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -48,7 +48,7 @@
     /// An instance that has not beaten for so long is gone.
     pub instance_timeout: Duration,
     /// How long a lease lives at most.
-    pub lease_span: Duration,
+    pub lease_duration: Duration,
     /// How long a heartbeat that says nothing new need not be told to the proxy.
     pub heartbeat_refresh: Duration,
     /// How long demand need not be told again.
@@ -172,7 +172,7 @@
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
             .in_form(options.feed_form);
         link.instances.span = options.instance_timeout;
-        link.lease.span = options.lease_span;
+        link.lease.span = options.lease_duration;
         link.instances.refresh = options.heartbeat_refresh;
         let fallback_quorum = FallbackQuorum::new(options.control);
         let first = options.control;
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -76,7 +76,7 @@
             feed_form: FeedForm::Complete,
             proxy_serves_on,
             instance_timeout: SPAN,
-            lease_span: LEASE_DURATION,
+            lease_duration: LEASE_DURATION,
         };
         Self {
             machine: AgentMachine::start(options, 1),
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -91,5 +91,5 @@
     pub draining_owner: Duration,
     /// The longest lease, when operators want changes in force sooner than
     /// [`LEASE_SPAN`](crate::leases::LEASE_SPAN) lets them; none for that span.
-    pub lease_span: Option<Duration>,
+    pub lease_duration: Option<Duration>,
 }
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -91,7 +91,7 @@
             feed_form: self.day.policy.core().agents_feed_form(),
             proxy_serves_on: self.day.policy.serves_stale,
             instance_timeout: INSTANCE_TIMEOUT,
-            lease_span: LEASE_DURATION,
+            lease_duration: LEASE_DURATION,
             heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
             control: node.address,
