--- a/crates/caperworks/src/ownership.rs
+++ b/crates/caperworks/src/ownership.rs
@@ -24,5 +24,5 @@
 pub use self::messages::{HeartbeatResponse, KeyRangeLease, ReleasedKeyRange, TimestampedResponse};
 pub use self::moves::MOVES_AT_ONCE;
 pub use self::owner_manager::{OwnerManager, OwnershipView};
-pub use self::spans::{OwnerManagerSpans, KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT};
+pub use self::spans::{OwnerManagerTimings, KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT};
 pub use self::table::key_range_of_hash;
--- a/crates/caperworks/src/ownership/key_range_state.rs
+++ b/crates/caperworks/src/ownership/key_range_state.rs
@@ -6,7 +6,7 @@
 use crate::facts::Heartbeat;
 use crate::identifiers::Epoch;
 use crate::ownership::messages::ReleasedKeyRange;
-use crate::ownership::spans::OwnerManagerSpans;
+use crate::ownership::spans::OwnerManagerTimings;
 
 /// The state of one key range under one epoch.
 #[derive(Debug, Clone, Default)]
@@ -50,7 +50,7 @@
         now: Duration,
         is_taken_up: bool,
         lease: Duration,
-        spans: &OwnerManagerSpans,
+        spans: &OwnerManagerTimings,
     ) -> bool {
         let offered = *self.offered_since.get_or_insert(now);
         if !is_taken_up && now.saturating_sub(offered) >= spans.uptake {
--- a/crates/caperworks/src/ownership/owner_manager.rs
+++ b/crates/caperworks/src/ownership/owner_manager.rs
@@ -6,7 +6,7 @@
 use crate::identifiers::{Epoch, ServiceName, Zone};
 use crate::instances::Instances;
 use crate::ownership::key_range_state::KeyRangeState;
-use crate::ownership::spans::OwnerManagerSpans;
+use crate::ownership::spans::OwnerManagerTimings;
 use crate::replicated_map::ReplicatedMap;
 
 /// The owner manager. At most one controller acts as it, under a term of the leadership role.
@@ -18,7 +18,7 @@
     /// Until when leases that were granted in earlier terms may live.
     earlier_leases_until: Duration,
     /// The time bounds.
-    pub spans: OwnerManagerSpans,
+    pub spans: OwnerManagerTimings,
     /// Fault injection, to prove the invariant checkers: moves key ranges before a lease has ended.
     pub hasty: bool,
     /// Fault injection, to prove the invariant checkers: takes a heartbeat that does not list a key
--- a/crates/caperworks/src/ownership/spans.rs
+++ b/crates/caperworks/src/ownership/spans.rs
@@ -12,7 +12,7 @@
 
 /// The time bounds that an owner manager goes by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnerManagerSpans {
+pub struct OwnerManagerTimings {
     /// How long a lease lives, by the instance's clock from when it sent its heartbeat.
     pub lease: Duration,
     /// How much longer a lease may last by our clock, as the clocks may drift.
@@ -25,7 +25,7 @@
     pub uptake: Duration,
 }
 
-impl Default for OwnerManagerSpans {
+impl Default for OwnerManagerTimings {
     fn default() -> Self {
         Self {
             lease: KEY_RANGE_LEASE_DURATION,
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -4,7 +4,7 @@
 
 use crate::instances::INSTANCE_TIMEOUT;
 use crate::members::MEMBER_SPAN;
-use crate::ownership::OwnerManagerSpans;
+use crate::ownership::OwnerManagerTimings;
 use crate::reduced_map::FeedForm;
 
 /// The policy of the core.
@@ -26,7 +26,7 @@
     /// An instance without a heartbeat for so long is deregistered.
     pub instance_timeout: Duration,
     /// The time bounds of key ownership.
-    pub owner_manager: OwnerManagerSpans,
+    pub owner_manager: OwnerManagerTimings,
     /// How long a new leader collects heartbeats before it acts on them.
     pub listen: Duration,
     /// Requests a second that the solver counts for each unit of an instance's capacity.
@@ -55,7 +55,7 @@
             may_found: true,
             stamped_heartbeats: true,
             instance_timeout: INSTANCE_TIMEOUT,
-            owner_manager: OwnerManagerSpans::default(),
+            owner_manager: OwnerManagerTimings::default(),
             listen: Duration::from_millis(1200),
             requests_per_slot: 1,
             carries_home: false,
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -11,7 +11,7 @@
 use caperworks::instances::Instances;
 use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
 use caperworks::ownership::{
-    HeartbeatResponse, OwnerManager, OwnerManagerSpans, OwnershipView, ReleasedKeyRange,
+    HeartbeatResponse, OwnerManager, OwnerManagerTimings, OwnershipView, ReleasedKeyRange,
     KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT,
 };
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
@@ -450,7 +450,7 @@
 
 #[test]
 fn given_a_silent_owner_when_its_hold_with_the_clocks_drift_has_passed_then_its_key_ranges_move() {
-    let spans = OwnerManagerSpans {
+    let spans = OwnerManagerTimings {
         wait_after_own: OWNER_MANAGER_WAIT,
         lease: millis(4000),
         drift: millis(300),
