--- a/crates/caperworks/src/ownership/owner_manager.rs
+++ b/crates/caperworks/src/ownership/owner_manager.rs
@@ -45,7 +45,7 @@
     pub fn take_up(&mut self, now: Duration, after_own: bool) {
         self.states.clear();
         let wait = match after_own {
-            true => self.spans.wait_after_own,
+            true => self.spans.wait_after_restart,
             false => self.spans.wait,
         };
         self.earlier_leases_until = now + wait;
--- a/crates/caperworks/src/ownership/spans.rs
+++ b/crates/caperworks/src/ownership/spans.rs
@@ -20,7 +20,7 @@
     /// How long a new owner manager waits before it moves what the one before may have leased out.
     pub wait: Duration,
     /// How long it waits if the one before was its own former incarnation, which has surely ended.
-    pub wait_after_own: Duration,
+    pub wait_after_restart: Duration,
     /// How long an owner may take to take up a key range that it was offered.
     pub uptake: Duration,
 }
@@ -31,7 +31,7 @@
             lease: KEY_RANGE_LEASE_DURATION,
             drift: Duration::ZERO,
             wait: OWNER_MANAGER_WAIT,
-            wait_after_own: OWNER_MANAGER_WAIT,
+            wait_after_restart: OWNER_MANAGER_WAIT,
             uptake: UPTAKE_SPAN,
         }
     }
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -451,7 +451,7 @@
 #[test]
 fn given_a_silent_owner_when_its_hold_with_the_clocks_drift_has_passed_then_its_key_ranges_move() {
     let spans = OwnerManagerTimings {
-        wait_after_own: OWNER_MANAGER_WAIT,
+        wait_after_restart: OWNER_MANAGER_WAIT,
         lease: millis(4000),
         drift: millis(300),
         wait: millis(9000),
@@ -506,7 +506,7 @@
         bench.runs(seconds(1), &["a"], 3);
         bench.owner_manager = OwnerManager::default();
         bench.owner_manager.spans.wait = millis(8000);
-        bench.owner_manager.spans.wait_after_own = millis(3500);
+        bench.owner_manager.spans.wait_after_restart = millis(3500);
         bench.owner_manager.take_up(seconds(30), after_own);
         let moved_at = (0..100).find_map(|step| {
             let now = seconds(30) + millis(100 * step);
