--- a/crates/caperworks/src/ownership/key_range_state.rs
+++ b/crates/caperworks/src/ownership/key_range_state.rs
@@ -53,7 +53,7 @@
         spans: &OwnerManagerTimings,
     ) -> bool {
         let offered = *self.offered_since.get_or_insert(now);
-        if !is_taken_up && now.saturating_sub(offered) >= spans.uptake {
+        if !is_taken_up && now.saturating_sub(offered) >= spans.acceptance_timeout {
             self.is_declined = true;
             return false;
         }
--- a/crates/caperworks/src/ownership/spans.rs
+++ b/crates/caperworks/src/ownership/spans.rs
@@ -22,7 +22,7 @@
     /// How long it waits if the one before was its own former incarnation, which has surely ended.
     pub wait_after_restart: Duration,
     /// How long an owner may take to take up a key range that it was offered.
-    pub uptake: Duration,
+    pub acceptance_timeout: Duration,
 }
 
 impl Default for OwnerManagerTimings {
@@ -32,7 +32,7 @@
             drift: Duration::ZERO,
             wait: OWNER_MANAGER_WAIT,
             wait_after_restart: OWNER_MANAGER_WAIT,
-            uptake: UPTAKE_SPAN,
+            acceptance_timeout: UPTAKE_SPAN,
         }
     }
 }
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -455,7 +455,7 @@
         lease: millis(4000),
         drift: millis(300),
         wait: millis(9000),
-        uptake: millis(2000),
+        acceptance_timeout: millis(2000),
     };
     let mut bench = Bench::new(4);
     bench.owner_manager.spans = spans;
