--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -10,7 +10,7 @@
 use caperworks::envelope_clock::Echo;
 use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
-    steady_hash, ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
+    stable_hash, ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
 use caperworks::leases::LEASE_DURATION;
 use caperworks::link::SLOW_LINK_SPAN;
@@ -35,7 +35,7 @@
         counter,
         service: ServiceName::new("records"),
         zone: Zone::new("e1"),
-        address: address(8000 + (steady_hash(id) % 1000) as u16),
+        address: address(8000 + (stable_hash(id) % 1000) as u16),
         capacity: 4,
         state: InstanceState::Serving,
         load: 0,
--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -4,7 +4,7 @@
 
 use crate::dispatch::{target_of, Failure, ProxyKnowledge, ServiceShard, Target};
 use crate::facts::{Heartbeat, InstanceState};
-use crate::identifiers::{steady_hash, InstanceId, ServiceName, Zone};
+use crate::identifiers::{stable_hash, InstanceId, ServiceName, Zone};
 use crate::map_items::{Route, Service};
 use crate::replicated_map::MapName;
 
@@ -206,7 +206,7 @@
             // next moment either, and the attempt would be wasted.
             .filter(|heartbeat| !tried.contains(&heartbeat.id))
             .ok_or(Failure::NoOwner)?;
-        let key = steady_hash(key);
+        let key = stable_hash(key);
         // Why a cap per key: one hot key must not take all of its owner's room from the others.
         self.key_share = f64::from(service.key_cap) / f64::from(knowledge.proxies.max(1));
         let most = (self.key_share as u32).max(1);
--- a/crates/caperworks/src/identifiers.rs
+++ b/crates/caperworks/src/identifiers.rs
@@ -143,7 +143,7 @@
 }
 
 /// A hash that is the same on every node and in every build.
-pub fn steady_hash(text: &str) -> u64 {
+pub fn stable_hash(text: &str) -> u64 {
     steady_hash_of(text.as_bytes())
 }
 
--- a/crates/caperworks/src/ownership/table.rs
+++ b/crates/caperworks/src/ownership/table.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use crate::facts::{Heartbeat, InstanceState};
-use crate::identifiers::{steady_hash, Epoch, InstanceId, ServiceName};
+use crate::identifiers::{stable_hash, Epoch, InstanceId, ServiceName};
 use crate::map_items::{KeyRangeOwner, KeyRangeTable};
 use crate::ownership::owner_manager::OwnershipView;
 
 /// The key range that a key falls into, by its hash.
 pub fn key_range_of_hash(key: &str, key_ranges: u32) -> u32 {
-    (steady_hash(key) % u64::from(key_ranges.max(1))) as u32
+    (stable_hash(key) % u64::from(key_ranges.max(1))) as u32
 }
 
 /// The instances that may own key ranges of a service: those that are not leaving, in open zones.
@@ -71,7 +71,7 @@
                         .as_ref()
                         .is_some_and(|owner| is_owner(owner, candidate));
                     let is_warming_up = candidate.is_warming_up(warm_up_span) && !owns;
-                    let weight = steady_hash(&format!("{service} {key_range} {}", candidate.id));
+                    let weight = stable_hash(&format!("{service} {key_range} {}", candidate.id));
                     (is_warming_up, Reverse(weight))
                 })?;
             *assigned.entry(&target.id).or_default() += 1;
--- a/crates/caperworks/src/placement/preference_list.rs
+++ b/crates/caperworks/src/placement/preference_list.rs
@@ -1,6 +1,6 @@
 //! The truncated preference list of a client group (section 7.4.3 of the source).
 
-use crate::identifiers::{steady_hash, Zone};
+use crate::identifiers::{stable_hash, Zone};
 use crate::placement::capacity::Site;
 use crate::placement::groups::{ClientGroup, UNSEEN_GROUP};
 
@@ -34,7 +34,7 @@
             } else {
                 measured
             };
-            let tie_break = steady_hash(&format!("{group} {}", site.zone));
+            let tie_break = stable_hash(&format!("{group} {}", site.zone));
             Some((distance, tie_break, index))
         })
         .collect();
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -8,7 +8,7 @@
     Heartbeat, InstanceState, Member, ReceivedHeartbeat, ReceivedMember, Role,
 };
 use caperworks::identifiers::{
-    steady_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
+    stable_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
 use caperworks::instances::Instances;
 use caperworks::link::CoreLink;
@@ -22,7 +22,7 @@
 }
 
 fn heartbeat(id: &str, counter: u64) -> Heartbeat {
-    let port = 7000 + (steady_hash(id) % 1000) as u16;
+    let port = 7000 + (stable_hash(id) % 1000) as u16;
     Heartbeat {
         id: InstanceId::new(id),
         incarnation: Incarnation(0),
--- a/crates/caperworks/tests/gone_stories.rs
+++ b/crates/caperworks/tests/gone_stories.rs
@@ -5,7 +5,7 @@
 
 use caperworks::facts::{Heartbeat, InstanceState, Member, ReceivedHeartbeat, Role};
 use caperworks::identifiers::{
-    steady_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
+    stable_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
 use caperworks::instances::{Instances, INSTANCE_TIMEOUT};
 use caperworks::link::CoreLink;
@@ -18,7 +18,7 @@
 }
 
 fn heartbeat(id: &str, counter: u64) -> ReceivedHeartbeat {
-    let port = 7000 + (steady_hash(id) % 1000) as u16;
+    let port = 7000 + (stable_hash(id) % 1000) as u16;
     ReceivedHeartbeat {
         heartbeat: Heartbeat {
             id: InstanceId::new(id),
--- a/crates/caperworks/tests/ownership_stories.rs
+++ b/crates/caperworks/tests/ownership_stories.rs
@@ -6,7 +6,7 @@
 
 use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
-    steady_hash, ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone,
+    stable_hash, ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone,
 };
 use caperworks::instances::Instances;
 use caperworks::map_items::{Service, Value};
@@ -23,7 +23,7 @@
 }
 
 fn heartbeat(name: &str, up: Duration, held_key_ranges: Vec<u32>) -> Heartbeat {
-    let port = 7000 + (steady_hash(name) % 1000) as u16;
+    let port = 7000 + (stable_hash(name) % 1000) as u16;
     Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(1),
@@ -177,7 +177,7 @@
     bench.heartbeats(seconds(1), "evidence-1", seconds(10));
     bench.plans(seconds(1));
     bench.heartbeats(seconds(2), "evidence-1", seconds(11));
-    let rank = |name: &str| steady_hash(&format!("{SERVICE} 0 {name}"));
+    let rank = |name: &str| stable_hash(&format!("{SERVICE} 0 {name}"));
     let newcomer = (2..200)
         .map(|number| format!("evidence-{number}"))
         .find(|name| rank(name) > rank("evidence-1"))
@@ -235,7 +235,7 @@
         .get_mut("evidence-1")
         .expect("known")
         .started(0);
-    let rank = |name: &str| steady_hash(&format!("{SERVICE} 0 {name}"));
+    let rank = |name: &str| stable_hash(&format!("{SERVICE} 0 {name}"));
     let newcomer = (2..200)
         .map(|number| format!("evidence-{number}"))
         .find(|name| rank(name) > rank("evidence-1"))
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -10,7 +10,7 @@
 };
 use caperworks::home_bounds::HomeBounds;
 use caperworks::identifiers::{
-    steady_hash, ChangeId, Epoch, Incarnation, InstanceId, NodeId, RandomSource, Region, RouteName,
+    stable_hash, ChangeId, Epoch, Incarnation, InstanceId, NodeId, RandomSource, Region, RouteName,
     ServiceName, Zone,
 };
 use caperworks::instances::Instances;
@@ -280,7 +280,7 @@
         requests: u32,
     ) {
         self.counter += 1;
-        let address = SocketAddr::from(([127, 0, 0, 1], 9000 + (steady_hash(zone) % 900) as u16));
+        let address = SocketAddr::from(([127, 0, 0, 1], 9000 + (stable_hash(zone) % 900) as u16));
         let demand = Demand {
             group: "10.1.2.0/24".to_string(),
             route: RouteName::new(route),
@@ -291,7 +291,7 @@
             stands: Vec::new(),
             same_demand: false,
             silent: false,
-            node: NodeId(steady_hash(zone)),
+            node: NodeId(stable_hash(zone)),
             counter: self.counter,
             role: Role::Proxy,
             zone: Zone::new(zone),
@@ -324,7 +324,7 @@
             counter: self.counter,
             service: ServiceName::new("records"),
             zone: Zone::new(zone),
-            address: SocketAddr::from(([127, 0, 0, 1], 8000 + (steady_hash(zone) % 900) as u16)),
+            address: SocketAddr::from(([127, 0, 0, 1], 8000 + (stable_hash(zone) % 900) as u16)),
             capacity: 100,
             state,
             load: 0,
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -12,7 +12,7 @@
 };
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
-    steady_hash, ChangeId, Epoch, Incarnation, InstanceId, NodeId, RandomSource, Region,
+    stable_hash, ChangeId, Epoch, Incarnation, InstanceId, NodeId, RandomSource, Region,
     ServiceName, Version, Zone,
 };
 use caperworks::link::SLOW_LINK_SPAN;
@@ -50,7 +50,7 @@
 }
 
 fn heartbeat(name: &str, zone: &str) -> Heartbeat {
-    let port = 7000 + (steady_hash(name) % 1000) as u16;
+    let port = 7000 + (stable_hash(name) % 1000) as u16;
     Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(0),
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -6,7 +6,7 @@
 
 use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
-    steady_hash, ChangeId, Epoch, Incarnation, InstanceId, RandomSource, ServiceName, Zone,
+    stable_hash, ChangeId, Epoch, Incarnation, InstanceId, RandomSource, ServiceName, Zone,
 };
 use caperworks::instances::Instances;
 use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
@@ -132,7 +132,7 @@
     }
 
     fn heartbeat_of(&mut self, name: &str) -> Heartbeat {
-        let port = 7000 + (steady_hash(name) % 1000) as u16;
+        let port = 7000 + (stable_hash(name) % 1000) as u16;
         let instance = self.instance(name);
         instance.counter += 1;
         Heartbeat {
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -22,7 +22,7 @@
     RequestState, ServiceShard,
 };
 use caperworks::facts::Demand;
-use caperworks::identifiers::{mix, steady_hash, InstanceId, ServiceName, Zone};
+use caperworks::identifiers::{mix, stable_hash, InstanceId, ServiceName, Zone};
 use caperworks::messages::ProxyView;
 use runtime::actor::fresh_seed;
 use runtime::clock::Clock;
@@ -123,7 +123,7 @@
             .shards
             .write()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let seed = self.seed ^ steady_hash(service.as_str());
+        let seed = self.seed ^ stable_hash(service.as_str());
         write
             .entry(service.clone())
             .or_insert_with(|| Arc::new(Mutex::new(ServiceShard::new(seed))))
--- a/crates/proxy/src/demand_meter.rs
+++ b/crates/proxy/src/demand_meter.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use caperworks::facts::Demand;
-use caperworks::identifiers::{steady_hash, RouteName};
+use caperworks::identifiers::{stable_hash, RouteName};
 use caperworks::placement::group_of;
 use runtime::http::FarEnd;
 use runtime::locks::locked;
@@ -29,7 +29,7 @@
 impl DemandMeter {
     pub fn measure(&self, now: Duration, far_end: &FarEnd, route: &RouteName) {
         let group = group_of(far_end.address.ip());
-        let shard = (steady_hash(&group) % METER_SHARDS as u64) as usize;
+        let shard = (stable_hash(&group) % METER_SHARDS as u64) as usize;
         let mut meter = locked(&self.shards[shard]);
         let metered = meter.entry((group, route.clone())).or_default();
         let second = now.as_secs();
--- a/crates/proxy/tests/support/server.rs
+++ b/crates/proxy/tests/support/server.rs
@@ -11,7 +11,7 @@
 use crate::support::fixture::Manner;
 use crate::support::journal::Journal;
 use crate::support::wire::{body_of, Cut, Wire, WireHead};
-use caperworks::identifiers::{mix, steady_hash, RandomSource};
+use caperworks::identifiers::{mix, stable_hash, RandomSource};
 
 const LARGE: usize = 100_000;
 const SMALL: usize = 900;
@@ -89,7 +89,7 @@
 
     /// Why by request and arrival: the same seed then does the same whatever the timing.
     fn chance_for(&self, id: &str, arrival: u32) -> RandomSource {
-        RandomSource::seeded(mix(self.seed ^ steady_hash(id) ^ u64::from(arrival) << 32))
+        RandomSource::seeded(mix(self.seed ^ stable_hash(id) ^ u64::from(arrival) << 32))
     }
 }
 
--- a/crates/proxy/tests/support/wire.rs
+++ b/crates/proxy/tests/support/wire.rs
@@ -2,7 +2,7 @@
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-use caperworks::identifiers::steady_hash;
+use caperworks::identifiers::stable_hash;
 
 /// A head as it came: its first line and its headers.
 #[derive(Debug, Clone)]
@@ -147,7 +147,7 @@
 /// A body that can be told from that of every other request, and from a part of itself.
 pub fn body_of(owner: &str, length: usize) -> Vec<u8> {
     let first_line = format!("{owner} {length}\n");
-    let hash = steady_hash(owner) as usize;
+    let hash = stable_hash(owner) as usize;
     let filling = (0..length).map(|index| b'a' + ((hash + index * 7) % 26) as u8);
     first_line.into_bytes().into_iter().chain(filling).collect()
 }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -11,7 +11,7 @@
     AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestChart, ServiceShard,
 };
 use caperworks::facts::{Demand, InstanceState};
-use caperworks::identifiers::{steady_hash, RouteName, ServiceName, Version, Zone};
+use caperworks::identifiers::{stable_hash, RouteName, ServiceName, Version, Zone};
 use caperworks::map_items::Route;
 use caperworks::messages::{Message, ProxyView, Pull};
 use caperworks::poll_pacer::PollPacer;
@@ -248,7 +248,7 @@
         chart.admitted(true);
         let seed = self.seed;
         self.shards.entry(route.service.clone()).or_insert_with(|| {
-            let mut shard = ServiceShard::new(seed ^ steady_hash(route.service.as_str()));
+            let mut shard = ServiceShard::new(seed ^ stable_hash(route.service.as_str()));
             shard.no_key_cap = self.broken == BrokenProxy::NoKeyCap;
             shard.without_passive_evidence = self.broken == BrokenProxy::BelievesSilence;
             shard
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -19,7 +19,7 @@
 use caperworks::envelope_clock::{Echo, Stamp};
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
-    mix, steady_hash, Epoch, Incarnation, InstanceId, ServiceName, Zone,
+    mix, stable_hash, Epoch, Incarnation, InstanceId, ServiceName, Zone,
 };
 use caperworks::ownership::HeldLeases;
 use runtime::actor::asked_to_stop;
@@ -201,7 +201,7 @@
     }
 
     async fn keep_beating(self: Arc<Self>) {
-        let mut index = (steady_hash(&self.flags.id) % self.flags.agents.len() as u64) as usize;
+        let mut index = (stable_hash(&self.flags.id) % self.flags.agents.len() as u64) as usize;
         let mut heartbeat = tokio::time::interval(HEARTBEAT_PERIOD);
         heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
