--- a/crates/caperworks/src/identifiers.rs
+++ b/crates/caperworks/src/identifiers.rs
@@ -144,11 +144,11 @@
 
 /// A hash that is the same on every node and in every build.
 pub fn stable_hash(text: &str) -> u64 {
-    steady_hash_of(text.as_bytes())
+    stable_hash_of(text.as_bytes())
 }
 
 /// The same for bytes.
-pub fn steady_hash_of(bytes: &[u8]) -> u64 {
+pub fn stable_hash_of(bytes: &[u8]) -> u64 {
     let mut value: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in bytes {
         value = (value ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::identifiers::{steady_hash_of, ChangeId, Version};
+use crate::identifiers::{stable_hash_of, ChangeId, Version};
 use crate::map_items::Value;
 use crate::placement::LIST_LENGTH;
 use crate::reduced_map::FeedForm;
@@ -216,7 +216,7 @@
     /// A digest that tells two change sets under one id apart. It is the same on every node.
     pub fn digest(&self) -> u64 {
         let bytes = minicbor::to_vec(&self.puts).expect("puts encode");
-        steady_hash_of(&bytes)
+        stable_hash_of(&bytes)
     }
 }
 
--- a/crates/caperworks/tests/one_number_stories.rs
+++ b/crates/caperworks/tests/one_number_stories.rs
@@ -10,7 +10,7 @@
     ProposalOutcome, Proposer, ProposerOptions, ProposerOutcome,
 };
 use caperworks::consensus::voter::{Voter, VoterOutcome};
-use caperworks::identifiers::{steady_hash_of, ChangeId, NodeId, RandomSource, Version, Zone};
+use caperworks::identifiers::{stable_hash_of, ChangeId, NodeId, RandomSource, Version, Zone};
 use caperworks::map_items::{Service, Value, VoterEntry, VoterSet};
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap, Written};
 use caperworks::version_history::REMEMBERED_VERSIONS;
@@ -65,7 +65,7 @@
 fn call(puts: Vec<Put>) -> Change {
     let bytes = minicbor::to_vec(&puts).expect("puts encode");
     Change {
-        id: ChangeId::new(format!("call-{:x}", steady_hash_of(&bytes))),
+        id: ChangeId::new(format!("call-{:x}", stable_hash_of(&bytes))),
         puts,
         guards: Vec::new(),
     }
