--- a/crates/caperworks/src/placement/problem.rs
+++ b/crates/caperworks/src/placement/problem.rs
@@ -28,7 +28,7 @@
     /// Requests a second for each unit of an instance's capacity.
     pub requests_per_slot: u32,
     /// Whether proxies outside a route's home regions accept its requests and forward them home.
-    pub carries_home: bool,
+    pub forwards_to_home: bool,
     /// Whether directories answer for hosts, so that all routes of a host are placed as one.
     pub by_host: bool,
 }
@@ -114,7 +114,7 @@
 
     /// Whether proxies of a zone may accept requests on a route.
     fn may_use(&self, route: &Route, zone: &Zone) -> bool {
-        self.view.carries_home || route.is_at_home(self.regions.get(zone))
+        self.view.forwards_to_home || route.is_at_home(self.regions.get(zone))
     }
 
     /// The routes that are placed, with their groups; of each host only the first one where
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -32,7 +32,7 @@
     /// Requests a second that the solver counts for each unit of an instance's capacity.
     pub requests_per_slot: u32,
     /// Whether proxies outside a route's home regions accept its requests and forward them home.
-    pub carries_home: bool,
+    pub forwards_to_home: bool,
     /// How long a heartbeat without a change need not be forwarded to followers.
     pub heartbeat_refresh: Duration,
     /// Whether directories answer for hosts, so that all routes of a host are placed as one.
@@ -58,7 +58,7 @@
             owner_manager: OwnerManagerTimings::default(),
             listen: Duration::from_millis(1200),
             requests_per_slot: 1,
-            carries_home: false,
+            forwards_to_home: false,
             heartbeat_refresh: Duration::ZERO,
             by_host: false,
             member_refresh: Duration::ZERO,
@@ -86,7 +86,7 @@
     /// The proxies of a closed zone go on forwarding requests to instances of other zones.
     pub closed_zone_carries: bool,
     /// A proxy outside a route's home regions accepts its requests and forwards them home.
-    pub carries_home: bool,
+    pub forwards_to_home: bool,
     /// For how long requests still go to an owner that is leaving, until another owns the key range.
     pub draining_owner: Duration,
     /// The longest lease, when operators want changes in force sooner than
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -384,7 +384,7 @@
     ) -> Mapping {
         let view = ProblemView {
             by_host: hosts_carried_home,
-            carries_home: hosts_carried_home,
+            forwards_to_home: hosts_carried_home,
             configuration: &self.configuration,
             instances: &self.instances,
             members: &self.members,
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -336,13 +336,13 @@
 fn given_a_proxy_outside_a_routes_home_when_it_carries_home_then_only_to_instances_at_home() {
     let mut bound = route();
     bound.homes = vec![Region::new("west")];
-    for carries_home in [true, false] {
+    for forwards_to_home in [true, false] {
         let mut bench = Bench::new(ProxyPolicy {
-            carries_home,
+            forwards_to_home,
             ..ProxyPolicy::default()
         });
         bench.reported_outcome(Duration::ZERO, &one_everywhere());
-        if carries_home {
+        if forwards_to_home {
             assert_eq!(bench.admits(millis(1), &bound), Ok(()));
             assert_eq!(bench.chosen(millis(1), &bound), names(&["in-w1"]));
             let absent: Vec<Heartbeat> = one_everywhere()
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -33,7 +33,7 @@
         members: &state.members,
         last: state.voter.map(MapName::Placement).mapping(),
         requests_per_slot: state.options.core.requests_per_slot,
-        carries_home: state.options.core.carries_home,
+        forwards_to_home: state.options.core.forwards_to_home,
         by_host: state.options.core.by_host,
     };
     let Some(mapping) = state.solver.step(state.now, epoch, &view) else {
