--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -178,7 +178,7 @@
         if !self.is_usable(now) {
             return Err(Failure::Stale);
         }
-        if self.closed.contains(own_zone) && !self.policy.closed_zone_carries {
+        if self.closed.contains(own_zone) && !self.policy.closed_zone_forwards {
             return Err(Failure::ZoneClosed);
         }
         if !self.policy.forwards_to_home && !route.is_at_home(self.regions.get(own_zone)) {
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -84,7 +84,7 @@
     /// Partitioned from the core, serve stale state instead of refusing requests.
     pub serves_stale: bool,
     /// The proxies of a closed zone go on forwarding requests to instances of other zones.
-    pub closed_zone_carries: bool,
+    pub closed_zone_forwards: bool,
     /// A proxy outside a route's home regions accepts its requests and forwards them home.
     pub forwards_to_home: bool,
     /// For how long requests still go to an owner that is leaving, until another owns the key range.
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -297,7 +297,7 @@
 fn given_a_closed_zone_when_its_own_proxies_carry_on_then_only_to_instances_elsewhere() {
     for carries in [true, false] {
         let mut bench = Bench::new(ProxyPolicy {
-            closed_zone_carries: carries,
+            closed_zone_forwards: carries,
             ..ProxyPolicy::default()
         });
         bench.reported_outcome(Duration::ZERO, &one_everywhere());
@@ -317,7 +317,7 @@
 #[test]
 fn given_a_target_in_a_zone_that_closes_when_the_last_check_comes_then_nothing_is_sent_there() {
     let mut bench = Bench::new(ProxyPolicy {
-        closed_zone_carries: true,
+        closed_zone_forwards: true,
         ..ProxyPolicy::default()
     });
     bench.reported_outcome(Duration::ZERO, &[heartbeat("in-e1", "e1")]);
@@ -573,7 +573,7 @@
 #[test]
 fn given_a_zone_taken_back_when_no_later_heartbeat_has_come_then_its_instances_count_as_cold() {
     let mut bench = Bench::new(ProxyPolicy {
-        closed_zone_carries: true,
+        closed_zone_forwards: true,
         ..ProxyPolicy::default()
     });
     let (own, other) = (heartbeat("own", "e1"), heartbeat("other", "w1"));
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -153,7 +153,7 @@
         let knowledge = self.knowledge();
         !self.stopping.load(Ordering::SeqCst)
             && knowledge.is_usable(self.clock.now())
-            && (knowledge.policy.closed_zone_carries || !knowledge.closed.contains(&self.zone))
+            && (knowledge.policy.closed_zone_forwards || !knowledge.closed.contains(&self.zone))
     }
 
     /// What was measured of late: requests a second by group and route, and how far the group is.
