--- a/crates/caperworks/src/placement.rs
+++ b/crates/caperworks/src/placement.rs
@@ -26,7 +26,7 @@
 
 pub use self::capacity::Site;
 pub use self::groups::{group_of, ClientGroup, UNSEEN_GROUP};
-pub use self::mapping::worth_writing;
+pub use self::mapping::is_worth_writing;
 pub use self::overflow::OVERFLOW_PERCENT;
 pub use self::preference_list::{ranked, LIST_LENGTH, STABILITY_BONUS};
 pub use self::problem::ProblemView;
--- a/crates/caperworks/src/placement/mapping.rs
+++ b/crates/caperworks/src/placement/mapping.rs
@@ -36,7 +36,7 @@
 ///
 /// The number of proxies counts only when it grows, or falls by more than a fifth: it bounds what
 /// proxies share, and the restart of one is no reason to write.
-pub fn worth_writing(last: Option<&Mapping>, next: &Mapping) -> bool {
+pub fn is_worth_writing(last: Option<&Mapping>, next: &Mapping) -> bool {
     let Some(last) = last else {
         return true;
     };
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -8,7 +8,7 @@
 use crate::state::ControllerState;
 use caperworks::identifiers::Epoch;
 use caperworks::map_items::{Mapping, Value};
-use caperworks::placement::{worth_writing, ProblemView};
+use caperworks::placement::{is_worth_writing, ProblemView};
 use caperworks::replicated_map::{Guard, MapName};
 
 /// Does the next step of the solver, and proposes its placement when it is worth a write.
@@ -39,7 +39,7 @@
     let Some(mapping) = state.solver.step(state.now, epoch, &view) else {
         return;
     };
-    if worth_writing(view.last, &mapping) {
+    if is_worth_writing(view.last, &mapping) {
         propose_placement(state, mapping, guard);
     }
 }
