--- a/crates/caperworks/src/ownership/leases.rs
+++ b/crates/caperworks/src/ownership/leases.rs
@@ -49,7 +49,7 @@
     ) {
         let spans = self.spans;
         let lease = spans.lease * if self.generous { 2 } else { 1 };
-        let silence_is_release = self.takes_silence;
+        let silence_is_release = self.infers_release;
         let is_taken_up = heartbeat.held_key_ranges.contains(&key_range);
         let state = self.state(&heartbeat.service, key_range, owner.epoch);
         state.latest_heartbeat = state.latest_heartbeat.max(heartbeat.counter);
--- a/crates/caperworks/src/ownership/owner_manager.rs
+++ b/crates/caperworks/src/ownership/owner_manager.rs
@@ -23,7 +23,7 @@
     pub hasty: bool,
     /// Fault injection, to prove the invariant checkers: takes a heartbeat that does not list a key
     /// range for its release.
-    pub takes_silence: bool,
+    pub infers_release: bool,
     /// Fault injection, to prove the invariant checkers: grants leases that are too long.
     pub generous: bool,
 }
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -68,7 +68,7 @@
     /// Leaves the safeguard out of the owner manager.
     pub(crate) fn apply_to_owner_manager(self, manager: &mut OwnerManager) {
         manager.hasty = self == Self::EarlyReassignment;
-        manager.takes_silence = self == Self::TrustsOldHeartbeats;
+        manager.infers_release = self == Self::TrustsOldHeartbeats;
         manager.generous = self == Self::OverlongLeases;
     }
 }
