--- a/crates/caperworks/src/ownership/leases.rs
+++ b/crates/caperworks/src/ownership/leases.rs
@@ -48,7 +48,7 @@
         response: &mut HeartbeatResponse,
     ) {
         let spans = self.spans;
-        let lease = spans.lease * if self.generous { 2 } else { 1 };
+        let lease = spans.lease * if self.grants_long_leases { 2 } else { 1 };
         let silence_is_release = self.infers_release;
         let is_taken_up = heartbeat.held_key_ranges.contains(&key_range);
         let state = self.state(&heartbeat.service, key_range, owner.epoch);
--- a/crates/caperworks/src/ownership/owner_manager.rs
+++ b/crates/caperworks/src/ownership/owner_manager.rs
@@ -25,7 +25,7 @@
     /// range for its release.
     pub infers_release: bool,
     /// Fault injection, to prove the invariant checkers: grants leases that are too long.
-    pub generous: bool,
+    pub grants_long_leases: bool,
 }
 
 /// What the owner manager plans by.
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -69,7 +69,7 @@
     pub(crate) fn apply_to_owner_manager(self, manager: &mut OwnerManager) {
         manager.hasty = self == Self::EarlyReassignment;
         manager.infers_release = self == Self::TrustsOldHeartbeats;
-        manager.generous = self == Self::OverlongLeases;
+        manager.grants_long_leases = self == Self::OverlongLeases;
     }
 }
 
