--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -122,7 +122,7 @@
     ///
     /// This is the read index of a call for which round `number` was begun: what a majority held
     /// when it answered that round includes every change that was accepted before the call.
-    pub fn answered_since(&self, number: u64) -> Option<&QuorumRead> {
+    pub fn completed_since(&self, number: u64) -> Option<&QuorumRead> {
         self.latest
             .as_ref()
             .filter(|quorum_read| quorum_read.number >= number)
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -123,7 +123,7 @@
 /// The membership counts too: a majority of voters that were replaced says nothing of what the present
 /// ones accepted; one of them at least knows that it was replaced.
 fn is_answered_by(state: &ControllerState, number: u64) -> bool {
-    let Some(quorum_read) = state.quorum_reads.answered_since(number) else {
+    let Some(quorum_read) = state.quorum_reads.completed_since(number) else {
         return false;
     };
     [MapName::Configuration, MapName::Membership]
