--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -108,11 +108,11 @@
     }
 
     pub fn latest(&self, now: Duration) -> Option<&QuorumRead> {
-        self.begun_within(now, QUORUM_READ_AGE_LIMIT)
+        self.started_within(now, QUORUM_READ_AGE_LIMIT)
     }
 
     /// The last round that a majority answered, if it began less than `age` ago.
-    pub fn begun_within(&self, now: Duration, age: Duration) -> Option<&QuorumRead> {
+    pub fn started_within(&self, now: Duration, age: Duration) -> Option<&QuorumRead> {
         self.latest
             .as_ref()
             .filter(|quorum_read| now.saturating_sub(quorum_read.started) < age)
@@ -130,7 +130,7 @@
 
     /// Whether a majority was heard in a round that began within the lease span.
     pub fn confirmed(&self, now: Duration) -> Option<&QuorumRead> {
-        self.begun_within(now, LEASE_DURATION - DRIFT_MARGIN)
+        self.started_within(now, LEASE_DURATION - DRIFT_MARGIN)
     }
 
     /// Drops the rounds under way, and the latest if it was not under the membership until now.
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -310,7 +310,7 @@
     /// Whether a majority of the voters was heard a moment ago.
     pub fn has_quorum_contact(&self) -> bool {
         self.quorum_reads
-            .begun_within(self.now, QUORUM_CONTACT_AGE)
+            .started_within(self.now, QUORUM_CONTACT_AGE)
             .is_some()
     }
 
