--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -254,7 +254,7 @@
                 .filter(|_| tells_demand)
                 .map(|pull| pull.demand.clone())
                 .unwrap_or_default(),
-            same_demand: !tells_demand,
+            demand_unchanged: !tells_demand,
             silent: false,
             versions: self.link.versions(),
             draining: self.stopping_since.is_some(),
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -65,7 +65,7 @@
         /// Where groups of clients say that they stand, as a directory heard it.
         11 stands: Vec<GroupZone>,
         /// Its demand is as told before, and left out here.
-        12 same_demand: bool,
+        12 demand_unchanged: bool,
         /// A controller that it renewed at has not heard it since; what it says next goes before this.
         13 silent: bool,
     }
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -37,11 +37,11 @@
                 .retain(|_, kept| kept.fact.control != heard.member.control);
         }
         let mut fact = heard.member.clone();
-        if fact.same_demand {
+        if fact.demand_unchanged {
             // Why kept and not asked for: it is told whole again in a moment.
             let before = self.known.get(&node).map(|kept| kept.fact.demand.clone());
             fact.demand = before.unwrap_or_default();
-            fact.same_demand = false;
+            fact.demand_unchanged = false;
         }
         let quiet = self.known.get(&node).filter(|kept| {
             let (said, before) = (&heard.member, &kept.fact);
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -50,7 +50,7 @@
         versions: vec![Version(0); ALL_MAPS.len()],
         draining: false,
         stands: Vec::new(),
-        same_demand: false,
+        demand_unchanged: false,
         silent: false,
     }
 }
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -207,7 +207,7 @@
 fn member(node: u64, counter: u64) -> Member {
     let address = SocketAddr::from(([127, 0, 0, 1], 6500 + node as u16));
     Member {
-        same_demand: false,
+        demand_unchanged: false,
         silent: false,
         stands: Vec::new(),
         node: NodeId(node),
--- a/crates/caperworks/tests/follower_catch_up_stories.rs
+++ b/crates/caperworks/tests/follower_catch_up_stories.rs
@@ -170,7 +170,7 @@
             versions: self.link.versions(),
             draining: false,
             stands: Vec::new(),
-            same_demand: false,
+            demand_unchanged: false,
             silent: false,
         }
     }
--- a/crates/caperworks/tests/gone_stories.rs
+++ b/crates/caperworks/tests/gone_stories.rs
@@ -100,7 +100,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 6500));
     Member {
         stands: Vec::new(),
-        same_demand: false,
+        demand_unchanged: false,
         silent: false,
         node: NodeId(9),
         counter: 1,
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -289,7 +289,7 @@
         };
         let member = Member {
             stands: Vec::new(),
-            same_demand: false,
+            demand_unchanged: false,
             silent: false,
             node: NodeId(stable_hash(zone)),
             counter: self.counter,
@@ -500,7 +500,7 @@
     bench.counter += 1;
     let address = SocketAddr::from(([127, 0, 0, 1], 8999));
     let member = Member {
-        same_demand: false,
+        demand_unchanged: false,
         silent: false,
         stands: vec![GroupZone {
             group: "10.1.2.0/24".to_string(),
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -541,7 +541,7 @@
             group: "mobile".to_string(),
             zone: Zone::from("north-a"),
         }],
-        same_demand: true,
+        demand_unchanged: true,
         silent: true,
     }
 }
--- a/crates/controller/tests/fleet_stories/follower.rs
+++ b/crates/controller/tests/fleet_stories/follower.rs
@@ -46,7 +46,7 @@
             versions: self.link.versions(),
             draining: false,
             stands: Vec::new(),
-            same_demand: false,
+            demand_unchanged: false,
             silent: false,
         }
     }
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -200,7 +200,7 @@
             demand: Vec::new(),
             versions: self.link.versions(),
             draining: !self.ready,
-            same_demand: false,
+            demand_unchanged: false,
             silent: false,
             stands: stands.collect(),
         }
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -231,7 +231,7 @@
             .collect();
         Member {
             stands: Vec::new(),
-            same_demand: false,
+            demand_unchanged: false,
             silent: false,
             node: self.node,
             counter: self.counter,
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -45,7 +45,7 @@
         versions: Vec::new(),
         draining: false,
         stands: Vec::new(),
-        same_demand: false,
+        demand_unchanged: false,
         silent: false,
     };
     let renewal = Renewal {
