--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeadershipStep {
     /// Nothing.
-    Rest,
+    Wait,
     /// Propose this term, on the condition that the item still has the expected version.
     Take {
         /// The term, under the next epoch.
@@ -68,13 +68,13 @@
         liveness: &Liveness,
     ) -> LeadershipStep {
         let Some(voters) = membership.voters() else {
-            return LeadershipStep::Rest;
+            return LeadershipStep::Wait;
         };
         let is_confirmed = quorum_reads
             .confirmed(now)
             .is_some_and(|round| round.versions[MapName::Membership.index()] <= membership.version);
         if !is_confirmed {
-            return LeadershipStep::Rest;
+            return LeadershipStep::Wait;
         }
         let term = membership.leadership(self.name);
         if let Some(term) = term.filter(|term| term.holder == node) {
@@ -96,7 +96,7 @@
             .is_some_and(|asked| now.saturating_sub(asked) < REQUEST_PERIOD);
         let holder = term.map(|term| term.holder);
         if was_requested || first_in_order(now, voters, liveness, holder) != Some(node) {
-            return LeadershipStep::Rest;
+            return LeadershipStep::Wait;
         }
         self.requested_at = Some(now);
         LeadershipStep::Take {
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -40,7 +40,7 @@
         let name = state.leaderships[index].name;
         let is_stopping = state.stopping_since.is_some();
         match step {
-            LeadershipStep::Rest => {
+            LeadershipStep::Wait => {
                 if name == OWNERSHIP {
                     state.ownership_role.epoch = None;
                 }
