--- a/crates/caperworks/src/leadership.rs
+++ b/crates/caperworks/src/leadership.rs
@@ -1,5 +1,5 @@
-//! Leadership roles, each led by one controller at a time: the first live one in the order of voters,
-//! under an epoch that is its fencing token.
+//! Leadership roles. Each has one leader at a time: the first live controller in the order of voters.
+//! The epoch of its term is the fencing token.
 
 use std::time::Duration;
 
@@ -22,13 +22,15 @@
 /// All leadership roles.
 pub const LEADERSHIPS: [&str; 3] = [SOLVER, OWNERSHIP, VOTER_MANAGEMENT];
 
-/// A controller that was not heard from for this long is suspected: it gets no role.
+/// A controller is suspected, and must not become leader, when no message from it has arrived for this
+/// long.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a controller must have been heard from before it takes a role from a live leader.
-pub const STEADY: Duration = Duration::from_millis(4000);
-/// How long a node must have been heard from at another's address before the other counts as replaced.
-pub const SUCCESSOR_SPAN: Duration = Duration::from_millis(500);
-/// A controller that reported older versions than ours for this long gets no role.
-pub const BEHIND_LIMIT: Duration = SUSPICION_TIMEOUT;
-/// How long a new leader waits before it acts, so that the lease of the one before has expired.
+/// How long a controller must have been reachable without a gap before it may replace a live leader.
+pub const MIN_STABLE_PERIOD: Duration = Duration::from_millis(4000);
+/// How long a node must have been reachable at the address of an earlier node before the earlier one
+/// counts as replaced.
+pub const SUCCESSOR_CONFIRMATION_PERIOD: Duration = Duration::from_millis(500);
+/// A controller that has reported older map versions than ours for this long must not become leader.
+pub const MAX_LAG_PERIOD: Duration = SUSPICION_TIMEOUT;
+/// How long a new leader waits before it acts, so that the lease of its predecessor has expired.
 pub const TAKEOVER_WAIT: Duration = LEASE_DURATION;
--- a/crates/caperworks/src/leadership/election.rs
+++ b/crates/caperworks/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! Who should lead a role.
+//! Leader election: which controller should lead a role.
 
 use std::time::Duration;
 
@@ -6,11 +6,13 @@
 use crate::leadership::liveness::Liveness;
 use crate::map_items::VoterSet;
 
-/// The controller that should lead a role, as this node sees it: the present leader or a live one that
-/// is earlier in the order of voters.
+/// Returns the controller that should lead a role, as this node sees it: the current leader, or a live
+/// controller that precedes it in the order of voters.
 ///
-/// A live leader loses the role only to a controller that is steady: one that comes and goes must not
-/// move the role to and fro.
+/// A live leader is replaced only by a controller that has been reachable for [`MIN_STABLE_PERIOD`], so
+/// that a flapping controller does not make the leadership oscillate.
+///
+/// [`MIN_STABLE_PERIOD`]: crate::leadership::MIN_STABLE_PERIOD
 pub fn first_in_order(
     now: Duration,
     voters: &VoterSet,
--- a/crates/caperworks/src/leadership/liveness.rs
+++ b/crates/caperworks/src/leadership/liveness.rs
@@ -4,26 +4,28 @@
 use std::time::Duration;
 
 use crate::identifiers::NodeId;
-use crate::leadership::{BEHIND_LIMIT, STEADY, SUCCESSOR_SPAN, SUSPICION_TIMEOUT};
+use crate::leadership::{
+    MAX_LAG_PERIOD, MIN_STABLE_PERIOD, SUCCESSOR_CONFIRMATION_PERIOD, SUSPICION_TIMEOUT,
+};
 
-/// Since when a node was heard from without a gap, and when last.
+/// The period in which messages of a node have arrived without a gap.
 #[derive(Debug, Clone, Copy)]
-struct HeardSpan {
+struct ReachablePeriod {
     since: Duration,
     last: Duration,
 }
 
-/// The failure detector: when each controller was heard from, and since when without a gap.
+/// The failure detector: when each controller was last seen, and since when without a gap.
 #[derive(Debug, Clone, Default)]
 pub struct Liveness {
-    heard: BTreeMap<NodeId, HeardSpan>,
+    seen: BTreeMap<NodeId, ReachablePeriod>,
     behind_since: BTreeMap<NodeId, Duration>,
 }
 
 impl Liveness {
-    /// A message of a controller has arrived.
+    /// Handles a message of a controller.
     pub fn handle(&mut self, now: Duration, node: NodeId) {
-        let entry = self.heard.entry(node).or_insert(HeardSpan {
+        let entry = self.seen.entry(node).or_insert(ReachablePeriod {
             since: now,
             last: now,
         });
@@ -33,7 +35,7 @@
         entry.last = now;
     }
 
-    /// A controller reported its versions: `is_level` if they are as late as ours.
+    /// Handles the map versions that a controller reported; `is_level` if none is older than ours.
     pub fn handle_level(&mut self, now: Duration, node: NodeId, is_level: bool) {
         if is_level {
             self.behind_since.remove(&node);
@@ -42,49 +44,50 @@
         }
     }
 
-    /// Whether a controller has been behind for so long that it gets no role.
+    /// Returns whether a controller has been behind for so long that it must not become leader.
     pub fn is_behind(&self, now: Duration, node: NodeId) -> bool {
         self.behind_since
             .get(&node)
-            .is_some_and(|since| now.saturating_sub(*since) >= BEHIND_LIMIT)
+            .is_some_and(|since| now.saturating_sub(*since) >= MAX_LAG_PERIOD)
     }
 
-    /// Whether a node that has another's address was heard from since the other's last message.
+    /// Returns whether `node`, which has the address of `before`, has been seen only since the last
+    /// message of `before`.
     ///
-    /// That proves that the other never returns: a process that has another node number at the same
-    /// address has found an empty disk there.
+    /// That proves that `before` never returns: a process with another node number at the same
+    /// address started there with an empty disk.
     pub fn is_successor(&self, now: Duration, node: NodeId, before: NodeId) -> bool {
-        let Some(heard) = self.heard.get(&node).filter(|_| self.alive(now, node)) else {
+        let Some(seen) = self.seen.get(&node).filter(|_| self.alive(now, node)) else {
             return false;
         };
-        let earlier = self.heard.get(&before);
-        earlier.is_none_or(|earlier| earlier.last < heard.since)
-            && now.saturating_sub(heard.since) >= SUCCESSOR_SPAN
+        let earlier = self.seen.get(&before);
+        earlier.is_none_or(|earlier| earlier.last < seen.since)
+            && now.saturating_sub(seen.since) >= SUCCESSOR_CONFIRMATION_PERIOD
     }
 
-    /// Suspects a node from now on, until it is heard from again.
+    /// Suspects a node until its next message.
     pub fn lose(&mut self, node: NodeId) {
-        self.heard.remove(&node);
+        self.seen.remove(&node);
     }
 
-    /// When a node was last heard from.
+    /// Returns when the last message of a node arrived.
     pub fn last_heard(&self, node: NodeId) -> Option<Duration> {
-        self.heard.get(&node).map(|heard| heard.last)
+        self.seen.get(&node).map(|seen| seen.last)
     }
 
-    /// Whether a node is not suspected.
+    /// Returns whether a node is not suspected.
     pub fn alive(&self, now: Duration, node: NodeId) -> bool {
-        self.heard
+        self.seen
             .get(&node)
-            .is_some_and(|heard| now.saturating_sub(heard.last) < SUSPICION_TIMEOUT)
+            .is_some_and(|seen| now.saturating_sub(seen.last) < SUSPICION_TIMEOUT)
     }
 
-    /// Whether a node has been heard from without a gap for [`STEADY`].
+    /// Returns whether a node has been reachable without a gap for [`MIN_STABLE_PERIOD`].
     pub fn steady(&self, now: Duration, node: NodeId) -> bool {
         self.alive(now, node)
             && self
-                .heard
+                .seen
                 .get(&node)
-                .is_some_and(|heard| now.saturating_sub(heard.since) >= STEADY)
+                .is_some_and(|seen| now.saturating_sub(seen.since) >= MIN_STABLE_PERIOD)
     }
 }
--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -1,7 +1,8 @@
-//! The leadership of one role: when to request it, and since when it is ours.
+//! The leadership of one role, as one controller sees it: when to request it, and since when this
+//! controller has had it.
 //!
 //! Invariant: a controller acts as leader only under a term of a membership that a majority of voters
-//! has confirmed within a lease.
+//! has confirmed within the lease duration.
 
 use std::time::Duration;
 
@@ -12,8 +13,8 @@
 use crate::map_items::LeadershipTerm;
 use crate::replicated_map::{MapName, ReplicatedMap};
 
-/// The period in which a controller asks for a role at most once.
-const REQUEST_PERIOD: Duration = Duration::from_millis(500);
+/// Minimum interval between requests for the same role.
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One leadership role as one controller sees it.
 #[derive(Debug, Clone)]
@@ -27,26 +28,26 @@
 /// What a controller has to do about a leadership role.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeadershipStep {
-    /// Nothing.
+    /// Nothing to do.
     Wait,
-    /// Propose this term, on the condition that the item still has the expected version.
+    /// Propose this term, on the condition that the item of the role still has the expected version.
     Take {
-        /// The term, under the next epoch.
+        /// The new term, with the next epoch.
         term: LeadershipTerm,
-        /// The version of the item of the role.
+        /// The expected version of the item of the role.
         expected: Version,
     },
-    /// This controller leads the role under this epoch, and has for so long.
+    /// Act as leader of the role.
     Hold {
-        /// The epoch, which is the fencing token.
+        /// The epoch of the term, which is the fencing token.
         epoch: Epoch,
-        /// How long it has led.
+        /// How long this controller has been the leader.
         held: Duration,
     },
 }
 
 impl LeadershipWatch {
-    /// A role that this controller does not lead.
+    /// Creates the watch of a role that this controller does not lead.
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -55,10 +56,10 @@
         }
     }
 
-    /// Decides what to do, on each tick.
+    /// Decides what to do on this tick.
     ///
-    /// Nothing is done without a quorum read that confirms the membership here: a later membership may
-    /// name another leader, and the epoch may be over.
+    /// Without a quorum read that confirms the local membership the step is always `Wait`: a later
+    /// membership may name another leader and end the epoch.
     pub fn step(
         &mut self,
         now: Duration,
@@ -72,7 +73,7 @@
         };
         let is_confirmed = quorum_reads
             .confirmed(now)
-            .is_some_and(|round| round.versions[MapName::Membership.index()] <= membership.version);
+            .is_some_and(|read| read.versions[MapName::Membership.index()] <= membership.version);
         if !is_confirmed {
             return LeadershipStep::Wait;
         }
@@ -93,7 +94,7 @@
         self.leading_since = None;
         let was_requested = self
             .requested_at
-            .is_some_and(|asked| now.saturating_sub(asked) < REQUEST_PERIOD);
+            .is_some_and(|requested| now.saturating_sub(requested) < MIN_REQUEST_INTERVAL);
         let holder = term.map(|term| term.holder);
         if was_requested || first_in_order(now, voters, liveness, holder) != Some(node) {
             return LeadershipStep::Wait;
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -1,7 +1,8 @@
-//! Leases that a node renews at the core and that no controller can grant alone.
+//! Leases that nodes renew with a controller; granting one takes a majority of the voters.
 //!
-//! A controller grants only from a round in which a majority of voters told it their versions. The
-//! span counts from the start of that round, so a controller that is cut off grants nothing.
+//! A controller grants a lease only on the basis of a quorum read, in which a majority of voters
+//! reported their map versions. The lease duration counts from the start of that quorum read, so a
+//! partitioned controller cannot grant leases.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,20 +11,22 @@
 use crate::identifiers::{NodeId, Version};
 use crate::replicated_map::{MapName, ALL_MAPS};
 
-/// How long a lease lives, counted from the start of the round behind it.
+/// Duration of a lease, counted from the start of the quorum read that it is based on.
 pub const LEASE_DURATION: Duration = Duration::from_millis(3000);
-/// What a holder gives up of the span, so that clocks that run apart cannot stretch it.
+/// Safety margin that a lease holder subtracts from the lease duration, so that clock drift cannot
+/// extend the lease.
 pub const DRIFT_MARGIN: Duration = Duration::from_millis(100);
-/// A round older than this is no ground for a new grant.
+/// A quorum read older than this cannot justify a new grant.
 pub const QUORUM_READ_AGE_LIMIT: Duration = Duration::from_millis(1500);
 
-/// How many rounds may wait for answers: with reads a round begins as often as every 25 ms.
+/// Maximum number of quorum reads that wait for responses. Client reads start one up to every 25 ms.
 const MAX_OPEN_QUORUM_READS: usize = 32;
-/// How many grants a holder remembers.
-const REMEMBERED_GRANTS: usize = 8;
-/// How many renewals a holder remembers, so that it knows how long a late answer took.
-const REMEMBERED_RENEWALS: usize = 32;
+/// Number of most recent grants that a lease holder keeps.
+const MAX_RETAINED_GRANTS: usize = 8;
+/// Number of most recent renewals whose send time a lease holder keeps, to date late responses.
+const MAX_RETAINED_RENEWALS: usize = 32;
 
+/// A quorum read that waits for a majority of responses.
 #[derive(Debug, Clone)]
 struct OpenQuorumRead {
     number: u64,
@@ -31,26 +34,27 @@
     responses: BTreeMap<NodeId, Vec<Version>>,
 }
 
-/// A round that a majority answered.
+/// A completed quorum read: a majority of voters has responded.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuorumRead {
-    /// Rounds are numbered in the order in which they began.
+    /// Sequence number, in the order in which quorum reads were started.
     pub number: u64,
+    /// When it was started.
     pub started: Duration,
+    /// The highest version that was reported for each map.
     pub versions: Vec<Version>,
 }
 
 impl QuorumRead {
-    /// Whether no voter that answered may have taken part in a membership after this one.
+    /// Returns whether no voter that responded reported a later membership version than this one.
     ///
-    /// Why it matters: a majority of voters that are no longer all of them need not know what the
-    /// voters after them accepted.
+    /// A majority of a replaced voter set may not know what the voters of a later membership accepted.
     pub fn is_under(&self, membership: Version) -> bool {
         self.versions[MapName::Membership.index()] <= membership
     }
 }
 
-/// The grantor's rounds.
+/// The quorum reads of a controller that grants leases.
 #[derive(Debug, Clone, Default)]
 pub struct QuorumReads {
     number: u64,
@@ -59,11 +63,12 @@
 }
 
 impl QuorumReads {
-    /// The number that the next round will have.
+    /// Returns the number that the next quorum read will have.
     pub fn next_number(&self) -> u64 {
         self.number + 1
     }
 
+    /// Starts a quorum read and returns its number.
     pub fn begin(&mut self, now: Duration) -> u64 {
         self.number += 1;
         self.open.push_back(OpenQuorumRead {
@@ -77,7 +82,7 @@
         self.number
     }
 
-    /// Takes a voter's answer; only voters may be passed in.
+    /// Handles a response; `from` must be a voter.
     pub fn respond(&mut self, from: NodeId, number: u64, versions: Vec<Version>, majority: usize) {
         let Some(index) = self
             .open
@@ -93,8 +98,8 @@
         }
         let mut highest = vec![Version(0); ALL_MAPS.len()];
         for versions in quorum_read.responses.values() {
-            for (own, heard) in highest.iter_mut().zip(versions) {
-                *own = (*own).max(*heard);
+            for (highest, reported) in highest.iter_mut().zip(versions) {
+                *highest = (*highest).max(*reported);
             }
         }
         let complete = QuorumRead {
@@ -102,41 +107,43 @@
             started: quorum_read.started,
             versions: highest,
         };
-        // Why drop the earlier ones: what they could still tell is older than what is known.
+        // Earlier quorum reads could only yield older information than this one.
         self.open.drain(..=index);
         self.latest = Some(complete);
     }
 
+    /// Returns the latest completed quorum read if it is recent enough to grant leases.
     pub fn latest(&self, now: Duration) -> Option<&QuorumRead> {
         self.started_within(now, QUORUM_READ_AGE_LIMIT)
     }
 
-    /// The last round that a majority answered, if it began less than `age` ago.
+    /// Returns the latest completed quorum read if it was started less than `age` ago.
     pub fn started_within(&self, now: Duration, age: Duration) -> Option<&QuorumRead> {
         self.latest
             .as_ref()
             .filter(|quorum_read| now.saturating_sub(quorum_read.started) < age)
     }
 
-    /// The last round that a majority answered, if it is `number` or began after it.
+    /// Returns the latest completed quorum read if it is number `number` or a later one.
     ///
-    /// This is the read index of a call for which round `number` was begun: what a majority held
-    /// when it answered that round includes every change that was accepted before the call.
+    /// It is the read index of a call for which quorum read `number` was started: the versions that a
+    /// majority reported in it include every change that was accepted before the call.
     pub fn completed_since(&self, number: u64) -> Option<&QuorumRead> {
         self.latest
             .as_ref()
             .filter(|quorum_read| quorum_read.number >= number)
     }
 
-    /// Whether a majority was heard in a round that began within the lease span.
+    /// Returns the latest completed quorum read if it was started within the lease duration.
     pub fn confirmed(&self, now: Duration) -> Option<&QuorumRead> {
         self.started_within(now, LEASE_DURATION - DRIFT_MARGIN)
     }
 
-    /// Drops the rounds under way, and the latest if it was not under the membership until now.
+    /// Handles a change of voters: discards the quorum reads in progress, and also the latest completed
+    /// one unless it was under `before`, the membership until now.
     ///
-    /// Why when the voters change: answers of two sets of voters make a majority of neither, and
-    /// what a round under an earlier membership left open the next membership does not settle.
+    /// Responses of two voter sets together form a majority of neither, and a later membership does
+    /// not settle what a quorum read under an earlier one left undecided.
     pub fn begin_anew(&mut self, before: Version) {
         self.open.clear();
         self.latest
@@ -144,21 +151,23 @@
     }
 }
 
+/// A grant that was received.
 #[derive(Debug, Clone)]
-struct HeldGrant {
+struct ReceivedGrant {
     until: Duration,
     versions: Vec<Version>,
 }
 
-/// The holder's side of a lease.
+/// The lease state of a node that renews its lease with a controller.
 #[derive(Debug, Clone)]
 pub struct LeaseHolder {
-    /// How long a lease lives for this holder; never longer than [`LEASE_SPAN`].
+    /// Lease duration for this holder; at most [`LEASE_DURATION`].
     pub span: Duration,
     number: u64,
     sent: VecDeque<(u64, Duration)>,
-    grants: VecDeque<HeldGrant>,
-    /// Only for proving the observers: treats every grant as if its versions were held.
+    grants: VecDeque<ReceivedGrant>,
+    /// Fault injection, to prove the invariant checkers: accepts every grant without checking that
+    /// the local replicas have the versions it names.
     pub skips_checks: bool,
 }
 
@@ -175,36 +184,40 @@
 }
 
 impl LeaseHolder {
+    /// Records that a renewal is sent now and returns its number.
     pub fn renew(&mut self, now: Duration) -> u64 {
         self.number += 1;
         self.sent.push_back((self.number, now));
-        if self.sent.len() > REMEMBERED_RENEWALS {
+        if self.sent.len() > MAX_RETAINED_RENEWALS {
             self.sent.pop_front();
         }
         self.number
     }
 
-    /// When the renewal with this number was sent, if that is not too long ago to be known.
+    /// Returns when the renewal with this number was sent, if that is still recorded.
     pub fn sent_at(&self, number: u64) -> Option<Duration> {
         let sent = self.sent.iter().find(|(sent, _)| *sent == number)?;
         Some(sent.1)
     }
 
+    /// Handles the grant for the renewal with this number.
     pub fn granted(&mut self, number: u64, quorum_read_age: Duration, versions: Vec<Version>) {
         let Some(sent_at) = self.sent_at(number) else {
             return;
         };
-        // Why from our sending: the grantor answered after it, so the round began no earlier than
-        // our sending less the age it told; counting from here can only be too short.
+        // The controller responded after the renewal was sent, so its quorum read was started no
+        // earlier than `sent_at - quorum_read_age`. Counting from there can only shorten the lease.
         let span = self.span.min(LEASE_DURATION).saturating_sub(DRIFT_MARGIN);
         let until = (sent_at + span).saturating_sub(quorum_read_age);
-        self.grants.push_back(HeldGrant { until, versions });
-        if self.grants.len() > REMEMBERED_GRANTS {
+        self.grants.push_back(ReceivedGrant { until, versions });
+        if self.grants.len() > MAX_RETAINED_GRANTS {
             self.grants.pop_front();
         }
     }
 
-    /// Until when the holder is fresh, given what its copy of the maps holds.
+    /// Returns until when the lease is valid, given the versions of the local replicas.
+    ///
+    /// Only grants count whose versions of the maps in `wants` the replicas have reached.
     pub fn fresh_until(&self, follower: &Follower, wants: &[MapName]) -> Duration {
         self.grants
             .iter()
