--- a/crates/caperworks/src/ownership.rs
+++ b/crates/caperworks/src/ownership.rs
@@ -1,15 +1,15 @@
 //! Key ownership: which instance owns which key range of keyed data, and for how long it may act on
 //! it.
 //!
-//! The owner manager, a leadership role of the controllers, grants leases on key ranges by answering
-//! heartbeats, and writes the table of owners into the ownership map. The concerns are:
+//! The owner manager, a leadership role of the controllers, grants leases on key ranges in its responses
+//! to heartbeats, and writes the table of owners into the ownership map. The submodules are:
 //!
 //! - `table`: which key range a key belongs to, and which instance should own it;
 //! - `owner_manager` and `key_range_state`: what the leader knows of each key range;
-//! - `leases`: granted and renewed by the answers to heartbeats;
+//! - `leases`: granted and renewed by the responses to heartbeats;
 //! - `moves`: when a key range changes its owner, and what is handed over;
-//! - `instance_leases`: the instance's side;
-//! - `spans`: the time bounds.
+//! - `instance_leases`: the leases as the instance keeps them;
+//! - `periods`: the time bounds.
 
 mod instance_leases;
 mod key_range_state;
@@ -17,12 +17,12 @@
 mod messages;
 mod moves;
 mod owner_manager;
-mod spans;
+mod periods;
 mod table;
 
 pub use self::instance_leases::HeldLeases;
 pub use self::messages::{HeartbeatResponse, KeyRangeLease, ReleasedKeyRange, TimestampedResponse};
 pub use self::moves::MOVES_AT_ONCE;
 pub use self::owner_manager::{OwnerManager, OwnershipView};
-pub use self::spans::{OwnerManagerTimings, KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT};
+pub use self::periods::{OwnerManagerTimings, KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT};
 pub use self::table::key_range_of_hash;
--- a/crates/caperworks/src/ownership/instance_leases.rs
+++ b/crates/caperworks/src/ownership/instance_leases.rs
@@ -1,9 +1,9 @@
-//! The instance's side of key ownership: the leases that it has, and what it refuses for good.
+//! The key range leases of an instance, and the epochs that it has released.
 //!
 //! Invariants kept here:
 //!
 //! - A request starts only if it can end before the lease does.
-//! - Once an epoch is released, nothing starts under it any more.
+//! - Once an epoch is released, no request starts under it any more.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -30,8 +30,8 @@
 }
 
 impl HeldLeases {
-    /// Handles the answer to a heartbeat that was sent at `sent_at`. Leases count from then, shortened
-    /// by the margin for clock drift.
+    /// Handles the response to a heartbeat that was sent at `sent_at`. Lease durations count from then,
+    /// shortened by the safety margin for clock drift.
     pub fn answered(&mut self, sent_at: Duration, response: &HeartbeatResponse) {
         for granted in &response.leases {
             if granted.epoch <= self.released_epoch(granted.key_range) {
@@ -64,13 +64,14 @@
         self.released.get(&key_range).copied().unwrap_or_default()
     }
 
-    /// Whether a request under this epoch may start now and end within `need`, all under the lease.
+    /// Returns whether a request under this epoch may start now: it has to end within `need`, before
+    /// the lease expires.
     pub fn may_start(&self, now: Duration, key_range: u32, epoch: Epoch, need: Duration) -> bool {
         let is_leased = |lease: &KeyRangeLease| lease.epoch == epoch && now + need < lease.until;
         epoch > self.released_epoch(key_range) && self.leases.get(&key_range).is_some_and(is_leased)
     }
 
-    /// The key ranges that may be worked on now, and how long the longest lease still lives.
+    /// Returns the key ranges with a valid lease, and how long the longest of these leases remains valid.
     pub fn live(&self, now: Duration) -> (Vec<u32>, Duration) {
         let mut key_ranges = Vec::new();
         let mut longest = Duration::ZERO;
@@ -83,19 +84,19 @@
         (key_ranges, longest)
     }
 
-    /// A request on a key range has started; [`HeldLeases::ended`] must follow.
+    /// Counts a request on a key range that has started; [`HeldLeases::ended`] must follow.
     pub fn started(&mut self, key_range: u32) {
         *self.in_flight.entry(key_range).or_default() += 1;
     }
 
-    /// A request on a key range has ended.
+    /// Counts a request on a key range that has ended.
     pub fn ended(&mut self, key_range: u32) {
         if let Some(count) = self.in_flight.get_mut(&key_range) {
             *count = count.saturating_sub(1);
         }
     }
 
-    /// What the next heartbeat reports as released.
+    /// Returns the released epochs that the next heartbeat reports.
     pub fn let_go(&self) -> Vec<ReleasedKeyRange> {
         self.released
             .iter()
@@ -107,8 +108,8 @@
             .collect()
     }
 
-    /// What the next heartbeat reports as in use: live leases that were not released, and all key
-    /// ranges with requests in flight.
+    /// Returns the key ranges that the next heartbeat reports as in use: those with a valid lease that
+    /// was not released, and those with requests in flight.
     pub fn held_key_ranges(&self, now: Duration) -> Vec<u32> {
         let is_in_use = |key_range: &u32, lease: &KeyRangeLease| {
             now < lease.until && lease.epoch > self.released_epoch(*key_range)
--- a/crates/caperworks/src/ownership/leases.rs
+++ b/crates/caperworks/src/ownership/leases.rs
@@ -1,7 +1,7 @@
-//! Leases on key ranges: granted and renewed by the answers to heartbeats.
+//! Leases on key ranges: granted and renewed by the responses to heartbeats.
 //!
-//! Invariant kept here: the bound that the owner manager keeps of a lease is never before the end of
-//! the lease by the instance's own clock, which counts from when the heartbeat was sent.
+//! Invariant kept here: the expiry that the owner manager records for a lease is never earlier than the
+//! expiry by the instance's own clock, which counts from when the heartbeat was sent.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 use crate::replicated_map::ReplicatedMap;
 
 impl OwnerManager {
-    /// Handles a heartbeat: renews the leases of the instance, and tells it what to release.
+    /// Handles a heartbeat: renews the leases of the instance, and lists what it has to release.
     ///
-    /// The answer is empty for a service without key ranges.
+    /// The response has no leases for a service without key ranges.
     pub fn heartbeat(
         &mut self,
         now: Duration,
@@ -38,7 +38,7 @@
         response
     }
 
-    /// Renews the lease on one key range, or tells its owner to release it.
+    /// Renews the lease on one key range, or asks its owner to release it.
     fn respond_for_key_range(
         &mut self,
         now: Duration,
@@ -47,26 +47,26 @@
         owner: &KeyRangeOwner,
         response: &mut HeartbeatResponse,
     ) {
-        let spans = self.spans;
-        let lease = spans.lease * if self.grants_long_leases { 2 } else { 1 };
-        let silence_is_release = self.infers_release;
-        let is_taken_up = heartbeat.held_key_ranges.contains(&key_range);
+        let timings = self.spans;
+        let lease = timings.lease * if self.grants_long_leases { 2 } else { 1 };
+        let absence_is_release = self.infers_release;
+        let is_accepted = heartbeat.held_key_ranges.contains(&key_range);
         let state = self.state(&heartbeat.service, key_range, owner.epoch);
         state.latest_heartbeat = state.latest_heartbeat.max(heartbeat.counter);
-        if state.is_given_up() {
-            state.handle_release(key_range, heartbeat, silence_is_release);
+        if state.is_retired() {
+            state.handle_release(key_range, heartbeat, absence_is_release);
             response.release.push(KeyRangeLease {
                 key_range,
                 epoch: owner.epoch,
                 left: Duration::ZERO,
                 handover: None,
             });
-        } else if state.renew(now, is_taken_up, lease, &spans) {
+        } else if state.renew(now, is_accepted, lease, &timings) {
             response.leases.push(KeyRangeLease {
                 key_range,
                 epoch: owner.epoch,
                 left: lease,
-                handover: owner.handover.clone().filter(|_| !is_taken_up),
+                handover: owner.handover.clone().filter(|_| !is_accepted),
             });
         }
     }
--- a/crates/caperworks/src/ownership/moves.rs
+++ b/crates/caperworks/src/ownership/moves.rs
@@ -3,8 +3,8 @@
 //! Invariants kept here:
 //!
 //! - A key range gets a new owner only once the old one has released it with nothing in flight, has
-//!   surely ended, or its lease, as the owner manager bounds it, has passed.
-//! - Each change of an owner has a higher epoch than every one before it in the service, also where the
+//!   certainly terminated, or its lease has expired by the owner manager's bound.
+//! - Each change of an owner has a higher epoch than all earlier ones in the service, also where the
 //!   key range had no owner in between.
 
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::ownership::owner_manager::{OwnerManager, OwnershipView};
 use crate::ownership::table::{candidates, highest_epoch, is_candidate, is_owner, targets};
 
-/// How many key ranges may be on the move at once, per service, when no owner was lost.
+/// Maximum number of key ranges, per service, that may move at the same time when no owner was lost.
 pub const MOVES_AT_ONCE: usize = 4;
-/// How long after an instance said that it ends it has surely ended.
-const ENDED_SURELY: Duration = Duration::from_millis(500);
+/// How long after an instance announced its termination it has certainly terminated.
+const TERMINATION_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
-/// A key range with its present owner and the instance that should own it.
+/// A key range with its current owner and the instance that should own it.
 struct KeyRangeCase<'view> {
     service: &'view ServiceName,
     key_range: u32,
@@ -29,12 +29,12 @@
 }
 
 impl OwnerManager {
-    /// Plans the next table of a service; nothing when no key range changes its owner now.
+    /// Plans the next table of a service; returns `None` when no key range changes its owner now.
     ///
-    /// `epoch` is the leader's term, the first epoch of a service without a table. A table with
-    /// another number of key ranges than the service has is never changed: another number maps keys
-    /// anew, on which two owners could not agree while leases live; the number is fixed when the
-    /// service is created.
+    /// `epoch` is the leader's term, which is the first epoch of a service without a table. A table whose
+    /// number of key ranges differs from the service's is never changed: another number would map keys
+    /// to other ranges, so that two owners could accept the same key while old leases are valid. The
+    /// number is fixed when the service is created.
     pub fn plan(
         &mut self,
         now: Duration,
@@ -44,8 +44,8 @@
         view: &OwnershipView<'_>,
     ) -> Option<KeyRangeTable> {
         let wanted = service.key_ranges as usize;
-        let present = view.ownership.key_ranges(name).cloned();
-        let mut table = present.unwrap_or(KeyRangeTable {
+        let current = view.ownership.key_ranges(name).cloned();
+        let mut table = current.unwrap_or(KeyRangeTable {
             epoch,
             owners: vec![None; wanted],
         });
@@ -92,8 +92,8 @@
         is_changed.then_some(table)
     }
 
-    /// Whether a key range may get a new owner now; starts the release of one that should move, if
-    /// not too many are on the move.
+    /// Returns whether a key range may get a new owner now. Starts its release if it should move and
+    /// fewer than [`MOVES_AT_ONCE`] are moving, or its owner is lost.
     fn is_free(
         &mut self,
         now: Duration,
@@ -114,24 +114,24 @@
         let state = self.state(case.service, case.key_range, owner.epoch);
         if !state.is_releasing && should_move && (!is_alive || *moves < MOVES_AT_ONCE) {
             state.is_releasing = true;
-            // A new owner manager may know of heartbeats that were sent to others.
+            // Heartbeats that were sent to other controllers reach a new owner manager, too.
             let counter = heartbeat.map_or(0, |heartbeat| heartbeat.counter);
             state.latest_heartbeat = state.latest_heartbeat.max(counter);
             *moves += usize::from(is_alive);
         }
-        // An instance that said itself that it ends leases nothing once it has ended.
-        let has_ended = view.instances.ended_for(now, &owner.instance) >= ENDED_SURELY;
+        // An instance that announced its termination uses no lease once it has terminated.
+        let has_ended = view.instances.ended_for(now, &owner.instance) >= TERMINATION_GRACE_PERIOD;
         let is_lease_over = now >= state.leased_until || is_hasty || has_ended;
         let is_released = state.is_releasing && state.is_released;
-        is_released || (is_lease_over && (state.is_given_up() || !is_alive))
+        is_released || (is_lease_over && (state.is_retired() || !is_alive))
     }
 
-    /// Whether the present owner keeps the key range under its epoch.
+    /// Returns whether the current owner keeps the key range under its epoch.
     fn stays(&mut self, case: &KeyRangeCase<'_>) -> bool {
         case.target
             .is_some_and(|target| is_owner(case.owner, target))
             && !self
                 .state(case.service, case.key_range, case.owner.epoch)
-                .is_given_up()
+                .is_retired()
     }
 }
--- a/crates/caperworks/src/ownership/owner_manager.rs
+++ b/crates/caperworks/src/ownership/owner_manager.rs
@@ -6,32 +6,32 @@
 use crate::identifiers::{Epoch, ServiceName, Zone};
 use crate::instances::Instances;
 use crate::ownership::key_range_state::KeyRangeState;
-use crate::ownership::spans::OwnerManagerTimings;
+use crate::ownership::periods::OwnerManagerTimings;
 use crate::replicated_map::ReplicatedMap;
 
 /// The owner manager. At most one controller acts as it, under a term of the leadership role.
 ///
-/// Its state is rebuilt in each term; what must survive, owners and epochs, is in the ownership map.
+/// Its state is rebuilt in each term; owners and epochs, which must survive, are in the ownership map.
 #[derive(Debug, Clone, Default)]
 pub struct OwnerManager {
     states: BTreeMap<(ServiceName, u32), KeyRangeState>,
-    /// Until when leases that were granted in earlier terms may live.
+    /// Until when leases that were granted in earlier terms may be valid.
     earlier_leases_until: Duration,
     /// The time bounds.
     pub spans: OwnerManagerTimings,
-    /// Fault injection, to prove the invariant checkers: moves key ranges before a lease has ended.
+    /// Fault injection, to prove the invariant checkers: moves key ranges before a lease has expired.
     pub hasty: bool,
-    /// Fault injection, to prove the invariant checkers: takes a heartbeat that does not list a key
-    /// range for its release.
+    /// Fault injection, to prove the invariant checkers: treats a heartbeat that does not list a key
+    /// range as a report of its release.
     pub infers_release: bool,
     /// Fault injection, to prove the invariant checkers: grants leases that are too long.
     pub grants_long_leases: bool,
 }
 
-/// What the owner manager plans by.
+/// The input from which the owner manager plans.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnershipView<'view> {
-    /// The instances that are known.
+    /// The known instances.
     pub instances: &'view Instances,
     /// The zones that operators have closed.
     pub closed: &'view BTreeSet<Zone>,
@@ -40,8 +40,8 @@
 }
 
 impl OwnerManager {
-    /// Starts a term. Leases of earlier terms may live until the wait is over; a shorter wait is
-    /// enough after our own former incarnation.
+    /// Starts a term. Leases of earlier terms may be valid until the wait is over; a shorter wait is
+    /// enough when the previous owner manager was an earlier incarnation of this node.
     pub fn take_up(&mut self, now: Duration, after_own: bool) {
         self.states.clear();
         let wait = match after_own {
@@ -51,9 +51,9 @@
         self.earlier_leases_until = now + wait;
     }
 
-    /// The state of a key range under an epoch. One that is seen for the first time in this term may
-    /// have been leased out in an earlier one; a new epoch was given out in this term and is not
-    /// leased out yet.
+    /// Returns the state of a key range under an epoch. A key range that is seen for the first time in
+    /// this term may have been leased out in an earlier one; a new epoch was assigned in this term and
+    /// is not leased out yet.
     pub(super) fn state(
         &mut self,
         service: &ServiceName,
@@ -71,7 +71,7 @@
         state
     }
 
-    /// How many key ranges of a service wait for their owner's release.
+    /// Counts the key ranges of a service that wait for their owner to release them.
     pub(super) fn count_moves(&self, service: &ServiceName) -> usize {
         self.states
             .iter()
--- a/crates/caperworks/src/ownership/table.rs
+++ b/crates/caperworks/src/ownership/table.rs
@@ -1,4 +1,4 @@
-//! The table of key ranges: which key belongs to which range, and which instance should own it.
+//! The table of key ranges: which key belongs to which range, and which instance should own a range.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,12 +9,12 @@
 use crate::map_items::{KeyRangeOwner, KeyRangeTable};
 use crate::ownership::owner_manager::OwnershipView;
 
-/// The key range that a key falls into, by its hash.
+/// Returns the key range that a key belongs to, by its hash.
 pub fn key_range_of_hash(key: &str, key_ranges: u32) -> u32 {
     (stable_hash(key) % u64::from(key_ranges.max(1))) as u32
 }
 
-/// The instances that may own key ranges of a service: those that are not leaving, in open zones.
+/// Returns the instances that may own key ranges of a service: those in open zones that do not drain.
 pub(super) fn candidates<'view>(
     service: &ServiceName,
     view: &OwnershipView<'view>,
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// Whether the instance with this heartbeat may own key ranges of a service.
+/// Returns whether the instance with this heartbeat may own key ranges of a service.
 pub(super) fn is_candidate(
     service: &ServiceName,
     view: &OwnershipView<'_>,
@@ -36,18 +36,19 @@
         && !view.closed.contains(&heartbeat.zone)
 }
 
-/// The highest epoch that was ever given out for a service.
+/// Returns the highest epoch that was ever assigned for a service.
 pub(super) fn highest_epoch(table: &KeyRangeTable) -> Epoch {
     let owners = table.owners.iter().flatten();
     let highest = owners.map(|owner| owner.epoch).max().unwrap_or_default();
     highest.max(table.epoch)
 }
 
-/// The instance that should own each key range: rendezvous hashing, with a bound on how many key
-/// ranges one instance may get.
+/// Returns the instance that should own each key range, by rendezvous hashing with a bound on how many
+/// key ranges one instance may own.
 ///
 /// An instance that is warming up keeps what it owns, but gets nothing new while a warm one is below
-/// the bound: the first to be warm after a restart of all must not draw every key range to itself.
+/// the bound. The bound keeps the first instance that is warm after a restart of all instances from
+/// getting every key range.
 pub(super) fn targets<'view>(
     service: &ServiceName,
     owners: &[Option<KeyRangeOwner>],
@@ -57,7 +58,7 @@
     if candidates.is_empty() {
         return vec![None; owners.len()];
     }
-    let most = (owners.len() * 5).div_ceil(candidates.len() * 4).max(1);
+    let limit = (owners.len() * 5).div_ceil(candidates.len() * 4).max(1);
     let mut assigned: BTreeMap<&InstanceId, usize> = BTreeMap::new();
     owners
         .iter()
@@ -65,7 +66,7 @@
         .map(|(key_range, owner)| {
             let target = candidates
                 .iter()
-                .filter(|candidate| assigned.get(&candidate.id).copied().unwrap_or(0) < most)
+                .filter(|candidate| assigned.get(&candidate.id).copied().unwrap_or(0) < limit)
                 .min_by_key(|candidate| {
                     let owns = owner
                         .as_ref()
@@ -80,7 +81,7 @@
         .collect()
 }
 
-/// Whether a heartbeat is of the owner, in the same incarnation.
+/// Returns whether a heartbeat is from the owner, in the same incarnation.
 pub(super) fn is_owner(owner: &KeyRangeOwner, heartbeat: &Heartbeat) -> bool {
     owner.instance == heartbeat.id && owner.incarnation == heartbeat.incarnation
 }
