--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -1,4 +1,5 @@
-//! Facts: what can be heard again. Copies merge item by item and expire by the receiver's clock.
+//! Facts: soft state that its source reports again and again. Nodes merge reports entry by entry and
+//! expire them by their own clock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,17 +8,21 @@
 use crate::ownership::ReleasedKeyRange;
 
 messages! {
+    /// The state that an instance reports.
     #[derive(Copy, Eq)]
     enum InstanceState {
+        /// Warming up: its rate of requests is still limited.
         0 Warming,
         1 Serving,
+        /// About to terminate: new requests go to other instances.
         2 Draining,
     }
 
-    /// What an instance says of itself in a heartbeat.
+    /// A heartbeat: what an instance reports of itself.
     struct Heartbeat {
         0 id: InstanceId,
         1 incarnation: Incarnation,
+        /// Sequence number within the incarnation.
         2 counter: u64,
         3 service: ServiceName,
         4 zone: Zone,
@@ -25,31 +30,38 @@
         6 capacity: u32,
         7 state: InstanceState,
         8 load: u32,
+        /// How long the instance has been running.
         9 up: Duration,
+        /// The key ranges in use: with a valid lease or with requests in flight.
         10 held_key_ranges: Vec<u32>,
+        /// The key ranges that it has released.
         11 let_go: Vec<ReleasedKeyRange>,
-        /// How much longer it says that it is cold.
+        /// How much longer it warms up, by its own report.
         12 warm_up_left: Duration,
     }
 
+    /// The role of a member.
     #[derive(Copy, Eq)]
     enum Role {
         0 Proxy,
         1 Directory,
     }
 
-    /// The zone that a group's clients say they stand in.
+    /// The zone that the clients of a group report for themselves.
     #[derive(Eq)]
     struct GroupZone { 0 group: String, 1 zone: Zone }
 
+    /// The demand of a client group on one route, as a proxy measured it.
     struct Demand {
         0 group: String,
         1 route: RouteName,
+        /// Requests a second.
         2 requests: u32,
+        /// Network distance between the clients and the proxy; zero if it was not measured.
         3 locality: Duration,
     }
 
-    /// What a member says of itself when it renews its lease.
+    /// What a member reports of itself when it renews its lease.
     struct Member {
         0 node: NodeId,
         1 counter: u64,
@@ -62,37 +74,39 @@
         8 demand: Vec<Demand>,
         9 versions: Vec<Version>,
         10 draining: bool,
-        /// Where groups of clients say that they stand, as a directory heard it.
+        /// The zones that client groups reported to a directory.
         11 stands: Vec<GroupZone>,
-        /// Its demand is as told before, and left out here.
+        /// Whether the demand is unchanged since the last report and therefore omitted.
         12 demand_unchanged: bool,
-        /// A controller that it renewed at has not heard it since; what it says next goes before this.
+        /// Set by the controller where it renewed its lease when it stops doing so; its own next report
+        /// takes precedence.
         13 silent: bool,
     }
 
-    /// A fact on its way between our processes, with the age it had when it left.
+    /// A heartbeat as one node forwards it to another, with its age when it was sent.
     struct ReceivedHeartbeat { 0 heartbeat: Heartbeat, 1 age: Duration }
+    /// A member's report as one node forwards it to another, with its age when it was sent.
     struct ReceivedMember { 0 member: Member, 1 age: Duration }
 }
 
 impl ReceivedHeartbeat {
-    /// The same, after it lay on its way for so long.
-    pub fn aged(mut self, lain: Duration) -> Self {
-        self.age += lain;
+    /// Returns the report with its age increased by the time it was in transit.
+    pub fn aged(mut self, delay: Duration) -> Self {
+        self.age += delay;
         self
     }
 }
 
 impl ReceivedMember {
-    /// The same, after it lay on its way for so long.
-    pub fn aged(mut self, lain: Duration) -> Self {
-        self.age += lain;
+    /// Returns the report with its age increased by the time it was in transit.
+    pub fn aged(mut self, delay: Duration) -> Self {
+        self.age += delay;
         self
     }
 }
 
 impl Heartbeat {
-    /// What followers need of it: the holds are the owner manager's matter.
+    /// Returns the heartbeat without its key ranges, which only the owner manager needs.
     pub(crate) fn for_followers(&self) -> Heartbeat {
         Heartbeat {
             held_key_ranges: Vec::new(),
@@ -101,8 +115,8 @@
         }
     }
 
-    /// Whether it says something else than that one, besides being later.
-    pub(crate) fn tells_other_than(&self, other: &Heartbeat) -> bool {
+    /// Returns whether it reports a change since another heartbeat that followers must know of.
+    pub(crate) fn differs_from(&self, other: &Heartbeat) -> bool {
         self.incarnation != other.incarnation
             || self.address != other.address
             || self.state != other.state
@@ -112,12 +126,13 @@
             || self.warm_up_left.is_zero() != other.warm_up_left.is_zero()
     }
 
-    /// Whether this heartbeat is news next to that one.
-    pub(crate) fn newer_than(&self, other: &Heartbeat) -> bool {
+    /// Returns whether it was sent after another heartbeat of the same instance.
+    pub(crate) fn is_newer_than(&self, other: &Heartbeat) -> bool {
         (self.incarnation, self.counter) > (other.incarnation, other.counter)
     }
 
-    /// Why both: an instance may say that it warms up, and one that came back may forget to.
+    /// Returns whether the instance is warming up, by its own report or by its uptime: an instance that
+    /// was restarted may fail to report it.
     pub fn is_warming_up(&self, warm_up_span: Duration) -> bool {
         self.state == InstanceState::Warming
             || self.up < warm_up_span
@@ -125,28 +140,31 @@
     }
 }
 
-/// A fact as a node keeps it.
+/// A fact as a node stores it.
 #[derive(Debug, Clone)]
-pub(crate) struct Kept<Fact> {
+pub(crate) struct FactEntry<Fact> {
     pub(crate) fact: Fact,
-    pub(crate) heard_at: Duration,
+    /// When it was received, by this node's clock.
+    pub(crate) received_at: Duration,
+    /// The offset of its latest change, by which followers catch up.
     pub(crate) learned: u64,
-    /// When it was last given a place of its own, so that followers hear it.
+    /// When it last got a new offset, so that followers are notified of it.
     pub(crate) notified_at: Duration,
 }
 
-/// The first of the facts that a follower lacks.
+/// A batch of the facts that a follower is missing, in the order of their offsets.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FirstFacts<Heard> {
-    pub heard: Vec<Heard>,
-    /// Up to which place the follower has been told all of them then.
+pub struct FirstFacts<Fact> {
+    /// The facts of the batch.
+    pub heard: Vec<Fact>,
+    /// The offset up to which the follower then has all facts.
     pub offset: u64,
-    /// Whether there are more after that place.
+    /// Whether there are more after that offset.
     pub more: bool,
 }
 
-impl<Heard> FirstFacts<Heard> {
-    /// None of them, to a follower that is not told of any.
+impl<Fact> FirstFacts<Fact> {
+    /// Creates an empty batch, for a follower that is sent none.
     pub fn none(offset: u64) -> Self {
         Self {
             heard: Vec::new(),
@@ -156,29 +174,30 @@
     }
 }
 
-/// Of the facts that were learned after a place, the first learned and at most so many.
+/// Returns the first facts that were recorded after an offset, at most `max_count`, and whether there
+/// are more.
 ///
-/// Why by when they were learned: a follower names one place, and is told what was learned after it.
-pub(crate) fn first_learned<'facts, Fact: 'facts>(
-    known: impl Iterator<Item = &'facts Kept<Fact>>,
+/// They are chosen by offset, as a follower catches up by a single offset.
+pub(crate) fn first_facts_after<'facts, Fact: 'facts>(
+    known: impl Iterator<Item = &'facts FactEntry<Fact>>,
     after: u64,
-    most: usize,
-) -> (Vec<&'facts Kept<Fact>>, bool) {
-    let mut later: Vec<&Kept<Fact>> = known.filter(|kept| kept.learned > after).collect();
-    let more = later.len() > most;
+    max_count: usize,
+) -> (Vec<&'facts FactEntry<Fact>>, bool) {
+    let mut later: Vec<&FactEntry<Fact>> = known.filter(|entry| entry.learned > after).collect();
+    let more = later.len() > max_count;
     if more {
-        later.sort_unstable_by_key(|kept| kept.learned);
-        later.truncate(most);
+        later.sort_unstable_by_key(|entry| entry.learned);
+        later.truncate(max_count);
     }
     (later, more)
 }
 
-/// The offset up to which facts were learned before a moment: a follower that was told all facts by then lacks
-/// only those after it.
+/// Returns the offset up to which facts were recorded before `moment`: a follower that had all facts by
+/// then is missing only those after this offset.
 pub(crate) fn offset_before<'facts, Fact: 'facts>(
-    known: impl Iterator<Item = &'facts Kept<Fact>>,
+    known: impl Iterator<Item = &'facts FactEntry<Fact>>,
     moment: Duration,
 ) -> u64 {
-    let earlier = known.filter(|kept| kept.notified_at < moment);
-    earlier.map(|kept| kept.learned).max().unwrap_or(0)
+    let earlier = known.filter(|entry| entry.notified_at < moment);
+    earlier.map(|entry| entry.learned).max().unwrap_or(0)
 }
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -1,4 +1,5 @@
-//! The known instances: what was heard of each, and which have fallen silent, are gone or have ended.
+//! The known instances: the latest heartbeat of each, and which are suspected, deregistered or have
+//! terminated.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -6,35 +7,34 @@
 
 use crate::facts::offset_before;
 use crate::facts::InstanceState;
-use crate::facts::{first_learned, FirstFacts, Heartbeat, Kept, ReceivedHeartbeat};
+use crate::facts::{first_facts_after, FactEntry, FirstFacts, Heartbeat, ReceivedHeartbeat};
 use crate::identifiers::InstanceId;
 
-/// An instance not heard of for this long is gone.
+/// Default time without a heartbeat after which an instance is deregistered.
 pub const INSTANCE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// For how long a follower remembers an instance that fell silent, for proxies that still get its
-/// answers.
+/// How long a follower keeps a suspected instance, for proxies that still receive its responses.
 pub const SUSPECTED_RETENTION: Duration = Duration::from_secs(30);
-/// For how long an instance that said it ended is remembered as gone.
-const ENDED_SPAN: Duration = Duration::from_secs(30);
+/// How long it is remembered that an instance announced its termination.
+const ENDED_RETENTION: Duration = Duration::from_secs(30);
 
 /// The known instances.
 #[derive(Debug, Clone)]
 pub struct Instances {
-    known: BTreeMap<InstanceId, Kept<Heartbeat>>,
-    /// Who was heard last at an address. Why kept beside: looking through all for every heartbeat is what
-    /// many instances would mostly cost.
+    known: BTreeMap<InstanceId, FactEntry<Heartbeat>>,
+    /// The instance that was last seen at each address. Without this index every heartbeat would need a
+    /// scan of all instances, which would be the main cost with many of them.
     by_address: HashMap<SocketAddr, InstanceId>,
-    /// Those that said themselves that they ended, so that no late heartbeat brings them back.
-    ended: BTreeMap<InstanceId, Kept<()>>,
-    /// Those of the known ones whose heartbeats stayed away for the span, and since when they count
-    /// as silent.
-    silent: BTreeMap<InstanceId, Duration>,
+    /// Instances that announced their termination, so that no late heartbeat brings them back.
+    ended: BTreeMap<InstanceId, FactEntry<()>>,
+    /// Known instances whose heartbeats are overdue, and since when each is suspected.
+    suspected: BTreeMap<InstanceId, Duration>,
+    /// The highest offset that was assigned to a change.
     learned: u64,
-    /// One that was not heard of for this long is gone.
+    /// Time without a heartbeat after which an instance is suspected or expires.
     pub span: Duration,
-    /// How long a heartbeat that says nothing else than the one before need not be passed on.
+    /// How long a heartbeat that reports no change need not be forwarded to followers.
     pub refresh: Duration,
-    /// The place of the last removal.
+    /// The offset of the latest removal.
     removed: u64,
 }
 
@@ -44,7 +44,7 @@
             known: BTreeMap::new(),
             by_address: HashMap::new(),
             ended: BTreeMap::new(),
-            silent: BTreeMap::new(),
+            suspected: BTreeMap::new(),
             learned: 0,
             span: INSTANCE_TIMEOUT,
             refresh: Duration::ZERO,
@@ -54,70 +54,75 @@
 }
 
 impl Instances {
-    /// Merges a heartbeat in; says whether it was news.
-    pub fn handle(&mut self, now: Duration, heard: &ReceivedHeartbeat) -> bool {
-        let heard_at = now.saturating_sub(heard.age);
-        if now.saturating_sub(heard_at) >= self.span || self.ended.contains_key(&heard.heartbeat.id)
+    /// Merges a heartbeat; returns whether it changed anything.
+    pub fn handle(&mut self, now: Duration, received: &ReceivedHeartbeat) -> bool {
+        let received_at = now.saturating_sub(received.age);
+        if now.saturating_sub(received_at) >= self.span
+            || self.ended.contains_key(&received.heartbeat.id)
         {
             return false;
         }
-        if let Some(kept) = self.known.get(&heard.heartbeat.id) {
-            // Why whatever its number: incarnations come from wall clocks, which may be set back, and
-            // this one was heard after the other had been silent for its span.
-            let is_another_incarnation = heard.heartbeat.incarnation != kept.fact.incarnation;
-            let outlived = is_another_incarnation && self.silent.contains_key(&heard.heartbeat.id);
-            if !outlived && !heard.heartbeat.newer_than(&kept.fact) {
+        if let Some(entry) = self.known.get(&received.heartbeat.id) {
+            // Incarnation numbers come from wall clocks, which may be set back. A heartbeat of another
+            // incarnation is therefore accepted whatever its number once the known one is suspected.
+            let is_another_incarnation = received.heartbeat.incarnation != entry.fact.incarnation;
+            let replaces_suspected =
+                is_another_incarnation && self.suspected.contains_key(&received.heartbeat.id);
+            if !replaces_suspected && !received.heartbeat.is_newer_than(&entry.fact) {
                 return false;
             }
         }
-        // Why the other leaves: an address has one instance at a time, and the one that was
-        // heard of last in a new life is the one that answers there now.
-        let address = heard.heartbeat.address;
-        let newcomer = self.known.get(&heard.heartbeat.id).is_none_or(|kept| {
-            kept.fact.incarnation != heard.heartbeat.incarnation || kept.fact.address != address
+        // An address has one instance at a time: the one whose latest incarnation was seen there last
+        // replaces the other.
+        let address = received.heartbeat.address;
+        let is_new = self.known.get(&received.heartbeat.id).is_none_or(|entry| {
+            entry.fact.incarnation != received.heartbeat.incarnation
+                || entry.fact.address != address
         });
         let other = self
             .by_address
             .get(&address)
-            .filter(|id| **id != heard.heartbeat.id)
+            .filter(|id| **id != received.heartbeat.id)
             .cloned();
         if let Some(other) = other {
-            // Why by when it was heard: a late heartbeat of the one before, passed on by a third node,
-            // must not push out the one that took its address over.
-            let outdone = self
+            // Receive times are compared so that a late heartbeat of the previous instance, forwarded by
+            // a third node, does not remove the instance that has its address now.
+            let is_outdated = self
                 .known
                 .get(&other)
-                .is_some_and(|kept| kept.heard_at >= heard_at);
-            if !newcomer || outdone {
+                .is_some_and(|entry| entry.received_at >= received_at);
+            if !is_new || is_outdated {
                 return false;
             }
             self.known.remove(&other);
-            self.silent.remove(&other);
+            self.suspected.remove(&other);
             self.record_removal();
         }
-        if let Some(kept) = self.known.get(&heard.heartbeat.id) {
-            self.by_address.remove(&kept.fact.address);
+        if let Some(entry) = self.known.get(&received.heartbeat.id) {
+            self.by_address.remove(&entry.fact.address);
         }
-        self.by_address.insert(address, heard.heartbeat.id.clone());
-        let was_silent = self.silent.remove(&heard.heartbeat.id).is_some();
-        let quiet = self.known.get(&heard.heartbeat.id).filter(|kept| {
-            !was_silent
-                && !heard.heartbeat.tells_other_than(&kept.fact)
-                && now.saturating_sub(kept.notified_at) < self.refresh
+        self.by_address
+            .insert(address, received.heartbeat.id.clone());
+        let was_suspected = self.suspected.remove(&received.heartbeat.id).is_some();
+        let unchanged = self.known.get(&received.heartbeat.id).filter(|entry| {
+            !was_suspected
+                && !received.heartbeat.differs_from(&entry.fact)
+                && now.saturating_sub(entry.notified_at) < self.refresh
         });
-        // Why its old place: followers are told of what is new, and that it still lives now and then.
-        let (learned, notified_at) = match quiet {
-            Some(kept) => (kept.learned, kept.notified_at),
+        // An unchanged heartbeat keeps its offset: followers are notified of changes at once, but of
+        // the mere fact that an instance is alive only once per refresh interval.
+        let (learned, notified_at) = match unchanged {
+            Some(entry) => (entry.learned, entry.notified_at),
             None => {
                 self.learned += 1;
                 (self.learned, now)
             }
         };
         self.known.insert(
-            heard.heartbeat.id.clone(),
-            Kept {
-                fact: heard.heartbeat.clone(),
-                heard_at,
+            received.heartbeat.id.clone(),
+            FactEntry {
+                fact: received.heartbeat.clone(),
+                received_at,
                 learned,
                 notified_at,
             },
@@ -125,7 +130,7 @@
         true
     }
 
-    /// The place of the last removal; who stands before it must be told of all.
+    /// Returns the offset of the latest removal; a follower with a lower offset needs a full snapshot.
     pub fn removed(&self) -> u64 {
         self.removed
     }
@@ -135,201 +140,211 @@
         self.removed = self.learned;
     }
 
-    /// Takes an instance's word that it ended; says whether that was news.
+    /// Handles an instance's announcement of its termination; returns whether it was not known yet.
     pub fn end(&mut self, now: Duration, id: &InstanceId) -> bool {
         if self.ended.contains_key(id) {
             return false;
         }
-        if let Some(kept) = self.known.remove(id) {
-            self.by_address.remove(&kept.fact.address);
+        if let Some(entry) = self.known.remove(id) {
+            self.by_address.remove(&entry.fact.address);
         }
-        self.silent.remove(id);
+        self.suspected.remove(id);
         self.record_removal();
-        let kept = Kept {
+        let entry = FactEntry {
             fact: (),
-            heard_at: now,
+            received_at: now,
             learned: self.learned,
             notified_at: now,
         };
-        self.ended.insert(id.clone(), kept);
+        self.ended.insert(id.clone(), entry);
         true
     }
 
-    /// Whether an instance said that it ended.
+    /// Returns whether an instance announced its termination.
     pub fn has_ended(&self, id: &InstanceId) -> bool {
         self.ended.contains_key(id)
     }
 
-    /// How long ago an instance said that it ended; zero if it did not.
+    /// Returns how long ago an instance announced its termination; zero if it did not.
     pub fn ended_for(&self, now: Duration, id: &InstanceId) -> Duration {
         let ended = self.ended.get(id);
-        ended.map_or(Duration::ZERO, |kept| now.saturating_sub(kept.heard_at))
+        ended.map_or(Duration::ZERO, |end| now.saturating_sub(end.received_at))
     }
 
-    /// Those that ended, as learned after a place.
+    /// Returns the instances whose termination was recorded after an offset.
     pub fn ended_after(&self, now: Duration, offset: u64) -> Vec<InstanceId> {
         self.ended
             .iter()
-            .filter(|(_, kept)| kept.learned > offset)
-            .filter(|(_, kept)| now.saturating_sub(kept.heard_at) < ENDED_SPAN)
+            .filter(|(_, entry)| entry.learned > offset)
+            .filter(|(_, entry)| now.saturating_sub(entry.received_at) < ENDED_RETENTION)
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Takes out the instances that were not heard of for the span, and names them.
+    /// Removes and returns the instances whose heartbeats are overdue.
     pub fn expire(&mut self, now: Duration) -> Vec<InstanceId> {
-        self.forget_ended(now);
+        self.prune_ended(now);
         let span = self.span;
-        let unheard = self.known.iter();
-        let unheard = unheard.filter(|(_, kept)| now.saturating_sub(kept.heard_at) >= span);
-        let gone: Vec<InstanceId> = unheard.map(|(id, _)| id.clone()).collect();
-        self.forget(&gone);
-        gone
+        let overdue = self.known.iter();
+        let overdue = overdue.filter(|(_, entry)| now.saturating_sub(entry.received_at) >= span);
+        let expired: Vec<InstanceId> = overdue.map(|(id, _)| id.clone()).collect();
+        self.evict(&expired);
+        expired
     }
 
-    /// Counts the instances that were not heard of for the span as silent, and names those that
-    /// just became so; the ones that stayed silent for [`SILENT_SPAN`] are forgotten.
+    /// Marks the instances whose heartbeats are overdue as suspected, and returns those that were not
+    /// suspected before; removes those that have been suspected for [`SUSPECTED_RETENTION`].
     ///
-    /// Why not taken out at once: it may be their heartbeats that are cut off, and not their answers.
+    /// Suspected instances are not removed at once, as perhaps only their heartbeats are lost on the
+    /// network and not their responses.
     pub fn mark_suspected(&mut self, now: Duration) -> Vec<InstanceId> {
-        self.forget_ended(now);
-        self.forget_long_silent(now);
+        self.prune_ended(now);
+        self.evict_long_suspected(now);
         let span = self.span;
-        let mut fell_silent = Vec::new();
-        for (id, kept) in &mut self.known {
-            let is_heard = now.saturating_sub(kept.heard_at) < span;
-            if is_heard || self.silent.contains_key(id) {
+        let mut newly_suspected = Vec::new();
+        for (id, entry) in &mut self.known {
+            let is_recent = now.saturating_sub(entry.received_at) < span;
+            if is_recent || self.suspected.contains_key(id) {
                 continue;
             }
-            self.silent.insert(id.clone(), now);
-            // Why a place of its own: proxies are told of what changed.
+            self.suspected.insert(id.clone(), now);
+            // Proxies are notified of what changed, so a suspicion gets a new offset.
             self.learned += 1;
-            kept.learned = self.learned;
-            kept.notified_at = now;
-            fell_silent.push(id.clone());
+            entry.learned = self.learned;
+            entry.notified_at = now;
+            newly_suspected.push(id.clone());
         }
-        fell_silent
+        newly_suspected
     }
 
-    /// Whether the instance is known, and its heartbeats have stayed away for the span.
+    /// Returns whether the instance is suspected: it is known, and its heartbeats are overdue.
     pub fn is_silent(&self, id: &InstanceId) -> bool {
-        self.silent.contains_key(id)
+        self.suspected.contains_key(id)
     }
 
-    fn forget_ended(&mut self, now: Duration) {
+    fn prune_ended(&mut self, now: Duration) {
         self.ended
-            .retain(|_, kept| now.saturating_sub(kept.heard_at) < ENDED_SPAN);
+            .retain(|_, entry| now.saturating_sub(entry.received_at) < ENDED_RETENTION);
     }
 
-    /// Why counted from when it fell silent and not from when it was last heard: while the core is
-    /// out of reach nobody's silence counts, however long it lasts.
-    fn forget_long_silent(&mut self, now: Duration) {
-        let silent = self.silent.iter();
-        let over = silent.filter(|(_, since)| now.saturating_sub(**since) >= SUSPECTED_RETENTION);
-        let over: Vec<InstanceId> = over.map(|(id, _)| id.clone()).collect();
-        self.forget(&over);
+    /// The time counts from when an instance became suspected, not from its last heartbeat: while the
+    /// controllers are unreachable nobody becomes suspected, however long the outage lasts.
+    fn evict_long_suspected(&mut self, now: Duration) {
+        let suspected = self.suspected.iter();
+        let expired =
+            suspected.filter(|(_, since)| now.saturating_sub(**since) >= SUSPECTED_RETENTION);
+        let expired: Vec<InstanceId> = expired.map(|(id, _)| id.clone()).collect();
+        self.evict(&expired);
     }
 
-    fn forget(&mut self, gone: &[InstanceId]) {
-        for id in gone {
-            self.silent.remove(id);
-            if let Some(kept) = self.known.remove(id) {
-                self.by_address.remove(&kept.fact.address);
+    fn evict(&mut self, expired: &[InstanceId]) {
+        for id in expired {
+            self.suspected.remove(id);
+            if let Some(entry) = self.known.remove(id) {
+                self.by_address.remove(&entry.fact.address);
             }
         }
-        if !gone.is_empty() {
+        if !expired.is_empty() {
             self.record_removal();
         }
     }
 
+    /// Returns the offset of the latest change.
     pub fn learned(&self) -> u64 {
         self.learned
     }
 
-    /// The offset up to which instances, and ends of instances, were learned before a moment.
+    /// Returns the offset up to which instances and their terminations were recorded before `moment`.
     pub fn offset_before(&self, moment: Duration) -> u64 {
         let known = offset_before(self.known.values(), moment);
         known.max(offset_before(self.ended.values(), moment))
     }
 
-    /// The facts learned after a place, with their present age.
+    /// Returns the heartbeats that were recorded after an offset, with their current age.
     pub fn after(&self, now: Duration, offset: u64) -> Vec<ReceivedHeartbeat> {
         self.first_after(now, offset, usize::MAX).heard
     }
 
-    /// The first facts learned after a place and at most so many, with their present age; those that drain are
-    /// told whatever their number.
+    /// Returns the first heartbeats that were recorded after an offset, with their current age: at most
+    /// `max_count`, and in addition all later ones of draining instances.
     ///
-    /// The lease comes with the first facts, and a proxy that has it must know all instances that drain.
+    /// The lease is granted with the first batch, and a proxy with a lease must know every draining
+    /// instance.
     pub fn first_after(
         &self,
         now: Duration,
         offset: u64,
-        most: usize,
+        max_count: usize,
     ) -> FirstFacts<ReceivedHeartbeat> {
-        let (first, more) = first_learned(self.known.values(), offset, most);
-        let last = first.last().map(|kept| kept.learned);
-        let place_of_first = last.filter(|_| more).unwrap_or(self.learned);
-        let later_draining = self.known.values().filter(|kept| {
-            kept.learned > place_of_first && kept.fact.state == InstanceState::Draining
+        let (first, more) = first_facts_after(self.known.values(), offset, max_count);
+        let last = first.last().map(|entry| entry.learned);
+        let end_offset = last.filter(|_| more).unwrap_or(self.learned);
+        let later_draining = self.known.values().filter(|entry| {
+            entry.learned > end_offset && entry.fact.state == InstanceState::Draining
         });
-        let heard = first
+        let received = first
             .into_iter()
             .chain(later_draining)
-            .map(|kept| ReceivedHeartbeat {
-                heartbeat: kept.fact.for_followers(),
-                age: now.saturating_sub(kept.heard_at),
+            .map(|entry| ReceivedHeartbeat {
+                heartbeat: entry.fact.for_followers(),
+                age: now.saturating_sub(entry.received_at),
             });
         FirstFacts {
-            heard: heard.collect(),
-            offset: place_of_first,
+            heard: received.collect(),
+            offset: end_offset,
             more,
         }
     }
 
-    /// The instances that drain, with their present age.
+    /// Returns the heartbeats of the draining instances, with their current age.
     pub fn draining(&self, now: Duration) -> Vec<ReceivedHeartbeat> {
         self.draining_between(now, 0, self.learned)
     }
 
-    /// Those of them that were learned after one offset and up to another.
+    /// Returns the heartbeats of the draining instances that were recorded after one offset and up to
+    /// another, with their current age.
     pub fn draining_between(
         &self,
         now: Duration,
         after: u64,
         up_to: u64,
     ) -> Vec<ReceivedHeartbeat> {
-        let drains = |kept: &&Kept<Heartbeat>| {
-            kept.fact.state == InstanceState::Draining
-                && kept.learned > after
-                && kept.learned <= up_to
+        let is_draining = |entry: &&FactEntry<Heartbeat>| {
+            entry.fact.state == InstanceState::Draining
+                && entry.learned > after
+                && entry.learned <= up_to
         };
-        let draining = self.known.values().filter(drains);
+        let draining = self.known.values().filter(is_draining);
         draining
-            .map(|kept| ReceivedHeartbeat {
-                heartbeat: kept.fact.for_followers(),
-                age: now.saturating_sub(kept.heard_at),
+            .map(|entry| ReceivedHeartbeat {
+                heartbeat: entry.fact.for_followers(),
+                age: now.saturating_sub(entry.received_at),
             })
             .collect()
     }
 
-    /// What is known of one instance, with its present age.
+    /// Returns the latest heartbeat of an instance, with its current age.
     pub fn heard(&self, now: Duration, id: &InstanceId) -> Option<ReceivedHeartbeat> {
-        self.known.get(id).map(|kept| ReceivedHeartbeat {
-            heartbeat: kept.fact.clone(),
-            age: now.saturating_sub(kept.heard_at),
+        self.known.get(id).map(|entry| ReceivedHeartbeat {
+            heartbeat: entry.fact.clone(),
+            age: now.saturating_sub(entry.received_at),
         })
     }
 
+    /// Returns the latest heartbeat of an instance.
     pub fn get(&self, id: &InstanceId) -> Option<&Heartbeat> {
-        self.known.get(id).map(|kept| &kept.fact)
+        self.known.get(id).map(|entry| &entry.fact)
     }
 
+    /// Returns the latest heartbeats of all known instances.
     pub fn iter(&self) -> impl Iterator<Item = &Heartbeat> {
-        self.known.values().map(|kept| &kept.fact)
+        self.known.values().map(|entry| &entry.fact)
     }
 
-    pub fn with_heard(&self) -> impl Iterator<Item = (&Heartbeat, Duration)> {
-        self.known.values().map(|kept| (&kept.fact, kept.heard_at))
+    /// Returns the latest heartbeats of all known instances, each with the time it was received.
+    pub fn with_receive_times(&self) -> impl Iterator<Item = (&Heartbeat, Duration)> {
+        self.known
+            .values()
+            .map(|entry| (&entry.fact, entry.received_at))
     }
 }
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -1,58 +1,60 @@
-//! The members: nodes that hold a lease, as far as this node has heard.
+//! The members: nodes that have a lease, as far as this node knows.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::facts::offset_before;
-use crate::facts::{first_learned, FirstFacts, Kept, Member, ReceivedMember, Role};
+use crate::facts::{first_facts_after, FactEntry, FirstFacts, Member, ReceivedMember, Role};
 use crate::identifiers::NodeId;
 
-/// A member whose lease was not renewed for this long is no member.
-pub const MEMBER_SPAN: Duration = Duration::from_millis(3000);
+/// A member that has not renewed its lease for this long is removed.
+pub const MEMBER_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// The nodes that hold a lease.
+/// The nodes that have a lease.
 #[derive(Debug, Clone, Default)]
 pub struct Members {
-    known: BTreeMap<NodeId, Kept<Member>>,
+    known: BTreeMap<NodeId, FactEntry<Member>>,
+    /// The highest offset that was assigned to a change.
     learned: u64,
-    /// How long a member that says nothing else than before need not be passed on.
+    /// How long a member that reports no change need not be forwarded to followers.
     pub refresh: Duration,
 }
 
 impl Members {
-    pub fn handle(&mut self, now: Duration, heard: &ReceivedMember) -> bool {
-        let heard_at = now.saturating_sub(heard.age);
-        if now.saturating_sub(heard_at) >= MEMBER_SPAN {
+    /// Merges a report of a member; returns whether it changed anything.
+    pub fn handle(&mut self, now: Duration, received: &ReceivedMember) -> bool {
+        let received_at = now.saturating_sub(received.age);
+        if now.saturating_sub(received_at) >= MEMBER_TIMEOUT {
             return false;
         }
-        let node = heard.member.node;
-        if let Some(kept) = self.known.get(&node) {
-            let said = (heard.member.counter, heard.member.silent);
-            if said <= (kept.fact.counter, kept.fact.silent) {
+        let node = received.member.node;
+        if let Some(entry) = self.known.get(&node) {
+            let reported = (received.member.counter, received.member.silent);
+            if reported <= (entry.fact.counter, entry.fact.silent) {
                 return false;
             }
         } else {
-            // Why: a process that started again at the same address is a new node.
+            // A process that was restarted at the same address is a new node and replaces the old one.
             self.known
-                .retain(|_, kept| kept.fact.control != heard.member.control);
+                .retain(|_, entry| entry.fact.control != received.member.control);
         }
-        let mut fact = heard.member.clone();
+        let mut fact = received.member.clone();
         if fact.demand_unchanged {
-            // Why kept and not asked for: it is told whole again in a moment.
-            let before = self.known.get(&node).map(|kept| kept.fact.demand.clone());
-            fact.demand = before.unwrap_or_default();
+            // The demand is not requested when it is unknown: it is soon reported in full again.
+            let previous = self.known.get(&node).map(|entry| entry.fact.demand.clone());
+            fact.demand = previous.unwrap_or_default();
             fact.demand_unchanged = false;
         }
-        let quiet = self.known.get(&node).filter(|kept| {
-            let (said, before) = (&heard.member, &kept.fact);
-            said.ready == before.ready
-                && said.draining == before.draining
-                && said.serving == before.serving
-                && said.stands == before.stands
-                && now.saturating_sub(kept.notified_at) < self.refresh
+        let unchanged = self.known.get(&node).filter(|entry| {
+            let (reported, previous) = (&received.member, &entry.fact);
+            reported.ready == previous.ready
+                && reported.draining == previous.draining
+                && reported.serving == previous.serving
+                && reported.stands == previous.stands
+                && now.saturating_sub(entry.notified_at) < self.refresh
         });
-        let (learned, notified_at) = match quiet {
-            Some(kept) => (kept.learned, kept.notified_at),
+        let (learned, notified_at) = match unchanged {
+            Some(entry) => (entry.learned, entry.notified_at),
             None => {
                 self.learned += 1;
                 (self.learned, now)
@@ -60,9 +62,9 @@
         };
         self.known.insert(
             node,
-            Kept {
+            FactEntry {
                 fact,
-                heard_at,
+                received_at,
                 learned,
                 notified_at,
             },
@@ -70,69 +72,76 @@
         true
     }
 
-    /// Counts a member that fell silent here as not ready, for everyone, until it is heard again.
+    /// Marks a member that stopped renewing its lease here as not ready, also for all followers, until
+    /// its next report.
     ///
-    /// Why under the same counter: whoever has heard it later than we have knows better.
+    /// The counter stays the same, so that a later report that another node received takes precedence.
     pub fn mark_suspected(&mut self, now: Duration, node: NodeId) {
-        let Some(kept) = self.known.get_mut(&node).filter(|kept| kept.fact.ready) else {
+        let Some(entry) = self.known.get_mut(&node).filter(|entry| entry.fact.ready) else {
             return;
         };
-        kept.fact.ready = false;
-        kept.fact.silent = true;
+        entry.fact.ready = false;
+        entry.fact.silent = true;
         self.learned += 1;
-        kept.learned = self.learned;
-        kept.notified_at = now;
+        entry.learned = self.learned;
+        entry.notified_at = now;
     }
 
+    /// Removes and returns the members that have not renewed their lease in time.
     pub fn expire(&mut self, now: Duration) -> Vec<NodeId> {
-        let mut gone = Vec::new();
-        self.known.retain(|node, kept| {
-            let is_alive = now.saturating_sub(kept.heard_at) < MEMBER_SPAN;
+        let mut expired = Vec::new();
+        self.known.retain(|node, entry| {
+            let is_alive = now.saturating_sub(entry.received_at) < MEMBER_TIMEOUT;
             if !is_alive {
-                gone.push(*node);
+                expired.push(*node);
             }
             is_alive
         });
-        gone
+        expired
     }
 
+    /// Returns the offset of the latest change.
     pub fn learned(&self) -> u64 {
         self.learned
     }
 
-    /// The offset up to which members were learned before a moment.
+    /// Returns the offset up to which members were recorded before `moment`.
     pub fn offset_before(&self, moment: Duration) -> u64 {
         offset_before(self.known.values(), moment)
     }
 
+    /// Returns the members that were recorded after an offset, with the current age of each report.
     pub fn after(&self, now: Duration, offset: u64) -> Vec<ReceivedMember> {
         self.first_after(now, offset, usize::MAX).heard
     }
 
-    /// The first facts learned after a place and at most so many, with their present age.
+    /// Returns the first members that were recorded after an offset, at most `max_count`, with the
+    /// current age of each report.
     pub fn first_after(
         &self,
         now: Duration,
         offset: u64,
-        most: usize,
+        max_count: usize,
     ) -> FirstFacts<ReceivedMember> {
-        let (first, more) = first_learned(self.known.values(), offset, most);
-        let last = first.last().map(|kept| kept.learned);
-        let heard = first.into_iter().map(|kept| ReceivedMember {
-            member: kept.fact.clone(),
-            age: now.saturating_sub(kept.heard_at),
+        let (first, more) = first_facts_after(self.known.values(), offset, max_count);
+        let last = first.last().map(|entry| entry.learned);
+        let received = first.into_iter().map(|entry| ReceivedMember {
+            member: entry.fact.clone(),
+            age: now.saturating_sub(entry.received_at),
         });
         FirstFacts {
-            heard: heard.collect(),
+            heard: received.collect(),
             offset: last.filter(|_| more).unwrap_or(self.learned),
             more,
         }
     }
 
+    /// Returns all members.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().map(|kept| &kept.fact)
+        self.known.values().map(|entry| &entry.fact)
     }
 
+    /// Returns the proxies that are ready for requests.
     pub fn ready_proxies(&self) -> impl Iterator<Item = &Member> {
         self.iter()
             .filter(|member| member.role == Role::Proxy && member.ready)
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::instances::INSTANCE_TIMEOUT;
-use crate::members::MEMBER_SPAN;
+use crate::members::MEMBER_TIMEOUT;
 use crate::ownership::OwnerManagerTimings;
 use crate::reduced_map::FeedForm;
 
@@ -62,7 +62,7 @@
             heartbeat_refresh: Duration::ZERO,
             by_host: false,
             member_refresh: Duration::ZERO,
-            member_timeout: MEMBER_SPAN,
+            member_timeout: MEMBER_TIMEOUT,
             controller_lost: Duration::from_secs(6),
         }
     }
