--- a/crates/caperworks/src/placement.rs
+++ b/crates/caperworks/src/placement.rs
@@ -1,16 +1,16 @@
 //! Placement: which proxy sites each group of clients uses, by proposals and rejections.
 //!
-//! After "Lecture 7: Global Load Balancing" (18.996, 2002), sections 7.4.2 to 7.4.6. The concerns are:
+//! After "Lecture 7: Global Load Balancing" (18.996, 2002), sections 7.4.2 to 7.4.6. The submodules are:
 //!
-//! - `groups`, `demand` and `distance`: who the clients are, what they ask for, how far they are;
-//! - `capacity`: what each site can carry;
+//! - `groups`, `demand` and `distance`: the client groups, their requests, and their distance to sites;
+//! - `capacity`: the load that each site can carry;
 //! - `hosts`: routes that are placed as one;
-//! - `problem`: the instance that is made of these;
+//! - `problem`: the problem instance that is derived from these;
 //! - `preference_list`, `proposals` and `overflow`: the algorithm;
 //! - `mapping`: the result, and whether it is worth a write;
-//! - `solver`: when all this is done.
+//! - `solver`: when a new result is computed.
 //!
-//! The result depends on nothing but the inputs: equal inputs give equal mappings on every node.
+//! The result is deterministic: equal inputs give equal mappings on every node.
 
 mod capacity;
 mod demand;
@@ -28,7 +28,7 @@
 pub use self::groups::{group_of, ClientGroup, UNSEEN_GROUP};
 pub use self::mapping::is_worth_writing;
 pub use self::overflow::OVERFLOW_PERCENT;
-pub use self::preference_list::{ranked, LIST_LENGTH, STABILITY_BONUS};
+pub use self::preference_list::{rank_sites, LIST_LENGTH, STABILITY_BONUS_MICROS};
 pub use self::problem::ProblemView;
-pub use self::proposals::{solve, Placed, Solution, EPSILON};
+pub use self::proposals::{solve, GroupAssignment, Solution, EPSILON};
 pub use self::solver::{Solver, SOLVE_PERIOD};
--- a/crates/caperworks/src/placement/capacity.rs
+++ b/crates/caperworks/src/placement/capacity.rs
@@ -18,8 +18,8 @@
     pub proxy_capacity: u32,
 }
 
-/// By zone, the capacity of its ready proxies. Zones that are closed, or have no ready proxy because
-/// all crashed or are draining, are left out.
+/// Returns the capacity of the ready proxies by zone. Zones that are closed, or have no ready proxy
+/// because all have crashed or are draining, are left out.
 pub(super) fn open_sites(view: &ProblemView<'_>) -> BTreeMap<Zone, u32> {
     let closed: BTreeSet<Zone> = view
         .configuration
@@ -36,7 +36,7 @@
     sites
 }
 
-/// By service and zone, the requests a second that its serving instances can carry.
+/// Returns the requests a second that the serving instances can carry, by service and zone.
 pub(super) fn instance_capacity(view: &ProblemView<'_>) -> BTreeMap<(ServiceName, Zone), u32> {
     let mut capacity: BTreeMap<(ServiceName, Zone), u32> = BTreeMap::new();
     for heartbeat in view.instances.iter() {
--- a/crates/caperworks/src/placement/demand.rs
+++ b/crates/caperworks/src/placement/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: what proxies measured of each client group, smoothed over time.
+//! Demand: what proxies measure for each client group, smoothed over time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use crate::placement::problem::ProblemView;
 
 /// How long a group without requests stays in the problem.
-const QUIET_SPAN: Duration = Duration::from_secs(60);
-/// The weights of the smoothed demand and of a lower one that is reported.
+const IDLE_GROUP_RETENTION: Duration = Duration::from_secs(60);
+/// The weights of the smoothed demand and of a lower reported one in their average.
 const DEMAND_WEIGHTS: (f64, f64) = (0.7, 0.3);
-/// The weights of the smoothed distance and of one that is reported.
+/// The weights of the smoothed distance and of the reported one in their average.
 const DISTANCE_WEIGHTS: (f64, f64) = (0.8, 0.2);
-/// The longest distance that counts, in microseconds.
-const MOST_DISTANCE: u128 = 10_000_000;
+/// Longer measured distances are capped at this value.
+const MAX_DISTANCE_MICROS: u128 = 10_000_000;
 
 /// A client group's requests on one route.
 pub(super) type DemandKey = (String, RouteName);
 
-/// What proxies measured of one client group on one route.
+/// What proxies have measured for one client group on one route.
 #[derive(Debug, Clone, Default)]
 pub(super) struct MeasuredDemand {
     /// Requests a second, smoothed.
     pub(super) requests: f64,
-    /// Distance in microseconds by zone, smoothed.
+    /// Smoothed distance in microseconds, by zone.
     pub(super) distance: BTreeMap<Zone, f64>,
     reported_at: Duration,
 }
 
-/// The sum of what all proxies report now.
+/// The sum of the current reports of all proxies.
 #[derive(Default)]
 struct ReportedDemand {
     requests: u32,
@@ -41,18 +41,18 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct DemandTable {
     pub(super) measured: BTreeMap<DemandKey, MeasuredDemand>,
-    /// By group, the zone that its clients say they are in.
+    /// By group, the zone that its clients report.
     pub(super) client_zones: BTreeMap<String, Zone>,
 }
 
 impl DemandTable {
-    /// Takes in what proxies report now. The demand of routes that share a host is counted for the
-    /// host's first route, see [`first_routes_of_hosts`](super::hosts::first_routes_of_hosts).
+    /// Merges the current reports of the proxies. The demand of routes that share a host is counted for
+    /// the host's first route, see [`first_routes_of_hosts`](super::hosts::first_routes_of_hosts).
     pub(super) fn update(&mut self, now: Duration, view: &ProblemView<'_>) {
         let reports = sum_reports(view);
-        for stand in view.members.iter().flat_map(|member| &member.stands) {
+        for reported in view.members.iter().flat_map(|member| &member.stands) {
             self.client_zones
-                .insert(stand.group.clone(), stand.zone.clone());
+                .insert(reported.group.clone(), reported.zone.clone());
         }
         for (key, measured) in &mut self.measured {
             if !reports.contains_key(key) {
@@ -63,12 +63,13 @@
             self.measured.entry(key).or_default().smooth(now, report);
         }
         self.measured
-            .retain(|_, measured| now.saturating_sub(measured.reported_at) < QUIET_SPAN);
+            .retain(|_, measured| now.saturating_sub(measured.reported_at) < IDLE_GROUP_RETENTION);
     }
 }
 
 impl MeasuredDemand {
-    /// Demand rises at once and falls slowly: too little capacity is worse than too much.
+    /// Merges a report. Demand rises at once and falls slowly, as too little capacity is worse than too
+    /// much.
     fn smooth(&mut self, now: Duration, report: ReportedDemand) {
         let reported = f64::from(report.requests);
         self.requests = if reported > self.requests {
@@ -99,7 +100,7 @@
                 .entry((demand.group.clone(), route.clone()))
                 .or_default();
             report.requests += demand.requests;
-            let micros = demand.locality.as_micros().min(MOST_DISTANCE) as u32;
+            let micros = demand.locality.as_micros().min(MAX_DISTANCE_MICROS) as u32;
             if micros > 0 {
                 let nearest = report.distances.entry(proxy.zone.clone()).or_insert(micros);
                 *nearest = (*nearest).min(micros);
--- a/crates/caperworks/src/placement/groups.rs
+++ b/crates/caperworks/src/placement/groups.rs
@@ -1,10 +1,10 @@
-//! Client groups: how a client's address maps to one, and what the solver knows of each.
+//! Client groups: how a client's address maps to a group, and the solver's input for each group.
 
 use std::net::IpAddr;
 
 use crate::identifiers::RouteName;
 
-/// The group that stands for all clients that no proxy has seen yet.
+/// The placeholder group for all clients that no proxy has seen yet.
 pub const UNSEEN_GROUP: &str = "*";
 
 /// A client group in the problem: its demand and its preference list.
@@ -23,7 +23,7 @@
     pub last: Vec<usize>,
 }
 
-/// The group that a client's address falls into: its /24 network, or /48 for IPv6.
+/// Returns the group of a client's address: its /24 network, or /48 for IPv6.
 pub fn group_of(address: IpAddr) -> String {
     match address {
         IpAddr::V4(address) => {
--- a/crates/caperworks/src/placement/hosts.rs
+++ b/crates/caperworks/src/placement/hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts: where directories answer for a host and not for a route, all routes of a host are placed as
-//! one, under the host's first route.
+//! Hosts: if directories respond per host and not per route, all routes of a host are placed as one,
+//! under the host's first route.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::map_items::Route;
 use crate::placement::problem::ProblemView;
 
-/// For each route the first route of its host; empty where directories answer for each route.
+/// Returns the first route of the host of each route; empty if directories respond per route.
 pub(super) fn first_routes_of_hosts(view: &ProblemView<'_>) -> BTreeMap<RouteName, RouteName> {
     let mut first_routes = BTreeMap::new();
     let mut by_host: BTreeMap<&str, RouteName> = BTreeMap::new();
@@ -21,8 +21,8 @@
     first_routes
 }
 
-/// By route, the regions whose proxies its clients may use; the first route of a host is bound by all
-/// routes of the host.
+/// Returns the regions whose proxies clients may use, by route; the first route of a host is bound by
+/// all routes of the host.
 pub(super) fn home_bounds(
     view: &ProblemView<'_>,
     first_routes: &BTreeMap<RouteName, RouteName>,
--- a/crates/caperworks/src/placement/mapping.rs
+++ b/crates/caperworks/src/placement/mapping.rs
@@ -4,38 +4,38 @@
 use crate::map_items::{GroupPlacement, Mapping, Share};
 use crate::placement::capacity::Site;
 use crate::placement::groups::ClientGroup;
-use crate::placement::proposals::Placed;
+use crate::placement::proposals::GroupAssignment;
 
-/// By how many percent points a share must change for a new mapping to be written.
-const WRITTEN_DIFFERENCE: u32 = 10;
+/// A new mapping is written when a share changes by more than this many percentage points.
+const SHARE_CHANGE_THRESHOLD_PERCENT: u32 = 10;
 
-/// The placement of one group. It names the complete preference list and not only the sites with
-/// units: a directory whose mapping names no site that is alive goes on to the group's next choices.
+/// Returns the placement of one group. It lists the complete preference list and not only the sites with
+/// units, so that a directory can fall back to the group's next choices when no site with units is alive.
 pub(super) fn group_placement(
     group: ClientGroup,
     sites: &[Site],
-    placed: Placed,
+    assignment: GroupAssignment,
 ) -> GroupPlacement {
     let shares = group
         .list
         .iter()
         .map(|(site, _)| Share {
             zone: sites[*site].zone.clone(),
-            units: placed.units.get(site).copied().unwrap_or(0),
+            units: assignment.units.get(site).copied().unwrap_or(0),
         })
         .collect();
     GroupPlacement {
         group: group.group,
         route: group.route,
         shares,
-        unplaced: placed.unplaced,
+        unplaced: assignment.unplaced,
     }
 }
 
-/// Whether a new mapping differs enough from the last one to be proposed.
+/// Returns whether a new mapping differs enough from the last one to be proposed.
 ///
-/// The number of proxies counts only when it grows, or falls by more than a fifth: it bounds what
-/// proxies share, and the restart of one is no reason to write.
+/// A change of the number of proxies counts only when it grows, or falls by more than a fifth: proxies
+/// divide shared limits by it, and the restart of one proxy does not justify a write.
 pub fn is_worth_writing(last: Option<&Mapping>, next: &Mapping) -> bool {
     let Some(last) = last else {
         return true;
@@ -55,11 +55,11 @@
     let mut shares = before.shares.iter().chain(&after.shares);
     shares.any(|share| {
         let (old, new) = (percent(before, &share.zone), percent(after, &share.zone));
-        old.abs_diff(new) > WRITTEN_DIFFERENCE
+        old.abs_diff(new) > SHARE_CHANGE_THRESHOLD_PERCENT
     })
 }
 
-/// The part of a group's units that a zone gets, in percent.
+/// Returns the share of a group's units that a zone gets, in percent.
 fn percent(placement: &GroupPlacement, zone: &Zone) -> u32 {
     let total: u32 = placement.shares.iter().map(|share| share.units).sum();
     let units = placement
--- a/crates/caperworks/src/placement/preference_list.rs
+++ b/crates/caperworks/src/placement/preference_list.rs
@@ -4,21 +4,21 @@
 use crate::placement::capacity::Site;
 use crate::placement::groups::{ClientGroup, UNSEEN_GROUP};
 
-/// How many sites a group ranks.
+/// Maximum length of a preference list.
 pub const LIST_LENGTH: usize = 3;
-/// By how many microseconds a site that a group already uses counts as nearer: small changes in what
-/// is measured must not move clients (section 7.3.4).
-pub const STABILITY_BONUS: u32 = 2_000;
+/// A site that a group already uses counts as nearer by this much, so that small changes of the
+/// measurements do not move clients (section 7.3.4).
+pub const STABILITY_BONUS_MICROS: u32 = 2_000;
 
 /// Ranks the sites for a group, nearest first, and truncates the list to [`LIST_LENGTH`].
 ///
-/// `last` are the sites of the last mapping; `distance` gives microseconds, or nothing for a site that
-/// the group may not use. The group that stands for all unseen clients keeps every site: it has no
-/// distance to rank by, and each directory puts its own zone first.
+/// `last` are the sites of the last mapping; `distance` returns microseconds, or `None` for a site that
+/// the group may not use. The list of the group of all unseen clients is not truncated: it has no
+/// distances to rank by, and each directory puts its own zone first.
 ///
-/// Ties are broken by a hash of both names and not by the site's name alone: many groups that see all
-/// sites alike would otherwise rank them alike and fill them one after the other.
-pub fn ranked(
+/// Ties are broken by a hash of both names and not by the site's name alone: otherwise groups with equal
+/// distances to all sites would rank them in the same order and fill them one after the other.
+pub fn rank_sites(
     group: &str,
     sites: &[Site],
     last: &[usize],
@@ -30,7 +30,7 @@
         .filter_map(|(index, site)| {
             let measured = distance(&site.zone)?;
             let distance = if last.contains(&index) {
-                measured.saturating_sub(STABILITY_BONUS)
+                measured.saturating_sub(STABILITY_BONUS_MICROS)
             } else {
                 measured
             };
@@ -47,12 +47,12 @@
         .collect()
 }
 
-/// What a unit of the group at this position of its list loses by a rejection there: the additional
-/// distance to its next choice, or the most there is where it has none.
+/// Returns the cost of a rejection for a unit of the group at this position of its list: the additional
+/// distance to its next choice, or the maximum if there is none.
 pub(super) fn rejection_loss(group: &ClientGroup, position: usize) -> u32 {
     let (site, distance) = group.list[position];
     let bonus = if group.last.contains(&site) {
-        STABILITY_BONUS
+        STABILITY_BONUS_MICROS
     } else {
         0
     };
--- a/crates/caperworks/src/placement/problem.rs
+++ b/crates/caperworks/src/placement/problem.rs
@@ -1,4 +1,4 @@
-//! The problem instance: for each route its sites with their capacity and its groups with their demand.
+//! The problem instance: for each route, its sites with their capacity and its groups with their demand.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,24 +12,24 @@
 use crate::placement::distance::GroupLocation;
 use crate::placement::groups::{ClientGroup, UNSEEN_GROUP};
 use crate::placement::hosts::{first_routes_of_hosts, home_bounds};
-use crate::placement::preference_list::ranked;
+use crate::placement::preference_list::rank_sites;
 use crate::replicated_map::ReplicatedMap;
 
-/// What the solver derives its problem from.
+/// The input from which the solver derives its problem.
 pub struct ProblemView<'view> {
     /// The configuration map.
     pub configuration: &'view ReplicatedMap,
-    /// The instances that are known.
+    /// The known instances.
     pub instances: &'view Instances,
-    /// The members that are known, with the demand that proxies report.
+    /// The known members, with the demand that proxies report.
     pub members: &'view Members,
-    /// The mapping in force.
+    /// The current mapping.
     pub last: Option<&'view Mapping>,
     /// Requests a second for each unit of an instance's capacity.
     pub requests_per_slot: u32,
     /// Whether proxies outside a route's home regions accept its requests and forward them home.
     pub forwards_to_home: bool,
-    /// Whether directories answer for hosts, so that all routes of a host are placed as one.
+    /// Whether directories respond per host, so that all routes of a host are placed as one.
     pub by_host: bool,
 }
 
@@ -43,8 +43,7 @@
     instance_capacity: BTreeMap<(ServiceName, Zone), u32>,
     /// By route, its groups with their units of demand.
     groups: BTreeMap<RouteName, Vec<(String, u32)>>,
-    /// By route, the load that it brings to a unit of capacity if it spreads over all sites that it
-    /// may use.
+    /// By route, its load for each unit of capacity if it is spread over all sites that it may use.
     expected_load: BTreeMap<RouteName, f64>,
     /// By zone, the sum of the expected loads of the routes that may use it.
     expected_load_at: BTreeMap<Zone, f64>,
@@ -82,11 +81,11 @@
             last,
             home_bounds: home_bounds(view, &first_routes),
         };
-        problem.expect_loads();
+        problem.compute_expected_loads();
         problem
     }
 
-    fn expect_loads(&mut self) {
+    fn compute_expected_loads(&mut self) {
         let routes = self.view.configuration.routes();
         self.expected_load = routes
             .map(|(name, route)| {
@@ -112,13 +111,13 @@
         self.expected_load_at = expected_load_at;
     }
 
-    /// Whether proxies of a zone may accept requests on a route.
+    /// Returns whether proxies of a zone may accept requests on a route.
     fn may_use(&self, route: &Route, zone: &Zone) -> bool {
         self.view.forwards_to_home || route.is_at_home(self.regions.get(zone))
     }
 
-    /// The routes that are placed, with their groups; of each host only the first one where
-    /// directories answer for hosts.
+    /// Returns the routes that are placed, with their groups; only the first one of each host if
+    /// directories respond per host.
     pub(super) fn routes(
         &self,
     ) -> impl Iterator<Item = (RouteName, &'problem Route, &[(String, u32)])> + '_ {
@@ -129,10 +128,10 @@
         })
     }
 
-    /// The sites of a route, with the route's share of their capacity.
+    /// Returns the sites of a route, with the route's share of their capacity.
     ///
-    /// The proxies of a site serve all routes that may use it, so their capacity is shared by what is
-    /// expected at this very site: a route that is bound to few sites needs more of each of them.
+    /// The proxies of a site serve all routes that may use it, so their capacity is divided in proportion
+    /// to the load that is expected at this site: a route that is bound to few sites needs more of each.
     pub(super) fn sites(&self, name: &RouteName, route: &Route) -> Vec<Site> {
         let usable = self
             .open_sites
@@ -157,7 +156,7 @@
             .collect()
     }
 
-    /// A group with its demand and its preference list over the sites of its route.
+    /// Returns a group with its demand and its preference list over the sites of its route.
     pub(super) fn group(
         &self,
         group: &str,
@@ -174,7 +173,7 @@
         };
         let bounds = self.home_bounds.get(route);
         let client_region = location.region();
-        let list = ranked(group, sites, &last, |zone| {
+        let list = rank_sites(group, sites, &last, |zone| {
             let region = self.regions.get(zone);
             let is_allowed = bounds.is_none_or(|bounds| bounds.allow(region, client_region));
             is_allowed.then(|| location.distance_to(zone))
@@ -188,7 +187,7 @@
         }
     }
 
-    /// The sites that the mapping in force assigns to a group.
+    /// Returns the sites that the current mapping assigns to a group.
     fn last_sites(&self, group: &str, route: &RouteName, sites: &[Site]) -> Vec<usize> {
         let placement = self.last.get(&(group, route));
         let shares = placement.iter().flat_map(|placement| &placement.shares);
@@ -199,8 +198,8 @@
     }
 }
 
-/// By route that is placed, its groups with their units of demand: the group of all unseen clients
-/// with one unit, and the measured ones with at least one.
+/// Returns the groups with their units of demand, by placed route: the group of all unseen clients with
+/// one unit, and the measured ones with at least one.
 fn groups_by_route(
     view: &ProblemView<'_>,
     demand: &DemandTable,
--- a/crates/caperworks/src/placement/proposals.rs
+++ b/crates/caperworks/src/placement/proposals.rs
@@ -2,7 +2,7 @@
 //! capacities.
 //!
 //! A group proposes blocks of units to the sites of its preference list, in order. A site over its
-//! capacity rejects the units that lose least by it; those go on to the group's next choice. A group
+//! capacity rejects the units that lose least by it; those proceed to the group's next choice. A group
 //! stops when less than the ε part of its demand is unassigned.
 
 use std::cmp::Reverse;
@@ -18,7 +18,7 @@
 
 /// The assignment of one group's units.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Placed {
+pub struct GroupAssignment {
     /// Units by index of the site.
     pub units: BTreeMap<usize, u32>,
     /// Units that found no site.
@@ -29,13 +29,13 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Solution {
     /// The assignment of each group, in the order of the input.
-    pub placed: Vec<Placed>,
-    /// How many proposals were made, for the bound that the source gives.
+    pub placed: Vec<GroupAssignment>,
+    /// Number of proposals that were made, to compare with the bound that the source gives.
     pub proposals: usize,
 }
 
-/// Solves one service: proposals and rejections until every group has stopped, then the overflow of
-/// what is left, see `overflow`.
+/// Solves one service: runs proposals and rejections until every group has stopped, then assigns the
+/// units that are left over, see `overflow`.
 pub fn solve(groups: &[ClientGroup], sites: &[Site], epsilon: f64) -> Solution {
     let mut matching = Matching::new(groups, sites);
     matching.run(epsilon);
@@ -45,8 +45,8 @@
     Solution { placed, proposals }
 }
 
-/// A block of units that a site has accepted. The top of a site's heap is the block that loses least
-/// by a rejection.
+/// A block of units that a site has accepted. The block that loses least by a rejection is on top of the
+/// site's heap.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Block {
     loss: Reverse<u32>,
@@ -65,7 +65,7 @@
     accepted: Vec<BinaryHeap<Block>>,
     /// By site, the accepted units.
     assigned: Vec<u32>,
-    /// The groups that may have something to propose.
+    /// The groups that may have units to propose.
     queue: VecDeque<usize>,
     proposals: usize,
 }
@@ -101,15 +101,15 @@
         }
     }
 
-    /// Whether less than the ε part of the group's demand is unassigned.
+    /// Returns whether less than the ε part of the group's demand is unassigned.
     fn has_stopped(&self, group: usize, epsilon: f64) -> bool {
         let unassigned: u32 = self.unassigned[group].iter().sum();
         let threshold = (f64::from(self.groups[group].demand) * epsilon).ceil() as u32;
         unassigned < threshold.max(1)
     }
 
-    /// The position with most unassigned units. Proposing the largest block, which is at least the ε
-    /// part over the list's length, keeps the number of proposals within the bound of the source.
+    /// Returns the position with most unassigned units. Proposing the largest block, which is at least the
+    /// ε part divided by the list's length, keeps the number of proposals within the bound of the source.
     fn largest_block(&self, group: usize) -> Option<usize> {
         let blocks = &self.unassigned[group];
         (0..blocks.len())
@@ -134,8 +134,8 @@
         self.reject_excess(site);
     }
 
-    /// Rejects the units that lose least until the site is within its capacity. Rejected units go on
-    /// to the next position of their group's list, if there is one.
+    /// Rejects the units that lose least until the site is within its capacity. Rejected units proceed to
+    /// the next position of their group's list, if there is one.
     fn reject_excess(&mut self, site: usize) {
         let capacity = self.sites[site].capacity;
         while self.assigned[site] > capacity {
@@ -156,16 +156,20 @@
         }
     }
 
-    /// The units by site, and the assignment of each group.
-    fn into_assignment(self) -> (Vec<u32>, Vec<Placed>) {
-        let mut placed: Vec<Placed> = self.groups.iter().map(|_| Placed::default()).collect();
+    /// Returns the units by site, and the assignment of each group.
+    fn into_assignment(self) -> (Vec<u32>, Vec<GroupAssignment>) {
+        let mut placed: Vec<GroupAssignment> = self
+            .groups
+            .iter()
+            .map(|_| GroupAssignment::default())
+            .collect();
         for (site, blocks) in self.accepted.into_iter().enumerate() {
             for block in blocks {
                 *placed[block.group].units.entry(site).or_default() += block.units;
             }
         }
-        for (group, placed) in self.groups.iter().zip(&mut placed) {
-            placed.unplaced = group.demand - placed.units.values().sum::<u32>();
+        for (group, assignment) in self.groups.iter().zip(&mut placed) {
+            assignment.unplaced = group.demand - assignment.units.values().sum::<u32>();
         }
         (self.assigned, placed)
     }
--- a/crates/caperworks/src/placement/solver.rs
+++ b/crates/caperworks/src/placement/solver.rs
@@ -1,4 +1,4 @@
-//! The solver: keeps the demand, and computes a new mapping when one is due.
+//! The solver: tracks the demand, and computes a new mapping when one is due.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// How often the solver runs when no site was lost or came back.
 pub const SOLVE_PERIOD: Duration = Duration::from_millis(2000);
 
-/// The solver of the placement leader: keeps the demand, and solves the problem again and again.
+/// The solver of the placement leader: tracks the demand, and solves the problem periodically.
 #[derive(Debug, Clone, Default)]
 pub struct Solver {
     demand: DemandTable,
@@ -25,7 +25,7 @@
 
 impl Solver {
     /// Solves the problem if [`SOLVE_PERIOD`] is over, or a site was lost or came back; returns the
-    /// new mapping. Whether to propose it is decided by [`worth_writing`](super::worth_writing).
+    /// new mapping. Whether to propose it is decided by [`is_worth_writing`](super::is_worth_writing).
     pub fn step(&mut self, now: Duration, epoch: Epoch, view: &ProblemView<'_>) -> Option<Mapping> {
         let sites = open_sites(view);
         let open_zones: BTreeSet<Zone> = sites.keys().cloned().collect();
@@ -40,14 +40,14 @@
         self.demand.update(now, view);
         Some(Mapping {
             epoch,
-            groups: index(&Problem::new(view, &self.demand, &sites)),
+            groups: place_groups(&Problem::new(view, &self.demand, &sites)),
             proxies: view.members.ready_proxies().count() as u32,
         })
     }
 }
 
 /// Places the groups of all routes, route by route.
-fn index(problem: &Problem<'_>) -> Vec<GroupPlacement> {
+fn place_groups(problem: &Problem<'_>) -> Vec<GroupPlacement> {
     let mut placements = Vec::new();
     for (name, route, groups) in problem.routes() {
         let sites = problem.sites(&name, route);
@@ -56,8 +56,8 @@
             .map(|(group, units)| problem.group(group, &name, *units, &sites))
             .collect();
         let solution = solve(&groups, &sites, EPSILON);
-        for (group, placed) in groups.into_iter().zip(solution.placed) {
-            placements.push(group_placement(group, &sites, placed));
+        for (group, assignment) in groups.into_iter().zip(solution.placed) {
+            placements.push(group_placement(group, &sites, assignment));
         }
     }
     placements
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -17,7 +17,8 @@
 use caperworks::map_items::{GroupPlacement, Mapping, Route, Share, Value, ZoneSettings};
 use caperworks::members::Members;
 use caperworks::placement::{
-    ranked, solve, ClientGroup, ProblemView, Site, Solver, EPSILON, LIST_LENGTH, OVERFLOW_PERCENT,
+    rank_sites, solve, ClientGroup, ProblemView, Site, Solver, EPSILON, LIST_LENGTH,
+    OVERFLOW_PERCENT,
 };
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
@@ -194,9 +195,9 @@
 fn given_a_site_in_use_when_another_is_a_little_nearer_then_the_list_keeps_it_first() {
     let sites = [site("one", 10), site("two", 10)];
     let distance = |zone: &Zone| Some(if zone.as_str() == "one" { 5_000 } else { 4_200 });
-    let fresh = ranked("group", &sites, &[], distance);
+    let fresh = rank_sites("group", &sites, &[], distance);
     assert_eq!(fresh[0].0, 1);
-    let used = ranked("group", &sites, &[0], distance);
+    let used = rank_sites("group", &sites, &[0], distance);
     assert_eq!(used[0].0, 0, "a small gain must not move clients");
 }
 
