--- a/crates/caperworks/src/identifiers.rs
+++ b/crates/caperworks/src/identifiers.rs
@@ -1,12 +1,12 @@
-//! The project's words: the macro that declares every message, and the newtypes.
+//! Identifier types, the macro that declares all messages, and deterministic random numbers and hashes.
 
 use std::time::Duration;
 
-/// Declares messages with the derives that all of them share.
+/// Declares messages with the derives that all of them need.
 ///
-/// `struct` and `enum` members carry their wire number before their name; the numbers are the
-/// compatibility contract, so a member may be added under a new number but never renumbered.
-/// `number` and `text` declare newtypes.
+/// Members of a `struct` or `enum` are preceded by their wire number. The numbers are the compatibility
+/// contract: a member may be added under a new number, but never renumbered. `number` and `text`
+/// declare newtypes.
 #[macro_export]
 macro_rules! messages {
     () => {};
@@ -46,9 +46,9 @@
         #[cbor(transparent)]
         pub struct $name(#[n(0)] pub String);
         impl $name {
-            /// The identifier with this text.
+            /// Creates the identifier from its text.
             pub fn new(text: impl Into<String>) -> Self { Self(text.into()) }
-            /// Its text.
+            /// Returns its text.
             pub fn as_str(&self) -> &str { &self.0 }
         }
         impl std::fmt::Display for $name {
@@ -64,61 +64,63 @@
 }
 
 messages! {
-    /// One life of one process of ours: a controller keeps it on disk, all others draw it anew.
+    /// One incarnation of one node. A controller keeps its number on disk; all other nodes choose a
+    /// random one at each start.
     number NodeId;
-    /// The version of an item or of a map. It only ever grows.
+    /// The version of an item or of a map. Versions never decrease.
     number Version;
-    /// The term of a leadership role or of a key range's owner; lower ones are refused.
+    /// A fencing token: the term of a leadership role or of a key range's owner. Lower ones are rejected.
     number Epoch;
-    /// One life of an instance, as the instance itself numbers it; a later life has a higher one.
+    /// One incarnation of an instance, numbered by the instance itself; a later one has a higher number.
     number Incarnation;
-    /// A zone: one place that can lose power as a whole.
+    /// A zone: a failure domain that can lose power as a whole.
     text Zone;
-    /// Zones that lie close to one another.
+    /// A region: zones with a short network distance to one another.
     text Region;
-    /// A service of like instances.
+    /// The name of a service: a group of interchangeable instances.
     text ServiceName;
-    /// A rule's name; it also names the service that the rule leads to.
+    /// The name of a route, and also of the service that it leads to.
     text RouteName;
-    /// What an instance calls itself.
+    /// The identifier that an instance reports for itself.
     text InstanceId;
-    /// The operator's name for one change set; a repeat of it gets the first answer.
+    /// The operator's identifier of a change set; a repeated request gets the first response.
     text ChangeId;
 }
 
 impl Version {
-    /// The version after this one.
+    /// Returns the version after this one.
     pub fn next(self) -> Version {
         Version(self.0 + 1)
     }
 }
 
 impl Epoch {
-    /// The epoch after this one.
+    /// Returns the epoch after this one.
     pub fn next(self) -> Epoch {
         Epoch(self.0 + 1)
     }
 }
 
-/// A small seeded source of chance (splitmix), so that a run can be played again from its seed.
+/// A small seeded pseudo-random number generator (SplitMix64), so that a run can be reproduced from its
+/// seed.
 #[derive(Debug, Clone)]
 pub struct RandomSource {
     state: u64,
 }
 
 impl RandomSource {
-    /// A source with this seed: equal seeds give equal draws.
+    /// Creates a generator: equal seeds give equal sequences.
     pub fn seeded(seed: u64) -> Self {
         Self { state: seed }
     }
 
-    /// The next number.
+    /// Returns the next random number.
     pub fn draw(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mix(self.state)
     }
 
-    /// A number below `limit`; zero when the limit is zero.
+    /// Returns a random number below `limit`; zero when the limit is zero.
     pub fn below(&mut self, limit: u64) -> u64 {
         if limit == 0 {
             0
@@ -127,14 +129,15 @@
         }
     }
 
-    /// A duration from `low` to `high`, to the microsecond.
+    /// Returns a random duration from `low` to `high`, in whole microseconds.
     pub fn between(&mut self, low: Duration, high: Duration) -> Duration {
-        let span = high.saturating_sub(low).as_micros() as u64;
-        low + Duration::from_micros(self.below(span + 1))
+        let range = high.saturating_sub(low).as_micros() as u64;
+        low + Duration::from_micros(self.below(range + 1))
     }
 }
 
-/// Spreads the bits of a number; used wherever two nodes must come to the same pick.
+/// Mixes the bits of a number, as the SplitMix64 finalizer does. Also used where nodes must
+/// independently make the same choice.
 pub fn mix(number: u64) -> u64 {
     let mut value = number;
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -142,12 +145,12 @@
     value ^ (value >> 31)
 }
 
-/// A hash that is the same on every node and in every build.
+/// Returns a hash of a text that is the same on every node and in every build.
 pub fn stable_hash(text: &str) -> u64 {
     stable_hash_of(text.as_bytes())
 }
 
-/// The same for bytes.
+/// Returns a hash of bytes that is the same on every node and in every build.
 pub fn stable_hash_of(bytes: &[u8]) -> u64 {
     let mut value: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in bytes {
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -1,4 +1,4 @@
-//! Policies: what operators may choose of the core and of proxies where more than one way is sound.
+//! Policies: settings of the controllers and the proxies for which more than one choice is sound.
 
 use std::time::Duration;
 
@@ -7,41 +7,42 @@
 use crate::ownership::OwnerManagerTimings;
 use crate::reduced_map::FeedForm;
 
-/// The policy of the core.
+/// The policy of the controllers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CorePolicy {
-    /// Proxies that are partitioned from the core serve stale state: confirmations to operators wait
-    /// for no agents.
+    /// Whether proxies that are partitioned from the controllers serve stale state; confirmations to
+    /// operators then do not wait for agents.
     pub proxies_serve_stale: bool,
-    /// On how many controllers' disks a change must be synced before it is confirmed to operators.
+    /// Number of controllers that must have synced a change to disk before it is confirmed to operators.
     pub synced_controllers: Option<usize>,
-    /// How many of the voters are controllers.
+    /// Number of voters that are controllers.
     pub controller_voters: usize,
-    /// How many are witnesses: agents in zones without a controller, which have no disk.
+    /// Number of voters that are witnesses: agents in zones without a controller, which have no disk.
     pub witness_voters: usize,
-    /// Whether controllers that all have empty disks may found a new system.
+    /// Whether controllers that all have empty disks may bootstrap a new system.
     pub may_found: bool,
-    /// Whether instances can return a stamp that dates their heartbeats.
+    /// Whether instances return a stamp by which their heartbeats can be dated.
     pub stamped_heartbeats: bool,
-    /// An instance without a heartbeat for so long is deregistered.
+    /// Time without a heartbeat after which an instance is deregistered.
     pub instance_timeout: Duration,
     /// The time bounds of key ownership.
     pub owner_manager: OwnerManagerTimings,
     /// How long a new leader collects heartbeats before it acts on them.
     pub listen: Duration,
-    /// Requests a second that the solver counts for each unit of an instance's capacity.
+    /// Requests a second that the solver assumes for each unit of an instance's capacity.
     pub requests_per_slot: u32,
     /// Whether proxies outside a route's home regions accept its requests and forward them home.
     pub forwards_to_home: bool,
     /// How long a heartbeat without a change need not be forwarded to followers.
     pub heartbeat_refresh: Duration,
-    /// Whether directories answer for hosts, so that all routes of a host are placed as one.
+    /// Whether directories respond per host, so that all routes of a host are placed as one.
     pub by_host: bool,
     /// How long a member without a change need not be forwarded to followers.
     pub member_refresh: Duration,
-    /// A member that renews its lease here and then not for so long counts as not ready.
+    /// A member that has renewed its lease at this controller counts as not ready when its next renewal
+    /// does not arrive within this time.
     pub member_timeout: Duration,
-    /// The vote of a controller that was not heard from for so long is given to a spare one.
+    /// Time without a message after which a controller loses its vote to a spare one.
     pub controller_lost: Duration,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl CorePolicy {
-    /// The form in which agents follow the maps: complete where one of them may become a witness.
+    /// Returns the form in which agents follow the maps: complete if one of them may become a witness.
     pub fn agents_feed_form(&self) -> FeedForm {
         match self.witness_voters {
             0 => FeedForm::Reduced,
@@ -81,15 +82,16 @@
 /// The policy of a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ProxyPolicy {
-    /// Partitioned from the core, serve stale state instead of refusing requests.
+    /// Whether a proxy that is partitioned from the controllers serves stale state instead of rejecting
+    /// requests.
     pub serves_stale: bool,
-    /// The proxies of a closed zone go on forwarding requests to instances of other zones.
+    /// Whether the proxies of a closed zone still forward requests to instances of other zones.
     pub closed_zone_forwards: bool,
-    /// A proxy outside a route's home regions accepts its requests and forwards them home.
+    /// Whether proxies outside a route's home regions accept its requests and forward them home.
     pub forwards_to_home: bool,
-    /// For how long requests still go to an owner that is leaving, until another owns the key range.
+    /// How long requests still go to a draining owner while no other instance owns the key range.
     pub draining_owner: Duration,
-    /// The longest lease, when operators want changes in force sooner than
-    /// [`LEASE_SPAN`](crate::leases::LEASE_SPAN) lets them; none for that span.
+    /// Maximum lease duration, for operators who want changes to take effect sooner than
+    /// [`LEASE_DURATION`](crate::leases::LEASE_DURATION) allows; `None` for that duration.
     pub lease_duration: Option<Duration>,
 }
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::directory_responses::{whereabouts, whereabouts_of_host};
+use caperworks::directory_responses::{resolve_host, resolve_route};
 use caperworks::facts::{
     Demand, GroupZone, Heartbeat, InstanceState, Member, ReceivedHeartbeat, ReceivedMember, Role,
 };
@@ -454,7 +454,7 @@
     let alive = [(Zone::new(other), SocketAddr::from(([127, 0, 0, 1], 1)))];
     let route = RouteName::new("progress");
     let own = Zone::new("w1");
-    let found = whereabouts(&mapping, &route, "10.1.2.0/24", &own, &alive, 7);
+    let found = resolve_route(&mapping, &route, "10.1.2.0/24", &own, &alive, 7);
     assert_eq!(
         found.expect("the next of its list").addresses,
         vec![alive[0].1]
@@ -670,7 +670,7 @@
         let client = Zone::new(client);
         let route = RouteName::new("progress");
         let may_carry = |zone: &Zone| bounds.allow(Some(&region(zone)), Some(&region(&client)));
-        let found = whereabouts_of_host(
+        let found = resolve_host(
             Some(&mapping),
             &[&route],
             group,
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The directory's process: its state machine in an actor, and its answers over HTTP.
+//! The directory process: runs the state machine in an actor, and serves its responses over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response};
 
 use crate::machine::{
-    DirectoryInput, DirectoryMachine, DirectoryOptions, DirectoryOutput, Nowhere,
+    DirectoryInput, DirectoryMachine, DirectoryOptions, DirectoryOutput, ResolveError,
 };
 use caperworks::link::RejectedChunk;
 use runtime::actor::{asked_to_stop, follow_settings, fresh_seed, open_actor, Host, Inbox, Reread};
@@ -23,6 +23,7 @@
 use runtime::locks::locked;
 use runtime::options::NodeSettings;
 
+/// The actor that runs the state machine and sends its messages.
 struct Worker {
     machine: Arc<Mutex<DirectoryMachine>>,
     port: ControlPort,
@@ -50,7 +51,7 @@
                 DirectoryOutput::ControlLinkSlow { figures } => {
                     event(CONTROL_LINK_SLOW, format!("directory: {figures}"));
                 }
-                DirectoryOutput::Moved { map, version } => {
+                DirectoryOutput::MapUpdated { map, version } => {
                     event(MAP_UPDATED, format!("{map} at {version} in the directory"));
                 }
             }
@@ -58,6 +59,7 @@
     }
 }
 
+/// Responds to an HTTP request of the directory's own interface.
 fn respond(
     machine: &Mutex<DirectoryMachine>,
     caller: SocketAddr,
@@ -78,22 +80,25 @@
                 return json_response(400, &jzon::object! { why: "give host=NAME and path=/PATH" });
             };
             match locked(machine).find(&host, &path, caller.ip()) {
-                Ok(found) => {
-                    let addresses: Vec<String> =
-                        found.addresses.iter().map(SocketAddr::to_string).collect();
+                Ok(response) => {
+                    let addresses: Vec<String> = response
+                        .addresses
+                        .iter()
+                        .map(SocketAddr::to_string)
+                        .collect();
                     json_response(
                         200,
                         &jzon::object! {
-                            rule: found.route.as_str(),
+                            rule: response.route.as_str(),
                             addresses: addresses,
-                            lifetime_ms: found.lifetime.as_millis() as u64,
+                            lifetime_ms: response.lifetime.as_millis() as u64,
                         },
                     )
                 }
-                Err(Nowhere::NoRoute) => {
+                Err(ResolveError::NoRoute) => {
                     json_response(404, &jzon::object! { why: "no rule matches" })
                 }
-                Err(Nowhere::NoPlace) => {
+                Err(ResolveError::NoProxy) => {
                     json_response(503, &jzon::object! { why: "there is no proxy to name yet" })
                 }
             }
@@ -102,14 +107,14 @@
     }
 }
 
-/// What answers clients over HTTP: the product's own interface, or another that stands in for it.
+/// The handler of HTTP requests: the directory's own interface, or an alternative to it.
 pub type Interface = Arc<
     dyn Fn(&Mutex<DirectoryMachine>, SocketAddr, &Request<Incoming>) -> Response<Body>
         + Send
         + Sync,
 >;
 
-/// The product's own interface.
+/// Returns the directory's own interface.
 pub fn own_interface() -> Interface {
     Arc::new(respond)
 }
@@ -137,7 +142,7 @@
             PortEvent::Received(envelope) => DirectoryInput::Heard {
                 envelope: *envelope,
             },
-            // Only an agent tells its proxy what the link is like.
+            // Only agents report the state of the link, to their proxy.
             PortEvent::Partial => return,
             PortEvent::Opened { peer, took } => DirectoryInput::ConnectionOpened { peer, took },
             PortEvent::Lost { peer } => DirectoryInput::ConnectionLost { peer },
@@ -166,9 +171,9 @@
     let listener = listen(node_settings.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
-    let (answering, recipient) = (machine.clone(), machine.clone());
-    tokio::spawn(serve_http(listener, stop, move |far_end, request| {
-        let response = interface(&answering, far_end.address, &request);
+    let (responder, recipient) = (machine.clone(), machine.clone());
+    tokio::spawn(serve_http(listener, stop, move |peer, request| {
+        let response = interface(&responder, peer.address, &request);
         async move { Ok(response) }
     }));
     follow_settings(reread, move |seeds| locked(&recipient).follow_seeds(seeds));
@@ -176,7 +181,7 @@
     event(STOPPING, "");
     locked(&machine).shut_down_gracefully();
     stopping.store(true, Ordering::Relaxed);
-    // Why a moment: probes see that we are not ready, and answers under way leave.
+    // Gives probes time to see that the process is not ready, and responses in progress time to be sent.
     tokio::time::sleep(Duration::from_millis(500)).await;
     event(STOPPED, "");
     Ok(())
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,4 +1,4 @@
-//! The directory as a state machine.
+//! The directory service: its state machine and the process around it.
 
 pub mod daemon;
 pub mod machine;
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -1,4 +1,4 @@
-//! The directory's state machine: follows the placement and answers from the last mapping.
+//! The directory's state machine: follows the placement map and responds from the last mapping.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -6,7 +6,7 @@
 
 use caperworks::catch_up::CatchUpRequest;
 use caperworks::configuration::RouteTable;
-use caperworks::directory_responses::{whereabouts, whereabouts_of_host, Whereabouts};
+use caperworks::directory_responses::{resolve_host, resolve_route, DirectoryResponse};
 use caperworks::facts::{GroupZone, Member, Role};
 use caperworks::home_bounds::HomeBounds;
 use caperworks::identifiers::{NodeId, RandomSource, Region, RouteName, Version, Zone};
@@ -25,57 +25,54 @@
     MapName::Membership,
 ];
 
-/// Of how many groups a directory remembers where they stand.
-const MOST_STANDS: usize = 512;
+/// Maximum number of client groups whose reported zone a directory keeps.
+const MAX_CLIENT_ZONES: usize = 512;
 
+/// The options of a directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryOptions {
+    /// The address for control messages.
     pub control: SocketAddr,
+    /// The address for HTTP requests of clients.
     pub serving: SocketAddr,
+    /// The zone that the directory is in.
     pub zone: Zone,
+    /// Addresses of controllers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// How long a member that says nothing new need not be told again.
+    /// How long a member without a change need not be forwarded again.
     pub member_refresh: Duration,
 }
 
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectoryInput {
+    /// The regular tick.
     Tick,
-    Heard {
-        envelope: Envelope,
-    },
-    /// A connection to a peer was opened, which took so long.
-    ConnectionOpened {
-        peer: SocketAddr,
-        took: Duration,
-    },
+    /// A message was received.
+    Heard { envelope: Envelope },
+    /// A connection to a peer was opened; `took` is how long that took.
+    ConnectionOpened { peer: SocketAddr, took: Duration },
     /// A connection to a peer was lost, or could not be opened.
-    ConnectionLost {
-        peer: SocketAddr,
-    },
+    ConnectionLost { peer: SocketAddr },
 }
 
+/// An output of the state machine, for the process to act on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectoryOutput {
-    Send {
-        to: SocketAddr,
-        message: Message,
-    },
-    Moved {
-        map: MapName,
-        version: Version,
-    },
-    /// There is no lease: what was asked and heard of late.
-    ControlLinkSlow {
-        figures: LinkFigures,
-    },
-    /// A piece of a map was refused; nothing of it is kept.
+    /// A message has to be sent.
+    Send { to: SocketAddr, message: Message },
+    /// The local replica of a map has reached a new version.
+    MapUpdated { map: MapName, version: Version },
+    /// There is no valid lease; the figures show the recent traffic with the controllers.
+    ControlLinkSlow { figures: LinkFigures },
+    /// A chunk of a map snapshot was rejected; nothing of it is kept.
     ChunkRejected {
         refused: RejectedChunk,
         from: SocketAddr,
     },
 }
 
+/// Queues the messages that request map chunks.
 fn request_chunks(
     requests: impl IntoIterator<Item = CatchUpRequest>,
     outputs: &mut Vec<DirectoryOutput>,
@@ -88,14 +85,16 @@
     }));
 }
 
-/// Why the directory cannot say where to go.
+/// The reason why the directory has no proxy for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Nowhere {
+pub enum ResolveError {
+    /// No route matches the request.
     NoRoute,
-    /// No mapping yet, or nothing in it is alive.
-    NoPlace,
+    /// There is no mapping yet, or none of the proxies in it is alive.
+    NoProxy,
 }
 
+/// The state machine of a directory.
 pub struct DirectoryMachine {
     options: DirectoryOptions,
     node: NodeId,
@@ -103,19 +102,20 @@
     counter: u64,
     table: RouteTable,
     regions: BTreeMap<Zone, Region>,
-    /// The proxies as last heard: kept when the core falls silent.
+    /// The last known proxies; kept while the controllers do not respond.
     proxies: Vec<(Zone, SocketAddr)>,
-    chance: RandomSource,
-    /// Where groups of clients said that they stand.
-    stands: BTreeMap<String, Zone>,
+    random: RandomSource,
+    /// By client group, the zone that its clients reported.
+    client_zones: BTreeMap<String, Zone>,
     ready: bool,
 }
 
 impl DirectoryMachine {
+    /// Creates a directory; `seed` is the seed of its random numbers.
     pub fn start(options: DirectoryOptions, seed: u64) -> Self {
-        let mut chance = RandomSource::seeded(seed);
-        let node = NodeId(chance.draw() >> 1);
-        let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
+        let mut random = RandomSource::seeded(seed);
+        let node = NodeId(random.draw() >> 1);
+        let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), random.draw())
             .in_form(FeedForm::Reduced);
         link.members.refresh = options.member_refresh;
         Self {
@@ -126,36 +126,40 @@
             table: RouteTable::default(),
             regions: BTreeMap::new(),
             proxies: Vec::new(),
-            chance,
-            stands: BTreeMap::new(),
+            random,
+            client_zones: BTreeMap::new(),
             ready: true,
         }
     }
 
+    /// Returns the number of this node.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Makes a message ready to leave for another process.
+    /// Wraps a message in the envelope for another node.
     pub fn seal(&self, now: Duration, to: SocketAddr, message: Message) -> Envelope {
         let control = self.options.control;
         self.link.envelope_clock.seal(now, control, to, message)
     }
 
-    /// Takes the seeds that the settings name now.
+    /// Replaces the seeds after a change of the settings.
     pub fn follow_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.link.seeds = seeds;
     }
 
+    /// Starts a graceful shutdown: the directory reports itself as draining and not ready.
     pub fn shut_down_gracefully(&mut self) {
         self.ready = false;
     }
 
+    /// Returns whether the directory has a mapping and is not shutting down.
     pub fn has_mapping(&self) -> bool {
         let placement = self.link.feed_cache.follower().map(MapName::Placement);
         placement.mapping().is_some() && self.ready
     }
 
+    /// Handles an input and returns the resulting outputs.
     pub fn input(&mut self, now: Duration, input: DirectoryInput) -> Vec<DirectoryOutput> {
         let mut outputs = Vec::new();
         match input {
@@ -181,10 +185,10 @@
         }
     }
 
-    /// What this directory says of itself when it renews its lease.
+    /// Returns what this directory reports of itself when it renews its lease.
     fn member(&mut self) -> Member {
         self.counter += 1;
-        let stands = self.stands.iter().map(|(group, zone)| GroupZone {
+        let client_zones = self.client_zones.iter().map(|(group, zone)| GroupZone {
             group: group.clone(),
             zone: zone.clone(),
         });
@@ -202,7 +206,7 @@
             draining: !self.ready,
             demand_unchanged: false,
             silent: false,
-            stands: stands.collect(),
+            stands: client_zones.collect(),
         }
     }
 
@@ -215,31 +219,31 @@
         };
         match envelope.message {
             Message::Grant { granted } => {
-                let moved = self.link.granted(now, responder, &granted);
-                self.maps_moved(moved, outputs);
+                let updated = self.link.granted(now, responder, &granted);
+                self.handle_map_updates(updated, outputs);
                 let requests = self.link.fetch_in_chunks(now, from, &granted);
                 request_chunks(requests, outputs);
-                self.heard_members(now, granted.assured);
+                self.update_proxies(now, granted.assured);
             }
             Message::ConsensusMessage { vote } => {
                 let step = self.link.handle_catch_up(now, from, &vote);
-                self.maps_moved(step.moved, outputs);
+                self.handle_map_updates(step.moved, outputs);
                 request_chunks(step.request, outputs);
                 if let Some(refused) = step.refused {
                     outputs.push(DirectoryOutput::ChunkRejected { refused, from });
                 }
             }
-            // Why nothing: all else is for agents and controllers.
+            // All other messages are for agents and controllers.
             _ => {}
         }
     }
 
-    fn maps_moved(
+    fn handle_map_updates(
         &mut self,
-        moved: impl IntoIterator<Item = MapName>,
+        updated: impl IntoIterator<Item = MapName>,
         outputs: &mut Vec<DirectoryOutput>,
     ) {
-        for map in moved {
+        for map in updated {
             let follower = self.link.feed_cache.follower();
             if map == MapName::Configuration {
                 let configuration = follower.map(map);
@@ -250,13 +254,15 @@
                     .collect();
             }
             let version = follower.map(map).version;
-            outputs.push(DirectoryOutput::Moved { map, version });
+            outputs.push(DirectoryOutput::MapUpdated { map, version });
         }
     }
 
-    /// Why only on an assured answer: while the core is out of reach no proxy's silence means
-    /// anything, and the last list is the best there is.
-    fn heard_members(&mut self, now: Duration, assured: bool) {
+    /// Updates the list of proxies after a grant.
+    ///
+    /// Members expire only on an assured response: while the controllers are unreachable, missing reports
+    /// of a proxy do not show that it is down, and the last list is the best there is.
+    fn update_proxies(&mut self, now: Duration, assured: bool) {
         if assured {
             self.link.members.expire(now);
         }
@@ -266,67 +272,73 @@
             .ready_proxies()
             .map(|member| (member.zone.clone(), member.serving))
             .collect();
-        // Why half without assurance: a zone may be lost together with most of the core, but a controller
-        // that is cut off itself misses nearly everyone.
-        let enough = match assured {
+        // Without assurance the new list is taken only if it has at least half as many proxies: a zone
+        // may be lost together with most of the controllers, but a controller that is partitioned itself
+        // is missing nearly all proxies.
+        let is_plausible = match assured {
             true => !proxies.is_empty(),
             false => proxies.len() * 2 >= self.proxies.len() && !proxies.is_empty(),
         };
-        if enough {
+        if is_plausible {
             self.proxies = proxies;
         }
     }
 
-    /// Where a client that stands in a zone should take its requests for a host, by the shares of
-    /// all routes of that host together.
+    /// Returns the proxies that a client in a zone should use for a host, by the shares of all routes of
+    /// that host together.
     pub fn find_host(
         &mut self,
         host: &str,
         zone: &Zone,
         client: IpAddr,
-    ) -> Result<Whereabouts, Nowhere> {
+    ) -> Result<DirectoryResponse, ResolveError> {
         let group = group_of(client);
-        // Why bounded: a directory's memory is small, and the clients that it hears are few.
-        if self.stands.len() < MOST_STANDS || self.stands.contains_key(&group) {
-            self.stands.insert(group.clone(), zone.clone());
+        // The table is bounded, as a directory has little memory and serves few client groups.
+        if self.client_zones.len() < MAX_CLIENT_ZONES || self.client_zones.contains_key(&group) {
+            self.client_zones.insert(group.clone(), zone.clone());
         }
-        let draw = self.chance.draw();
+        let random = self.random.draw();
         let feed_cache = self.link.feed_cache.follower();
         let routes: Vec<&RouteName> = self.table.of_host(host).map(|(name, _)| name).collect();
         let bounds = HomeBounds::of(self.table.of_host(host).map(|(_, route)| route.as_ref()));
-        let client = self.regions.get(zone);
-        let may_carry = |proxy: &Zone| bounds.allow(self.regions.get(proxy), client);
+        let client_region = self.regions.get(zone);
+        let may_carry = |proxy: &Zone| bounds.allow(self.regions.get(proxy), client_region);
         let mapping = feed_cache.map(MapName::Placement).mapping();
         let proxies = &self.proxies;
-        whereabouts_of_host(mapping, &routes, &group, zone, proxies, may_carry, draw)
-            .ok_or(Nowhere::NoPlace)
+        resolve_host(mapping, &routes, &group, zone, proxies, may_carry, random)
+            .ok_or(ResolveError::NoProxy)
     }
 
-    /// Where a client at this address should take a request for this host and path.
-    pub fn find(&mut self, host: &str, path: &str, client: IpAddr) -> Result<Whereabouts, Nowhere> {
+    /// Returns the proxies that a client at this address should use for a request for this host and path.
+    pub fn find(
+        &mut self,
+        host: &str,
+        path: &str,
+        client: IpAddr,
+    ) -> Result<DirectoryResponse, ResolveError> {
         let configuration = self.link.feed_cache.follower().map(MapName::Configuration);
-        // Why not "no route" before any requests were heard: there may be one for all we know.
-        let otherwise = match configuration.version {
-            Version(0) => Nowhere::NoPlace,
-            _ => Nowhere::NoRoute,
+        // Before the first configuration arrives, it is unknown whether there is a matching route.
+        let error_without_route = match configuration.version {
+            Version(0) => ResolveError::NoProxy,
+            _ => ResolveError::NoRoute,
         };
-        let (route, _) = self.table.find(host, path).ok_or(otherwise)?;
-        let draw = self.chance.draw();
+        let (route, _) = self.table.find(host, path).ok_or(error_without_route)?;
+        let random = self.random.draw();
         self.link
             .feed_cache
             .follower()
             .map(MapName::Placement)
             .mapping()
             .and_then(|mapping| {
-                whereabouts(
+                resolve_route(
                     mapping,
                     route,
                     &group_of(client),
                     &self.options.zone,
                     &self.proxies,
-                    draw,
+                    random,
                 )
             })
-            .ok_or(Nowhere::NoPlace)
+            .ok_or(ResolveError::NoProxy)
     }
 }
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -1,4 +1,4 @@
-//! `directory`: a directory process.
+//! `directory`: the directory process.
 
 use std::sync::Arc;
 
