--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -20,7 +20,7 @@
     /// Number of voters that are witnesses: agents in zones without a controller, which have no disk.
     pub witness_voters: usize,
     /// Whether controllers that all have empty disks may bootstrap a new system.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     /// Whether instances return a stamp by which their heartbeats can be dated.
     pub stamped_heartbeats: bool,
     /// Time without a heartbeat after which an instance is deregistered.
@@ -53,7 +53,7 @@
             synced_controllers: None,
             controller_voters: 3,
             witness_voters: 2,
-            may_found: true,
+            may_bootstrap: true,
             stamped_heartbeats: true,
             instance_timeout: INSTANCE_TIMEOUT,
             owner_manager: OwnerManagerTimings::default(),
--- a/crates/controller/src/consensus/founding.rs
+++ b/crates/controller/src/consensus/founding.rs
@@ -54,7 +54,7 @@
 fn founding_voters(state: &ControllerState) -> Option<VoterSet> {
     let seeds = &state.options.seeds;
     let is_first = seeds.first() == Some(&state.options.control);
-    if is_founded(state) || !state.options.core.may_found || !is_first {
+    if is_founded(state) || !state.options.core.may_bootstrap || !is_first {
         return None;
     }
     let entry = |node: NodeId, address: SocketAddr, zone: &Zone| VoterEntry {
@@ -122,7 +122,7 @@
 /// A node that knows a membership, or may not found one, stays silent.
 pub fn handle_proposal(state: &mut ControllerState, reply_to: SocketAddr, founding: Founding) {
     let names_this_node = founding.voters.holder(state.node).is_some();
-    if is_founded(state) || !names_this_node || !state.options.core.may_found {
+    if is_founded(state) || !names_this_node || !state.options.core.may_bootstrap {
         return;
     }
     let attempt = founding.attempt;
--- a/crates/controller/tests/catch_up_stories.rs
+++ b/crates/controller/tests/catch_up_stories.rs
@@ -138,7 +138,7 @@
         let options = ControllerOptions::new(address(index), zone, seeds)
             .disk_capacity(SLOT_CAPACITY, LOG_CAPACITY)
             .core(CorePolicy {
-                may_found: index < 3,
+                may_bootstrap: index < 3,
                 ..policy()
             })
             .inject(self.nodes[index].broken);
--- a/crates/controller/tests/fleet_stories/fleet.rs
+++ b/crates/controller/tests/fleet_stories/fleet.rs
@@ -117,7 +117,7 @@
             image: DiskImage::default(),
             disk_hangs: false,
             core: CorePolicy {
-                may_found: false,
+                may_bootstrap: false,
                 ..core
             },
         });
@@ -132,7 +132,7 @@
         if wiped {
             self.nodes[index].image = DiskImage::default();
             // Why: only the very first start may found.
-            self.nodes[index].core.may_found = false;
+            self.nodes[index].core.may_bootstrap = false;
         }
     }
 
--- a/crates/controller/tests/fleet_stories/main.rs
+++ b/crates/controller/tests/fleet_stories/main.rs
@@ -99,7 +99,7 @@
 #[test]
 fn given_empty_disks_when_no_process_may_found_then_nothing_is_ever_founded() {
     let never = CorePolicy {
-        may_found: false,
+        may_bootstrap: false,
         ..policy()
     };
     let mut fleet = Fleet::new([never.clone(), never.clone(), never], 50);
@@ -123,7 +123,7 @@
 fn given_one_process_that_may_not_found_when_the_others_may_then_nothing_is_founded() {
     for wary in 0..3 {
         let mut policies = [policy(), policy(), policy()];
-        policies[wary].may_found = false;
+        policies[wary].may_bootstrap = false;
         let mut fleet = Fleet::new(policies, 60 + wary as u64);
         fleet.runs(Duration::from_secs(30));
         assert_eq!(fleet.founded, 0, "controller {wary} may not");
