--- a/crates/caperworks/src/leadership/liveness.rs
+++ b/crates/caperworks/src/leadership/liveness.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns when the last message of a node arrived.
-    pub fn last_heard(&self, node: NodeId) -> Option<Duration> {
+    pub fn last_seen(&self, node: NodeId) -> Option<Duration> {
         self.seen.get(&node).map(|seen| seen.last)
     }
 
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -66,7 +66,7 @@
         if voter.node == state.node || state.liveness.alive(now, voter.node) {
             lost_since.remove(&voter.node);
         } else {
-            let since = state.liveness.last_heard(voter.node).unwrap_or(now);
+            let since = state.liveness.last_seen(voter.node).unwrap_or(now);
             lost_since.entry(voter.node).or_insert(since);
         }
     }
