--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -38,7 +38,7 @@
         expected: Version,
     },
     /// Act as leader of the role.
-    Hold {
+    Lead {
         /// The epoch of the term, which is the fencing token.
         epoch: Epoch,
         /// How long this controller has been the leader.
@@ -86,7 +86,7 @@
                     now
                 }
             };
-            return LeadershipStep::Hold {
+            return LeadershipStep::Lead {
                 epoch: term.epoch,
                 held: now.saturating_sub(since),
             };
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -49,10 +49,10 @@
             // would lead by a state that is over.
             LeadershipStep::Take { .. } if is_stopping || lacks_state(state) => {}
             LeadershipStep::Take { term, expected } => take_up(state, name, term, expected),
-            LeadershipStep::Hold { epoch, .. } if is_stopping => {
+            LeadershipStep::Lead { epoch, .. } if is_stopping => {
                 handover::hand_over(state, name, epoch);
             }
-            LeadershipStep::Hold { epoch, held } => match name {
+            LeadershipStep::Lead { epoch, held } => match name {
                 SOLVER => solver::update_placement(state, epoch, held),
                 OWNERSHIP => ownership::manage_key_ranges(state, epoch, held),
                 _ => voter_management::manage_voters(state, held),
