--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -156,7 +156,7 @@
         node_settings.advertise,
         move |event| {
             events.give(match event {
-                PortEvent::Received(envelope) => AgentInput::Heard {
+                PortEvent::Received(envelope) => AgentInput::Received {
                     envelope: *envelope,
                 },
                 PortEvent::Partial => AgentInput::PartialFrame,
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentInput {
     Tick,
-    Heard {
+    Received {
         envelope: Envelope,
     },
     /// Bytes of a message came that began to come a while ago and is not complete yet.
@@ -280,7 +280,7 @@
                 self.link.connection_opened(now, peer, took);
             }
             AgentInput::ConnectionLost { peer } => self.link.controller_lost(peer),
-            AgentInput::Heard { envelope } => self.handle(now, envelope, &mut outputs),
+            AgentInput::Received { envelope } => self.handle(now, envelope, &mut outputs),
             AgentInput::Heartbeat {
                 ticket,
                 heartbeat,
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -95,7 +95,7 @@
             echo: None,
             reads_here: true,
         };
-        self.machine.input(now, AgentInput::Heard { envelope })
+        self.machine.input(now, AgentInput::Received { envelope })
     }
 
     fn ticks(&mut self, now: Duration, core: Core) {
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -139,7 +139,7 @@
     let (inbox, receiver) = Inbox::open();
     let handler = move |event| {
         let input = match event {
-            PortEvent::Received(envelope) => DirectoryInput::Heard {
+            PortEvent::Received(envelope) => DirectoryInput::Received {
                 envelope: *envelope,
             },
             // Only agents report the state of the link, to their proxy.
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -49,7 +49,7 @@
     /// The regular tick.
     Tick,
     /// A message was received.
-    Heard { envelope: Envelope },
+    Received { envelope: Envelope },
     /// A connection to a peer was opened; `took` is how long that took.
     ConnectionOpened { peer: SocketAddr, took: Duration },
     /// A connection to a peer was lost, or could not be opened.
@@ -164,7 +164,7 @@
         let mut outputs = Vec::new();
         match input {
             DirectoryInput::Tick => self.tick(now, &mut outputs),
-            DirectoryInput::Heard { envelope } => self.handle(now, envelope, &mut outputs),
+            DirectoryInput::Received { envelope } => self.handle(now, envelope, &mut outputs),
             DirectoryInput::ConnectionOpened { peer, took } => {
                 self.link.connection_opened(now, peer, took);
             }
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -104,18 +104,18 @@
 
 pub struct HollowAgent {
     pub held_since: HeldSince,
-    restart: mpsc::Sender<Heard>,
+    restart: mpsc::Sender<Received>,
 }
 
 impl HollowAgent {
     /// Begins a new life at the same address: another node, that holds nothing.
     pub fn restart(&self) {
         // Why ignored: one that has so much to hear that it cannot be told is told next time.
-        let _ = self.restart.try_send(Heard::Restart);
+        let _ = self.restart.try_send(Received::Restart);
     }
 }
 
-enum Heard {
+enum Received {
     Envelope(Envelope),
     Restart,
 }
@@ -155,7 +155,7 @@
             flows.count(*from, Part::HollowAgent, frame_bytes(&envelope));
         }
         // Why dropped when full: a real agent's inbox turns away as well, and it asks again.
-        let _ = heard.try_send(Heard::Envelope(envelope));
+        let _ = heard.try_send(Received::Envelope(envelope));
     })
     .await?;
     let held_since = HeldSince::default();
@@ -188,8 +188,8 @@
             let until_due = process.renew_at.saturating_sub(now);
             tokio::select! {
                 heard = receiver.recv() => match heard {
-                    Some(Heard::Envelope(envelope)) => process.handle(envelope),
-                    Some(Heard::Restart) => process.begin_anew(),
+                    Some(Received::Envelope(envelope)) => process.handle(envelope),
+                    Some(Received::Restart) => process.begin_anew(),
                     None => return,
                 },
                 () = tokio::time::sleep(until_due) => process.renew(),
--- a/crates/simulator/src/world/agents.rs
+++ b/crates/simulator/src/world/agents.rs
@@ -20,7 +20,7 @@
     ) {
         let input = match happening {
             Happening::Tick => Some(AgentInput::Tick),
-            Happening::Control { envelope } => Some(AgentInput::Heard {
+            Happening::Control { envelope } => Some(AgentInput::Received {
                 envelope: *envelope,
             }),
             Happening::ControlPart if !self.day.unreported_progress => {
--- a/crates/simulator/src/world/directories.rs
+++ b/crates/simulator/src/world/directories.rs
@@ -18,7 +18,7 @@
     ) {
         let input = match happening {
             Happening::Tick => Some(DirectoryInput::Tick),
-            Happening::Control { envelope } => Some(DirectoryInput::Heard {
+            Happening::Control { envelope } => Some(DirectoryInput::Received {
                 envelope: *envelope,
             }),
             _ => None,
