--- a/crates/caperworks/src/ownership.rs
+++ b/crates/caperworks/src/ownership.rs
@@ -22,7 +22,9 @@
 
 pub use self::instance_leases::HeldLeases;
 pub use self::messages::{HeartbeatResponse, KeyRangeLease, ReleasedKeyRange, TimestampedResponse};
-pub use self::moves::MOVES_AT_ONCE;
+pub use self::moves::MAX_CONCURRENT_MOVES;
 pub use self::owner_manager::{OwnerManager, OwnershipView};
-pub use self::periods::{OwnerManagerTimings, KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT};
+pub use self::periods::{
+    OwnerManagerTimings, KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_TAKEOVER_WAIT,
+};
 pub use self::table::key_range_of_hash;
--- a/crates/caperworks/src/ownership/moves.rs
+++ b/crates/caperworks/src/ownership/moves.rs
@@ -16,7 +16,7 @@
 use crate::ownership::table::{candidates, highest_epoch, is_candidate, is_owner, targets};
 
 /// Maximum number of key ranges, per service, that may move at the same time when no owner was lost.
-pub const MOVES_AT_ONCE: usize = 4;
+pub const MAX_CONCURRENT_MOVES: usize = 4;
 /// How long after an instance announced its termination it has certainly terminated.
 const TERMINATION_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
@@ -93,7 +93,7 @@
     }
 
     /// Returns whether a key range may get a new owner now. Starts its release if it should move and
-    /// fewer than [`MOVES_AT_ONCE`] are moving, or its owner is lost.
+    /// fewer than [`MAX_CONCURRENT_MOVES`] are moving, or its owner is lost.
     fn is_free(
         &mut self,
         now: Duration,
@@ -112,7 +112,7 @@
             .is_some_and(|target| target.id != owner.instance);
         let is_hasty = self.hasty;
         let state = self.state(case.service, case.key_range, owner.epoch);
-        if !state.is_releasing && should_move && (!is_alive || *moves < MOVES_AT_ONCE) {
+        if !state.is_releasing && should_move && (!is_alive || *moves < MAX_CONCURRENT_MOVES) {
             state.is_releasing = true;
             // Heartbeats that were sent to other controllers reach a new owner manager, too.
             let counter = heartbeat.map_or(0, |heartbeat| heartbeat.counter);
--- a/crates/caperworks/src/ownership/periods.rs
+++ b/crates/caperworks/src/ownership/periods.rs
@@ -6,7 +6,7 @@
 pub const KEY_RANGE_LEASE_DURATION: Duration = Duration::from_millis(6000);
 /// Upper bound of how long a lease granted by the previous owner manager may be valid after a takeover:
 /// the previous one may have granted leases until its own lease expired.
-pub const OWNER_MANAGER_WAIT: Duration = Duration::from_millis(9000);
+pub const OWNER_MANAGER_TAKEOVER_WAIT: Duration = Duration::from_millis(9000);
 /// A key range is not offered again under the same epoch to an owner that has not accepted it for this
 /// long.
 const ACCEPTANCE_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -33,8 +33,8 @@
         Self {
             lease: KEY_RANGE_LEASE_DURATION,
             drift: Duration::ZERO,
-            wait: OWNER_MANAGER_WAIT,
-            wait_after_restart: OWNER_MANAGER_WAIT,
+            wait: OWNER_MANAGER_TAKEOVER_WAIT,
+            wait_after_restart: OWNER_MANAGER_TAKEOVER_WAIT,
             acceptance_timeout: ACCEPTANCE_TIMEOUT,
         }
     }
--- a/crates/caperworks/tests/ownership_stories.rs
+++ b/crates/caperworks/tests/ownership_stories.rs
@@ -12,7 +12,7 @@
 use caperworks::map_items::{Service, Value};
 use caperworks::ownership::{
     HeartbeatResponse, HeldLeases, KeyRangeLease, OwnerManager, OwnershipView,
-    KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT,
+    KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_TAKEOVER_WAIT,
 };
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
@@ -279,7 +279,7 @@
         bench.heartbeats(now, "evidence-2", seconds(40) + now);
         assert_eq!(bench.plans(now), 0, "moved already at {now:?}");
     }
-    let now = seconds(30) + OWNER_MANAGER_WAIT;
+    let now = seconds(30) + OWNER_MANAGER_TAKEOVER_WAIT;
     bench.heartbeats(now, "evidence-2", seconds(40) + now);
     assert!(
         bench.plans(now) > 0,
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -12,7 +12,7 @@
 use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
 use caperworks::ownership::{
     HeartbeatResponse, OwnerManager, OwnerManagerTimings, OwnershipView, ReleasedKeyRange,
-    KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_WAIT,
+    KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_TAKEOVER_WAIT,
 };
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
@@ -451,7 +451,7 @@
 #[test]
 fn given_a_silent_owner_when_its_hold_with_the_clocks_drift_has_passed_then_its_key_ranges_move() {
     let spans = OwnerManagerTimings {
-        wait_after_restart: OWNER_MANAGER_WAIT,
+        wait_after_restart: OWNER_MANAGER_TAKEOVER_WAIT,
         lease: millis(4000),
         drift: millis(300),
         wait: millis(9000),
