--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of facts: what followers are told anew, who counts as silent, and what a proxy merges.
+//! Facts: which updates followers get, who counts as suspected, and what a proxy merges.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,66 +40,67 @@
     }
 }
 
-fn hears(instances: &mut Instances, now: Duration, heartbeat: Heartbeat) -> bool {
+/// Handles a heartbeat that is received without delay.
+fn receive(instances: &mut Instances, now: Duration, heartbeat: Heartbeat) -> bool {
     let age = Duration::ZERO;
     instances.handle(now, &ReceivedHeartbeat { heartbeat, age })
 }
 
-/// The instances that a follower at this place is told of.
+/// Returns the instances that a follower at this offset is sent.
 fn reported(instances: &Instances, now: Duration, offset: u64) -> Vec<String> {
     let after = instances.after(now, offset);
-    let names = after.iter().map(|heard| heard.heartbeat.id.to_string());
+    let names = after.iter().map(|entry| entry.heartbeat.id.to_string());
     names.collect()
 }
 
-fn refreshing() -> Instances {
+/// Returns instances of which unchanged heartbeats are forwarded every two seconds.
+fn instances_with_refresh() -> Instances {
     let mut instances = Instances::default();
     instances.refresh = millis(2000);
     instances
 }
 
 #[test]
-fn given_heartbeats_that_say_nothing_new_when_the_refresh_is_over_then_only_then_followers_hear_again(
-) {
-    let mut instances = refreshing();
-    assert!(hears(&mut instances, millis(1000), heartbeat("one", 1)));
+fn unchanged_heartbeats_are_forwarded_once_per_refresh_interval() {
+    let mut instances = instances_with_refresh();
+    assert!(receive(&mut instances, millis(1000), heartbeat("one", 1)));
     let offset = instances.learned();
     assert_eq!(reported(&instances, millis(1000), 0), ["one"]);
     for step in 1..20 {
         let now = millis(1000 + 100 * step);
-        let quiet = Heartbeat {
+        let unchanged = Heartbeat {
             load: step as u32,
             held_key_ranges: vec![step as u32],
             ..heartbeat("one", 1 + step)
         };
         assert!(
-            hears(&mut instances, now, quiet),
-            "it is heard all the same"
+            receive(&mut instances, now, unchanged),
+            "it is merged nevertheless"
         );
         assert_eq!(instances.learned(), offset, "{now:?}");
         assert_eq!(reported(&instances, now, offset), Vec::<String>::new());
-        // Whoever has not heard of it at all is told of the latest, and how old it is.
+        // A follower that does not know the instance gets the latest heartbeat with its age.
         let first = instances.after(now, 0);
         assert_eq!(
             (first[0].heartbeat.counter, first[0].age),
             (1 + step, Duration::ZERO)
         );
     }
-    assert!(hears(&mut instances, millis(3000), heartbeat("one", 30)));
+    assert!(receive(&mut instances, millis(3000), heartbeat("one", 30)));
     assert_eq!(reported(&instances, millis(3000), offset), ["one"]);
-    // The refresh counts anew from then.
+    // The refresh interval starts again then.
     let offset = instances.learned();
-    assert!(hears(&mut instances, millis(4999), heartbeat("one", 31)));
+    assert!(receive(&mut instances, millis(4999), heartbeat("one", 31)));
     assert_eq!(instances.learned(), offset);
-    assert!(hears(&mut instances, millis(5000), heartbeat("one", 32)));
+    assert!(receive(&mut instances, millis(5000), heartbeat("one", 32)));
     assert_eq!(reported(&instances, millis(5000), offset), ["one"]);
 }
 
 #[test]
-fn given_a_heartbeat_that_says_something_new_when_the_refresh_runs_then_followers_hear_at_once() {
+fn changed_heartbeat_is_forwarded_within_the_refresh_interval() {
     type Changes = fn(&mut Heartbeat);
     let changes: [(&str, Changes); 8] = [
-        ("leaving", |heartbeat| {
+        ("draining", |heartbeat| {
             heartbeat.state = InstanceState::Draining
         }),
         ("warming", |heartbeat| {
@@ -107,100 +108,101 @@
         }),
         ("address", |heartbeat| heartbeat.address.set_port(6999)),
         ("capacity", |heartbeat| heartbeat.capacity = 2),
-        ("cold", |heartbeat| heartbeat.warm_up_left = millis(500)),
+        ("warm-up", |heartbeat| heartbeat.warm_up_left = millis(500)),
         ("incarnation", |heartbeat| {
             heartbeat.incarnation = Incarnation(1)
         }),
-        ("pool", |heartbeat| {
+        ("service", |heartbeat| {
             heartbeat.service = ServiceName::new("other")
         }),
         ("zone", |heartbeat| heartbeat.zone = Zone::new("e2")),
     ];
     for (name, change) in changes {
-        let mut instances = refreshing();
-        hears(&mut instances, millis(1000), heartbeat("one", 1));
+        let mut instances = instances_with_refresh();
+        receive(&mut instances, millis(1000), heartbeat("one", 1));
         let offset = instances.learned();
         let mut changed = heartbeat("one", 2);
         change(&mut changed);
         assert!(
-            hears(&mut instances, millis(1001), changed.clone()),
+            receive(&mut instances, millis(1001), changed.clone()),
             "{name}"
         );
         assert!(instances.learned() > offset, "{name}");
         let after = instances.after(millis(1001), offset);
         assert_eq!(after.len(), 1, "{name}");
         assert_eq!(after[0].heartbeat, changed, "{name}");
-        // And again at once when it changes back; but not when it says the same again.
+        // It is forwarded at once when it changes back, but not when it is repeated without a change.
         let offset = instances.learned();
         let same = Heartbeat {
             counter: 3,
             ..changed.clone()
         };
-        hears(&mut instances, millis(1002), same);
+        receive(&mut instances, millis(1002), same);
         assert_eq!(instances.learned(), offset, "{name}");
         let back = Heartbeat {
             incarnation: changed.incarnation,
             ..heartbeat("one", 4)
         };
-        hears(&mut instances, millis(1003), back);
+        receive(&mut instances, millis(1003), back);
         let expected = u64::from(name != "incarnation");
         assert_eq!(instances.learned() - offset, expected, "{name}");
     }
 }
 
 #[test]
-fn given_a_cold_time_that_runs_down_when_it_is_over_then_only_its_end_is_news() {
-    let mut instances = refreshing();
-    let cold = |counter: u64, left: u64| Heartbeat {
+fn warm_up_countdown_is_forwarded_only_when_it_ends() {
+    let mut instances = instances_with_refresh();
+    let warming = |counter: u64, left: u64| Heartbeat {
         warm_up_left: millis(left),
         ..heartbeat("one", counter)
     };
-    hears(&mut instances, millis(1000), cold(1, 900));
+    receive(&mut instances, millis(1000), warming(1, 900));
     let offset = instances.learned();
-    hears(&mut instances, millis(1300), cold(2, 600));
-    hears(&mut instances, millis(1600), cold(3, 300));
+    receive(&mut instances, millis(1300), warming(2, 600));
+    receive(&mut instances, millis(1600), warming(3, 300));
     assert_eq!(instances.learned(), offset);
-    hears(&mut instances, millis(1900), cold(4, 0));
+    receive(&mut instances, millis(1900), warming(4, 0));
     assert_eq!(reported(&instances, millis(1900), offset), ["one"]);
 }
 
 #[test]
-fn given_each_kind_of_removal_when_it_happens_then_the_place_of_the_last_removal_grows() {
-    let mut instances = refreshing();
-    hears(&mut instances, millis(1000), heartbeat("one", 1));
-    hears(&mut instances, millis(1000), heartbeat("two", 1));
-    hears(&mut instances, millis(1000), heartbeat("three", 1));
-    assert_eq!(instances.removed(), 0, "nobody left yet");
-    let mut places = vec![instances.learned()];
-    let mut removes = |instances: &Instances, what: &str| {
-        let last = places[places.len() - 1];
+fn each_kind_of_removal_advances_the_removal_offset() {
+    let mut instances = instances_with_refresh();
+    receive(&mut instances, millis(1000), heartbeat("one", 1));
+    receive(&mut instances, millis(1000), heartbeat("two", 1));
+    receive(&mut instances, millis(1000), heartbeat("three", 1));
+    assert_eq!(instances.removed(), 0, "nothing was removed yet");
+    let mut offsets = vec![instances.learned()];
+    let mut assert_removal = |instances: &Instances, what: &str| {
+        let last = offsets[offsets.len() - 1];
         assert!(instances.removed() > last, "{what}");
         assert_eq!(instances.removed(), instances.learned(), "{what}");
-        places.push(instances.learned());
+        offsets.push(instances.learned());
     };
-    // It said so; one that nobody knew did as well; another took its address; it fell silent.
+    // The kinds: a known instance terminates, an unknown one does, an address gets another instance, and
+    // heartbeats are overdue.
     assert!(instances.end(millis(1100), &InstanceId::new("one")));
-    removes(&instances, "ended");
+    assert_removal(&instances, "ended");
     assert!(instances.end(millis(1200), &InstanceId::new("nobody")));
-    removes(&instances, "unknown");
-    let newcomer = Heartbeat {
+    assert_removal(&instances, "unknown");
+    let successor = Heartbeat {
         address: heartbeat("two", 1).address,
         ..heartbeat("four", 1)
     };
     let offset = instances.learned();
-    assert!(hears(&mut instances, millis(1300), newcomer));
-    assert!(instances.removed() > offset, "its address was taken");
+    assert!(receive(&mut instances, millis(1300), successor));
+    assert!(instances.removed() > offset, "another has its address");
     assert_eq!(instances.get(&InstanceId::new("two")), None);
     let offset = instances.removed();
     assert_eq!(instances.expire(millis(3999)), []);
     assert!(!instances.end(millis(3999), &InstanceId::new("one")));
-    assert_eq!(instances.removed(), offset, "nobody left");
+    assert_eq!(instances.removed(), offset, "nothing was removed");
     assert_eq!(instances.expire(millis(4000)), [InstanceId::new("three")]);
-    assert!(instances.removed() > offset, "it fell silent");
+    assert!(instances.removed() > offset, "its heartbeats are overdue");
     assert_eq!(instances.removed(), instances.learned());
-    // What is only heard of is no removal.
+    // A new heartbeat is no removal.
     let offset = instances.removed();
-    hears(&mut instances, millis(4100), heartbeat("five", 1));
+    receive(&mut instances, millis(4100), heartbeat("five", 1));
     assert_eq!(instances.removed(), offset);
 }
 
@@ -224,7 +226,8 @@
     }
 }
 
-fn renews(members: &mut Members, now: Duration, member: Member) -> bool {
+/// Handles a renewal that is received without delay.
+fn renew(members: &mut Members, now: Duration, member: Member) -> bool {
     let age = Duration::ZERO;
     members.handle(now, &ReceivedMember { member, age })
 }
@@ -234,16 +237,16 @@
 }
 
 #[test]
-fn given_a_member_that_fell_silent_when_it_renews_later_then_it_counts_as_ready_again() {
+fn suspected_member_is_ready_again_after_renewal() {
     let mut members = Members::default();
     members.refresh = millis(1500);
     for node in [1, 2] {
-        renews(&mut members, millis(1000), member(node, 5));
+        renew(&mut members, millis(1000), member(node, 5));
     }
     let offset = members.learned();
     members.mark_suspected(millis(2000), NodeId(1));
     assert_eq!(ready(&members), [2]);
-    // Followers hear of it at once, and only once.
+    // Followers are notified at once, and only once.
     let after = members.after(millis(2000), offset);
     assert_eq!(after.len(), 1);
     assert_eq!(
@@ -254,46 +257,46 @@
     members.mark_suspected(millis(2100), NodeId(1));
     members.mark_suspected(millis(2100), NodeId(7));
     assert_eq!(members.learned(), offset);
-    // A renewal from before the silence that comes late changes nothing.
-    assert!(!renews(&mut members, millis(2200), member(1, 4)));
-    assert!(!renews(&mut members, millis(2200), member(1, 5)));
+    // A late renewal from before the suspicion changes nothing.
+    assert!(!renew(&mut members, millis(2200), member(1, 4)));
+    assert!(!renew(&mut members, millis(2200), member(1, 5)));
     assert_eq!(ready(&members), [2]);
-    assert!(renews(&mut members, millis(2300), member(1, 7)));
+    assert!(renew(&mut members, millis(2300), member(1, 7)));
     assert_eq!(ready(&members), [1, 2]);
     assert_eq!(members.after(millis(2300), offset).len(), 1, "at once");
 }
 
 #[test]
-fn given_a_member_silent_here_when_it_was_heard_later_elsewhere_then_that_wins_everywhere() {
+fn later_report_overrides_suspicion_on_all_nodes() {
     let (mut here, mut elsewhere) = (Members::default(), Members::default());
-    renews(&mut here, millis(1000), member(1, 5));
-    renews(&mut elsewhere, millis(1900), member(1, 8));
+    renew(&mut here, millis(1000), member(1, 5));
+    renew(&mut elsewhere, millis(1900), member(1, 8));
     here.mark_suspected(millis(2000), NodeId(1));
     assert_eq!(ready(&here), Vec::<u64>::new());
     let now = millis(2010);
-    for heard in here.after(now, 0) {
-        assert!(!elsewhere.handle(now, &heard), "it knows better");
+    for member in here.after(now, 0) {
+        assert!(!elsewhere.handle(now, &member), "it has a later report");
     }
-    for heard in elsewhere.after(now, 0) {
-        assert!(here.handle(now, &heard));
+    for member in elsewhere.after(now, 0) {
+        assert!(here.handle(now, &member));
     }
     assert_eq!((ready(&here), ready(&elsewhere)), (vec![1], vec![1]));
-    // Who has not heard it later takes the silence over.
+    // A node without a later report takes over the suspicion.
     let mut third = Members::default();
-    renews(&mut third, millis(1000), member(1, 8));
+    renew(&mut third, millis(1000), member(1, 8));
     here.mark_suspected(millis(2020), NodeId(1));
-    for heard in here.after(millis(2030), 0) {
-        assert!(third.handle(millis(2030), &heard));
+    for member in here.after(millis(2030), 0) {
+        assert!(third.handle(millis(2030), &member));
     }
     assert_eq!(ready(&third), Vec::<u64>::new());
 }
 
 #[test]
-fn given_a_member_counted_as_silent_when_its_very_next_renewal_comes_then_it_is_ready() {
+fn next_renewal_clears_suspicion() {
     let mut members = Members::default();
-    renews(&mut members, millis(1000), member(1, 5));
+    renew(&mut members, millis(1000), member(1, 5));
     members.mark_suspected(millis(2000), NodeId(1));
-    assert!(renews(&mut members, millis(2100), member(1, 6)));
+    assert!(renew(&mut members, millis(2100), member(1, 6)));
     assert_eq!(ready(&members), [1]);
 }
 
@@ -314,7 +317,8 @@
     }
 }
 
-/// The instances that a proxy knows, by name and count, alike in both ways that it keeps them.
+/// Returns the names and counters of the instances that a proxy knows; checks that both of its indexes
+/// agree.
 fn known(knowledge: &ProxyKnowledge) -> Vec<(String, u64)> {
     let pair = |heartbeat: &Heartbeat| (heartbeat.id.to_string(), heartbeat.counter);
     let by_name: Vec<(String, u64)> = knowledge.instances.values().map(pair).collect();
@@ -326,7 +330,7 @@
 }
 
 #[test]
-fn given_a_proxy_that_is_told_of_changes_when_it_takes_them_then_the_rest_is_kept() {
+fn partial_proxy_view_keeps_unchanged_instances() {
     let mut knowledge = ProxyKnowledge::default();
     let named = |pairs: &[(&str, u64)]| -> Vec<(String, u64)> {
         let pairs = pairs.iter();
@@ -346,12 +350,12 @@
     assert_eq!(known(&knowledge), expected);
     assert_eq!(knowledge.by_service[&ServiceName::new("other")].len(), 1);
     assert_eq!(knowledge.instances_offset, 2);
-    // Nothing changed, and it is fresh all the same.
+    // Nothing has changed, but the lease is extended.
     knowledge.take(millis(300), &view(3, false, Vec::new()));
     assert_eq!(known(&knowledge), expected);
     assert_eq!(knowledge.instances_offset, 3);
     assert_eq!(knowledge.fresh_until, millis(3300));
-    // All there are: who is not named is gone.
+    // A full list removes the instances that it does not contain.
     knowledge.take(millis(400), &view(4, true, vec![heartbeat("a", 2)]));
     assert_eq!(known(&knowledge), named(&[("a", 2)]));
     knowledge.take(millis(500), &view(5, true, Vec::new()));
@@ -359,15 +363,15 @@
 }
 
 #[test]
-fn given_numbers_of_proxies_when_told_then_the_most_of_the_last_ten_seconds_counts() {
+fn proxy_count_is_the_maximum_of_the_last_ten_seconds() {
     let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 6000))];
     let mut link = CoreLink::new(NodeId(9), &[MapName::Configuration], seeds, 0);
     assert_eq!(
         link.proxies(),
         1,
-        "nobody told yet, and there is one at least"
+        "no count was received yet; there is at least one proxy"
     );
-    let mut tells = |now: u64, proxies: u32| {
+    let mut count_after_grant = |now: u64, proxies: u32| {
         let number = match link.renew(millis(now), member(9, now)).1 {
             Message::Renew { renewal } => renewal.number,
             other => panic!("{other:?} is no renewal"),
@@ -407,6 +411,6 @@
         (28_099, 0, 20),
         (28_100, 0, 1),
     ] {
-        assert_eq!(tells(now, proxies), expected, "at {now}");
+        assert_eq!(count_after_grant(now, proxies), expected, "at {now}");
     }
 }
--- a/crates/caperworks/tests/gone_stories.rs
+++ b/crates/caperworks/tests/gone_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of instances that say that they are gone, and of agents that wait for the core.
+//! Instances that announce their termination, and expiry of instances while controllers do not respond.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn given_an_instance_that_said_it_is_gone_when_a_late_heartbeat_comes_then_it_stays_gone() {
+fn late_heartbeat_does_not_restore_a_terminated_instance() {
     let mut instances = Instances::default();
     let one = InstanceId::new("one");
     assert!(instances.handle(millis(100), &heartbeat("one", 1)));
-    assert!(instances.end(millis(200), &one), "it is news");
-    assert!(!instances.end(millis(300), &one), "and only once");
+    assert!(instances.end(millis(200), &one), "it was not known yet");
+    assert!(!instances.end(millis(300), &one), "it is known already");
     for (at, counter) in [(300, 2), (1000, 99), (10_000, 100), (29_000, 101)] {
         assert!(
             !instances.handle(millis(at), &heartbeat("one", counter)),
@@ -56,19 +56,19 @@
     }
     assert!(
         instances.handle(millis(1000), &heartbeat("two", 1)),
-        "others live"
+        "others are accepted"
     );
 }
 
 #[test]
-fn given_an_instance_nobody_knew_when_it_says_it_is_gone_then_its_late_heartbeat_is_not_taken() {
+fn termination_of_an_unknown_instance_rejects_its_late_heartbeat() {
     let mut instances = Instances::default();
     instances.end(millis(100), &InstanceId::new("one"));
     assert!(!instances.handle(millis(200), &heartbeat("one", 1)));
 }
 
 #[test]
-fn given_a_place_in_the_news_when_instances_ended_after_it_then_those_are_told() {
+fn terminations_are_listed_after_an_offset() {
     let mut instances = Instances::default();
     let (one, two) = (InstanceId::new("one"), InstanceId::new("two"));
     instances.handle(millis(100), &heartbeat("one", 1));
@@ -88,7 +88,7 @@
     CoreLink::new(NodeId(9), &[MapName::Configuration], seeds, 0)
 }
 
-/// The one controller that the link knows, in one of its incarnations.
+/// Returns the only controller that the link knows, in one of its incarnations.
 fn responder(incarnation: u64) -> Responder {
     Responder {
         address: SocketAddr::from(([127, 0, 0, 1], 6000)),
@@ -116,8 +116,8 @@
     }
 }
 
-/// The number of a renewal that the link sends now.
-fn renewed(link: &mut CoreLink, now: Duration) -> u64 {
+/// Sends a renewal over the link and returns its number.
+fn renewal_number(link: &mut CoreLink, now: Duration) -> u64 {
     match link.renew(now, member()).1 {
         Message::Renew { renewal } => renewal.number,
         other => panic!("{other:?} is no renewal"),
@@ -143,10 +143,10 @@
 }
 
 #[test]
-fn given_an_agent_that_hears_of_an_end_by_a_grant_when_a_late_heartbeat_comes_then_it_stays_gone() {
+fn termination_received_in_a_grant_rejects_late_heartbeats() {
     let mut link = link();
     link.instances.handle(millis(50), &heartbeat("one", 1));
-    let number = renewed(&mut link, millis(100));
+    let number = renewal_number(&mut link, millis(100));
     let reported = Granted {
         instances: vec![heartbeat("one", 5), heartbeat("two", 1)],
         gone: vec![InstanceId::new("one")],
@@ -159,7 +159,7 @@
     };
     assert_eq!(names(&link), ["two"]);
     link.instances.handle(millis(130), &heartbeat("one", 6));
-    let number = renewed(&mut link, millis(400));
+    let number = renewal_number(&mut link, millis(400));
     let reported = Granted {
         instances: vec![heartbeat("one", 7)],
         ..grant(number, true)
@@ -168,14 +168,14 @@
     assert_eq!(
         names(&link),
         ["two"],
-        "nor by a controller that has not heard"
+        "also when a controller that does not know of the termination forwards it"
     );
 }
 
-/// Renews as a daemon does: whether it is due is asked first, then the silent are taken out.
-fn ticks(link: &mut CoreLink, now: Duration, responses: Option<bool>) -> Vec<InstanceId> {
+/// Ticks as a daemon does: renews the lease if that is due, then marks overdue instances as suspected.
+fn tick(link: &mut CoreLink, now: Duration, responses: Option<bool>) -> Vec<InstanceId> {
     if link.due(now) {
-        let number = renewed(link, now);
+        let number = renewal_number(link, now);
         if let Some(assured) = responses {
             link.granted(now, responder(1), &grant(number, assured));
         }
@@ -184,47 +184,50 @@
 }
 
 #[test]
-fn given_controllers_that_answer_without_a_majority_when_time_passes_then_nobody_expires() {
+fn instances_do_not_expire_without_assured_responses() {
     for responses in [None, Some(false)] {
         let mut link = link();
         for step in 0..40 {
             let now = millis(100 * step);
             link.instances.handle(now, &heartbeat("one", step));
-            assert_eq!(ticks(&mut link, now, Some(true)), []);
+            assert_eq!(tick(&mut link, now, Some(true)), []);
         }
         for step in 40..400 {
-            let gone = ticks(&mut link, millis(100 * step), responses);
-            assert_eq!(gone, [], "{responses:?} at step {step}");
+            let suspected = tick(&mut link, millis(100 * step), responses);
+            assert_eq!(suspected, [], "{responses:?} at step {step}");
         }
         assert!(link.instances.get(&InstanceId::new("one")).is_some());
     }
 }
 
 #[test]
-fn given_a_core_that_answers_again_when_a_full_span_has_passed_then_only_then_the_silent_expire() {
+fn suspected_instances_expire_one_timeout_after_controllers_return() {
     let mut link = link();
     for step in 0..40 {
         link.instances
             .handle(millis(100 * step), &heartbeat("one", step));
         link.instances
             .handle(millis(100 * step), &heartbeat("two", step));
-        ticks(&mut link, millis(100 * step), Some(true));
+        tick(&mut link, millis(100 * step), Some(true));
     }
     for step in 40..200 {
-        assert_eq!(ticks(&mut link, millis(100 * step), None), []);
+        assert_eq!(tick(&mut link, millis(100 * step), None), []);
     }
     let back = millis(100 * 200);
-    let mut gone_at = None;
+    let mut suspected_at = None;
     for step in 200..260 {
         let now = millis(100 * step);
         link.instances.handle(now, &heartbeat("two", step));
-        let gone = ticks(&mut link, now, Some(true));
-        if !gone.is_empty() {
-            assert_eq!(gone, [InstanceId::new("one")]);
-            gone_at.get_or_insert(now);
+        let suspected = tick(&mut link, now, Some(true));
+        if !suspected.is_empty() {
+            assert_eq!(suspected, [InstanceId::new("one")]);
+            suspected_at.get_or_insert(now);
         }
     }
-    let gone_at = gone_at.expect("the one that is silent goes in the end");
-    assert!(gone_at >= back + INSTANCE_TIMEOUT, "gone at {gone_at:?}");
-    assert!(gone_at <= back + INSTANCE_TIMEOUT + millis(1500));
+    let suspected_at = suspected_at.expect("the overdue instance is suspected eventually");
+    assert!(
+        suspected_at >= back + INSTANCE_TIMEOUT,
+        "suspected at {suspected_at:?}"
+    );
+    assert!(suspected_at <= back + INSTANCE_TIMEOUT + millis(1500));
 }
--- a/crates/caperworks/tests/ownership_stories.rs
+++ b/crates/caperworks/tests/ownership_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of key ranges and their owners.
+//! Key ranges and their owners: leases, releases and takeovers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     }
 }
 
-/// An owner manager, the map it plans for, and the instances' own idea of what they hold.
+/// An owner manager, the ownership map, and the leases that the instances have.
 struct Bench {
     owner_manager: OwnerManager,
     instances: Instances,
@@ -72,8 +72,8 @@
         }
     }
 
-    /// The instance heartbeats and takes the answer in.
-    fn heartbeats(&mut self, now: Duration, name: &str, up: Duration) {
+    /// Sends a heartbeat of an instance and handles the response.
+    fn heartbeat(&mut self, now: Duration, name: &str, up: Duration) {
         let held_leases = self.held_leases.entry(name.to_string()).or_default();
         let mut heartbeat = heartbeat(name, up, held_leases.held_key_ranges(now));
         heartbeat.let_go = held_leases.let_go();
@@ -91,8 +91,8 @@
         held_leases.answered(now, &response);
     }
 
-    /// The owner manager plans; says how many key ranges changed hands.
-    fn plans(&mut self, now: Duration) -> usize {
+    /// Applies the owner manager's next plan and returns how many key ranges changed their owner.
+    fn plan(&mut self, now: Duration) -> usize {
         self.instances.expire(now);
         let name = ServiceName::new(SERVICE);
         let view = OwnershipView {
@@ -141,110 +141,110 @@
 }
 
 #[test]
-fn given_cold_owners_when_one_is_warm_first_then_no_key_range_moves_to_it() {
+fn no_key_range_moves_to_the_first_warm_instance() {
     let mut bench = Bench::new(64);
     let names: Vec<String> = (1..=8).map(|number| format!("evidence-{number}")).collect();
     bench.owner_manager.take_up(seconds(0), false);
     for name in &names {
-        bench.heartbeats(seconds(1), name, seconds(1));
+        bench.heartbeat(seconds(1), name, seconds(1));
     }
     assert_eq!(
-        bench.plans(seconds(1)),
+        bench.plan(seconds(1)),
         64,
         "all key ranges get an owner at first"
     );
     for step in 4..40 {
         let now = Duration::from_millis(step * 500);
         for (index, name) in names.iter().enumerate() {
-            // The first one started a second before the others.
+            // The first instance started a second before the others.
             let up = if index == 0 { now + seconds(1) } else { now };
-            bench.heartbeats(now, name, up);
+            bench.heartbeat(now, name, up);
         }
-        assert_eq!(bench.plans(now), 0, "something moved at {now:?}");
+        assert_eq!(bench.plan(now), 0, "something moved at {now:?}");
     }
     for key_range in 0..64 {
-        let held = names
+        let is_usable = names
             .iter()
             .any(|name| bench.may_start(seconds(20), name, key_range));
-        assert!(held, "nobody may work on key range {key_range}");
+        assert!(is_usable, "no instance may serve key range {key_range}");
     }
 }
 
 #[test]
-fn given_a_key_range_let_go_when_its_target_is_the_old_owner_again_then_it_comes_back_to_work() {
+fn released_key_range_can_return_to_its_previous_owner() {
     let mut bench = Bench::new(1);
     bench.owner_manager.take_up(seconds(0), false);
-    bench.heartbeats(seconds(1), "evidence-1", seconds(10));
-    bench.plans(seconds(1));
-    bench.heartbeats(seconds(2), "evidence-1", seconds(11));
+    bench.heartbeat(seconds(1), "evidence-1", seconds(10));
+    bench.plan(seconds(1));
+    bench.heartbeat(seconds(2), "evidence-1", seconds(11));
     let rank = |name: &str| stable_hash(&format!("{SERVICE} 0 {name}"));
-    let newcomer = (2..200)
+    let new_instance = (2..200)
         .map(|number| format!("evidence-{number}"))
         .find(|name| rank(name) > rank("evidence-1"))
         .expect("some name ranks higher");
-    // The newcomer is there just long enough for the owner to be asked to let go.
-    bench.heartbeats(seconds(3), &newcomer, seconds(30));
-    bench.plans(seconds(3));
+    // The new instance is known just long enough for the owner to be asked to release the key range.
+    bench.heartbeat(seconds(3), &new_instance, seconds(30));
+    bench.plan(seconds(3));
     for step in 0..30 {
         let now = Duration::from_millis(3500 + step * 500);
-        bench.heartbeats(now, "evidence-1", seconds(12) + now);
-        bench.plans(now);
+        bench.heartbeat(now, "evidence-1", seconds(12) + now);
+        bench.plan(now);
     }
     let end = seconds(18);
-    let held = [&newcomer, "evidence-1"]
+    let is_usable = [&new_instance, "evidence-1"]
         .iter()
         .any(|name| bench.may_start(end, name, 0));
-    assert!(held, "nobody may work on the key range");
+    assert!(is_usable, "no instance may serve the key range");
 }
 
 #[test]
-fn given_an_owner_that_fell_silent_when_its_hold_may_live_then_its_key_ranges_stay() {
+fn key_ranges_of_a_suspected_owner_stay_until_lease_expiry() {
     let mut bench = Bench::new(4);
     bench.owner_manager.take_up(seconds(0), false);
-    bench.heartbeats(seconds(1), "evidence-1", seconds(10));
-    bench.plans(seconds(1));
-    bench.heartbeats(seconds(20), "evidence-1", seconds(30));
+    bench.heartbeat(seconds(1), "evidence-1", seconds(10));
+    bench.plan(seconds(1));
+    bench.heartbeat(seconds(20), "evidence-1", seconds(30));
     assert!(bench.may_start(seconds(20), "evidence-1", 0));
     for tenth in 0..200 {
         let now = seconds(20) + Duration::from_millis(100 * tenth);
-        bench.heartbeats(now, "evidence-2", seconds(40) + now);
-        if bench.plans(now) > 0 {
+        bench.heartbeat(now, "evidence-2", seconds(40) + now);
+        if bench.plan(now) > 0 {
             assert!(
                 now >= seconds(20) + KEY_RANGE_LEASE_DURATION,
                 "moved already at {now:?}"
             );
             assert!(
                 !bench.may_start(now, "evidence-1", 0),
-                "the old owner must have stopped"
+                "the lease of the old owner must have expired"
             );
             return;
         }
     }
-    panic!("the key ranges of the dead owner never moved");
+    panic!("the key ranges of the lost owner never moved");
 }
 
 #[test]
-fn given_an_owner_asked_to_let_go_when_work_is_under_way_then_the_key_range_waits_for_it() {
+fn release_waits_for_requests_in_flight() {
     let mut bench = Bench::new(1);
     bench.owner_manager.take_up(seconds(0), false);
-    bench.heartbeats(seconds(1), "evidence-1", seconds(10));
-    bench.plans(seconds(1));
-    bench.heartbeats(seconds(2), "evidence-1", seconds(11));
+    bench.heartbeat(seconds(1), "evidence-1", seconds(10));
+    bench.plan(seconds(1));
+    bench.heartbeat(seconds(2), "evidence-1", seconds(11));
     bench
         .held_leases
         .get_mut("evidence-1")
         .expect("known")
         .started(0);
     let rank = |name: &str| stable_hash(&format!("{SERVICE} 0 {name}"));
-    let newcomer = (2..200)
+    let new_instance = (2..200)
         .map(|number| format!("evidence-{number}"))
         .find(|name| rank(name) > rank("evidence-1"))
         .expect("some name ranks higher");
     let mut moved_at = None;
     for step in 0..40 {
         let now = seconds(3) + Duration::from_millis(step * 500);
-        bench.heartbeats(now, "evidence-1", seconds(12) + now);
-        bench.heartbeats(now, &newcomer, seconds(12) + now);
+        bench.heartbeat(now, "evidence-1", seconds(12) + now);
+        bench.heartbeat(now, &new_instance, seconds(12) + now);
         if step == 8 {
             bench
                 .held_leases
@@ -252,43 +252,42 @@
                 .expect("known")
                 .ended(0);
         }
-        if bench.plans(now) > 0 {
+        if bench.plan(now) > 0 {
             moved_at = Some(step);
             break;
         }
-        assert!(!bench.may_start(now, &newcomer, 0));
+        assert!(!bench.may_start(now, &new_instance, 0));
     }
-    let moved_at = moved_at.expect("the key range moves in the end");
+    let moved_at = moved_at.expect("the key range moves eventually");
     assert!(
         moved_at >= 8,
-        "moved at step {moved_at} although work was under way"
+        "moved at step {moved_at} although a request was in flight"
     );
 }
 
 #[test]
-fn given_a_new_owner_manager_when_the_one_before_may_have_granted_then_nothing_moves_for_its_span()
-{
+fn new_owner_manager_moves_nothing_while_earlier_leases_may_be_valid() {
     let mut bench = Bench::new(4);
     bench.owner_manager.take_up(seconds(0), false);
-    bench.heartbeats(seconds(1), "evidence-1", seconds(10));
-    bench.plans(seconds(1));
+    bench.heartbeat(seconds(1), "evidence-1", seconds(10));
+    bench.plan(seconds(1));
     bench.owner_manager = OwnerManager::default();
     bench.owner_manager.take_up(seconds(30), false);
     for tenth in 0..88 {
         let now = seconds(30) + Duration::from_millis(100 * tenth);
-        bench.heartbeats(now, "evidence-2", seconds(40) + now);
-        assert_eq!(bench.plans(now), 0, "moved already at {now:?}");
+        bench.heartbeat(now, "evidence-2", seconds(40) + now);
+        assert_eq!(bench.plan(now), 0, "moved already at {now:?}");
     }
     let now = seconds(30) + OWNER_MANAGER_TAKEOVER_WAIT;
-    bench.heartbeats(now, "evidence-2", seconds(40) + now);
+    bench.heartbeat(now, "evidence-2", seconds(40) + now);
     assert!(
-        bench.plans(now) > 0,
-        "the key ranges move once the longest hold has passed"
+        bench.plan(now) > 0,
+        "the key ranges move once the longest lease has expired"
     );
 }
 
 #[test]
-fn given_a_key_range_let_go_when_an_old_grant_comes_late_then_it_is_refused_for_good() {
+fn late_grant_for_a_released_epoch_is_rejected() {
     let mut held_leases = HeldLeases::default();
     let lease = |left| KeyRangeLease {
         key_range: 3,
@@ -315,7 +314,7 @@
 }
 
 #[test]
-fn given_a_hold_when_a_request_needs_longer_than_is_left_then_it_is_refused() {
+fn request_longer_than_the_remaining_lease_is_rejected() {
     let mut held_leases = HeldLeases::default();
     let leases = vec![KeyRangeLease {
         key_range: 0,
--- a/crates/caperworks/tests/placement_stories.rs
+++ b/crates/caperworks/tests/placement_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of the placement design: proposals, rejections, removal, and the directory's answers.
+//! Placement: proposals, rejections, lost sites, and the directory's responses.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -40,21 +40,21 @@
     }
 }
 
-/// A random problem with room for all or not.
-fn problem(chance: &mut RandomSource) -> (Vec<ClientGroup>, Vec<Site>) {
+/// Returns a random problem, with or without sufficient capacity.
+fn problem(random: &mut RandomSource) -> (Vec<ClientGroup>, Vec<Site>) {
     let sites: Vec<Site> = (0..4)
-        .map(|number| site(&format!("area-{number}"), chance.below(120) as u32))
+        .map(|number| site(&format!("area-{number}"), random.below(120) as u32))
         .collect();
     let groups = (0..12)
         .map(|number| {
             let mut list: Vec<(usize, u32)> = (0..4)
-                .map(|rank| (rank, chance.below(60_000) as u32))
+                .map(|rank| (rank, random.below(60_000) as u32))
                 .collect();
-            list.sort_by_key(|(_, far)| *far);
+            list.sort_by_key(|(_, distance)| *distance);
             list.truncate(LIST_LENGTH);
             group(
                 &format!("group-{number}"),
-                1 + chance.below(40) as u32,
+                1 + random.below(40) as u32,
                 &list,
             )
         })
@@ -62,7 +62,7 @@
     (groups, sites)
 }
 
-/// What a unit of the group loses by a rejection at this place of its list.
+/// Returns the cost of a rejection for a unit of the group at this position of its list.
 fn loss(group: &ClientGroup, rank: usize) -> u32 {
     group
         .list
@@ -71,27 +71,27 @@
 }
 
 #[test]
-fn given_random_problems_when_solved_to_the_last_unit_then_no_pair_would_rather_be_together() {
-    let mut judged = 0;
+fn solved_random_problems_have_no_blocking_pair() {
+    let mut checked = 0;
     for seed in 0..400 {
-        let mut chance = RandomSource::seeded(seed);
-        let (groups, sites) = problem(&mut chance);
+        let mut random = RandomSource::seeded(seed);
+        let (groups, sites) = problem(&mut random);
         let solution = solve(&groups, &sites, 0.0);
         for (site_index, site) in sites.iter().enumerate() {
-            let taken: Vec<(usize, u32)> = solution
+            let accepted: Vec<(usize, u32)> = solution
                 .placed
                 .iter()
                 .enumerate()
                 .filter_map(|(index, placed)| Some((index, *placed.units.get(&site_index)?)))
                 .filter(|(_, units)| *units > 0)
                 .collect();
-            let sum: u32 = taken.iter().map(|(_, units)| units).sum();
+            let sum: u32 = accepted.iter().map(|(_, units)| units).sum();
             assert!(
                 sum <= site.capacity * OVERFLOW_PERCENT / 100 + 1,
-                "seed {seed}: overfull"
+                "seed {seed}: over the overflow limit"
             );
-            // A unit that sits at a later choice, or nowhere, must not be wanted more here than
-            // one that is held: that would be a rogue pair.
+            // A unit that is placed at a later choice, or not at all, must not lose more than a unit that
+            // this site has accepted: that would be a blocking pair.
             let rank_of = |index: usize| {
                 groups[index]
                     .list
@@ -102,7 +102,7 @@
             if overflowed || sum < site.capacity {
                 continue;
             }
-            let least_held = taken
+            let least_accepted = accepted
                 .iter()
                 .filter_map(|(index, _)| Some(loss(&groups[*index], rank_of(*index)?)))
                 .min()
@@ -111,7 +111,7 @@
                 let Some(rank) = rank_of(index) else {
                     continue;
                 };
-                let worse_off = placed.units.iter().any(|(other, units)| {
+                let is_worse_off = placed.units.iter().any(|(other, units)| {
                     *units > 0
                         && groups[index]
                             .list
@@ -119,8 +119,8 @@
                             .position(|(listed, _)| listed == other)
                             .is_some_and(|other_rank| other_rank > rank)
                 });
-                // The overflow pass may have moved units on; it is not part of the matching.
-                let spilled = sites.iter().enumerate().any(|(other, site)| {
+                // The overflow pass may have moved units; it is not part of the matching.
+                let has_overflow = sites.iter().enumerate().any(|(other, site)| {
                     let total: u32 = solution
                         .placed
                         .iter()
@@ -128,11 +128,11 @@
                         .sum();
                     total > site.capacity
                 });
-                if worse_off && !spilled {
-                    judged += 1;
+                if is_worse_off && !has_overflow {
+                    checked += 1;
                     assert!(
-                        loss(&groups[index], rank) <= least_held,
-                        "seed {seed}: {} would rather be at {}",
+                        loss(&groups[index], rank) <= least_accepted,
+                        "seed {seed}: {} prefers {}",
                         groups[index].group,
                         site.zone
                     );
@@ -140,14 +140,14 @@
             }
         }
     }
-    assert!(judged > 50, "only {judged} pairs were judged");
+    assert!(checked > 50, "only {checked} pairs were checked");
 }
 
 #[test]
-fn given_an_epsilon_when_solved_then_little_is_left_over_and_proposals_stay_few() {
+fn epsilon_bounds_unplaced_units_and_proposals() {
     for seed in 0..200 {
-        let mut chance = RandomSource::seeded(seed);
-        let (groups, mut sites) = problem(&mut chance);
+        let mut random = RandomSource::seeded(seed);
+        let (groups, mut sites) = problem(&mut random);
         for site in &mut sites {
             site.capacity += 200;
             site.proxy_capacity = site.capacity;
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn given_a_full_site_when_two_groups_want_it_then_it_rejects_the_one_that_loses_least() {
+fn full_site_rejects_the_group_that_loses_least() {
     let sites = [site("near", 10), site("far", 100)];
     let groups = [
         group("flexible", 10, &[(0, 1_000), (1, 2_000)]),
@@ -182,26 +182,26 @@
     assert_eq!(
         solution.placed[0].units.get(&1),
         Some(&10),
-        "the flexible one spills"
+        "the flexible group is rejected"
     );
     assert_eq!(
         solution.placed[1].units.get(&0),
         Some(&10),
-        "the tied one stays"
+        "the tied group is accepted"
     );
 }
 
 #[test]
-fn given_a_site_in_use_when_another_is_a_little_nearer_then_the_list_keeps_it_first() {
+fn slightly_nearer_site_does_not_replace_the_one_in_use() {
     let sites = [site("one", 10), site("two", 10)];
     let distance = |zone: &Zone| Some(if zone.as_str() == "one" { 5_000 } else { 4_200 });
-    let fresh = rank_sites("group", &sites, &[], distance);
-    assert_eq!(fresh[0].0, 1);
-    let used = rank_sites("group", &sites, &[0], distance);
-    assert_eq!(used[0].0, 0, "a small gain must not move clients");
+    let unused = rank_sites("group", &sites, &[], distance);
+    assert_eq!(unused[0].0, 1);
+    let in_use = rank_sites("group", &sites, &[0], distance);
+    assert_eq!(in_use[0].0, 0, "a small gain must not move clients");
 }
 
-/// A small world for the solver: two regions of two zones each.
+/// The input of the solver: two regions with two zones each.
 struct Bench {
     configuration: ReplicatedMap,
     instances: Instances,
@@ -262,17 +262,19 @@
             counter: 0,
         };
         for (zone, _) in zones {
-            bench.proxy_says(Duration::from_secs(1), zone, true, 0);
-            bench.instance_says(zone, InstanceState::Serving);
+            bench.report_proxy(Duration::from_secs(1), zone, true, 0);
+            bench.report_instance(zone, InstanceState::Serving);
         }
         bench
     }
 
-    fn proxy_says(&mut self, now: Duration, zone: &str, ready: bool, requests: u32) {
-        self.proxy_measures(now, zone, ready, "progress", requests);
+    /// Reports requests on the route `progress` from the proxy of a zone.
+    fn report_proxy(&mut self, now: Duration, zone: &str, ready: bool, requests: u32) {
+        self.report_demand(now, zone, ready, "progress", requests);
     }
 
-    fn proxy_measures(
+    /// Reports requests on a route, with measured distances, from the proxy of a zone.
+    fn report_demand(
         &mut self,
         now: Duration,
         zone: &str,
@@ -317,7 +319,8 @@
         );
     }
 
-    fn instance_says(&mut self, zone: &str, state: InstanceState) {
+    /// Reports the state of the instance of a zone.
+    fn report_instance(&mut self, zone: &str, state: InstanceState) {
         self.counter += 1;
         let heartbeat = Heartbeat {
             id: InstanceId::new(format!("records-{zone}")),
@@ -371,21 +374,22 @@
         });
     }
 
-    fn solves(&self, solver: &mut Solver, seconds: u64, last: Option<&Mapping>) -> Mapping {
-        self.solves_for(solver, seconds, last, false)
+    fn solve(&self, solver: &mut Solver, seconds: u64, last: Option<&Mapping>) -> Mapping {
+        self.solve_for(solver, seconds, last, false)
     }
 
-    /// Solves for hosts whose requests proxies elsewhere send home, or for routes that stay home.
-    fn solves_for(
+    /// Solves either per host, with proxies elsewhere forwarding requests home, or per route, with
+    /// requests accepted at home only.
+    fn solve_for(
         &self,
         solver: &mut Solver,
         seconds: u64,
         last: Option<&Mapping>,
-        hosts_carried_home: bool,
+        by_host_forwarded: bool,
     ) -> Mapping {
         let view = ProblemView {
-            by_host: hosts_carried_home,
-            forwards_to_home: hosts_carried_home,
+            by_host: by_host_forwarded,
+            forwards_to_home: by_host_forwarded,
             configuration: &self.configuration,
             instances: &self.instances,
             members: &self.members,
@@ -398,8 +402,8 @@
     }
 }
 
-/// The zones that carry units of a group.
-fn carrying(mapping: &Mapping, group: &str) -> BTreeSet<String> {
+/// Returns the zones that have units of a group.
+fn zones_with_units(mapping: &Mapping, group: &str) -> BTreeSet<String> {
     mapping
         .groups
         .iter()
@@ -411,58 +415,61 @@
 }
 
 #[test]
-fn given_closed_crashed_and_draining_sites_when_solved_then_none_of_them_carries_anything() {
+fn closed_crashed_and_draining_sites_get_no_units() {
     let mut bench = Bench::new(None);
-    bench.proxy_says(Duration::from_secs(2), "e1", true, 60);
-    let mapping = bench.solves(&mut Solver::default(), 2, None);
-    assert!(carrying(&mapping, "10.1.2.0/24").is_subset(&["e1".into(), "e2".into()].into()));
+    bench.report_proxy(Duration::from_secs(2), "e1", true, 60);
+    let mapping = bench.solve(&mut Solver::default(), 2, None);
+    assert!(zones_with_units(&mapping, "10.1.2.0/24").is_subset(&["e1".into(), "e2".into()].into()));
     bench.close("e1");
-    bench.proxy_says(Duration::from_secs(2), "e2", false, 0);
-    bench.instance_says("w1", InstanceState::Draining);
-    let mapping = bench.solves(&mut Solver::default(), 2, Some(&mapping));
-    let carriers = carrying(&mapping, "10.1.2.0/24");
+    bench.report_proxy(Duration::from_secs(2), "e2", false, 0);
+    bench.report_instance("w1", InstanceState::Draining);
+    let mapping = bench.solve(&mut Solver::default(), 2, Some(&mapping));
+    let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
     assert_eq!(
-        carriers,
+        used_zones,
         ["w2".to_string()].into(),
         "only w2 is open, ready and serving"
     );
 }
 
 #[test]
-fn given_a_home_region_when_its_sites_are_full_then_units_stay_at_home_or_unplaced() {
+fn units_beyond_the_home_region_capacity_stay_unplaced() {
     let mut bench = Bench::new(Some("east"));
-    bench.proxy_says(Duration::from_secs(2), "e1", true, 900);
-    let mapping = bench.solves(&mut Solver::default(), 2, None);
-    let carriers = carrying(&mapping, "10.1.2.0/24");
-    assert_eq!(carriers, ["e1".to_string(), "e2".to_string()].into());
+    bench.report_proxy(Duration::from_secs(2), "e1", true, 900);
+    let mapping = bench.solve(&mut Solver::default(), 2, None);
+    let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
+    assert_eq!(used_zones, ["e1".to_string(), "e2".to_string()].into());
     let unplaced: u32 = mapping
         .groups
         .iter()
         .map(|placement| placement.unplaced)
         .sum();
-    assert!(unplaced > 500, "{unplaced} must be owned up to");
+    assert!(
+        unplaced > 500,
+        "only {unplaced} units are reported as unplaced"
+    );
 }
 
 #[test]
-fn given_a_lost_site_when_the_directory_still_has_the_old_mapping_then_it_names_the_next() {
+fn directory_falls_back_to_the_next_site_of_an_old_mapping() {
     let mut bench = Bench::new(Some("east"));
-    bench.proxy_says(Duration::from_secs(2), "e1", true, 20);
-    let mapping = bench.solves(&mut Solver::default(), 2, None);
-    let used = carrying(&mapping, "10.1.2.0/24");
+    bench.report_proxy(Duration::from_secs(2), "e1", true, 20);
+    let mapping = bench.solve(&mut Solver::default(), 2, None);
+    let used = zones_with_units(&mapping, "10.1.2.0/24");
     let other = if used.contains("e1") { "e2" } else { "e1" };
-    assert_eq!(used.len(), 1, "twenty orders fit one site");
+    assert_eq!(used.len(), 1, "twenty requests a second fit one site");
     let alive = [(Zone::new(other), SocketAddr::from(([127, 0, 0, 1], 1)))];
     let route = RouteName::new("progress");
     let own = Zone::new("w1");
     let found = resolve_route(&mapping, &route, "10.1.2.0/24", &own, &alive, 7);
     assert_eq!(
-        found.expect("the next of its list").addresses,
+        found.expect("the next site of its list").addresses,
         vec![alive[0].1]
     );
 }
 
 #[test]
-fn given_a_route_bound_to_one_region_when_others_use_all_sites_then_it_gets_its_part_of_the_two() {
+fn region_bound_route_gets_its_share_of_its_sites() {
     let mut bench = Bench::new(Some("east"));
     let mut other = bench.configuration.items["rule/progress"].value.clone();
     if let Value::Route { route } = &mut other {
@@ -482,22 +489,25 @@
         guards: Vec::new(),
     });
     let now = Duration::from_secs(2);
-    bench.proxy_measures(now, "e1", true, "progress", 60);
-    bench.proxy_measures(now, "w1", true, "other", 150);
-    let mapping = bench.solves(&mut Solver::default(), 2, None);
+    bench.report_demand(now, "e1", true, "progress", 60);
+    bench.report_demand(now, "w1", true, "other", 150);
+    let mapping = bench.solve(&mut Solver::default(), 2, None);
     let bound: Vec<&GroupPlacement> = mapping
         .groups
         .iter()
         .filter(|placement| placement.route.as_str() == "progress" && placement.group != "*")
         .collect();
-    let most = bound[0].shares.iter().map(|share| share.units).max();
-    // Half of all sites' proxies are in its reach, and what the others bring there is a quarter.
-    assert!(most >= Some(40), "its first site takes only {most:?} of 60");
+    let largest_share = bound[0].shares.iter().map(|share| share.units).max();
+    // The route may use half of all proxies, and the other route brings a quarter of their load.
+    assert!(
+        largest_share >= Some(40),
+        "its first site gets only {largest_share:?} of 60"
+    );
     assert_eq!(bound[0].unplaced, 0);
 }
 
-/// A directory tells where a group's clients say that they stand.
-fn directory_says(bench: &mut Bench, zone: &str) {
+/// Reports from a directory the zone that the clients of the group name.
+fn report_client_zone(bench: &mut Bench, zone: &str) {
     bench.counter += 1;
     let address = SocketAddr::from(([127, 0, 0, 1], 8999));
     let member = Member {
@@ -520,14 +530,14 @@
         draining: false,
     };
     let age = Duration::ZERO;
-    let heard = ReceivedMember { member, age };
-    bench.members.handle(Duration::from_secs(2), &heard);
+    let received = ReceivedMember { member, age };
+    bench.members.handle(Duration::from_secs(2), &received);
 }
 
-/// A proxy that sees requests of the group and cannot tell how far its clients are.
-fn proxy_cannot_measure(bench: &mut Bench, zone: &str, requests: u32) {
+/// Reports requests of the group from a proxy that could not measure the distance to its clients.
+fn report_unmeasured(bench: &mut Bench, zone: &str, requests: u32) {
     let now = Duration::from_secs(2);
-    bench.proxy_says(now, zone, true, requests);
+    bench.report_proxy(now, zone, true, requests);
     let mut member = bench
         .members
         .iter()
@@ -542,51 +552,50 @@
 }
 
 #[test]
-fn given_a_group_that_says_where_it_stands_when_solved_then_it_is_sent_there_or_to_its_region() {
+fn reported_zone_places_a_group_in_its_zone_or_region() {
     for (zone, near) in [("e1", "e2"), ("e2", "e1"), ("w1", "w2"), ("w2", "w1")] {
-        // Its requests are seen somewhere else, where the round trip cannot be told.
+        // Its requests arrive in another zone, where the round trip time is not measured.
         for seen in ["e1", "w2"] {
             let mut bench = Bench::new(None);
-            proxy_cannot_measure(&mut bench, seen, 20);
-            directory_says(&mut bench, zone);
-            let mapping = bench.solves(&mut Solver::default(), 2, None);
-            let carriers = carrying(&mapping, "10.1.2.0/24");
-            assert_eq!(carriers, [zone.to_string()].into(), "seen at {seen}");
+            report_unmeasured(&mut bench, seen, 20);
+            report_client_zone(&mut bench, zone);
+            let mapping = bench.solve(&mut Solver::default(), 2, None);
+            let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
+            assert_eq!(used_zones, [zone.to_string()].into(), "requests in {seen}");
             bench.close(zone);
-            let mapping = bench.solves(&mut Solver::default(), 2, None);
-            let carriers = carrying(&mapping, "10.1.2.0/24");
-            assert_eq!(carriers, [near.to_string()].into(), "seen at {seen}");
+            let mapping = bench.solve(&mut Solver::default(), 2, None);
+            let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
+            assert_eq!(used_zones, [near.to_string()].into(), "requests in {seen}");
         }
     }
 }
 
 #[test]
-fn given_a_group_whose_distance_was_measured_when_it_says_where_it_stands_then_the_measure_counts()
-{
+fn measured_distance_overrides_the_reported_zone() {
     let mut bench = Bench::new(None);
-    bench.proxy_says(Duration::from_secs(2), "e1", true, 20);
-    directory_says(&mut bench, "w1");
-    let mapping = bench.solves(&mut Solver::default(), 2, None);
-    let carriers = carrying(&mapping, "10.1.2.0/24");
-    assert_eq!(carriers, ["e1".to_string()].into());
+    bench.report_proxy(Duration::from_secs(2), "e1", true, 20);
+    report_client_zone(&mut bench, "w1");
+    let mapping = bench.solve(&mut Solver::default(), 2, None);
+    let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
+    assert_eq!(used_zones, ["e1".to_string()].into());
 }
 
 #[test]
-fn given_a_group_that_moves_when_it_says_so_then_it_is_sent_where_it_stands_now() {
+fn group_follows_a_change_of_its_reported_zone() {
     let mut bench = Bench::new(None);
-    proxy_cannot_measure(&mut bench, "e1", 20);
-    directory_says(&mut bench, "e2");
+    report_unmeasured(&mut bench, "e1", 20);
+    report_client_zone(&mut bench, "e2");
     let mut solver = Solver::default();
-    let mapping = bench.solves(&mut solver, 2, None);
-    let carriers = carrying(&mapping, "10.1.2.0/24");
-    assert_eq!(carriers, ["e2".to_string()].into());
-    directory_says(&mut bench, "w2");
-    let mapping = bench.solves(&mut solver, 4, Some(&mapping));
-    let carriers = carrying(&mapping, "10.1.2.0/24");
-    assert_eq!(carriers, ["w2".to_string()].into());
+    let mapping = bench.solve(&mut solver, 2, None);
+    let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
+    assert_eq!(used_zones, ["e2".to_string()].into());
+    report_client_zone(&mut bench, "w2");
+    let mapping = bench.solve(&mut solver, 4, Some(&mapping));
+    let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
+    assert_eq!(used_zones, ["w2".to_string()].into());
 }
 
-/// Adds a route to the host of the first one, by a name that comes before it and without a home.
+/// Adds a route without a home region to the host of the first one; its name sorts before the first.
 fn add_route_without_home(bench: &mut Bench) {
     let mut other = bench.configuration.items["rule/progress"].value.clone();
     if let Value::Route { route } = &mut other {
@@ -607,33 +616,33 @@
 }
 
 #[test]
-fn given_a_host_with_a_home_when_its_home_is_full_then_clients_there_are_sent_to_no_other_region() {
+fn full_home_region_does_not_send_its_clients_elsewhere() {
     let mut bench = Bench::new(Some("east"));
     add_route_without_home(&mut bench);
-    bench.proxy_says(Duration::from_secs(2), "e1", true, 900);
-    directory_says(&mut bench, "e1");
-    let mapping = bench.solves_for(&mut Solver::default(), 2, None, true);
-    let carriers = carrying(&mapping, "10.1.2.0/24");
+    bench.report_proxy(Duration::from_secs(2), "e1", true, 900);
+    report_client_zone(&mut bench, "e1");
+    let mapping = bench.solve_for(&mut Solver::default(), 2, None, true);
+    let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
     let home: BTreeSet<String> = ["e1".to_string(), "e2".to_string()].into();
     assert!(
-        !carriers.is_empty() && carriers.is_subset(&home),
-        "{carriers:?}"
+        !used_zones.is_empty() && used_zones.is_subset(&home),
+        "{used_zones:?}"
     );
 }
 
 #[test]
-fn given_a_host_with_a_home_when_clients_stand_elsewhere_then_their_own_region_carries_them() {
+fn clients_outside_the_home_region_use_their_own_region() {
     let mut bench = Bench::new(Some("east"));
     add_route_without_home(&mut bench);
-    proxy_cannot_measure(&mut bench, "w1", 20);
-    directory_says(&mut bench, "w1");
-    let mapping = bench.solves_for(&mut Solver::default(), 2, None, true);
-    let carriers = carrying(&mapping, "10.1.2.0/24");
-    assert_eq!(carriers, ["w1".to_string()].into());
+    report_unmeasured(&mut bench, "w1", 20);
+    report_client_zone(&mut bench, "w1");
+    let mapping = bench.solve_for(&mut Solver::default(), 2, None, true);
+    let used_zones = zones_with_units(&mapping, "10.1.2.0/24");
+    assert_eq!(used_zones, ["w1".to_string()].into());
 }
 
 #[test]
-fn given_a_mapping_that_names_another_region_when_a_host_has_a_home_then_it_is_not_followed() {
+fn mapping_outside_the_home_bounds_is_ignored() {
     let group = "10.1.2.0/24";
     let mapping = Mapping {
         epoch: Epoch(1),
@@ -666,7 +675,7 @@
         ..Route::default()
     };
     let bounds = HomeBounds::of([home].iter());
-    let named = |client: &str, alive: &[(Zone, SocketAddr)]| {
+    let listed = |client: &str, alive: &[(Zone, SocketAddr)]| {
         let client = Zone::new(client);
         let route = RouteName::new("progress");
         let may_carry = |zone: &Zone| bounds.allow(Some(&region(zone)), Some(&region(&client)));
@@ -681,23 +690,27 @@
         );
         found.map(|found| found.addresses).unwrap_or_default()
     };
-    assert_eq!(named("e1", &proxies), [address(1)], "its own zone");
+    assert_eq!(listed("e1", &proxies), [address(1)], "its own zone");
     assert_eq!(
-        named("e1", &proxies[1..]),
+        listed("e1", &proxies[1..]),
         [address(2)],
         "its own zone is down"
     );
     assert_eq!(
-        named("e1", &proxies[2..]),
+        listed("e1", &proxies[2..]),
         [],
         "only a third region is left"
     );
-    assert_eq!(named("w1", &proxies), [address(3)], "its own region");
-    assert_eq!(named("w1", &proxies[..2]), [address(1), address(2)], "home");
+    assert_eq!(listed("w1", &proxies), [address(3)], "its own region");
+    assert_eq!(
+        listed("w1", &proxies[..2]),
+        [address(1), address(2)],
+        "home"
+    );
 }
 
 #[test]
-fn given_routes_with_homes_of_their_own_when_a_host_is_asked_for_then_all_of_them_bind() {
+fn host_is_bound_by_the_home_regions_of_all_its_routes() {
     let bound = |homes: &[&str]| Route {
         homes: homes.iter().map(|home| Region::new(*home)).collect(),
         ..Route::default()
@@ -712,10 +725,10 @@
     assert!(bounds.allow(Some(&east), Some(&north)), "home of all");
     assert!(!bounds.allow(Some(&west), Some(&north)), "home of one only");
     assert!(bounds.allow(Some(&north), Some(&north)), "the client's");
-    assert!(!bounds.allow(None, None), "nothing is known of either");
-    let free = HomeBounds::of([bound(&[])].iter());
+    assert!(!bounds.allow(None, None), "both regions are unknown");
+    let unbound = HomeBounds::of([bound(&[])].iter());
     assert!(
-        free.allow(Some(&west), None) && free.allow(None, None),
+        unbound.allow(Some(&west), None) && unbound.allow(None, None),
         "no bound"
     );
 }
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of what operators may want of a proxy, of kinds of routes, and of cold instances.
+//! Proxy policies, kinds of routes, retries, and instances that are warming up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -91,10 +91,11 @@
     }
 }
 
-/// A proxy in zone e1 and what it is told: e1 and e2 lie east, w1 west, n1 north.
+/// A proxy in zone e1 and the state that its agent sends: e1 and e2 are in the east, w1 in the west, n1 in
+/// the north.
 struct Bench {
     known: ProxyKnowledge,
-    /// For how long the agent takes the core's silence for a slow link.
+    /// How long the agent attributes missing responses of the controllers to a slow link.
     link_slow_for: Duration,
     configuration: ReplicatedMap,
     views: u64,
@@ -129,13 +130,13 @@
         }
     }
 
-    fn applies(&mut self, puts: Vec<Put>) {
+    fn apply(&mut self, puts: Vec<Put>) {
         let id = format!("change-{}", self.configuration.version);
         self.configuration.apply(&change(&id, puts));
     }
 
-    /// The agent tells all that stands, and these instances.
-    fn reported_outcome(&mut self, now: Duration, heartbeats: &[Heartbeat]) {
+    /// Sends the proxy the full configuration and these instances.
+    fn send_view(&mut self, now: Duration, heartbeats: &[Heartbeat]) {
         self.views += 1;
         let full_map = self.configuration.clone();
         let view = ProxyView {
@@ -162,16 +163,16 @@
         self.known.admits(now, &Zone::new("e1"), route)
     }
 
-    /// Which of these instances are chosen in many tries, all free again after each.
+    /// Returns which instances are chosen in many attempts.
     fn chosen(&self, now: Duration, route: &Route) -> BTreeSet<String> {
         let mut shard = ServiceShard::new(1);
         let mut names = BTreeSet::new();
         let own = Zone::new("e1");
         for _ in 0..300 {
             if let Ok(target) = shard.choose(now, &self.known, &own, route, None, &[]) {
-                let still = self.known.still_good(now, &own, route, &target);
-                assert_eq!(still, Ok(()));
-                // Why not ended: busy ones make room for all others that may be chosen at all.
+                let checked = self.known.still_good(now, &own, route, &target);
+                assert_eq!(checked, Ok(()));
+                // The request is not ended: instances at their limit leave the choice to all others.
                 shard.begin(now, &target);
                 names.insert(target.instance.to_string());
             }
@@ -184,7 +185,8 @@
     names.iter().map(|name| (*name).to_string()).collect()
 }
 
-fn one_everywhere() -> Vec<Heartbeat> {
+/// Returns the heartbeats of one instance in each zone.
+fn one_in_each_zone() -> Vec<Heartbeat> {
     ["e1", "e2", "w1", "n1"]
         .iter()
         .map(|zone| {
@@ -198,18 +200,18 @@
 const LONG_AFTER: Duration = Duration::from_secs(100_000);
 
 #[test]
-fn given_a_proxy_that_serves_on_when_the_core_is_gone_for_long_then_it_goes_on_as_it_last_knew() {
+fn serve_stale_proxy_keeps_serving_from_the_last_known_state() {
     for serves_stale in [true, false] {
         let mut bench = Bench::new(ProxyPolicy {
             serves_stale,
             ..ProxyPolicy::default()
         });
-        bench.reported_outcome(Duration::ZERO, &one_everywhere());
+        bench.send_view(Duration::ZERO, &one_in_each_zone());
         assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
         let found = bench.known.find(LONG_AFTER, "a.example", "/x");
         assert!(
             found.is_ok(),
-            "what it has a route for is no matter of time"
+            "routes are found whatever the age of the state"
         );
         let expected = if serves_stale {
             Ok(())
@@ -224,13 +226,13 @@
 }
 
 #[test]
-fn given_a_proxy_that_serves_on_when_its_link_is_only_slow_then_it_refuses_until_that_is_a_cut() {
+fn serve_stale_proxy_rejects_while_its_link_is_only_slow() {
     let mut bench = Bench::new(ProxyPolicy {
         serves_stale: true,
         ..ProxyPolicy::default()
     });
     bench.link_slow_for = millis(4000);
-    bench.reported_outcome(Duration::ZERO, &one_everywhere());
+    bench.send_view(Duration::ZERO, &one_in_each_zone());
     assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
     assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
     assert_eq!(bench.admits(millis(3999), &route()), Err(Failure::Stale));
@@ -238,47 +240,47 @@
 }
 
 #[test]
-fn given_a_proxy_that_serves_on_when_its_own_link_is_full_then_it_refuses_until_that_is_over() {
+fn serve_stale_proxy_rejects_while_its_own_link_is_full() {
     let mut bench = Bench::new(ProxyPolicy {
         serves_stale: true,
         ..ProxyPolicy::default()
     });
-    bench.reported_outcome(Duration::ZERO, &one_everywhere());
+    bench.send_view(Duration::ZERO, &one_in_each_zone());
     bench.known.link_watch.record_full(millis(2000));
-    // Its lease counts first, and views that come later do not undo what it saw itself.
+    // A valid lease takes precedence, and later views do not clear what the proxy itself has observed.
     assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
     assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
-    bench.reported_outcome(millis(3500), &one_everywhere());
+    bench.send_view(millis(3500), &one_in_each_zone());
     assert_eq!(bench.admits(millis(3600), &route()), Ok(()));
     assert_eq!(bench.admits(millis(6500), &route()), Err(Failure::Stale));
-    let over = millis(2000) + SLOW_LINK_SPAN;
-    assert_eq!(bench.admits(over, &route()), Ok(()));
+    let window_end = millis(2000) + SLOW_LINK_SPAN;
+    assert_eq!(bench.admits(window_end, &route()), Ok(()));
 }
 
 #[test]
-fn given_connections_that_open_slowly_when_most_of_late_did_then_the_link_counts_as_full() {
-    let (slow, quick) = (SLOW_OPENING, millis(110));
-    let mut openings = Openings::default();
-    assert!(!openings.record(millis(100), slow), "one may be down");
-    assert!(!openings.record(millis(200), slow), "two tell little");
-    assert!(openings.record(millis(300), slow));
-    assert!(openings.record(millis(400), quick), "three of four");
-    assert!(openings.record(millis(500), quick), "three of five");
-    assert!(!openings.record(millis(600), quick), "half of them");
-    // The slow ones are over by then.
-    assert!(!openings.record(millis(2500), quick));
+fn majority_of_slow_connects_marks_the_link_as_full() {
+    let (slow, fast) = (SLOW_OPENING, millis(110));
+    let mut connects = Openings::default();
+    assert!(!connects.record(millis(100), slow), "one may be down");
+    assert!(!connects.record(millis(200), slow), "two are too few");
+    assert!(connects.record(millis(300), slow));
+    assert!(connects.record(millis(400), fast), "three of four");
+    assert!(connects.record(millis(500), fast), "three of five");
+    assert!(!connects.record(millis(600), fast), "half of them");
+    // The slow ones are outside of the window by then.
+    assert!(!connects.record(millis(2500), fast));
     for step in 0..10 {
-        let took = if step % 2 == 0 { slow } else { quick };
+        let took = if step % 2 == 0 { slow } else { fast };
         let now = millis(10_000 + 100 * step);
         assert!(
-            !openings.record(now, took) || step % 2 == 0,
+            !connects.record(now, took) || step % 2 == 0,
             "at step {step}"
         );
     }
 }
 
 #[test]
-fn given_a_proxy_that_serves_on_when_it_never_knew_anything_then_it_refuses_as_out_of_touch() {
+fn serve_stale_proxy_without_any_state_rejects_as_stale() {
     let known = ProxyKnowledge {
         policy: ProxyPolicy {
             serves_stale: true,
@@ -289,51 +291,55 @@
     let admitted = known.admits(millis(10), &Zone::new("e1"), &route());
     assert_eq!(admitted, Err(Failure::Stale));
     let found = known.find(millis(10), "a.example", "/").map(|_| ());
-    assert_eq!(found, Err(Failure::Stale), "not that there is no route");
+    assert_eq!(
+        found,
+        Err(Failure::Stale),
+        "not reported as a missing route"
+    );
     assert_eq!(Failure::Stale.reported_outcome(), ReportedOutcome::NotRun);
 }
 
 #[test]
-fn given_a_closed_zone_when_its_own_proxies_carry_on_then_only_to_instances_elsewhere() {
-    for carries in [true, false] {
+fn closed_zone_proxy_forwards_only_to_other_zones() {
+    for forwards in [true, false] {
         let mut bench = Bench::new(ProxyPolicy {
-            closed_zone_forwards: carries,
+            closed_zone_forwards: forwards,
             ..ProxyPolicy::default()
         });
-        bench.reported_outcome(Duration::ZERO, &one_everywhere());
-        bench.applies(vec![zone_put("e1", "east", true)]);
-        bench.reported_outcome(millis(100), &one_everywhere());
-        if carries {
+        bench.send_view(Duration::ZERO, &one_in_each_zone());
+        bench.apply(vec![zone_put("e1", "east", true)]);
+        bench.send_view(millis(100), &one_in_each_zone());
+        if forwards {
             assert_eq!(bench.admits(millis(200), &route()), Ok(()));
             let chosen = bench.chosen(millis(200), &route());
             assert_eq!(chosen, names(&["in-e2", "in-n1", "in-w1"]));
         } else {
-            let refused = Err(Failure::ZoneClosed);
-            assert_eq!(bench.admits(millis(200), &route()), refused);
+            let rejected = Err(Failure::ZoneClosed);
+            assert_eq!(bench.admits(millis(200), &route()), rejected);
         }
     }
 }
 
 #[test]
-fn given_a_target_in_a_zone_that_closes_when_the_last_check_comes_then_nothing_is_sent_there() {
+fn target_in_a_closing_zone_fails_the_last_check() {
     let mut bench = Bench::new(ProxyPolicy {
         closed_zone_forwards: true,
         ..ProxyPolicy::default()
     });
-    bench.reported_outcome(Duration::ZERO, &[heartbeat("in-e1", "e1")]);
+    bench.send_view(Duration::ZERO, &[heartbeat("in-e1", "e1")]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
         .choose(millis(1), &bench.known, &own, &route(), None, &[])
-        .expect("it is free");
-    bench.applies(vec![zone_put("e1", "east", true)]);
-    bench.reported_outcome(millis(100), &[heartbeat("in-e1", "e1")]);
-    let still = bench.known.still_good(millis(101), &own, &route(), &target);
-    assert_eq!(still, Err(Failure::NoInstance));
+        .expect("it has capacity");
+    bench.apply(vec![zone_put("e1", "east", true)]);
+    bench.send_view(millis(100), &[heartbeat("in-e1", "e1")]);
+    let checked = bench.known.still_good(millis(101), &own, &route(), &target);
+    assert_eq!(checked, Err(Failure::NoInstance));
 }
 
 #[test]
-fn given_a_proxy_outside_a_routes_home_when_it_carries_home_then_only_to_instances_at_home() {
+fn proxy_outside_the_home_region_forwards_only_to_home_instances() {
     let mut bound = route();
     bound.homes = vec![Region::new("west")];
     for forwards_to_home in [true, false] {
@@ -341,16 +347,20 @@
             forwards_to_home,
             ..ProxyPolicy::default()
         });
-        bench.reported_outcome(Duration::ZERO, &one_everywhere());
+        bench.send_view(Duration::ZERO, &one_in_each_zone());
         if forwards_to_home {
             assert_eq!(bench.admits(millis(1), &bound), Ok(()));
             assert_eq!(bench.chosen(millis(1), &bound), names(&["in-w1"]));
-            let absent: Vec<Heartbeat> = one_everywhere()
+            let absent: Vec<Heartbeat> = one_in_each_zone()
                 .into_iter()
                 .filter(|heartbeat| heartbeat.zone.as_str() != "w1")
                 .collect();
-            bench.reported_outcome(millis(2), &absent);
-            assert_eq!(bench.chosen(millis(3), &bound), names(&[]), "never beyond");
+            bench.send_view(millis(2), &absent);
+            assert_eq!(
+                bench.chosen(millis(3), &bound),
+                names(&[]),
+                "no other region"
+            );
         } else {
             assert_eq!(bench.admits(millis(1), &bound), Err(Failure::OutsideHome));
         }
@@ -358,9 +368,9 @@
 }
 
 #[test]
-fn given_a_route_with_several_homes_when_chosen_then_all_of_them_and_no_other_region() {
+fn route_with_several_home_regions_uses_all_of_them_only() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    bench.reported_outcome(Duration::ZERO, &one_everywhere());
+    bench.send_view(Duration::ZERO, &one_in_each_zone());
     let mut bound = route();
     bound.homes = vec![Region::new("north"), Region::new("east")];
     assert_eq!(bench.admits(millis(1), &bound), Ok(()));
@@ -371,7 +381,7 @@
 }
 
 #[test]
-fn given_a_split_by_weights_when_drawn_many_times_then_parts_come_in_proportion() {
+fn weighted_split_is_proportional() {
     let part = |service: &str, weight: u32| SplitTarget {
         service: ServiceName::new(service),
         weight,
@@ -379,10 +389,10 @@
     let mut split = route();
     split.service = ServiceName::new("never");
     split.split = vec![part("a", 1), part("none", 0), part("b", 30), part("c", 69)];
-    let mut chance = RandomSource::seeded(5);
+    let mut random = RandomSource::seeded(5);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..100_000 {
-        let service = split.service_for(chance.draw()).to_string();
+        let service = split.service_for(random.draw()).to_string();
         *counts.entry(service).or_default() += 1;
     }
     let listed: Vec<&str> = counts.keys().map(String::as_str).collect();
@@ -392,26 +402,26 @@
         "neither weight 0 nor another service"
     );
     for (service, expected) in [("a", 1000), ("b", 30_000), ("c", 69_000)] {
-        let off = counts[service].abs_diff(expected);
+        let deviation = counts[service].abs_diff(expected);
         assert!(
-            off <= expected / 5 && off <= 1000,
+            deviation <= expected / 5 && deviation <= 1000,
             "{service}: {}",
             counts[service]
         );
     }
-    let leads_to: Vec<&str> = split.services().map(ServiceName::as_str).collect();
-    assert!(!leads_to.contains(&"never"));
+    let targets: Vec<&str> = split.services().map(ServiceName::as_str).collect();
+    assert!(!targets.contains(&"never"));
 }
 
 #[test]
-fn given_no_split_when_drawn_then_the_routes_own_service_takes_all() {
-    let mut chance = RandomSource::seeded(6);
+fn route_without_split_uses_its_own_service() {
+    let mut random = RandomSource::seeded(6);
     for _ in 0..100 {
-        assert_eq!(route().service_for(chance.draw()).as_str(), "records");
+        assert_eq!(route().service_for(random.draw()).as_str(), "records");
     }
 }
 
-/// A request of this kind whose first attempt is under way.
+/// Returns a request of this kind whose first attempt was sent.
 fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestChart {
     let mut chart = RequestChart::received(reads);
     let route = Route {
@@ -428,8 +438,8 @@
 }
 
 #[test]
-fn given_each_kind_and_method_when_an_attempt_may_have_run_then_only_repeatable_is_tried_again() {
-    for (kind, reads, again) in [
+fn only_repeatable_requests_are_retried_after_an_unknown_outcome() {
+    for (kind, reads, is_retried) in [
         (RequestKind::ByMethod, true, true),
         (RequestKind::ByMethod, false, false),
         (RequestKind::Repeatable, true, true),
@@ -442,8 +452,8 @@
         for end in [AttemptEnd::Lost, AttemptEnd::Garbage] {
             let mut chart = sent(kind, reads, 0);
             let step = chart.attempt_ended(millis(10), end, || true);
-            let is_again = step == NextStep::ShootAgain;
-            assert_eq!(is_again, again, "{kind:?} reads {reads} {end:?}");
+            let has_retry = step == NextStep::ShootAgain;
+            assert_eq!(has_retry, is_retried, "{kind:?} reads {reads} {end:?}");
             if let NextStep::Respond(failure) = step {
                 assert_eq!(
                     chart.reported_outcome(failure),
@@ -452,7 +462,7 @@
                 );
             }
         }
-        // What provably did not run may go elsewhere, whatever it is.
+        // A request that certainly did not run is retried elsewhere, whatever its kind.
         let mut chart = sent(kind, reads, 0);
         let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
         assert_eq!(step, NextStep::ShootAgain, "{kind:?} reads {reads}");
@@ -460,7 +470,7 @@
 }
 
 #[test]
-fn given_a_refused_attempt_when_the_second_one_is_lost_then_a_once_request_ends_as_unknown() {
+fn once_request_lost_after_a_rejected_attempt_is_unknown() {
     let mut chart = sent(RequestKind::Once, true, 0);
     let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
     assert_eq!(step, NextStep::ShootAgain);
@@ -475,9 +485,9 @@
 }
 
 #[test]
-fn given_most_attempts_when_every_one_is_refused_then_so_many_are_made_and_no_more() {
-    for (most, expected) in [(1, 1), (2, 2), (5, 5), (0, 3)] {
-        let mut chart = sent(RequestKind::Repeatable, true, most);
+fn maximum_attempts_bounds_rejected_attempts() {
+    for (limit, expected) in [(1, 1), (2, 2), (5, 5), (0, 3)] {
+        let mut chart = sent(RequestKind::Repeatable, true, limit);
         let mut attempts = 1;
         while chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true)
             == NextStep::ShootAgain
@@ -486,14 +496,14 @@
             chart.shooting();
             attempts += 1;
         }
-        assert_eq!(attempts, expected, "most {most}");
+        assert_eq!(attempts, expected, "limit {limit}");
         assert_eq!(chart.attempts(), expected);
         assert_eq!(chart.state(), RequestState::Refused);
     }
 }
 
 #[test]
-fn given_a_caller_that_waits_less_than_the_route_when_its_time_is_over_then_no_attempt_follows() {
+fn no_retry_after_the_client_deadline() {
     let mut chart = sent(RequestKind::Repeatable, true, 0);
     chart.caller_waits(millis(300));
     assert_eq!(chart.deadline(), millis(300));
@@ -501,20 +511,20 @@
     assert_eq!(
         chart.deadline(),
         millis(300),
-        "a longer one changes nothing"
+        "a longer deadline has no effect"
     );
     let step = chart.attempt_ended(millis(299), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::ShootAgain);
     chart.shooting();
     let step = chart.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
-    let mut patient = sent(RequestKind::Repeatable, true, 0);
-    patient.caller_waits(millis(5000));
-    assert_eq!(patient.deadline(), millis(1000), "the route's own holds");
+    let mut other = sent(RequestKind::Repeatable, true, 0);
+    other.caller_waits(millis(5000));
+    assert_eq!(other.deadline(), millis(1000), "the route's own deadline");
 }
 
-/// How many requests of one a millisecond an instance gets over some seconds.
-fn carried(bench: &Bench, from: Duration, seconds: u64, name: &str) -> u32 {
+/// Returns how many requests an instance gets in some seconds, with one request a millisecond.
+fn count_requests(bench: &Bench, from: Duration, seconds: u64, name: &str) -> u32 {
     let mut shard = ServiceShard::new(3);
     let own = Zone::new("e1");
     let mut count = 0;
@@ -530,31 +540,37 @@
 }
 
 #[test]
-fn given_an_instance_that_says_it_is_cold_when_wanted_by_all_then_it_is_held_to_its_rate() {
+fn warming_instance_is_limited_to_its_slow_start_rate() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let mut cold = heartbeat("cold", "e1");
-    cold.warm_up_left = millis(1);
-    bench.reported_outcome(Duration::ZERO, &[cold.clone(), heartbeat("warm", "e2")]);
-    let count = carried(&bench, Duration::ZERO, 10, "cold");
-    // Ten a second for ten seconds, without a burst at the start.
-    assert!((80..=100).contains(&count), "{count} went to the cold one");
-    // With several proxies each one keeps to its part.
+    let mut warming = heartbeat("cold", "e1");
+    warming.warm_up_left = millis(1);
+    bench.send_view(Duration::ZERO, &[warming.clone(), heartbeat("warm", "e2")]);
+    let count = count_requests(&bench, Duration::ZERO, 10, "cold");
+    // Ten requests a second for ten seconds, without a burst at the start.
+    assert!(
+        (80..=100).contains(&count),
+        "{count} to the warming instance"
+    );
+    // Several proxies divide the rate between them.
     bench.known.proxies = 5;
-    let count = carried(&bench, Duration::ZERO, 10, "cold");
+    let count = count_requests(&bench, Duration::ZERO, 10, "cold");
     assert!((16..=20).contains(&count), "{count} by one proxy of five");
-    cold.warm_up_left = Duration::ZERO;
-    cold.counter += 1;
-    bench.reported_outcome(millis(10_000), &[cold, heartbeat("warm", "e2")]);
-    let count = carried(&bench, millis(10_000), 1, "cold");
-    assert!(count > 900, "warm it takes nearly all near by, not {count}");
+    warming.warm_up_left = Duration::ZERO;
+    warming.counter += 1;
+    bench.send_view(millis(10_000), &[warming, heartbeat("warm", "e2")]);
+    let count = count_requests(&bench, millis(10_000), 1, "cold");
+    assert!(
+        count > 900,
+        "only {count} to the nearest instance once warm"
+    );
 }
 
 #[test]
-fn given_a_cold_instance_alone_when_idle_for_long_then_no_burst_was_saved_up() {
+fn idle_warming_instance_accumulates_no_burst() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let mut cold = heartbeat("cold", "e1");
-    cold.warm_up_left = millis(60_000);
-    bench.reported_outcome(Duration::ZERO, &[cold]);
+    let mut warming = heartbeat("cold", "e1");
+    warming.warm_up_left = millis(60_000);
+    bench.send_view(Duration::ZERO, &[warming]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(3);
     let _ = shard.choose(Duration::ZERO, &bench.known, &own, &route(), None, &[]);
@@ -571,78 +587,84 @@
 }
 
 #[test]
-fn given_a_zone_taken_back_when_no_later_heartbeat_has_come_then_its_instances_count_as_cold() {
+fn reopened_zone_instances_count_as_warming_until_the_next_heartbeat() {
     let mut bench = Bench::new(ProxyPolicy {
         closed_zone_forwards: true,
         ..ProxyPolicy::default()
     });
     let (own, other) = (heartbeat("own", "e1"), heartbeat("other", "w1"));
-    bench.reported_outcome(Duration::ZERO, &[own.clone(), other.clone()]);
-    bench.applies(vec![zone_put("e1", "east", true)]);
-    bench.reported_outcome(millis(1000), &[own.clone(), other.clone()]);
-    assert_eq!(carried(&bench, millis(1000), 1, "own"), 0, "closed");
-    bench.applies(vec![zone_put("e1", "east", false)]);
-    bench.reported_outcome(millis(2000), &[own.clone(), other.clone()]);
-    let count = carried(&bench, millis(2000), 1, "own");
-    assert!((8..=10).contains(&count), "{count} while it may be cold");
-    // The same heartbeat told again says nothing new.
-    bench.reported_outcome(millis(3000), &[own.clone(), other.clone()]);
-    let count = carried(&bench, millis(3000), 1, "own");
+    bench.send_view(Duration::ZERO, &[own.clone(), other.clone()]);
+    bench.apply(vec![zone_put("e1", "east", true)]);
+    bench.send_view(millis(1000), &[own.clone(), other.clone()]);
+    assert_eq!(count_requests(&bench, millis(1000), 1, "own"), 0, "closed");
+    bench.apply(vec![zone_put("e1", "east", false)]);
+    bench.send_view(millis(2000), &[own.clone(), other.clone()]);
+    let count = count_requests(&bench, millis(2000), 1, "own");
     assert!(
         (8..=10).contains(&count),
-        "{count} on the word of an old beat"
+        "{count} while it may be warming up"
+    );
+    // A repetition of the same heartbeat is no evidence that the instance is warm.
+    bench.send_view(millis(3000), &[own.clone(), other.clone()]);
+    let count = count_requests(&bench, millis(3000), 1, "own");
+    assert!(
+        (8..=10).contains(&count),
+        "{count} after a repeated heartbeat"
     );
     let mut later = own;
     later.counter += 1;
-    bench.reported_outcome(millis(4000), &[later.clone(), other.clone()]);
-    let count = carried(&bench, millis(4000), 1, "own");
-    assert!(count > 900, "{count} once it said that it is warm");
+    bench.send_view(millis(4000), &[later.clone(), other.clone()]);
+    let count = count_requests(&bench, millis(4000), 1, "own");
+    assert!(count > 900, "only {count} once it reports that it is warm");
     later.counter += 1;
     later.warm_up_left = millis(5000);
-    bench.reported_outcome(millis(5000), &[later, other]);
-    let count = carried(&bench, millis(5000), 1, "own");
-    assert!((8..=10).contains(&count), "{count} by its own word");
+    bench.send_view(millis(5000), &[later, other]);
+    let count = count_requests(&bench, millis(5000), 1, "own");
+    assert!(
+        (8..=10).contains(&count),
+        "{count} when it reports warming up"
+    );
 }
 
 #[test]
-fn given_an_instance_that_could_not_be_reached_when_it_has_not_beaten_then_it_is_left_alone() {
+fn unreachable_instance_is_skipped_until_its_next_heartbeat() {
     let mut bench = Bench::new(ProxyPolicy::default());
     let one = heartbeat("one", "e1");
-    bench.reported_outcome(Duration::ZERO, std::slice::from_ref(&one));
+    bench.send_view(Duration::ZERO, std::slice::from_ref(&one));
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let choose = |shard: &mut ServiceShard, bench: &Bench, now: Duration| {
         shard.choose(now, &bench.known, &own, &route(), None, &[])
     };
-    let target = choose(&mut shard, &bench, millis(1)).expect("it is free");
+    let target = choose(&mut shard, &bench, millis(1)).expect("it has capacity");
     shard.begin(millis(1), &target);
     shard.not_opened(millis(2), &target, one.counter);
     shard.end(millis(2), &target, false, None);
     for now in [3, 100, 1000, 2900] {
-        let refused = choose(&mut shard, &bench, millis(now));
-        assert_eq!(refused, Err(Failure::NoInstance), "after {now}");
+        let chosen = choose(&mut shard, &bench, millis(now));
+        assert_eq!(chosen, Err(Failure::NoInstance), "after {now}");
     }
     let mut later = one;
     later.counter += 1;
-    bench.reported_outcome(millis(2901), &[later]);
+    bench.send_view(millis(2901), &[later]);
     assert!(
         choose(&mut shard, &bench, millis(2902)).is_ok(),
-        "it heartbeat"
+        "it has sent a heartbeat"
     );
 }
 
 #[test]
-fn given_a_keyed_service_when_its_cold_owner_is_wanted_by_all_then_it_is_held_to_its_rate() {
+fn warming_owner_of_a_keyed_service_is_rate_limited() {
     let mut bench = Bench::new(ProxyPolicy::default());
     let keyed = Service {
         keyed: true,
         key_space: KeySpace::Ranges,
         ..service()
     };
-    bench.applies(vec![put("pool/records", Value::Service { service: keyed })]);
+    bench.apply(vec![put("pool/records", Value::Service { service: keyed })]);
     let mut owner = heartbeat("owner", "e1");
     owner.warm_up_left = millis(60_000);
-    bench.reported_outcome(Duration::ZERO, &[owner]);
+    bench.send_view(Duration::ZERO, &[owner]);
     let holder = KeyRangeOwner {
         instance: InstanceId::new("owner"),
         incarnation: Incarnation(0),
@@ -688,11 +710,11 @@
 }
 
 #[test]
-fn given_many_proxies_that_see_an_instance_cold_at_once_then_they_never_send_together() {
+fn many_proxies_do_not_send_to_a_warming_instance_in_step() {
     let mut bench = Bench::new(ProxyPolicy::default());
-    let mut cold = heartbeat("cold", "e1");
-    cold.warm_up_left = millis(60_000);
-    bench.reported_outcome(Duration::ZERO, &[cold]);
+    let mut warming = heartbeat("cold", "e1");
+    warming.warm_up_left = millis(60_000);
+    bench.send_view(Duration::ZERO, &[warming]);
     bench.known.proxies = 24;
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..24)
@@ -709,8 +731,8 @@
             }
         }
     }
-    // Why this bound: ten a second and half as many again; 24 at once when they keep in step.
-    let most = (0..10_000)
+    // The bound is the rate of ten a second plus about one half; proxies in step would send 24 at once.
+    let max_per_second = (0..10_000)
         .step_by(10)
         .map(|from| {
             sent.iter()
@@ -719,8 +741,8 @@
         })
         .max();
     assert!(
-        most.is_some_and(|most| most <= 16),
-        "{most:?} in one second"
+        max_per_second.is_some_and(|requests| requests <= 16),
+        "{max_per_second:?} in one second"
     );
     assert!(sent.len() >= 80, "{} in ten seconds", sent.len());
 }
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -1,4 +1,4 @@
-//! Stories of keys in ranges, handovers, releases, and how long a hold may bind.
+//! Key ranges: bounds, handovers, releases, and how long a lease prevents a move.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn given_every_key_when_its_key_range_is_asked_then_exactly_the_key_range_whose_range_holds_it() {
+fn every_key_belongs_to_exactly_one_key_range() {
     for key_ranges in [1, 2, 3, 7, 64, 100, 1000, 1024] {
         let service = range_service(key_ranges);
         let mut next = 0;
@@ -59,12 +59,16 @@
             }
             next = last + 1;
         }
-        assert_eq!(u64::from(next), KEYS, "{key_ranges} slices hold all keys");
+        assert_eq!(
+            u64::from(next),
+            KEYS,
+            "{key_ranges} key ranges cover all keys"
+        );
     }
 }
 
 #[test]
-fn given_what_is_no_key_when_its_key_range_is_asked_then_it_has_none() {
+fn invalid_key_has_no_key_range() {
     let service = range_service(64);
     for text in [
         "",
@@ -80,18 +84,19 @@
     }
 }
 
-/// Instances on the operators' platform: no life's number, no epochs in what they let go of.
+/// An instance of the operators' platform, which reports no incarnation number, and releases without
+/// epochs.
 struct Instance {
     zone: &'static str,
     state: InstanceState,
     counter: u64,
     held_key_ranges: BTreeSet<u32>,
-    /// When it was last told to hold, by key range, and the handover it got.
-    reported: BTreeMap<u32, (Duration, Option<String>)>,
-    /// Told in each heartbeat until the key range is its own again.
-    let_go: BTreeMap<u32, String>,
-    /// Whether it lets go of what it is told to.
-    obeys: bool,
+    /// By key range, when its lease was last granted, and the handover in that grant.
+    granted: BTreeMap<u32, (Duration, Option<String>)>,
+    /// The released key ranges with their handover, reported in each heartbeat until leased again.
+    released: BTreeMap<u32, String>,
+    /// Whether it releases the key ranges that it is asked to release.
+    releases: bool,
 }
 
 struct Bench {
@@ -125,13 +130,14 @@
             state: InstanceState::Serving,
             counter: 0,
             held_key_ranges: BTreeSet::new(),
-            reported: BTreeMap::new(),
-            let_go: BTreeMap::new(),
-            obeys: true,
+            granted: BTreeMap::new(),
+            released: BTreeMap::new(),
+            releases: true,
         })
     }
 
-    fn heartbeat_of(&mut self, name: &str) -> Heartbeat {
+    /// Creates the next heartbeat of an instance.
+    fn next_heartbeat(&mut self, name: &str) -> Heartbeat {
         let port = 7000 + (stable_hash(name) % 1000) as u16;
         let instance = self.instance(name);
         instance.counter += 1;
@@ -148,7 +154,7 @@
             up: Duration::MAX,
             held_key_ranges: instance.held_key_ranges.iter().copied().collect(),
             let_go: instance
-                .let_go
+                .released
                 .iter()
                 .map(|(key_range, handover)| ReleasedKeyRange {
                     key_range: *key_range,
@@ -160,46 +166,48 @@
         }
     }
 
-    /// The heartbeat comes to the owner manager; its answer is not taken in.
-    fn hears(&mut self, now: Duration, heartbeat: &Heartbeat) -> HeartbeatResponse {
-        let heard = ReceivedHeartbeat {
+    /// Delivers a heartbeat to the owner manager; the instance does not handle the response.
+    fn deliver(&mut self, now: Duration, heartbeat: &Heartbeat) -> HeartbeatResponse {
+        let received = ReceivedHeartbeat {
             heartbeat: heartbeat.clone(),
             age: Duration::ZERO,
         };
-        self.instances.handle(now, &heard);
+        self.instances.handle(now, &received);
         self.owner_manager
             .heartbeat(now, heartbeat, &self.ownership)
     }
 
-    fn heartbeats(&mut self, now: Duration, name: &str) -> HeartbeatResponse {
-        let heartbeat = self.heartbeat_of(name);
-        let response = self.hears(now, &heartbeat);
+    /// Sends a heartbeat of an instance, which handles the response.
+    fn heartbeat(&mut self, now: Duration, name: &str) -> HeartbeatResponse {
+        let heartbeat = self.next_heartbeat(name);
+        let response = self.deliver(now, &heartbeat);
         let instance = self.instance(name);
-        let named: BTreeSet<u32> = response
+        let leased: BTreeSet<u32> = response
             .leases
             .iter()
             .map(|lease| lease.key_range)
             .collect();
         for lease in &response.leases {
-            instance.let_go.remove(&lease.key_range);
+            instance.released.remove(&lease.key_range);
             instance
-                .reported
+                .granted
                 .insert(lease.key_range, (now, lease.handover.clone()));
         }
-        if instance.obeys {
-            // Why so: the owner manager itself answered, and what it does not name is not to be held.
-            for key_range in instance.held_key_ranges.difference(&named) {
+        if instance.releases {
+            // The owner manager itself responds, so a key range without a lease has to be released.
+            for key_range in instance.held_key_ranges.difference(&leased) {
                 let handover = format!("from {name} of {key_range}");
-                instance.let_go.insert(*key_range, handover);
+                instance.released.insert(*key_range, handover);
             }
-            instance.held_key_ranges = named;
+            instance.held_key_ranges = leased;
         } else {
-            instance.held_key_ranges.extend(named);
+            instance.held_key_ranges.extend(leased);
         }
         response
     }
 
-    fn plans(&mut self, now: Duration) -> usize {
+    /// Applies the owner manager's next plan and returns how many key ranges changed their owner.
+    fn plan(&mut self, now: Duration) -> usize {
         self.instances.expire(now);
         let name = ServiceName::new(SERVICE);
         let view = OwnershipView {
@@ -242,29 +250,30 @@
         owner.map_or_else(String::new, |owner| owner.instance.to_string())
     }
 
-    /// All heartbeat and the owner manager plans, twice a second; says whether all is quiet in the end.
-    fn runs(&mut self, from: Duration, names: &[&str], steps: u64) -> bool {
+    /// Twice a second, lets all instances send a heartbeat and applies the plan; returns whether nothing
+    /// moved in the last step.
+    fn run(&mut self, from: Duration, names: &[&str], steps: u64) -> bool {
         let mut moved = 0;
         for step in 0..steps {
             let now = from + millis(500 * step);
             for name in names {
-                self.heartbeats(now, name);
+                self.heartbeat(now, name);
             }
-            moved = self.plans(now);
-            self.nobody_shares(now);
+            moved = self.plan(now);
+            self.assert_no_shared_key_range(now);
         }
         moved == 0
     }
 
-    /// No key range is held by two at once.
-    fn nobody_shares(&self, now: Duration) {
-        let mut held: BTreeMap<u32, &str> = BTreeMap::new();
+    /// Checks that no key range is leased to two instances at once.
+    fn assert_no_shared_key_range(&self, now: Duration) {
+        let mut owners: BTreeMap<u32, &str> = BTreeMap::new();
         for (name, instance) in &self.known {
             for key_range in &instance.held_key_ranges {
-                let (reported, _) = instance.reported[key_range];
-                if now < reported + KEY_RANGE_LEASE_DURATION {
-                    let other = held.insert(*key_range, name);
-                    assert_eq!(other, None, "{name} shares slice {key_range} at {now:?}");
+                let (granted_at, _) = instance.granted[key_range];
+                if now < granted_at + KEY_RANGE_LEASE_DURATION {
+                    let other = owners.insert(*key_range, name);
+                    assert_eq!(other, None, "{name} shares range {key_range} at {now:?}");
                 }
             }
         }
@@ -272,16 +281,19 @@
 }
 
 #[test]
-fn given_an_owner_that_lets_go_when_another_takes_over_then_it_gets_the_handover_and_a_new_fence() {
+fn new_owner_gets_the_handover_and_a_higher_epoch() {
     let mut bench = Bench::new(16);
-    bench.runs(seconds(1), &["a"], 2);
+    bench.run(seconds(1), &["a"], 2);
     assert!(bench
         .owners()
         .iter()
         .flatten()
         .all(|owner| owner.instance.as_str() == "a"));
     let before = bench.owners();
-    assert!(bench.runs(seconds(3), &["a", "b"], 40), "it comes to rest");
+    assert!(
+        bench.run(seconds(3), &["a", "b"], 40),
+        "key ranges keep moving"
+    );
     let moved: Vec<usize> = (0..16)
         .filter(|key_range| bench.owner(*key_range) == "b")
         .collect();
@@ -289,38 +301,38 @@
     for key_range in moved {
         let owner = bench.owners()[key_range].clone().expect("it has an owner");
         let first = before[key_range].clone().expect("it had one");
-        assert!(owner.epoch > first.epoch, "the fence grows");
+        assert!(owner.epoch > first.epoch, "the epoch grows");
         let expected = Some(format!("from a of {key_range}"));
         assert_eq!(owner.handover, expected);
     }
-    // The handover is told as long as the key range is not held, and then no more.
-    let mut heartbeat = bench.heartbeat_of("b");
+    // The response contains the handover only until the new owner reports the key range as in use.
+    let mut heartbeat = bench.next_heartbeat("b");
     heartbeat.held_key_ranges.clear();
-    let response = bench.hears(seconds(23), &heartbeat);
+    let response = bench.deliver(seconds(23), &heartbeat);
     assert!(response.leases.iter().all(|lease| lease.handover.is_some()));
-    let response = bench.heartbeats(seconds(24), "b");
+    let response = bench.heartbeat(seconds(24), "b");
     assert!(response.leases.iter().all(|lease| lease.handover.is_none()));
 }
 
 #[test]
-fn given_a_key_range_that_goes_on_twice_when_the_second_owner_hands_on_then_its_word_counts() {
+fn second_move_passes_the_handover_of_the_second_owner() {
     let mut bench = Bench::new(1);
-    bench.runs(seconds(1), &["a"], 2);
+    bench.run(seconds(1), &["a"], 2);
     bench.instance("a").state = InstanceState::Draining;
-    assert!(bench.runs(seconds(3), &["a", "b"], 10));
+    assert!(bench.run(seconds(3), &["a", "b"], 10));
     assert_eq!(bench.owner(0), "b");
     bench.instance("b").state = InstanceState::Draining;
     bench.known.remove("a");
-    assert!(bench.runs(seconds(9), &["b", "c"], 10));
+    assert!(bench.run(seconds(9), &["b", "c"], 10));
     let owner = bench.owners()[0].clone().expect("it has an owner");
     assert_eq!(owner.instance.as_str(), "c");
     assert_eq!(owner.handover.as_deref(), Some("from b of 0"));
 }
 
 #[test]
-fn given_an_owner_that_leaves_when_others_are_there_then_all_of_its_key_ranges_move_soon() {
+fn key_ranges_of_a_draining_owner_move_quickly() {
     let mut bench = Bench::new(64);
-    bench.runs(seconds(1), &["a", "b", "c"], 10);
+    bench.run(seconds(1), &["a", "b", "c"], 10);
     let count = |bench: &Bench| {
         (0..64)
             .filter(|key_range| bench.owner(*key_range) == "a")
@@ -328,29 +340,28 @@
     };
     assert!(count(&bench) > 0);
     bench.instance("a").state = InstanceState::Draining;
-    bench.runs(seconds(6), &["a", "b", "c"], 5);
+    bench.run(seconds(6), &["a", "b", "c"], 5);
     assert_eq!(count(&bench), 0, "two and a half seconds later");
     assert!((0..64).all(|key_range| !bench.owner(key_range).is_empty()));
 }
 
 #[test]
-fn given_a_closed_zone_when_its_owners_key_ranges_move_then_they_go_to_other_zones() {
+fn key_ranges_leave_a_closed_zone() {
     let mut bench = Bench::new(16);
     bench.instance("a").zone = "west-1";
-    bench.runs(seconds(1), &["a", "b"], 10);
+    bench.run(seconds(1), &["a", "b"], 10);
     bench.closed.insert(Zone::new("west-1"));
-    bench.runs(seconds(6), &["a", "b"], 8);
+    bench.run(seconds(6), &["a", "b"], 8);
     assert!((0..16).all(|key_range| bench.owner(key_range) == "b"));
 }
 
 #[test]
-fn given_a_heartbeat_older_than_the_release_when_it_comes_late_then_it_does_not_count_as_letting_go(
-) {
+fn late_heartbeat_from_before_the_release_is_no_release() {
     let mut bench = Bench::new(1);
-    bench.instance("a").obeys = false;
-    bench.runs(seconds(1), &["a"], 2);
-    // A heartbeat that speaks of an earlier time: it let go of the key range then, and holds nothing.
-    let mut late = bench.heartbeat_of("a");
+    bench.instance("a").releases = false;
+    bench.run(seconds(1), &["a"], 2);
+    // A heartbeat from before the current lease: it reports an earlier release and no key range in use.
+    let mut late = bench.next_heartbeat("a");
     late.held_key_ranges.clear();
     late.let_go = vec![ReleasedKeyRange {
         key_range: 0,
@@ -360,32 +371,32 @@
     bench.instance("a").state = InstanceState::Draining;
     for step in 0..8 {
         let now = seconds(2) + millis(500 * step);
-        bench.heartbeats(now, "a");
-        bench.heartbeats(now, "b");
-        bench.plans(now);
+        bench.heartbeat(now, "a");
+        bench.heartbeat(now, "b");
+        bench.plan(now);
         if step == 3 {
-            let response = bench.hears(now, &late);
-            assert_eq!(response.release.len(), 1, "it is to let go");
+            let response = bench.deliver(now, &late);
+            assert_eq!(response.release.len(), 1, "it is asked to release");
         }
-        assert_eq!(bench.owner(0), "a", "it still holds at {now:?}");
+        assert_eq!(bench.owner(0), "a", "it is still the owner at {now:?}");
     }
-    bench.instance("a").obeys = true;
-    bench.runs(seconds(6), &["a", "b"], 3);
-    assert_eq!(bench.owner(0), "b", "its own later word counts");
+    bench.instance("a").releases = true;
+    bench.run(seconds(6), &["a", "b"], 3);
+    assert_eq!(bench.owner(0), "b", "its later release counts");
 }
 
 #[test]
-fn given_several_heartbeats_older_than_the_release_when_all_come_late_then_none_counts_as_letting_go(
-) {
-    // Whether the owner manager heard the owner itself, or took the leadership role up and heard of it by others.
-    for taken_up in [false, true] {
+fn several_late_heartbeats_from_before_the_release_are_no_release() {
+    // Either the owner manager received the owner's heartbeats itself, or it has just become the leader and
+    // got them from other controllers.
+    for is_new_leader in [false, true] {
         let mut bench = Bench::new(1);
-        bench.instance("a").obeys = false;
-        bench.runs(seconds(1), &["a"], 2);
-        // Heartbeats of an earlier time, in which the key range had been let go of.
+        bench.instance("a").releases = false;
+        bench.run(seconds(1), &["a"], 2);
+        // Heartbeats from before the current lease, which report an earlier release.
         let earlier: Vec<Heartbeat> = (0..3)
             .map(|_| {
-                let mut heartbeat = bench.heartbeat_of("a");
+                let mut heartbeat = bench.next_heartbeat("a");
                 heartbeat.held_key_ranges.clear();
                 heartbeat.let_go = vec![ReleasedKeyRange {
                     key_range: 0,
@@ -395,61 +406,60 @@
                 heartbeat
             })
             .collect();
-        bench.runs(seconds(2), &["a"], 2);
-        if taken_up {
+        bench.run(seconds(2), &["a"], 2);
+        if is_new_leader {
             bench.owner_manager = OwnerManager::default();
             bench.owner_manager.take_up(seconds(3), false);
         }
         bench.instance("a").state = InstanceState::Draining;
-        let heartbeat = bench.heartbeat_of("a");
-        let heard = ReceivedHeartbeat {
+        let heartbeat = bench.next_heartbeat("a");
+        let received = ReceivedHeartbeat {
             heartbeat,
             age: Duration::ZERO,
         };
-        bench.instances.handle(seconds(3), &heard);
-        bench.heartbeats(seconds(3), "b");
-        bench.plans(seconds(3));
+        bench.instances.handle(seconds(3), &received);
+        bench.heartbeat(seconds(3), "b");
+        bench.plan(seconds(3));
         for heartbeat in &earlier {
-            let response = bench.hears(seconds(3), heartbeat);
-            assert_eq!(response.release.len(), 1, "it is asked to let go");
-            bench.plans(seconds(3));
-            assert_eq!(bench.owner(0), "a", "it holds the key range");
+            let response = bench.deliver(seconds(3), heartbeat);
+            assert_eq!(response.release.len(), 1, "it is asked to release");
+            bench.plan(seconds(3));
+            assert_eq!(bench.owner(0), "a", "it owns the key range");
         }
-        bench.instance("a").obeys = true;
-        bench.runs(seconds(4), &["a", "b"], 4);
-        assert_eq!(bench.owner(0), "b", "its own later word counts");
+        bench.instance("a").releases = true;
+        bench.run(seconds(4), &["a", "b"], 4);
+        assert_eq!(bench.owner(0), "b", "its later release counts");
     }
 }
 
 #[test]
-fn given_the_very_heartbeat_that_is_told_to_let_go_when_it_names_the_key_range_then_that_is_too_early(
-) {
+fn release_in_the_heartbeat_that_gets_the_release_request_is_ignored() {
     let mut bench = Bench::new(1);
-    bench.runs(seconds(1), &["a"], 2);
+    bench.run(seconds(1), &["a"], 2);
     bench.instance("a").state = InstanceState::Draining;
-    bench.runs(seconds(2), &["b"], 1);
-    let mut heartbeat = bench.heartbeat_of("a");
+    bench.run(seconds(2), &["b"], 1);
+    let mut heartbeat = bench.next_heartbeat("a");
     heartbeat.held_key_ranges.clear();
     heartbeat.let_go = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
         handover: None,
     }];
-    bench.hears(seconds(2), &heartbeat);
-    bench.plans(seconds(2));
-    // Told in the answer to this one; only one after it can speak of it.
-    let response = bench.hears(seconds(3), &heartbeat);
+    bench.deliver(seconds(2), &heartbeat);
+    bench.plan(seconds(2));
+    // The response to this heartbeat asks for the release; only a later heartbeat can report it.
+    let response = bench.deliver(seconds(3), &heartbeat);
     assert_eq!(response.release.len(), 1);
-    bench.plans(seconds(3));
+    bench.plan(seconds(3));
     assert_eq!(bench.owner(0), "a");
     heartbeat.counter += 1;
-    bench.hears(seconds(3), &heartbeat);
-    bench.plans(seconds(3));
+    bench.deliver(seconds(3), &heartbeat);
+    bench.plan(seconds(3));
     assert_eq!(bench.owner(0), "b");
 }
 
 #[test]
-fn given_a_silent_owner_when_its_hold_with_the_clocks_drift_has_passed_then_its_key_ranges_move() {
+fn key_ranges_of_a_suspected_owner_move_after_lease_and_drift() {
     let spans = OwnerManagerTimings {
         wait_after_restart: OWNER_MANAGER_TAKEOVER_WAIT,
         lease: millis(4000),
@@ -459,9 +469,9 @@
     };
     let mut bench = Bench::new(4);
     bench.owner_manager.spans = spans;
-    bench.runs(seconds(1), &["a"], 30);
+    bench.run(seconds(1), &["a"], 30);
     let last = seconds(16);
-    let response = bench.heartbeats(last, "a");
+    let response = bench.heartbeat(last, "a");
     assert_eq!(response.leases.len(), 4);
     assert!(response
         .leases
@@ -469,8 +479,8 @@
         .all(|lease| lease.left == spans.lease));
     for step in 1..100 {
         let now = last + millis(100 * step);
-        bench.heartbeats(now, "b");
-        if bench.plans(now) > 0 {
+        bench.heartbeat(now, "b");
+        if bench.plan(now) > 0 {
             assert!(now >= last + spans.lease + spans.drift, "moved at {now:?}");
             assert!(now <= last + spans.lease + spans.drift + millis(200));
             return;
@@ -480,17 +490,17 @@
 }
 
 #[test]
-fn given_a_new_owner_manager_when_an_owner_is_silent_then_it_waits_as_long_as_it_was_told_to() {
+fn new_owner_manager_waits_for_the_configured_time() {
     let mut bench = Bench::new(4);
-    bench.runs(seconds(1), &["a"], 3);
+    bench.run(seconds(1), &["a"], 3);
     let wait = millis(5000);
     bench.owner_manager = OwnerManager::default();
     bench.owner_manager.spans.wait = wait;
     bench.owner_manager.take_up(seconds(30), false);
     for step in 0..100 {
         let now = seconds(30) + millis(100 * step);
-        bench.heartbeats(now, "b");
-        if bench.plans(now) > 0 {
+        bench.heartbeat(now, "b");
+        if bench.plan(now) > 0 {
             assert!(now >= seconds(30) + wait, "moved at {now:?}");
             return;
         }
@@ -499,19 +509,18 @@
 }
 
 #[test]
-fn given_an_owner_manager_after_its_own_former_life_when_an_owner_is_silent_then_it_waits_the_lesser_time(
-) {
+fn owner_manager_waits_less_after_its_own_earlier_incarnation() {
     for (after_own, expected) in [(true, millis(3500)), (false, millis(8000))] {
         let mut bench = Bench::new(4);
-        bench.runs(seconds(1), &["a"], 3);
+        bench.run(seconds(1), &["a"], 3);
         bench.owner_manager = OwnerManager::default();
         bench.owner_manager.spans.wait = millis(8000);
         bench.owner_manager.spans.wait_after_restart = millis(3500);
         bench.owner_manager.take_up(seconds(30), after_own);
         let moved_at = (0..100).find_map(|step| {
             let now = seconds(30) + millis(100 * step);
-            bench.heartbeats(now, "b");
-            (bench.plans(now) > 0).then_some(now)
+            bench.heartbeat(now, "b");
+            (bench.plan(now) > 0).then_some(now)
         });
         assert_eq!(moved_at, Some(seconds(30) + expected), "{after_own}");
         assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
@@ -519,9 +528,9 @@
 }
 
 #[test]
-fn given_an_owner_that_said_it_ended_when_half_a_second_has_passed_then_its_key_ranges_are_free() {
+fn key_ranges_of_a_terminated_owner_are_free_after_half_a_second() {
     let mut bench = Bench::new(4);
-    bench.runs(seconds(1), &["a"], 10);
+    bench.run(seconds(1), &["a"], 10);
     assert!((0..4).all(|key_range| bench.owner(key_range) == "a"));
     let ended = seconds(6);
     let id = InstanceId::new("a");
@@ -533,13 +542,13 @@
     );
     for step in 1..=5 {
         let now = ended + millis(100 * step);
-        // A late heartbeat of the one that ended brings nothing back, and its holds bind nobody.
-        let late = bench.heartbeat_of("a");
-        bench.hears(now, &late);
+        // A late heartbeat of the terminated instance does not restore it, and its leases no longer count.
+        let late = bench.next_heartbeat("a");
+        bench.deliver(now, &late);
         assert_eq!(bench.instances.get(&id), None);
         assert_eq!(bench.instances.ended_for(now, &id), millis(100 * step));
-        bench.heartbeats(now, "b");
-        assert_eq!(bench.plans(now), if step < 5 { 0 } else { 4 }, "at {now:?}");
+        bench.heartbeat(now, "b");
+        assert_eq!(bench.plan(now), if step < 5 { 0 } else { 4 }, "at {now:?}");
     }
     assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
     let other = InstanceId::new("b");
@@ -550,22 +559,22 @@
 }
 
 #[test]
-fn given_instances_that_come_and_go_when_many_days_pass_then_no_key_range_is_held_by_two() {
+fn random_schedules_never_lease_a_key_range_twice() {
     let names = ["a", "b", "c", "d"];
     for seed in 0..20 {
-        let mut chance = RandomSource::seeded(seed);
+        let mut random = RandomSource::seeded(seed);
         let mut bench = Bench::new(8);
-        let mut away = BTreeSet::new();
+        let mut silent = BTreeSet::new();
         for step in 0..400 {
             let now = seconds(1) + millis(250 * step);
-            if chance.below(20) == 0 {
-                let name = names[chance.below(4) as usize];
-                if !away.remove(name) {
-                    away.insert(name);
+            if random.below(20) == 0 {
+                let name = names[random.below(4) as usize];
+                if !silent.remove(name) {
+                    silent.insert(name);
                 }
             }
-            if chance.below(30) == 0 {
-                let name = names[chance.below(4) as usize];
+            if random.below(30) == 0 {
+                let name = names[random.below(4) as usize];
                 let instance = bench.instance(name);
                 instance.state = match instance.state {
                     InstanceState::Draining => InstanceState::Serving,
@@ -573,12 +582,12 @@
                 };
             }
             for name in names {
-                if !away.contains(name) && chance.below(4) > 0 {
-                    bench.heartbeats(now, name);
+                if !silent.contains(name) && random.below(4) > 0 {
+                    bench.heartbeat(now, name);
                 }
             }
-            bench.plans(now);
-            bench.nobody_shares(now);
+            bench.plan(now);
+            bench.assert_no_shared_key_range(now);
         }
     }
 }
