--- a/crates/caperworks/examples/leases_and_leadership.rs
+++ b/crates/caperworks/examples/leases_and_leadership.rs
@@ -1,4 +1,5 @@
-//! A lease granted from a majority's round, and a leadership role passed on when its holder falls silent.
+//! Grants a lease on the basis of a quorum read, and finds the next leader of a role when the current one is
+//! suspected.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use caperworks::replicated_map::ALL_MAPS;
 
 fn main() {
-    // The grantor's side: only a round that a majority answered is ground for a grant.
+    // The controller: only a quorum read with responses of a majority justifies a grant.
     let mut quorum_reads = QuorumReads::default();
     let number = quorum_reads.begin(Duration::from_millis(0));
     let versions = vec![Version(0); ALL_MAPS.len()];
@@ -23,14 +24,17 @@
         .expect("two of three")
         .clone();
 
-    // The holder's side: fresh only while it holds the versions that the grant names.
+    // The lease holder: the lease is valid only if the local replicas have the versions of the grant.
     let mut lease = LeaseHolder::default();
     let follower = Follower::default();
     let renewal = lease.renew(Duration::from_millis(5));
     lease.granted(renewal, Duration::from_millis(4), quorum_read.versions);
-    println!("fresh until {:?}", lease.fresh_until(&follower, &ALL_MAPS));
+    println!(
+        "lease valid until {:?}",
+        lease.fresh_until(&follower, &ALL_MAPS)
+    );
 
-    // A leadership role: the first live controller in voter order.
+    // The leadership role: its next leader is the first live controller in the order of voters.
     let holders = (1..=3)
         .map(|number| VoterEntry {
             node: NodeId(number),
@@ -47,6 +51,6 @@
     }
     let now = Duration::from_millis(3900);
     let next = first_in_order(now, &voters, &liveness, Some(NodeId(1)));
-    println!("the leadership role goes to {next:?}");
+    println!("next leader: {next:?}");
     assert_eq!(next, Some(NodeId(2)));
 }
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -1,4 +1,4 @@
-//! Key ranges given to instances, and a hold that the instance counts from when it asked.
+//! Leases key ranges to instances; an instance counts its leases from when it sent the heartbeat.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
         .plan(now, Epoch(1), &name, &service, &view)
         .expect("key ranges without owners");
 
-    // A real host has the table agreed on first; then heartbeats are answered from it.
+    // In a deployment the table is first committed by consensus; heartbeats are then answered from it.
     let value = Value::KeyRanges { table };
     let put = Put {
         key: "slices/evidence".to_string(),
@@ -80,7 +80,7 @@
     let response = owner_manager.heartbeat(now, &heartbeat("one", 7000, 2, Vec::new()), &ownership);
     let mut held_leases = HeldLeases::default();
     held_leases.answered(now, &response);
-    println!("instance one holds {:?}", held_leases.held_key_ranges(now));
+    println!("instance one leases {:?}", held_leases.held_key_ranges(now));
     let lease = &response.leases[0];
     let need = Duration::from_secs(2);
     assert!(held_leases.may_start(now, lease.key_range, lease.epoch, need));
--- a/crates/caperworks/examples/placement.rs
+++ b/crates/caperworks/examples/placement.rs
@@ -1,4 +1,5 @@
-//! Groups propose to sites, and a full site rejects the units that lose least by it.
+//! Solves a placement problem: client groups propose units to sites, and a full site rejects the units that
+//! lose least by it.
 
 use caperworks::identifiers::{RouteName, Zone};
 use caperworks::placement::{solve, ClientGroup, Site, EPSILON};
@@ -30,11 +31,11 @@
     assert_eq!(
         solution.placed[1].units.get(&0),
         Some(&70),
-        "its next choice is far away"
+        "a group whose next choice is far away keeps the site"
     );
     assert_eq!(
         solution.placed[0].units.get(&1),
         Some(&50),
-        "its next choice is near"
+        "a group whose next choice is near is moved there"
     );
 }
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -147,7 +147,7 @@
     /// When it was received, by this node's clock.
     pub(crate) received_at: Duration,
     /// The offset of its latest change, by which followers catch up.
-    pub(crate) learned: u64,
+    pub(crate) offset: u64,
     /// When it last got a new offset, so that followers are notified of it.
     pub(crate) notified_at: Duration,
 }
@@ -183,10 +183,10 @@
     after: u64,
     max_count: usize,
 ) -> (Vec<&'facts FactEntry<Fact>>, bool) {
-    let mut later: Vec<&FactEntry<Fact>> = known.filter(|entry| entry.learned > after).collect();
+    let mut later: Vec<&FactEntry<Fact>> = known.filter(|entry| entry.offset > after).collect();
     let more = later.len() > max_count;
     if more {
-        later.sort_unstable_by_key(|entry| entry.learned);
+        later.sort_unstable_by_key(|entry| entry.offset);
         later.truncate(max_count);
     }
     (later, more)
@@ -199,5 +199,5 @@
     moment: Duration,
 ) -> u64 {
     let earlier = known.filter(|entry| entry.notified_at < moment);
-    earlier.map(|entry| entry.learned).max().unwrap_or(0)
+    earlier.map(|entry| entry.offset).max().unwrap_or(0)
 }
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -29,7 +29,7 @@
     /// Known instances whose heartbeats are overdue, and since when each is suspected.
     suspected: BTreeMap<InstanceId, Duration>,
     /// The highest offset that was assigned to a change.
-    learned: u64,
+    latest_offset: u64,
     /// Time without a heartbeat after which an instance is suspected or expires.
     pub span: Duration,
     /// How long a heartbeat that reports no change need not be forwarded to followers.
@@ -45,7 +45,7 @@
             by_address: HashMap::new(),
             ended: BTreeMap::new(),
             suspected: BTreeMap::new(),
-            learned: 0,
+            latest_offset: 0,
             span: INSTANCE_TIMEOUT,
             refresh: Duration::ZERO,
             removed: 0,
@@ -111,11 +111,11 @@
         });
         // An unchanged heartbeat keeps its offset: followers are notified of changes at once, but of
         // the mere fact that an instance is alive only once per refresh interval.
-        let (learned, notified_at) = match unchanged {
-            Some(entry) => (entry.learned, entry.notified_at),
+        let (offset, notified_at) = match unchanged {
+            Some(entry) => (entry.offset, entry.notified_at),
             None => {
-                self.learned += 1;
-                (self.learned, now)
+                self.latest_offset += 1;
+                (self.latest_offset, now)
             }
         };
         self.known.insert(
@@ -123,7 +123,7 @@
             FactEntry {
                 fact: received.heartbeat.clone(),
                 received_at,
-                learned,
+                offset,
                 notified_at,
             },
         );
@@ -136,8 +136,8 @@
     }
 
     fn record_removal(&mut self) {
-        self.learned += 1;
-        self.removed = self.learned;
+        self.latest_offset += 1;
+        self.removed = self.latest_offset;
     }
 
     /// Handles an instance's announcement of its termination; returns whether it was not known yet.
@@ -153,7 +153,7 @@
         let entry = FactEntry {
             fact: (),
             received_at: now,
-            learned: self.learned,
+            offset: self.latest_offset,
             notified_at: now,
         };
         self.ended.insert(id.clone(), entry);
@@ -166,7 +166,7 @@
     }
 
     /// Returns how long ago an instance announced its termination; zero if it did not.
-    pub fn ended_for(&self, now: Duration, id: &InstanceId) -> Duration {
+    pub fn time_since_end(&self, now: Duration, id: &InstanceId) -> Duration {
         let ended = self.ended.get(id);
         ended.map_or(Duration::ZERO, |end| now.saturating_sub(end.received_at))
     }
@@ -175,7 +175,7 @@
     pub fn ended_after(&self, now: Duration, offset: u64) -> Vec<InstanceId> {
         self.ended
             .iter()
-            .filter(|(_, entry)| entry.learned > offset)
+            .filter(|(_, entry)| entry.offset > offset)
             .filter(|(_, entry)| now.saturating_sub(entry.received_at) < ENDED_RETENTION)
             .map(|(id, _)| id.clone())
             .collect()
@@ -209,8 +209,8 @@
             }
             self.suspected.insert(id.clone(), now);
             // Proxies are notified of what changed, so a suspicion gets a new offset.
-            self.learned += 1;
-            entry.learned = self.learned;
+            self.latest_offset += 1;
+            entry.offset = self.latest_offset;
             entry.notified_at = now;
             newly_suspected.push(id.clone());
         }
@@ -251,7 +251,7 @@
 
     /// Returns the offset of the latest change.
     pub fn learned(&self) -> u64 {
-        self.learned
+        self.latest_offset
     }
 
     /// Returns the offset up to which instances and their terminations were recorded before `moment`.
@@ -277,10 +277,10 @@
         max_count: usize,
     ) -> FirstFacts<ReceivedHeartbeat> {
         let (first, more) = first_facts_after(self.known.values(), offset, max_count);
-        let last = first.last().map(|entry| entry.learned);
-        let end_offset = last.filter(|_| more).unwrap_or(self.learned);
+        let last = first.last().map(|entry| entry.offset);
+        let end_offset = last.filter(|_| more).unwrap_or(self.latest_offset);
         let later_draining = self.known.values().filter(|entry| {
-            entry.learned > end_offset && entry.fact.state == InstanceState::Draining
+            entry.offset > end_offset && entry.fact.state == InstanceState::Draining
         });
         let received = first
             .into_iter()
@@ -298,7 +298,7 @@
 
     /// Returns the heartbeats of the draining instances, with their current age.
     pub fn draining(&self, now: Duration) -> Vec<ReceivedHeartbeat> {
-        self.draining_between(now, 0, self.learned)
+        self.draining_between(now, 0, self.latest_offset)
     }
 
     /// Returns the heartbeats of the draining instances that were recorded after one offset and up to
@@ -311,8 +311,8 @@
     ) -> Vec<ReceivedHeartbeat> {
         let is_draining = |entry: &&FactEntry<Heartbeat>| {
             entry.fact.state == InstanceState::Draining
-                && entry.learned > after
-                && entry.learned <= up_to
+                && entry.offset > after
+                && entry.offset <= up_to
         };
         let draining = self.known.values().filter(is_draining);
         draining
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -15,7 +15,7 @@
 pub struct Members {
     known: BTreeMap<NodeId, FactEntry<Member>>,
     /// The highest offset that was assigned to a change.
-    learned: u64,
+    latest_offset: u64,
     /// How long a member that reports no change need not be forwarded to followers.
     pub refresh: Duration,
 }
@@ -53,11 +53,11 @@
                 && reported.stands == previous.stands
                 && now.saturating_sub(entry.notified_at) < self.refresh
         });
-        let (learned, notified_at) = match unchanged {
-            Some(entry) => (entry.learned, entry.notified_at),
+        let (offset, notified_at) = match unchanged {
+            Some(entry) => (entry.offset, entry.notified_at),
             None => {
-                self.learned += 1;
-                (self.learned, now)
+                self.latest_offset += 1;
+                (self.latest_offset, now)
             }
         };
         self.known.insert(
@@ -65,7 +65,7 @@
             FactEntry {
                 fact,
                 received_at,
-                learned,
+                offset,
                 notified_at,
             },
         );
@@ -82,8 +82,8 @@
         };
         entry.fact.ready = false;
         entry.fact.silent = true;
-        self.learned += 1;
-        entry.learned = self.learned;
+        self.latest_offset += 1;
+        entry.offset = self.latest_offset;
         entry.notified_at = now;
     }
 
@@ -102,7 +102,7 @@
 
     /// Returns the offset of the latest change.
     pub fn learned(&self) -> u64 {
-        self.learned
+        self.latest_offset
     }
 
     /// Returns the offset up to which members were recorded before `moment`.
@@ -124,14 +124,14 @@
         max_count: usize,
     ) -> FirstFacts<ReceivedMember> {
         let (first, more) = first_facts_after(self.known.values(), offset, max_count);
-        let last = first.last().map(|entry| entry.learned);
+        let last = first.last().map(|entry| entry.offset);
         let received = first.into_iter().map(|entry| ReceivedMember {
             member: entry.fact.clone(),
             age: now.saturating_sub(entry.received_at),
         });
         FirstFacts {
             heard: received.collect(),
-            offset: last.filter(|_| more).unwrap_or(self.learned),
+            offset: last.filter(|_| more).unwrap_or(self.latest_offset),
             more,
         }
     }
--- a/crates/caperworks/src/ownership/moves.rs
+++ b/crates/caperworks/src/ownership/moves.rs
@@ -120,7 +120,8 @@
             *moves += usize::from(is_alive);
         }
         // An instance that announced its termination uses no lease once it has terminated.
-        let has_ended = view.instances.ended_for(now, &owner.instance) >= TERMINATION_GRACE_PERIOD;
+        let has_ended =
+            view.instances.time_since_end(now, &owner.instance) >= TERMINATION_GRACE_PERIOD;
         let is_lease_over = now >= state.leased_until || is_hasty || has_ended;
         let is_released = state.is_releasing && state.is_released;
         is_released || (is_lease_over && (state.is_retired() || !is_alive))
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -534,10 +534,10 @@
     assert!((0..4).all(|key_range| bench.owner(key_range) == "a"));
     let ended = seconds(6);
     let id = InstanceId::new("a");
-    assert_eq!(bench.instances.ended_for(ended, &id), Duration::ZERO);
+    assert_eq!(bench.instances.time_since_end(ended, &id), Duration::ZERO);
     assert!(bench.instances.end(ended, &id));
     assert_eq!(
-        bench.instances.ended_for(ended + millis(400), &id),
+        bench.instances.time_since_end(ended + millis(400), &id),
         millis(400)
     );
     for step in 1..=5 {
@@ -546,14 +546,14 @@
         let late = bench.next_heartbeat("a");
         bench.deliver(now, &late);
         assert_eq!(bench.instances.get(&id), None);
-        assert_eq!(bench.instances.ended_for(now, &id), millis(100 * step));
+        assert_eq!(bench.instances.time_since_end(now, &id), millis(100 * step));
         bench.heartbeat(now, "b");
         assert_eq!(bench.plan(now), if step < 5 { 0 } else { 4 }, "at {now:?}");
     }
     assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
     let other = InstanceId::new("b");
     assert_eq!(
-        bench.instances.ended_for(seconds(20), &other),
+        bench.instances.time_since_end(seconds(20), &other),
         Duration::ZERO
     );
 }
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -8,14 +8,14 @@
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
-const HELP: &str = "The directory: tells callers which proxies to use, from the last placement";
-const NEEDS: [&str; 4] = ["control", "serving", "area", "seeds"];
+const HELP: &str = "The directory: tells clients which proxies to use, from the last placement";
+const REQUIRED_SETTINGS: [&str; 4] = ["control", "serving", "area", "seeds"];
 
 fn main() -> anyhow::Result<()> {
     let flags = read_flags(&node_flags().to_options().descr(HELP));
-    let node_settings = NodeSettings::read_or_end(&flags, &NEEDS);
+    let node_settings = NodeSettings::read_or_end(&flags, &REQUIRED_SETTINGS);
     start_log()?;
-    let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
+    let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
     run_daemon(
         node_settings.terms.workers,
         directory::daemon::run(node_settings, reread, directory::daemon::own_interface()),
