--- a/crates/caperworks/src/ownership/owner_manager.rs
+++ b/crates/caperworks/src/ownership/owner_manager.rs
@@ -42,9 +42,9 @@
 impl OwnerManager {
     /// Starts a term. Leases of earlier terms may be valid until the wait is over; a shorter wait is
     /// enough when the previous owner manager was an earlier incarnation of this node.
-    pub fn take_up(&mut self, now: Duration, after_own: bool) {
+    pub fn take_up(&mut self, now: Duration, is_own_predecessor: bool) {
         self.states.clear();
-        let wait = match after_own {
+        let wait = match is_own_predecessor {
             true => self.spans.wait_after_restart,
             false => self.spans.wait,
         };
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -510,19 +510,23 @@
 
 #[test]
 fn owner_manager_waits_less_after_its_own_earlier_incarnation() {
-    for (after_own, expected) in [(true, millis(3500)), (false, millis(8000))] {
+    for (is_own_predecessor, expected) in [(true, millis(3500)), (false, millis(8000))] {
         let mut bench = Bench::new(4);
         bench.run(seconds(1), &["a"], 3);
         bench.owner_manager = OwnerManager::default();
         bench.owner_manager.spans.wait = millis(8000);
         bench.owner_manager.spans.wait_after_restart = millis(3500);
-        bench.owner_manager.take_up(seconds(30), after_own);
+        bench.owner_manager.take_up(seconds(30), is_own_predecessor);
         let moved_at = (0..100).find_map(|step| {
             let now = seconds(30) + millis(100 * step);
             bench.heartbeat(now, "b");
             (bench.plan(now) > 0).then_some(now)
         });
-        assert_eq!(moved_at, Some(seconds(30) + expected), "{after_own}");
+        assert_eq!(
+            moved_at,
+            Some(seconds(30) + expected),
+            "{is_own_predecessor}"
+        );
         assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
     }
 }
