--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -154,7 +154,7 @@
 
 /// A batch of the facts that a follower is missing, in the order of their offsets.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FirstFacts<Fact> {
+pub struct FactBatch<Fact> {
     /// The facts of the batch.
     pub heard: Vec<Fact>,
     /// The offset up to which the follower then has all facts.
@@ -163,7 +163,7 @@
     pub more: bool,
 }
 
-impl<Fact> FirstFacts<Fact> {
+impl<Fact> FactBatch<Fact> {
     /// Creates an empty batch, for a follower that is sent none.
     pub fn none(offset: u64) -> Self {
         Self {
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -7,7 +7,7 @@
 
 use crate::facts::offset_before;
 use crate::facts::InstanceState;
-use crate::facts::{first_facts_after, FactEntry, FirstFacts, Heartbeat, ReceivedHeartbeat};
+use crate::facts::{first_facts_after, FactBatch, FactEntry, Heartbeat, ReceivedHeartbeat};
 use crate::identifiers::InstanceId;
 
 /// Default time without a heartbeat after which an instance is deregistered.
@@ -275,7 +275,7 @@
         now: Duration,
         offset: u64,
         max_count: usize,
-    ) -> FirstFacts<ReceivedHeartbeat> {
+    ) -> FactBatch<ReceivedHeartbeat> {
         let (first, more) = first_facts_after(self.known.values(), offset, max_count);
         let last = first.last().map(|entry| entry.offset);
         let end_offset = last.filter(|_| more).unwrap_or(self.latest_offset);
@@ -289,7 +289,7 @@
                 heartbeat: entry.fact.for_followers(),
                 age: now.saturating_sub(entry.received_at),
             });
-        FirstFacts {
+        FactBatch {
             heard: received.collect(),
             offset: end_offset,
             more,
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::facts::offset_before;
-use crate::facts::{first_facts_after, FactEntry, FirstFacts, Member, ReceivedMember, Role};
+use crate::facts::{first_facts_after, FactBatch, FactEntry, Member, ReceivedMember, Role};
 use crate::identifiers::NodeId;
 
 /// A member that has not renewed its lease for this long is removed.
@@ -122,14 +122,14 @@
         now: Duration,
         offset: u64,
         max_count: usize,
-    ) -> FirstFacts<ReceivedMember> {
+    ) -> FactBatch<ReceivedMember> {
         let (first, more) = first_facts_after(self.known.values(), offset, max_count);
         let last = first.last().map(|entry| entry.offset);
         let received = first.into_iter().map(|entry| ReceivedMember {
             member: entry.fact.clone(),
             age: now.saturating_sub(entry.received_at),
         });
-        FirstFacts {
+        FactBatch {
             heard: received.collect(),
             offset: last.filter(|_| more).unwrap_or(self.latest_offset),
             more,
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -7,7 +7,7 @@
 use crate::state::ControllerState;
 use caperworks::catch_up::{FollowerUpdate, GRANT_UPDATE_BYTES};
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::facts::{FirstFacts, ReceivedHeartbeat, ReceivedMember, Role};
+use caperworks::facts::{FactBatch, ReceivedHeartbeat, ReceivedMember, Role};
 use caperworks::leases::LEASE_DURATION;
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
@@ -140,9 +140,9 @@
     role: Role,
     offsets: &FactOffsets,
     most_facts: usize,
-) -> FirstFacts<ReceivedHeartbeat> {
+) -> FactBatch<ReceivedHeartbeat> {
     if role == Role::Directory {
-        return FirstFacts::none(state.instances.learned());
+        return FactBatch::none(state.instances.learned());
     }
     let first = state
         .instances
@@ -150,7 +150,7 @@
     let draining = state
         .instances
         .draining_between(state.now, offsets.safety, offsets.instances);
-    FirstFacts {
+    FactBatch {
         heard: draining.into_iter().chain(first.heard).collect(),
         ..first
     }
@@ -165,9 +165,9 @@
     role: Role,
     members_after: u64,
     most_facts: usize,
-) -> FirstFacts<ReceivedMember> {
+) -> FactBatch<ReceivedMember> {
     if role == Role::Proxy {
-        return FirstFacts::none(state.members.learned());
+        return FactBatch::none(state.members.learned());
     }
     let mut members = state
         .members
