--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -80,7 +80,7 @@
             state: InstanceState::Serving,
             load: 0,
             up: Duration::from_secs(60),
-            held_key_ranges: Vec::new(),
+            key_ranges_in_use: Vec::new(),
             let_go: Vec::new(),
             warm_up_left: Duration::ZERO,
         })
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -11,7 +11,7 @@
 use caperworks::ownership::{HeldLeases, OwnerManager, OwnershipView, KEY_RANGE_LEASE_DURATION};
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
-fn heartbeat(name: &str, port: u16, counter: u64, held_key_ranges: Vec<u32>) -> Heartbeat {
+fn heartbeat(name: &str, port: u16, counter: u64, key_ranges_in_use: Vec<u32>) -> Heartbeat {
     Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(1),
@@ -23,7 +23,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::from_secs(60),
-        held_key_ranges,
+        key_ranges_in_use,
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
@@ -80,7 +80,10 @@
     let response = owner_manager.heartbeat(now, &heartbeat("one", 7000, 2, Vec::new()), &ownership);
     let mut held_leases = HeldLeases::default();
     held_leases.answered(now, &response);
-    println!("instance one leases {:?}", held_leases.held_key_ranges(now));
+    println!(
+        "instance one leases {:?}",
+        held_leases.key_ranges_in_use(now)
+    );
     let lease = &response.leases[0];
     let need = Duration::from_secs(2);
     assert!(held_leases.may_start(now, lease.key_range, lease.epoch, need));
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -33,7 +33,7 @@
         /// How long the instance has been running.
         9 up: Duration,
         /// The key ranges in use: with a valid lease or with requests in flight.
-        10 held_key_ranges: Vec<u32>,
+        10 key_ranges_in_use: Vec<u32>,
         /// The key ranges that it has released.
         11 let_go: Vec<ReleasedKeyRange>,
         /// How much longer it warms up, by its own report.
@@ -109,7 +109,7 @@
     /// Returns the heartbeat without its key ranges, which only the owner manager needs.
     pub(crate) fn for_followers(&self) -> Heartbeat {
         Heartbeat {
-            held_key_ranges: Vec::new(),
+            key_ranges_in_use: Vec::new(),
             let_go: Vec::new(),
             ..self.clone()
         }
--- a/crates/caperworks/src/ownership/instance_leases.rs
+++ b/crates/caperworks/src/ownership/instance_leases.rs
@@ -110,7 +110,7 @@
 
     /// Returns the key ranges that the next heartbeat reports as in use: those with a valid lease that
     /// was not released, and those with requests in flight.
-    pub fn held_key_ranges(&self, now: Duration) -> Vec<u32> {
+    pub fn key_ranges_in_use(&self, now: Duration) -> Vec<u32> {
         let is_in_use = |key_range: &u32, lease: &KeyRangeLease| {
             now < lease.until && lease.epoch > self.released_epoch(*key_range)
         };
--- a/crates/caperworks/src/ownership/key_range_state.rs
+++ b/crates/caperworks/src/ownership/key_range_state.rs
@@ -72,7 +72,7 @@
         heartbeat: &Heartbeat,
         absence_is_release: bool,
     ) {
-        let is_in_use = heartbeat.held_key_ranges.contains(&key_range);
+        let is_in_use = heartbeat.key_ranges_in_use.contains(&key_range);
         let release = heartbeat
             .let_go
             .iter()
--- a/crates/caperworks/src/ownership/leases.rs
+++ b/crates/caperworks/src/ownership/leases.rs
@@ -50,7 +50,7 @@
         let timings = self.spans;
         let lease = timings.lease * if self.grants_long_leases { 2 } else { 1 };
         let absence_is_release = self.infers_release;
-        let is_accepted = heartbeat.held_key_ranges.contains(&key_range);
+        let is_accepted = heartbeat.key_ranges_in_use.contains(&key_range);
         let state = self.state(&heartbeat.service, key_range, owner.epoch);
         state.latest_heartbeat = state.latest_heartbeat.max(heartbeat.counter);
         if state.is_retired() {
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -67,7 +67,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::MAX,
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     };
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -645,7 +645,7 @@
             state: InstanceState::Serving,
             load: 0,
             up: Duration::ZERO,
-            held_key_ranges: Vec::new(),
+            key_ranges_in_use: Vec::new(),
             let_go: Vec::new(),
             warm_up_left: Duration::ZERO,
         },
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -209,7 +209,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: millis(up),
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -34,7 +34,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::MAX,
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
@@ -70,7 +70,7 @@
         let now = millis(1000 + 100 * step);
         let unchanged = Heartbeat {
             load: step as u32,
-            held_key_ranges: vec![step as u32],
+            key_ranges_in_use: vec![step as u32],
             ..heartbeat("one", 1 + step)
         };
         assert!(
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -22,7 +22,7 @@
     Duration::from_secs(number)
 }
 
-fn heartbeat(name: &str, up: Duration, held_key_ranges: Vec<u32>) -> Heartbeat {
+fn heartbeat(name: &str, up: Duration, key_ranges_in_use: Vec<u32>) -> Heartbeat {
     let port = 7000 + (stable_hash(name) % 1000) as u16;
     Heartbeat {
         id: InstanceId::new(name),
@@ -35,7 +35,7 @@
         state: InstanceState::Serving,
         load: 0,
         up,
-        held_key_ranges,
+        key_ranges_in_use,
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
@@ -75,7 +75,7 @@
     /// Sends a heartbeat of an instance and handles the response.
     fn heartbeat(&mut self, now: Duration, name: &str, up: Duration) {
         let held_leases = self.held_leases.entry(name.to_string()).or_default();
-        let mut heartbeat = heartbeat(name, up, held_leases.held_key_ranges(now));
+        let mut heartbeat = heartbeat(name, up, held_leases.key_ranges_in_use(now));
         heartbeat.let_go = held_leases.let_go();
         let age = Duration::ZERO;
         self.instances.handle(
@@ -310,7 +310,7 @@
     held_leases.answered(seconds(2), &release);
     held_leases.answered(seconds(3), &grant);
     assert!(!held_leases.may_start(seconds(3), 3, Epoch(7), Duration::ZERO));
-    assert!(held_leases.held_key_ranges(seconds(3)).is_empty());
+    assert!(held_leases.key_ranges_in_use(seconds(3)).is_empty());
 }
 
 #[test]
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -90,7 +90,7 @@
     zone: &'static str,
     state: InstanceState,
     counter: u64,
-    held_key_ranges: BTreeSet<u32>,
+    key_ranges_in_use: BTreeSet<u32>,
     /// By key range, when its lease was last granted, and the handover in that grant.
     granted: BTreeMap<u32, (Duration, Option<String>)>,
     /// The released key ranges with their handover, reported in each heartbeat until leased again.
@@ -129,7 +129,7 @@
             zone: "east-1",
             state: InstanceState::Serving,
             counter: 0,
-            held_key_ranges: BTreeSet::new(),
+            key_ranges_in_use: BTreeSet::new(),
             granted: BTreeMap::new(),
             released: BTreeMap::new(),
             releases: true,
@@ -152,7 +152,7 @@
             state: instance.state,
             load: 0,
             up: Duration::MAX,
-            held_key_ranges: instance.held_key_ranges.iter().copied().collect(),
+            key_ranges_in_use: instance.key_ranges_in_use.iter().copied().collect(),
             let_go: instance
                 .released
                 .iter()
@@ -195,13 +195,13 @@
         }
         if instance.releases {
             // The owner manager itself responds, so a key range without a lease has to be released.
-            for key_range in instance.held_key_ranges.difference(&leased) {
+            for key_range in instance.key_ranges_in_use.difference(&leased) {
                 let handover = format!("from {name} of {key_range}");
                 instance.released.insert(*key_range, handover);
             }
-            instance.held_key_ranges = leased;
+            instance.key_ranges_in_use = leased;
         } else {
-            instance.held_key_ranges.extend(leased);
+            instance.key_ranges_in_use.extend(leased);
         }
         response
     }
@@ -269,7 +269,7 @@
     fn assert_no_shared_key_range(&self, now: Duration) {
         let mut owners: BTreeMap<u32, &str> = BTreeMap::new();
         for (name, instance) in &self.known {
-            for key_range in &instance.held_key_ranges {
+            for key_range in &instance.key_ranges_in_use {
                 let (granted_at, _) = instance.granted[key_range];
                 if now < granted_at + KEY_RANGE_LEASE_DURATION {
                     let other = owners.insert(*key_range, name);
@@ -307,7 +307,7 @@
     }
     // The response contains the handover only until the new owner reports the key range as in use.
     let mut heartbeat = bench.next_heartbeat("b");
-    heartbeat.held_key_ranges.clear();
+    heartbeat.key_ranges_in_use.clear();
     let response = bench.deliver(seconds(23), &heartbeat);
     assert!(response.leases.iter().all(|lease| lease.handover.is_some()));
     let response = bench.heartbeat(seconds(24), "b");
@@ -362,7 +362,7 @@
     bench.run(seconds(1), &["a"], 2);
     // A heartbeat from before the current lease: it reports an earlier release and no key range in use.
     let mut late = bench.next_heartbeat("a");
-    late.held_key_ranges.clear();
+    late.key_ranges_in_use.clear();
     late.let_go = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
@@ -397,7 +397,7 @@
         let earlier: Vec<Heartbeat> = (0..3)
             .map(|_| {
                 let mut heartbeat = bench.next_heartbeat("a");
-                heartbeat.held_key_ranges.clear();
+                heartbeat.key_ranges_in_use.clear();
                 heartbeat.let_go = vec![ReleasedKeyRange {
                     key_range: 0,
                     epoch: None,
@@ -439,7 +439,7 @@
     bench.instance("a").state = InstanceState::Draining;
     bench.run(seconds(2), &["b"], 1);
     let mut heartbeat = bench.next_heartbeat("a");
-    heartbeat.held_key_ranges.clear();
+    heartbeat.key_ranges_in_use.clear();
     heartbeat.let_go = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
--- a/crates/caperworks/tests/placement.rs
+++ b/crates/caperworks/tests/placement.rs
@@ -333,7 +333,7 @@
             state,
             load: 0,
             up: Duration::from_secs(60),
-            held_key_ranges: Vec::new(),
+            key_ranges_in_use: Vec::new(),
             let_go: Vec::new(),
             warm_up_left: Duration::ZERO,
         };
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -62,7 +62,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::MAX,
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -36,7 +36,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: millis(60_000),
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -491,7 +491,7 @@
         state,
         load: 7,
         up: millis(123_456),
-        held_key_ranges: vec![1, 5],
+        key_ranges_in_use: vec![1, 5],
         let_go: vec![ReleasedKeyRange {
             key_range: 9,
             epoch: Some(Epoch(2)),
--- a/crates/controller/tests/fleet_stories/fleet.rs
+++ b/crates/controller/tests/fleet_stories/fleet.rs
@@ -332,7 +332,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::MAX,
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
--- a/crates/controller/tests/fleet_stories/main.rs
+++ b/crates/controller/tests/fleet_stories/main.rs
@@ -272,7 +272,7 @@
         let mut said = heartbeat(id, self.counter);
         said.address.set_port(8000 + u16::from(id == "two"));
         let held = self.held.entry(id).or_default();
-        said.held_key_ranges = held.iter().copied().collect();
+        said.key_ranges_in_use = held.iter().copied().collect();
         let ticket = fleet.heartbeats(index, said);
         let response = fleet
             .heartbeat_response(ticket)
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -542,7 +542,7 @@
             state: InstanceState::Serving,
             load: 0,
             up: now.saturating_sub(self.since),
-            held_key_ranges: self.held_leases.held_key_ranges(now),
+            key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
             let_go: self.held_leases.let_go(),
         }
     }
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -154,7 +154,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::from_secs(3600),
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -28,7 +28,7 @@
         },
         load: heartbeat.load,
         up_ms: heartbeat.up.as_millis() as u64,
-        holding: heartbeat.held_key_ranges.clone(),
+        holding: heartbeat.key_ranges_in_use.clone(),
         let_go: heartbeat
             .let_go
             .iter()
@@ -148,7 +148,7 @@
 /// The fields are read in this order, so the first wrong one is the one that is named.
 fn read(value: &JsonValue) -> Result<Heartbeat, HeartbeatError> {
     let state = read_state(value)?;
-    let held_key_ranges = read_held_key_ranges(value)?;
+    let key_ranges_in_use = read_held_key_ranges(value)?;
     let let_go = read_let_go(value)?;
     Ok(Heartbeat {
         id: InstanceId::new(read_text(value, "id")?),
@@ -163,7 +163,7 @@
         state,
         load: read_small_number(value, "load")?,
         up: Duration::from_millis(read_number(value, "up_ms")?),
-        held_key_ranges,
+        key_ranges_in_use,
         let_go,
         warm_up_left: Duration::ZERO,
     })
--- a/crates/runtime/tests/heartbeat_json.rs
+++ b/crates/runtime/tests/heartbeat_json.rs
@@ -24,7 +24,7 @@
         state: InstanceState::Draining,
         load: 3,
         up: Duration::from_millis(8500),
-        held_key_ranges: vec![4, 17],
+        key_ranges_in_use: vec![4, 17],
         let_go: vec![ReleasedKeyRange {
             key_range: 5,
             epoch: Some(Epoch(12)),
--- a/crates/simulator/src/actors/instance.rs
+++ b/crates/simulator/src/actors/instance.rs
@@ -94,7 +94,7 @@
             },
             load: self.work.len() as u32,
             up: now,
-            held_key_ranges: self.held_leases.held_key_ranges(now),
+            key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
             let_go: self.held_leases.let_go(),
             warm_up_left: Duration::ZERO,
         }
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -136,9 +136,9 @@
 impl TestInstance {
     fn heartbeat(&self) -> Heartbeat {
         let up = self.clock.now();
-        let (held_key_ranges, let_go) = {
+        let (key_ranges_in_use, let_go) = {
             let held_leases = locked(&self.held_leases);
-            (held_leases.held_key_ranges(up), held_leases.let_go())
+            (held_leases.key_ranges_in_use(up), held_leases.let_go())
         };
         let state = if self.draining.load(Ordering::SeqCst) {
             InstanceState::Draining
@@ -158,7 +158,7 @@
             state,
             load: self.load.load(Ordering::SeqCst),
             up,
-            held_key_ranges,
+            key_ranges_in_use,
             let_go,
             warm_up_left: Duration::ZERO,
         }
@@ -477,10 +477,10 @@
     let until = Instant::now() + Duration::from_secs(8);
     let earliest = Instant::now() + Duration::from_millis(3500);
     while Instant::now() < until {
-        let held_key_ranges = !locked(&test_instance.held_leases)
-            .held_key_ranges(test_instance.clock.now())
+        let key_ranges_in_use = !locked(&test_instance.held_leases)
+            .key_ranges_in_use(test_instance.clock.now())
             .is_empty();
-        let idle = test_instance.load.load(Ordering::SeqCst) == 0 && !held_key_ranges;
+        let idle = test_instance.load.load(Ordering::SeqCst) == 0 && !key_ranges_in_use;
         if idle && Instant::now() > earliest {
             break;
         }
