--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -152,7 +152,7 @@
     pub(crate) notified_at: Duration,
 }
 
-/// A batch of the facts that a follower is missing, in the order of their offsets.
+/// A batch of the facts that a follower is missing: those with the lowest offsets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FactBatch<Fact> {
     /// The facts of the batch.
