--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -10,13 +10,13 @@
 
 use crate::machine::{AgentEvent, AgentInput, AgentMachine, AgentOptions, AgentOutput};
 use caperworks::identifiers::Zone;
-use caperworks::leases::LEASE_SPAN;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::link::RejectedChunk;
 use caperworks::messages::UsageLine;
 use caperworks::ownership::TimestampedResponse;
 use runtime::actor::{
-    asked_to_stop, follow_settings, fresh_seed, open_actor, stop_politely, Host, Inbox, ReadyUntil,
-    Reread, Tickets,
+    asked_to_stop, follow_settings, fresh_seed, open_actor, shut_down_gracefully, Host, Inbox,
+    ReadyUntil, Reread, Tickets,
 };
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
@@ -137,9 +137,13 @@
         zone: node_settings.zone.clone(),
         seeds: node_settings.seeds.clone(),
         feed_form: node_settings.terms.core.agents_feed_form(),
-        proxy_serves_on: node_settings.terms.proxy.serves_on,
-        instance_span: node_settings.terms.core.instance_span,
-        lease_span: node_settings.terms.proxy.lease_span.unwrap_or(LEASE_SPAN),
+        proxy_serves_on: node_settings.terms.proxy.serves_stale,
+        instance_timeout: node_settings.terms.core.instance_timeout,
+        lease_duration: node_settings
+            .terms
+            .proxy
+            .lease_duration
+            .unwrap_or(LEASE_DURATION),
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
         demand_period: node_settings.terms.core.member_refresh,
     };
@@ -152,7 +156,7 @@
         node_settings.advertise,
         move |event| {
             events.give(match event {
-                PortEvent::Received(envelope) => AgentInput::Heard {
+                PortEvent::Received(envelope) => AgentInput::Received {
                     envelope: *envelope,
                 },
                 PortEvent::Partial => AgentInput::PartialFrame,
@@ -210,7 +214,7 @@
     asked_to_stop().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
-    stop_politely(&asked, AgentInput::Stop, &stopped).await;
+    shut_down_gracefully(&asked, AgentInput::Stop, &stopped).await;
     event(STOPPED, "");
     Ok(())
 }
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -11,7 +11,9 @@
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::Echo;
 use caperworks::facts::{Heartbeat, Member, Role};
-use caperworks::identifiers::{Chance, InstanceId, NodeId, RouteName, ServiceName, Version, Zone};
+use caperworks::identifiers::{
+    InstanceId, NodeId, RandomSource, RouteName, ServiceName, Version, Zone,
+};
 use caperworks::link::Responder;
 use caperworks::link::{CoreLink, RejectedChunk};
 use caperworks::link_figures::LinkFigures;
@@ -44,9 +46,9 @@
     /// The proxy goes on with what it last knew when the core is out of reach.
     pub proxy_serves_on: bool,
     /// An instance that has not beaten for so long is gone.
-    pub instance_span: Duration,
+    pub instance_timeout: Duration,
     /// How long a lease lives at most.
-    pub lease_span: Duration,
+    pub lease_duration: Duration,
     /// How long a heartbeat that says nothing new need not be told to the proxy.
     pub heartbeat_refresh: Duration,
     /// How long demand need not be told again.
@@ -56,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentInput {
     Tick,
-    Heard {
+    Received {
         envelope: Envelope,
     },
     /// Bytes of a message came that began to come a while ago and is not complete yet.
@@ -165,12 +167,12 @@
 
 impl AgentMachine {
     pub fn start(options: AgentOptions, seed: u64) -> Self {
-        let mut chance = Chance::seeded(seed);
+        let mut chance = RandomSource::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
             .in_form(options.feed_form);
-        link.instances.span = options.instance_span;
-        link.lease.span = options.lease_span;
+        link.instances.span = options.instance_timeout;
+        link.lease.span = options.lease_duration;
         link.instances.refresh = options.heartbeat_refresh;
         let fallback_quorum = FallbackQuorum::new(options.control);
         let first = options.control;
@@ -214,7 +216,7 @@
 
     /// Only for proving the observers: takes grants whose news has not arrived.
     pub fn be_careless(&mut self) {
-        self.link.lease.careless = true;
+        self.link.lease.skips_checks = true;
     }
 
     /// Only for proving the observers.
@@ -252,7 +254,7 @@
                 .filter(|_| tells_demand)
                 .map(|pull| pull.demand.clone())
                 .unwrap_or_default(),
-            same_demand: !tells_demand,
+            demand_unchanged: !tells_demand,
             silent: false,
             versions: self.link.versions(),
             draining: self.stopping_since.is_some(),
@@ -278,7 +280,7 @@
                 self.link.connection_opened(now, peer, took);
             }
             AgentInput::ConnectionLost { peer } => self.link.controller_lost(peer),
-            AgentInput::Heard { envelope } => self.handle(now, envelope, &mut outputs),
+            AgentInput::Received { envelope } => self.handle(now, envelope, &mut outputs),
             AgentInput::Heartbeat {
                 ticket,
                 heartbeat,
@@ -324,7 +326,7 @@
         self.link.members.expire(now);
         let gone = match self.options.proxy_serves_on {
             true => self.link.count_silent_instances(now),
-            false => self.link.instances.count_silent(now),
+            false => self.link.instances.mark_suspected(now),
         };
         for id in gone {
             let event = AgentEvent::InstanceGone { id };
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -8,11 +8,11 @@
 use caperworks::catch_up::{TransferPosition, CHUNK_BYTES};
 use caperworks::consensus::messages::{ConsensusMessage, ProposalNumber};
 use caperworks::envelope_clock::Echo;
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
-    steady_hash, ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
+    stable_hash, ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
-use caperworks::leases::LEASE_SPAN;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::link::SLOW_LINK_SPAN;
 use caperworks::map_items::{Route, Value, VoterEntry, VoterSet};
 use caperworks::messages::{Envelope, Granted, Message, ProxyView, Pull};
@@ -35,12 +35,12 @@
         counter,
         service: ServiceName::new("records"),
         zone: Zone::new("e1"),
-        address: address(8000 + (steady_hash(id) % 1000) as u16),
+        address: address(8000 + (stable_hash(id) % 1000) as u16),
         capacity: 4,
         state: InstanceState::Serving,
         load: 0,
         up: Duration::MAX,
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
@@ -75,8 +75,8 @@
             seeds: vec![address(6000), address(6001)],
             feed_form: FeedForm::Complete,
             proxy_serves_on,
-            instance_span: SPAN,
-            lease_span: LEASE_SPAN,
+            instance_timeout: SPAN,
+            lease_duration: LEASE_DURATION,
         };
         Self {
             machine: AgentMachine::start(options, 1),
@@ -95,7 +95,7 @@
             echo: None,
             reads_here: true,
         };
-        self.machine.input(now, AgentInput::Heard { envelope })
+        self.machine.input(now, AgentInput::Received { envelope })
     }
 
     fn ticks(&mut self, now: Duration, core: Core) {
@@ -111,10 +111,13 @@
             })
             .collect();
         for number in renewals.into_iter().filter(|_| core != Core::Silent) {
-            let instances = self.heard.iter().map(|(id, (at, counter))| HeardHeartbeat {
-                heartbeat: heartbeat(id, *counter),
-                age: now.saturating_sub(*at),
-            });
+            let instances = self
+                .heard
+                .iter()
+                .map(|(id, (at, counter))| ReceivedHeartbeat {
+                    heartbeat: heartbeat(id, *counter),
+                    age: now.saturating_sub(*at),
+                });
             let granted = Granted {
                 proxies: 1,
                 number,
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -1,17 +1,17 @@
-//! Key ranges given to instances, and a hold that the instance counts from when it asked.
+//! Leases key ranges to instances; an instance counts its leases from when it sent the heartbeat.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone};
 use caperworks::instances::Instances;
 use caperworks::map_items::{Service, Value};
-use caperworks::ownership::{HeldLeases, OwnerManager, OwnershipView, KEY_RANGE_LEASE_SPAN};
+use caperworks::ownership::{HeldLeases, OwnerManager, OwnershipView, KEY_RANGE_LEASE_DURATION};
 use caperworks::replicated_map::{Change, Put, ReplicatedMap};
 
-fn heartbeat(name: &str, port: u16, counter: u64, held_key_ranges: Vec<u32>) -> Heartbeat {
+fn heartbeat(name: &str, port: u16, counter: u64, key_ranges_in_use: Vec<u32>) -> Heartbeat {
     Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(1),
@@ -23,7 +23,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::from_secs(60),
-        held_key_ranges,
+        key_ranges_in_use,
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
@@ -46,7 +46,7 @@
         let heartbeat = heartbeat(id, 7000 + index as u16, 1, Vec::new());
         instances.handle(
             now,
-            &HeardHeartbeat {
+            &ReceivedHeartbeat {
                 heartbeat,
                 age: Duration::ZERO,
             },
@@ -64,7 +64,7 @@
         .plan(now, Epoch(1), &name, &service, &view)
         .expect("key ranges without owners");
 
-    // A real host has the table agreed on first; then heartbeats are answered from it.
+    // In a deployment the table is first committed by consensus; heartbeats are then answered from it.
     let value = Value::KeyRanges { table };
     let put = Put {
         key: "slices/evidence".to_string(),
@@ -80,12 +80,15 @@
     let response = owner_manager.heartbeat(now, &heartbeat("one", 7000, 2, Vec::new()), &ownership);
     let mut held_leases = HeldLeases::default();
     held_leases.answered(now, &response);
-    println!("instance one holds {:?}", held_leases.held_key_ranges(now));
+    println!(
+        "instance one leases {:?}",
+        held_leases.key_ranges_in_use(now)
+    );
     let lease = &response.leases[0];
     let need = Duration::from_secs(2);
     assert!(held_leases.may_start(now, lease.key_range, lease.epoch, need));
     assert!(!held_leases.may_start(
-        now + KEY_RANGE_LEASE_SPAN,
+        now + KEY_RANGE_LEASE_DURATION,
         lease.key_range,
         lease.epoch,
         need
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -159,7 +159,7 @@
     pub fn is_usable(&self, now: Duration) -> bool {
         let known = self.maps.map(MapName::Configuration).version > Version(0);
         let cut_off = now >= self.link_slow_until && !self.link_watch.is_full(now);
-        now < self.fresh_until || (self.policy.serves_on && known && cut_off)
+        now < self.fresh_until || (self.policy.serves_stale && known && cut_off)
     }
 
     /// The route for a host and path.
@@ -178,10 +178,10 @@
         if !self.is_usable(now) {
             return Err(Failure::Stale);
         }
-        if self.closed.contains(own_zone) && !self.policy.closed_zone_carries {
+        if self.closed.contains(own_zone) && !self.policy.closed_zone_forwards {
             return Err(Failure::ZoneClosed);
         }
-        if !self.policy.carries_home && !route.is_at_home(self.regions.get(own_zone)) {
+        if !self.policy.forwards_to_home && !route.is_at_home(self.regions.get(own_zone)) {
             return Err(Failure::OutsideHome);
         }
         Ok(())
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -10,14 +10,14 @@
 };
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::{Echo, Stamp};
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::feed::{FeedCache, Follower, HISTORY_WEIGHT};
 use caperworks::identifiers::{
-    Chance, ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
+    ChangeId, Incarnation, InstanceId, NodeId, RandomSource, Region, ServiceName, Version, Zone,
 };
 use caperworks::instances::Instances;
 use caperworks::leadership::{first_in_order, Liveness};
-use caperworks::leases::{LeaseHolder, QuorumReads, DRIFT_MARGIN, LEASE_SPAN};
+use caperworks::leases::{LeaseHolder, QuorumReads, DRIFT_MARGIN, LEASE_DURATION};
 use caperworks::map_items::{Route, Service, Value, VoterEntry, VoterSet, ZoneSettings};
 use caperworks::messages::{Envelope, Message};
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap, Written, ALL_MAPS};
@@ -82,7 +82,7 @@
     voters: BTreeMap<u64, Voter>,
     proposers: BTreeMap<u64, Proposer>,
     down: BTreeSet<u64>,
-    chance: Chance,
+    chance: RandomSource,
     now: Duration,
     proposal_outcomes: Vec<(u64, ProposalOutcome)>,
 }
@@ -107,7 +107,7 @@
             voters,
             proposers,
             down: BTreeSet::new(),
-            chance: Chance::seeded(1),
+            chance: RandomSource::seeded(1),
             now: Duration::ZERO,
             proposal_outcomes: Vec::new(),
         }
@@ -622,7 +622,7 @@
     let until = lease.fresh_until(&follower, &ALL_MAPS);
     assert_eq!(
         until,
-        millis(1000) + LEASE_SPAN - DRIFT_MARGIN - millis(300)
+        millis(1000) + LEASE_DURATION - DRIFT_MARGIN - millis(300)
     );
     lease.granted(99, Duration::ZERO, Vec::new());
     assert_eq!(
@@ -632,8 +632,8 @@
     );
 }
 
-fn heartbeat(id: &str, incarnation: u64, counter: u64, port: u16) -> HeardHeartbeat {
-    HeardHeartbeat {
+fn heartbeat(id: &str, incarnation: u64, counter: u64, port: u16) -> ReceivedHeartbeat {
+    ReceivedHeartbeat {
         heartbeat: Heartbeat {
             id: InstanceId::new(id),
             incarnation: Incarnation(incarnation),
@@ -645,7 +645,7 @@
             state: InstanceState::Serving,
             load: 0,
             up: Duration::ZERO,
-            held_key_ranges: Vec::new(),
+            key_ranges_in_use: Vec::new(),
             let_go: Vec::new(),
             warm_up_left: Duration::ZERO,
         },
@@ -768,7 +768,7 @@
         envelope
     );
     // Garbage of any kind is an error and never a panic.
-    let mut chance = Chance::seeded(3);
+    let mut chance = RandomSource::seeded(3);
     for _ in 0..20_000 {
         let mut garbled = bytes.clone();
         for _ in 0..=chance.below(4) {
@@ -1092,9 +1092,9 @@
     let wants = [MapName::Configuration];
     for (span, lives) in [
         (Duration::from_millis(2250), Duration::from_millis(2150)),
-        (LEASE_SPAN, LEASE_SPAN - DRIFT_MARGIN),
+        (LEASE_DURATION, LEASE_DURATION - DRIFT_MARGIN),
         // A span that is too long would outlive what owner managers wait for.
-        (LEASE_SPAN * 2, LEASE_SPAN - DRIFT_MARGIN),
+        (LEASE_DURATION * 2, LEASE_DURATION - DRIFT_MARGIN),
     ] {
         let mut holder = LeaseHolder::default();
         holder.span = span;
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -15,12 +15,12 @@
 use caperworks::envelope_clock::Echo;
 use caperworks::envelope_clock::Stamp;
 use caperworks::facts::Demand;
-use caperworks::facts::GroupStand;
-use caperworks::facts::HeardHeartbeat;
-use caperworks::facts::HeardMember;
+use caperworks::facts::GroupZone;
 use caperworks::facts::Heartbeat;
 use caperworks::facts::InstanceState;
 use caperworks::facts::Member;
+use caperworks::facts::ReceivedHeartbeat;
+use caperworks::facts::ReceivedMember;
 use caperworks::facts::Role;
 use caperworks::identifiers::ChangeId;
 use caperworks::identifiers::Epoch;
@@ -59,7 +59,7 @@
 use caperworks::messages::UsageLine;
 use caperworks::ownership::HeartbeatResponse;
 use caperworks::ownership::KeyRangeLease;
-use caperworks::ownership::LetGo;
+use caperworks::ownership::ReleasedKeyRange;
 use caperworks::partition_fallback::FallbackMembers;
 use caperworks::partition_fallback::FallbackRequest;
 use caperworks::partition_fallback::FallbackResponse;
@@ -491,8 +491,8 @@
         state,
         load: 7,
         up: millis(123_456),
-        held_key_ranges: vec![1, 5],
-        let_go: vec![LetGo {
+        key_ranges_in_use: vec![1, 5],
+        let_go: vec![ReleasedKeyRange {
             key_range: 9,
             epoch: Some(Epoch(2)),
             handover: Some("offset 12".to_string()),
@@ -501,14 +501,14 @@
     }
 }
 
-fn heard_heartbeats() -> Vec<HeardHeartbeat> {
+fn heard_heartbeats() -> Vec<ReceivedHeartbeat> {
     [
         InstanceState::Warming,
         InstanceState::Serving,
         InstanceState::Draining,
     ]
     .into_iter()
-    .map(|state| HeardHeartbeat {
+    .map(|state| ReceivedHeartbeat {
         heartbeat: heartbeat(state),
         age: millis(321),
     })
@@ -537,19 +537,19 @@
         demand: vec![demand()],
         versions: vec![Version(1), Version(2), Version(3), Version(4)],
         draining: true,
-        stands: vec![GroupStand {
+        stands: vec![GroupZone {
             group: "mobile".to_string(),
             zone: Zone::from("north-a"),
         }],
-        same_demand: true,
+        demand_unchanged: true,
         silent: true,
     }
 }
 
-fn heard_members() -> Vec<HeardMember> {
+fn heard_members() -> Vec<ReceivedMember> {
     [Role::Proxy, Role::Directory]
         .into_iter()
-        .map(|role| HeardMember {
+        .map(|role| ReceivedMember {
             member: member(role),
             age: millis(654),
         })
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -39,7 +39,7 @@
 /// accepted, so the caller can safely send it again.
 pub fn can_confirm_changes(state: &ControllerState) -> bool {
     // Proxies that serve stale do not ask agents which changes may have been accepted.
-    if state.options.core.proxies_serve_on {
+    if state.options.core.proxies_serve_stale {
         return true;
     }
     let agents = reachable_agents(state);
@@ -89,7 +89,7 @@
     }
     let membership = state.map(MapName::Membership);
     let confirmed = match membership.fallback_members() {
-        _ if state.options.core.proxies_serve_on => state.map(MapName::Configuration).version,
+        _ if state.options.core.proxies_serve_stale => state.map(MapName::Configuration).version,
         _ if state.injects(FaultInjection::ConfirmsWithoutAgents) => {
             state.map(MapName::Configuration).version
         }
@@ -152,7 +152,7 @@
 /// time.
 pub fn next_fallback_members(state: &ControllerState) -> Option<FallbackMembers> {
     // If proxies serve stale there is no partition fallback, and nothing else uses the fallback members.
-    if state.options.core.proxies_serve_on {
+    if state.options.core.proxies_serve_stale {
         return None;
     }
     let agents = reachable_agents(state);
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use crate::state::ControllerState;
-use caperworks::facts::{HeardHeartbeat, HeardMember};
+use caperworks::facts::{ReceivedHeartbeat, ReceivedMember};
 use caperworks::identifiers::{InstanceId, NodeId};
-use caperworks::leadership::SILENCE;
+use caperworks::leadership::SUSPICION_TIMEOUT;
 use caperworks::messages::Message;
 
 /// Interval at which new facts are sent to the other controllers.
@@ -49,7 +49,7 @@
             },
         );
         let has_received_facts = before.is_some_and(|before| {
-            before.incarnation == incarnation && now.saturating_sub(before.at) < SILENCE
+            before.incarnation == incarnation && now.saturating_sub(before.at) < SUSPICION_TIMEOUT
         });
         if !has_received_facts {
             self.sent.remove(&peer);
@@ -60,7 +60,7 @@
     fn is_reachable(&self, now: Duration, peer: &SocketAddr) -> bool {
         self.last_seen
             .get(peer)
-            .is_some_and(|seen| now.saturating_sub(seen.at) < SILENCE)
+            .is_some_and(|seen| now.saturating_sub(seen.at) < SUSPICION_TIMEOUT)
     }
 }
 
@@ -106,8 +106,8 @@
 /// Facts of unknown age are ignored, since every fact is soon sent again.
 pub fn handle_facts(
     state: &mut ControllerState,
-    instances: Vec<HeardHeartbeat>,
-    members: Vec<HeardMember>,
+    instances: Vec<ReceivedHeartbeat>,
+    members: Vec<ReceivedMember>,
     gone: Vec<InstanceId>,
     age: Option<Duration>,
 ) {
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -68,8 +68,8 @@
     /// Disables the safeguard in the owner manager.
     pub(crate) fn apply_to_owner_manager(self, manager: &mut OwnerManager) {
         manager.hasty = self == Self::EarlyReassignment;
-        manager.takes_silence = self == Self::TrustsOldHeartbeats;
-        manager.generous = self == Self::OverlongLeases;
+        manager.infers_release = self == Self::TrustsOldHeartbeats;
+        manager.grants_long_leases = self == Self::OverlongLeases;
     }
 }
 
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -13,7 +13,7 @@
 use crate::state::ControllerState;
 use crate::state_machine::operator_messages::OperatorResponse;
 use caperworks::envelope_clock::Echo;
-use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
+use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{InstanceId, NodeId};
 use caperworks::map_items::VoterSet;
 use caperworks::messages::Message;
@@ -59,7 +59,7 @@
 /// A fact that an instance sends only once and that other controllers must have.
 #[derive(Debug, Clone)]
 enum Fact {
-    Draining(HeardHeartbeat),
+    Draining(ReceivedHeartbeat),
     Deregistered(InstanceId),
 }
 
@@ -88,7 +88,7 @@
         true => echo.and_then(|echo| echo.lain(state.now, state.incarnation)),
         false => Some(Duration::ZERO),
     };
-    let received = HeardHeartbeat {
+    let received = ReceivedHeartbeat {
         heartbeat,
         age: Duration::ZERO,
     };
@@ -252,7 +252,7 @@
     state: &mut ControllerState,
     reply_to: SocketAddr,
     number: u64,
-    heartbeat: Option<HeardHeartbeat>,
+    heartbeat: Option<ReceivedHeartbeat>,
     ended: Option<InstanceId>,
     age: Option<Duration>,
 ) {
@@ -338,7 +338,7 @@
     state: &mut ControllerState,
     reply_to: SocketAddr,
     ticket: u64,
-    received: HeardHeartbeat,
+    received: ReceivedHeartbeat,
     age: Option<Duration>,
 ) {
     if !may_acknowledge(state) {
@@ -354,7 +354,7 @@
 /// that ended long ago. A deregistered instance gets no leases, since a late heartbeat must not extend them.
 fn record_heartbeat(
     state: &mut ControllerState,
-    received: HeardHeartbeat,
+    received: ReceivedHeartbeat,
     age: Option<Duration>,
 ) -> HeartbeatResponse {
     let received = age.map(|age| received.aged(age));
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -40,7 +40,7 @@
         let name = state.leaderships[index].name;
         let is_stopping = state.stopping_since.is_some();
         match step {
-            LeadershipStep::Rest => {
+            LeadershipStep::Wait => {
                 if name == OWNERSHIP {
                     state.ownership_role.epoch = None;
                 }
@@ -49,10 +49,10 @@
             // would act on outdated state.
             LeadershipStep::Take { .. } if is_stopping || is_any_map_behind(state) => {}
             LeadershipStep::Take { term, expected } => request_role(state, name, term, expected),
-            LeadershipStep::Hold { epoch, .. } if is_stopping => {
+            LeadershipStep::Lead { epoch, .. } if is_stopping => {
                 handover::hand_over(state, name, epoch);
             }
-            LeadershipStep::Hold { epoch, held } => match name {
+            LeadershipStep::Lead { epoch, held } => match name {
                 SOLVER => solver::update_placement(state, epoch, held),
                 OWNERSHIP => ownership::manage_key_ranges(state, epoch, held),
                 _ => voter_management::manage_voters(state, held),
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -8,7 +8,7 @@
 use crate::state::ControllerState;
 use caperworks::identifiers::Epoch;
 use caperworks::map_items::{Mapping, Value};
-use caperworks::placement::{worth_writing, ProblemView};
+use caperworks::placement::{is_worth_writing, ProblemView};
 use caperworks::replicated_map::{Guard, MapName};
 
 /// Runs the next solver step, and proposes the resulting placement if it differs enough to be written.
@@ -33,13 +33,13 @@
         members: &state.members,
         last: state.voter.map(MapName::Placement).mapping(),
         requests_per_slot: state.options.core.requests_per_slot,
-        carries_home: state.options.core.carries_home,
+        forwards_to_home: state.options.core.forwards_to_home,
         by_host: state.options.core.by_host,
     };
     let Some(mapping) = state.solver.step(state.now, epoch, &view) else {
         return;
     };
-    if worth_writing(view.last, &mapping) {
+    if is_worth_writing(view.last, &mapping) {
         propose_placement(state, mapping, guard);
     }
 }
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -123,7 +123,7 @@
 /// The membership must be up to date too: voters that were replaced do not know what the current voters have
 /// accepted, but at least one of a majority of them knows that they were replaced.
 fn is_answered_by(state: &ControllerState, number: u64) -> bool {
-    let Some(quorum_read) = state.quorum_reads.answered_since(number) else {
+    let Some(quorum_read) = state.quorum_reads.completed_since(number) else {
         return false;
     };
     [MapName::Configuration, MapName::Membership]
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -7,8 +7,8 @@
 use crate::state::ControllerState;
 use caperworks::catch_up::{FollowerUpdate, GRANT_UPDATE_BYTES};
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::facts::{FirstFacts, HeardHeartbeat, HeardMember, Role};
-use caperworks::leases::LEASE_SPAN;
+use caperworks::facts::{FactBatch, ReceivedHeartbeat, ReceivedMember, Role};
+use caperworks::leases::LEASE_DURATION;
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
@@ -27,7 +27,7 @@
     // A renewal of unknown age is granted too, because the lease counts from when the follower sent the
     // request. Only the member's liveness depends on the age.
     if let Some(age) = age {
-        let received = HeardMember {
+        let received = ReceivedMember {
             member: member.clone(),
             age,
         };
@@ -69,7 +69,7 @@
     let placed_proxies = mapping.map_or(0, |mapping| mapping.proxies);
     let proxies = placed_proxies.max(state.members.ready_proxies().count() as u32);
     let assured = quorum_read.is_some();
-    let (quorum_read_age, versions) = quorum_read.unwrap_or((LEASE_SPAN, Vec::new()));
+    let (quorum_read_age, versions) = quorum_read.unwrap_or((LEASE_DURATION, Vec::new()));
     let granted = Granted {
         number: renewal.number,
         quorum_read_age,
@@ -148,9 +148,9 @@
     role: Role,
     offsets: &FactOffsets,
     max_facts: usize,
-) -> FirstFacts<HeardHeartbeat> {
+) -> FactBatch<ReceivedHeartbeat> {
     if role == Role::Directory {
-        return FirstFacts::none(state.instances.learned());
+        return FactBatch::none(state.instances.learned());
     }
     let first = state
         .instances
@@ -159,7 +159,7 @@
         state
             .instances
             .draining_between(state.now, offsets.ended_instances, offsets.instances);
-    FirstFacts {
+    FactBatch {
         heard: draining.into_iter().chain(first.heard).collect(),
         ..first
     }
@@ -174,9 +174,9 @@
     role: Role,
     members_after: u64,
     max_facts: usize,
-) -> FirstFacts<HeardMember> {
+) -> FactBatch<ReceivedMember> {
     if role == Role::Proxy {
-        return FirstFacts::none(state.members.learned());
+        return FactBatch::none(state.members.learned());
     }
     let mut members = state
         .members
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -24,10 +24,10 @@
 use caperworks::consensus::proposer::Proposer;
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::EnvelopeClock;
-use caperworks::identifiers::{mix, Chance, ChangeId, NodeId, Version};
+use caperworks::identifiers::{mix, ChangeId, NodeId, RandomSource, Version};
 use caperworks::instances::Instances;
 use caperworks::leadership::{LeadershipWatch, Liveness, LEADERSHIPS};
-use caperworks::leases::{QuorumRead, QuorumReads, DRIFT_MARGIN, LEASE_SPAN};
+use caperworks::leases::{QuorumRead, QuorumReads, DRIFT_MARGIN, LEASE_DURATION};
 use caperworks::map_items::VoterSet;
 use caperworks::members::Members;
 use caperworks::messages;
@@ -65,7 +65,7 @@
     /// The ID of this node, which stays the same across restarts as long as its disk is readable.
     pub node: NodeId,
     /// The seeded random source.
-    pub random: Chance,
+    pub random: RandomSource,
     /// The incarnation of this process. Unlike the node ID, it is different after each start.
     pub incarnation: NodeId,
     /// Adds timestamps to outgoing messages, and determines the age of incoming ones.
@@ -158,7 +158,7 @@
         voter: Voter,
         storage: Storage,
         catch_up: CatchUpReceiver,
-        random: Chance,
+        random: RandomSource,
     ) -> Self {
         // A proposal number must never be used for two different changes, and the local voter need not have
         // seen all numbers that the previous incarnation used. So proposers use the ID of this incarnation.
@@ -169,7 +169,7 @@
             .collect();
         let leaderships = LEADERSHIPS.iter().map(|name| LeadershipWatch::new(name));
         let mut instances = Instances::default();
-        instances.span = options.core.instance_span;
+        instances.span = options.core.instance_timeout;
         instances.refresh = options.core.heartbeat_refresh;
         let mut members = Members::default();
         members.refresh = options.core.member_refresh;
@@ -313,7 +313,7 @@
     /// Returns whether a majority of the voters responded within [`MAX_QUORUM_CONTACT_AGE`].
     pub fn has_quorum_contact(&self) -> bool {
         self.quorum_reads
-            .begun_within(self.now, MAX_QUORUM_CONTACT_AGE)
+            .started_within(self.now, MAX_QUORUM_CONTACT_AGE)
             .is_some()
     }
 
@@ -331,7 +331,7 @@
     pub fn current_until(&self) -> Duration {
         let confirmed = self.quorum_reads.confirmed(self.now);
         confirmed.map_or(Duration::ZERO, |quorum_read| {
-            quorum_read.started + LEASE_SPAN - DRIFT_MARGIN
+            quorum_read.started + LEASE_DURATION - DRIFT_MARGIN
         })
     }
 
--- a/crates/controller/src/state_machine/ticks.rs
+++ b/crates/controller/src/state_machine/ticks.rs
@@ -49,7 +49,7 @@
     for node in suspected {
         state.last_renewals.remove(&node);
         if was_running {
-            state.members.count_silent(now, node);
+            state.members.mark_suspected(now, node);
         }
     }
 }
--- a/crates/controller/tests/fleet/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -117,7 +117,7 @@
             image: DiskImage::default(),
             disk_hangs: false,
             core: CorePolicy {
-                may_found: false,
+                may_bootstrap: false,
                 ..core
             },
         });
@@ -132,7 +132,7 @@
         if wiped {
             self.nodes[index].image = DiskImage::default();
             // Only the very first start may found a membership.
-            self.nodes[index].core.may_found = false;
+            self.nodes[index].core.may_bootstrap = false;
         }
     }
 
@@ -339,7 +339,7 @@
         state: InstanceState::Serving,
         load: 0,
         up: Duration::MAX,
-        held_key_ranges: Vec::new(),
+        key_ranges_in_use: Vec::new(),
         let_go: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -99,7 +99,7 @@
 #[test]
 fn controllers_that_may_not_found_never_found_a_membership() {
     let core = CorePolicy {
-        may_found: false,
+        may_bootstrap: false,
         ..policy()
     };
     let mut fleet = Fleet::new([core.clone(), core.clone(), core], 50);
@@ -123,7 +123,7 @@
 fn founding_requires_permission_on_every_seed() {
     for excluded in 0..3 {
         let mut policies = [policy(), policy(), policy()];
-        policies[excluded].may_found = false;
+        policies[excluded].may_bootstrap = false;
         let mut fleet = Fleet::new(policies, 60 + excluded as u64);
         fleet.run(Duration::from_secs(30));
         assert_eq!(
@@ -281,7 +281,7 @@
         let mut heartbeat = heartbeat(id, self.counter);
         heartbeat.address.set_port(8000 + u16::from(id == "two"));
         let leased = self.leases.entry(id).or_default();
-        heartbeat.held_key_ranges = leased.iter().copied().collect();
+        heartbeat.key_ranges_in_use = leased.iter().copied().collect();
         let ticket = fleet.send_heartbeat(index, heartbeat);
         let response = fleet
             .heartbeat_response(ticket)
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -5,7 +5,9 @@
 use caperworks::envelope_clock::{Echo, Stamp};
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{Epoch, Incarnation, InstanceId, NodeId, ServiceName, Zone};
-use caperworks::ownership::{HeartbeatResponse, KeyRangeLease, LetGo, TimestampedResponse};
+use caperworks::ownership::{
+    HeartbeatResponse, KeyRangeLease, ReleasedKeyRange, TimestampedResponse,
+};
 use jzon::JsonValue;
 use thiserror::Error;
 
@@ -26,7 +28,7 @@
         },
         load: heartbeat.load,
         up_ms: heartbeat.up.as_millis() as u64,
-        holding: heartbeat.held_key_ranges.clone(),
+        holding: heartbeat.key_ranges_in_use.clone(),
         let_go: heartbeat
             .let_go
             .iter()
@@ -128,9 +130,9 @@
     }
 }
 
-fn read_let_go(value: &JsonValue) -> Result<Vec<LetGo>, HeartbeatError> {
+fn read_let_go(value: &JsonValue) -> Result<Vec<ReleasedKeyRange>, HeartbeatError> {
     let read = |entry: &JsonValue| {
-        Some(LetGo {
+        Some(ReleasedKeyRange {
             key_range: entry["slice"].as_u32()?,
             epoch: Some(Epoch(entry["epoch"].as_u64()?)),
             handover: entry["handover"].as_str().map(str::to_string),
@@ -146,7 +148,7 @@
 /// The fields are read in this order, so the first wrong one is the one that is named.
 fn read(value: &JsonValue) -> Result<Heartbeat, HeartbeatError> {
     let state = read_state(value)?;
-    let held_key_ranges = read_held_key_ranges(value)?;
+    let key_ranges_in_use = read_held_key_ranges(value)?;
     let let_go = read_let_go(value)?;
     Ok(Heartbeat {
         id: InstanceId::new(read_text(value, "id")?),
@@ -161,7 +163,7 @@
         state,
         load: read_small_number(value, "load")?,
         up: Duration::from_millis(read_number(value, "up_ms")?),
-        held_key_ranges,
+        key_ranges_in_use,
         let_go,
         warm_up_left: Duration::ZERO,
     })
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -11,8 +11,8 @@
 use crate::world::World;
 use agent::machine::{AgentMachine, AgentOptions};
 use caperworks::identifiers::{Incarnation, InstanceId};
-use caperworks::instances::INSTANCE_SPAN;
-use caperworks::leases::LEASE_SPAN;
+use caperworks::instances::INSTANCE_TIMEOUT;
+use caperworks::leases::LEASE_DURATION;
 use caperworks::ownership::HeldLeases;
 use caperworks::policy::CorePolicy;
 use controller::state::options::ControllerOptions;
@@ -34,7 +34,7 @@
                 let broken = self.day.broken_proxy;
                 let zone = node.zone.clone();
                 let mut proxy = SimProxy::new(zone, node.address, *capacity, seed, broken);
-                proxy.knowledge.policy.serves_on = self.day.policy.serves_on;
+                proxy.knowledge.policy.serves_stale = self.day.policy.serves_stale;
                 Body::Proxy(Box::new(proxy))
             }
             Kind::Directory => Body::Directory(Box::new(self.directory_of(node, seed))),
@@ -65,7 +65,7 @@
                 loses_responses: 0,
                 sends_garbage: 0,
                 refuses: 0,
-                careless: self.day.careless_instances,
+                skips_checks: self.day.careless_instances,
             })),
         };
         (body, Vec::new())
@@ -89,9 +89,9 @@
     fn agent_of(&self, node: &Node, seed: u64) -> AgentMachine {
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
-            proxy_serves_on: self.day.policy.serves_on,
-            instance_span: INSTANCE_SPAN,
-            lease_span: LEASE_SPAN,
+            proxy_serves_on: self.day.policy.serves_stale,
+            instance_timeout: INSTANCE_TIMEOUT,
+            lease_duration: LEASE_DURATION,
             heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
             control: node.address,
