--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -11,7 +11,7 @@
 
 use crate::attempt::AttemptResponse;
 use crate::demand_meter::DemandMeter;
-use crate::dialect::Dialect;
+use crate::dialect::ProtocolAdapter;
 use crate::framing::{checked_framing, header_text};
 use crate::instance_connections::InstanceConnections;
 use crate::outgoing::Outgoing;
@@ -55,7 +55,7 @@
 
 pub struct Carrier {
     pub clock: Clock,
-    pub dialect: Dialect,
+    pub dialect: ProtocolAdapter,
     pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
@@ -76,7 +76,7 @@
 }
 
 impl Carrier {
-    pub fn new(clock: Clock, node_settings: &NodeSettings, dialect: Dialect) -> Self {
+    pub fn new(clock: Clock, node_settings: &NodeSettings, dialect: ProtocolAdapter) -> Self {
         let knowledge = ProxyKnowledge {
             policy: node_settings.terms.proxy,
             ..ProxyKnowledge::default()
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -9,7 +9,7 @@
 use anyhow::Context as AnyhowContext;
 
 use crate::carrier::Carrier;
-use crate::dialect::Dialect;
+use crate::dialect::ProtocolAdapter;
 use caperworks::identifiers::NodeId;
 use caperworks::messages::{Message, Pull};
 use caperworks::poll_pacer::PollPacer;
@@ -115,7 +115,7 @@
 pub async fn run(
     node_settings: NodeSettings,
     reread: Reread,
-    dialect: Dialect,
+    dialect: ProtocolAdapter,
 ) -> anyhow::Result<()> {
     // Why nothing is taken from them: the proxy knows nobody but its agent.
     follow_settings(reread, |_| {});
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -10,7 +10,7 @@
 
 /// The names and forms that requests and answers carry. It decides nothing.
 #[derive(Clone)]
-pub struct Dialect {
+pub struct ProtocolAdapter {
     /// Names a request, at clients if they name theirs, at instances always.
     pub request_id: HeaderName,
     /// Whether clients name their requests, and instances must name them back.
@@ -56,7 +56,7 @@
     headers.get(LOAD_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-impl Dialect {
+impl ProtocolAdapter {
     /// The product's own.
     pub fn own() -> Self {
         let name = HeaderName::from_static;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Parser;
 
-use proxy::dialect::Dialect;
+use proxy::dialect::ProtocolAdapter;
 use runtime::actor::{run_daemon, Reread};
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
@@ -19,6 +19,6 @@
     let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
         node_settings.terms.workers,
-        proxy::daemon::run(node_settings, reread, Dialect::own()),
+        proxy::daemon::run(node_settings, reread, ProtocolAdapter::own()),
     )
 }
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::Request;
 
-use crate::dialect::Dialect;
+use crate::dialect::ProtocolAdapter;
 use crate::framing::{strip_hop_by_hop, strip_own};
 use caperworks::dispatch::{Failure, Target};
 use caperworks::map_items::Route;
@@ -18,7 +18,7 @@
     pub(crate) far_end: &'order FarEnd,
     pub(crate) route: &'order Arc<Route>,
     pub(crate) request_id: &'order str,
-    pub(crate) dialect: &'order Dialect,
+    pub(crate) dialect: &'order ProtocolAdapter,
 }
 
 impl Outgoing<'_> {
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -22,7 +22,7 @@
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
 use proxy::carrier::{BrokenCarrier, Carrier};
-use proxy::dialect::Dialect;
+use proxy::dialect::ProtocolAdapter;
 use runtime::clock::Clock;
 use runtime::http::{serve_http, REQUEST_HEADER};
 use runtime::options::{NodeSettings, Terms};
@@ -39,9 +39,9 @@
 }
 
 /// A dialect in which clients name their requests, and successes bear a seal.
-pub fn strict_dialect() -> Dialect {
+pub fn strict_dialect() -> ProtocolAdapter {
     let name = HeaderName::from_static;
-    Dialect {
+    ProtocolAdapter {
         request_id: name("request-name"),
         callers_name_requests: true,
         deadline: name("time-left"),
@@ -53,7 +53,7 @@
         outcome: None,
         promises: &PROMISES,
         reported_not_run,
-        ..Dialect::own()
+        ..ProtocolAdapter::own()
     }
 }
 
@@ -67,10 +67,10 @@
 }
 
 impl Manner {
-    pub fn dialect(self) -> Dialect {
+    pub fn dialect(self) -> ProtocolAdapter {
         match self {
             Manner::Strict => strict_dialect(),
-            Manner::Own => Dialect::own(),
+            Manner::Own => ProtocolAdapter::own(),
         }
     }
 
@@ -223,7 +223,7 @@
 impl ProxyFixture {
     pub async fn start(
         seed: u64,
-        dialect: Dialect,
+        dialect: ProtocolAdapter,
         broken: BrokenCarrier,
         instances: &[SocketAddr],
     ) -> Self {
@@ -234,7 +234,7 @@
     pub async fn start_by(
         clock: Clock,
         seed: u64,
-        dialect: Dialect,
+        dialect: ProtocolAdapter,
         broken: BrokenCarrier,
         instances: &[SocketAddr],
     ) -> Self {
