--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -26,7 +26,7 @@
 use caperworks::messages::ProxyView;
 use runtime::actor::fresh_seed;
 use runtime::clock::Clock;
-use runtime::http::{ready_response, Body, FarEnd};
+use runtime::http::{ready_response, Body, Peer};
 use runtime::locks::locked;
 use runtime::options::NodeSettings;
 
@@ -164,7 +164,7 @@
     /// Answers one request.
     pub async fn carry(
         self: Arc<Self>,
-        far_end: FarEnd,
+        far_end: Peer,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, std::io::Error> {
         if request.uri().path() == self.dialect.ready_path {
@@ -205,7 +205,7 @@
 
     async fn work(
         self: &Arc<Self>,
-        far_end: FarEnd,
+        far_end: Peer,
         request: Request<Incoming>,
         chart: &mut RequestChart,
         under_way: UnderWay,
--- a/crates/proxy/src/demand_meter.rs
+++ b/crates/proxy/src/demand_meter.rs
@@ -7,7 +7,7 @@
 use caperworks::facts::Demand;
 use caperworks::identifiers::{steady_hash, RouteName};
 use caperworks::placement::group_of;
-use runtime::http::FarEnd;
+use runtime::http::Peer;
 use runtime::locks::locked;
 
 const METER_SHARDS: usize = 8;
@@ -27,7 +27,7 @@
 }
 
 impl DemandMeter {
-    pub fn measure(&self, now: Duration, far_end: &FarEnd, route: &RouteName) {
+    pub fn measure(&self, now: Duration, far_end: &Peer, route: &RouteName) {
         let group = group_of(far_end.address.ip());
         let shard = (steady_hash(&group) % METER_SHARDS as u64) as usize;
         let mut meter = locked(&self.shards[shard]);
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -10,12 +10,12 @@
 use crate::framing::{strip_hop_by_hop, strip_own};
 use caperworks::dispatch::{Failure, Target};
 use caperworks::map_items::Route;
-use runtime::http::{Body, FarEnd};
+use runtime::http::{Body, Peer};
 
 /// What goes to an instance with every attempt.
 pub(crate) struct Outgoing<'order> {
     pub(crate) head: &'order hyper::http::request::Parts,
-    pub(crate) far_end: &'order FarEnd,
+    pub(crate) far_end: &'order Peer,
     pub(crate) route: &'order Arc<Route>,
     pub(crate) request_id: &'order str,
     pub(crate) dialect: &'order ProtocolAdapter,
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -21,4 +21,4 @@
     LOAD_HEADER, OUTCOME_HEADER, REQUEST_HEADER,
 };
 pub use self::response::{json_response, ready_response, usage_json, BoxedResponse};
-pub use self::server::{serve_http, FarEnd};
+pub use self::server::{serve_http, Peer};
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -27,7 +27,7 @@
 
 /// Who is at the other end of a connection, and how far away by the kernel's own measure.
 #[derive(Debug, Clone, Copy)]
-pub struct FarEnd {
+pub struct Peer {
     /// The address that the connection came from.
     pub address: SocketAddr,
     /// The round-trip time; zero when the kernel has none.
@@ -44,7 +44,7 @@
     stop: Arc<AtomicBool>,
     handler: Handler,
 ) where
-    Handler: Fn(FarEnd, Request<Incoming>) -> Answering + Clone + Send + Sync + 'static,
+    Handler: Fn(Peer, Request<Incoming>) -> Answering + Clone + Send + Sync + 'static,
     Answering: Future<Output = Result<Response<Body>, std::io::Error>> + Send + 'static,
 {
     loop {
@@ -72,11 +72,11 @@
     stop: Arc<AtomicBool>,
     handler: Handler,
 ) where
-    Handler: Fn(FarEnd, Request<Incoming>) -> Answering + Clone + Send + Sync + 'static,
+    Handler: Fn(Peer, Request<Incoming>) -> Answering + Clone + Send + Sync + 'static,
     Answering: Future<Output = Result<Response<Body>, std::io::Error>> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
-    let peer = FarEnd {
+    let peer = Peer {
         address,
         round_trip: round_trip(&stream),
     };
