--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
     /// Choose an instance again and shoot.
-    ShootAgain,
+    Retry,
     PassOn,
     Respond(Failure),
 }
@@ -172,7 +172,7 @@
             && now < self.deadline;
         if may && again() {
             self.state = RequestState::Admitted;
-            return NextStep::ShootAgain;
+            return NextStep::Retry;
         }
         let failure = match end {
             AttemptEnd::NotOpened => Failure::NotOpened,
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -77,7 +77,7 @@
 fn given_a_write_when_provably_nothing_ran_then_it_may_be_attempt_again_until_the_budget_ends() {
     let mut chart = sent_chart(false);
     let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
-    assert_eq!(step, NextStep::ShootAgain);
+    assert_eq!(step, NextStep::Retry);
     chart.shooting();
     let step = chart.attempt_ended(millis(20), AttemptEnd::NotOpened, || false);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
@@ -91,7 +91,7 @@
 fn given_a_read_in_doubt_when_no_instance_is_left_for_another_attempt_then_not_run_is_not_said() {
     let mut chart = sent_chart(true);
     let step = chart.attempt_ended(millis(10), AttemptEnd::Lost, || true);
-    assert_eq!(step, NextStep::ShootAgain);
+    assert_eq!(step, NextStep::Retry);
     chart.refuse(Failure::NoInstance);
     assert_eq!(
         chart.reported_outcome(Failure::NoInstance),
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -442,7 +442,7 @@
         for end in [AttemptEnd::Lost, AttemptEnd::Garbage] {
             let mut chart = sent(kind, reads, 0);
             let step = chart.attempt_ended(millis(10), end, || true);
-            let is_again = step == NextStep::ShootAgain;
+            let is_again = step == NextStep::Retry;
             assert_eq!(is_again, again, "{kind:?} reads {reads} {end:?}");
             if let NextStep::Respond(failure) = step {
                 assert_eq!(
@@ -455,7 +455,7 @@
         // What provably did not run may go elsewhere, whatever it is.
         let mut chart = sent(kind, reads, 0);
         let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
-        assert_eq!(step, NextStep::ShootAgain, "{kind:?} reads {reads}");
+        assert_eq!(step, NextStep::Retry, "{kind:?} reads {reads}");
     }
 }
 
@@ -463,7 +463,7 @@
 fn given_a_refused_attempt_when_the_second_one_is_lost_then_a_once_request_ends_as_unknown() {
     let mut chart = sent(RequestKind::Once, true, 0);
     let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
-    assert_eq!(step, NextStep::ShootAgain);
+    assert_eq!(step, NextStep::Retry);
     chart.chosen();
     chart.shooting();
     let step = chart.attempt_ended(millis(20), AttemptEnd::Lost, || true);
@@ -480,7 +480,7 @@
         let mut chart = sent(RequestKind::Repeatable, true, most);
         let mut attempts = 1;
         while chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true)
-            == NextStep::ShootAgain
+            == NextStep::Retry
         {
             chart.chosen();
             chart.shooting();
@@ -504,7 +504,7 @@
         "a longer one changes nothing"
     );
     let step = chart.attempt_ended(millis(299), AttemptEnd::NotOpened, || true);
-    assert_eq!(step, NextStep::ShootAgain);
+    assert_eq!(step, NextStep::Retry);
     chart.shooting();
     let step = chart.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -332,7 +332,7 @@
                 in_budget || self.broken == BrokenCarrier::NoBudget
             };
             match chart.attempt_ended(now, end, may_retry) {
-                NextStep::ShootAgain => {}
+                NextStep::Retry => {}
                 NextStep::Respond(failure) => return Err(failure),
                 NextStep::PassOn => return Err(Failure::Garbage),
             }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -453,7 +453,7 @@
                 }],
                 None => Vec::new(),
             },
-            NextStep::ShootAgain => self.choose(now, number),
+            NextStep::Retry => self.choose(now, number),
             NextStep::Respond(failure) => self.finish(number, failure),
         }
     }
