--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -124,7 +124,7 @@
         knowledge
             .still_good(now, &own, route, &target)
             .expect("nothing has changed");
-        chart.shooting();
+        chart.begin_attempt();
         chart.sent();
         shard.end(now, &target, true, Some(0));
         let step = chart.attempt_ended(now, AttemptEnd::Answered, || false);
--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -128,7 +128,7 @@
     }
 
     /// The last check before the first byte held; from here on bytes may leave.
-    pub fn shooting(&mut self) {
+    pub fn begin_attempt(&mut self) {
         self.state = RequestState::Shooting;
         self.attempts += 1;
     }
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -54,7 +54,7 @@
     chart.matched(millis(0), &route());
     chart.admitted(true);
     chart.chosen();
-    chart.shooting();
+    chart.begin_attempt();
     chart.sent();
     chart
 }
@@ -78,7 +78,7 @@
     let mut chart = sent_chart(false);
     let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
     assert_eq!(step, NextStep::Retry);
-    chart.shooting();
+    chart.begin_attempt();
     let step = chart.attempt_ended(millis(20), AttemptEnd::NotOpened, || false);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
     assert_eq!(
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -422,7 +422,7 @@
     chart.matched(millis(0), &route);
     chart.admitted(true);
     chart.chosen();
-    chart.shooting();
+    chart.begin_attempt();
     chart.sent();
     chart
 }
@@ -465,7 +465,7 @@
     let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
     assert_eq!(step, NextStep::Retry);
     chart.chosen();
-    chart.shooting();
+    chart.begin_attempt();
     let step = chart.attempt_ended(millis(20), AttemptEnd::Lost, || true);
     assert_eq!(step, NextStep::Respond(Failure::LostAfterSending));
     assert_eq!(
@@ -483,7 +483,7 @@
             == NextStep::Retry
         {
             chart.chosen();
-            chart.shooting();
+            chart.begin_attempt();
             attempts += 1;
         }
         assert_eq!(attempts, expected, "most {most}");
@@ -505,7 +505,7 @@
     );
     let step = chart.attempt_ended(millis(299), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Retry);
-    chart.shooting();
+    chart.begin_attempt();
     let step = chart.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
     let mut patient = sent(RequestKind::Repeatable, true, 0);
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -94,7 +94,7 @@
             Ok(request) => request,
             Err(failure) => return AttemptResponse::Refused(failure),
         };
-        chart.shooting();
+        chart.begin_attempt();
         chart.sent();
         if chart.attempts() == 1 {
             // Why only now: requests that were refused without an attempt must not make room for retries.
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -378,7 +378,7 @@
             }
             return self.finish(number, failure);
         }
-        carried.chart.shooting();
+        carried.chart.begin_attempt();
         carried.chart.sent();
         if carried.chart.attempts() == 1 {
             if let Some(shard) = self.shards.get_mut(&carried.route.service) {
