--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -128,7 +128,7 @@
         chart.sent();
         shard.end(now, &target, true, Some(0));
         let step = chart.attempt_ended(now, AttemptEnd::Answered, || false);
-        done += u64::from(step == NextStep::PassOn);
+        done += u64::from(step == NextStep::ForwardResponse);
     }
     println!("{done} orders passed on");
     assert_eq!(done, requests);
--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -41,7 +41,7 @@
 pub enum NextStep {
     /// Choose an instance again and shoot.
     Retry,
-    PassOn,
+    ForwardResponse,
     Respond(Failure),
 }
 
@@ -159,7 +159,7 @@
         let nothing_ran = match end {
             AttemptEnd::Answered => {
                 self.state = RequestState::Answering;
-                return NextStep::PassOn;
+                return NextStep::ForwardResponse;
             }
             AttemptEnd::NotOpened | AttemptEnd::RefusedByInstance => true,
             AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::Garbage => false,
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -334,7 +334,7 @@
             match chart.attempt_ended(now, end, may_retry) {
                 NextStep::Retry => {}
                 NextStep::Respond(failure) => return Err(failure),
-                NextStep::PassOn => return Err(Failure::Garbage),
+                NextStep::ForwardResponse => return Err(Failure::Garbage),
             }
         }
     }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -443,7 +443,7 @@
             .chart
             .attempt_ended(now, end, || no_budget || shard.take_retry(now));
         match step {
-            NextStep::PassOn => match self.carried.remove(&number) {
+            NextStep::ForwardResponse => match self.carried.remove(&number) {
                 Some(carried) => vec![ProxyWish::Respond {
                     request: carried.request,
                     reported: CallerOutcome::Served,
