--- a/crates/caperworks/src/dispatch/link_watch.rs
+++ b/crates/caperworks/src/dispatch/link_watch.rs
@@ -20,11 +20,11 @@
 
 /// The connections that were opened of late.
 #[derive(Debug, Clone, Default)]
-pub struct Openings {
+pub struct RecentConnects {
     recent: VecDeque<(Duration, bool)>,
 }
 
-impl Openings {
+impl RecentConnects {
     /// Notes how long an opening took; says whether the link seems full: more than half of those of
     /// late were slow.
     pub fn record(&mut self, now: Duration, took: Duration) -> bool {
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -18,7 +18,7 @@
 use crate::passing::{AttemptGuard, AttemptResult, UnderWay};
 use crate::usage::{CountedEnd, UsageAccounts, UsageKey};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, Openings, ProxyKnowledge, ReportedOutcome, RequestChart,
+    AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome, RequestChart,
     RequestState, ServiceShard,
 };
 use caperworks::facts::Demand;
@@ -65,7 +65,7 @@
     pub closed: AtomicBool,
     pub under_way: AtomicU32,
     pub connections: InstanceConnections,
-    pub(crate) openings: Mutex<Openings>,
+    pub(crate) openings: Mutex<RecentConnects>,
     pub usage: UsageAccounts,
     pub broken: BrokenCarrier,
     requests: AtomicU64,
