--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -13,7 +13,7 @@
 
 pub use self::failure::{Failure, ReportedOutcome};
 pub(crate) use self::instance_watch::{InstanceWatch, KeyWatch, SlowStartBucket};
-pub use self::link_watch::{LinkWatch, RecentConnects, SLOW_OPENING};
+pub use self::link_watch::{LinkWatch, RecentConnects, SLOW_CONNECT};
 pub use self::proxy_knowledge::ProxyKnowledge;
 pub use self::request_chart::{AttemptEnd, NextStep, RequestChart, RequestState};
 pub use self::retry_budget::{RetryBudget, RETRY_FLOOR, RETRY_PERCENT};
--- a/crates/caperworks/src/dispatch/link_watch.rs
+++ b/crates/caperworks/src/dispatch/link_watch.rs
@@ -12,7 +12,7 @@
 
 /// A connection that took longer to open came over a full link, or did not come at all; regions lie
 /// some 0.1 s apart.
-pub const SLOW_OPENING: Duration = Duration::from_millis(300);
+pub const SLOW_CONNECT: Duration = Duration::from_millis(300);
 /// How long an opening tells of the link.
 const OPENING_SPAN: Duration = Duration::from_secs(2);
 /// Fewer openings tell nothing: a single instance may be down.
@@ -28,7 +28,7 @@
     /// Notes how long an opening took; says whether the link seems full: more than half of those of
     /// late were slow.
     pub fn record(&mut self, now: Duration, took: Duration) -> bool {
-        self.recent.push_back((now, took >= SLOW_OPENING));
+        self.recent.push_back((now, took >= SLOW_CONNECT));
         let is_over = |(at, _): &(Duration, bool)| now.saturating_sub(*at) >= OPENING_SPAN;
         while self.recent.front().is_some_and(is_over) {
             self.recent.pop_front();
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -8,7 +8,7 @@
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome, RequestChart,
-    RequestState, ServiceShard, SLOW_OPENING,
+    RequestState, ServiceShard, SLOW_CONNECT,
 };
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
@@ -257,7 +257,7 @@
 
 #[test]
 fn given_connections_that_open_slowly_when_most_of_late_did_then_the_link_counts_as_full() {
-    let (slow, quick) = (SLOW_OPENING, millis(110));
+    let (slow, quick) = (SLOW_CONNECT, millis(110));
     let mut openings = RecentConnects::default();
     assert!(!openings.record(millis(100), slow), "one may be down");
     assert!(!openings.record(millis(200), slow), "two tell little");
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -17,7 +17,7 @@
 use crate::outgoing::Outgoing;
 use crate::passing::{AttemptGuard, AttemptResult, Passing, UnderWay};
 use crate::request_body::RequestBody;
-use caperworks::dispatch::{AttemptEnd, Failure, RequestChart, Target, SLOW_OPENING};
+use caperworks::dispatch::{AttemptEnd, Failure, RequestChart, Target, SLOW_CONNECT};
 use caperworks::map_items::Route;
 use runtime::events::{event, REUSED_CONNECTION_LOST};
 use runtime::http::{full_body, Body};
@@ -122,7 +122,7 @@
         // Why not one that failed at once: the instance is gone, or there was no time left for it.
         let tells = match opened {
             Some(connection) => !connection.reused,
-            None => took >= SLOW_OPENING,
+            None => took >= SLOW_CONNECT,
         };
         if tells && locked(&self.openings).record(now, took) {
             self.knowledge().link_watch.record_full(now);
