--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::dispatch::{AttemptEnd, NextStep, ProxyKnowledge, RequestChart, ServiceShard};
+use caperworks::dispatch::{AttemptEnd, NextStep, ProxyKnowledge, RequestLifecycle, ServiceShard};
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
@@ -109,7 +109,7 @@
     let mut done = 0;
     for number in 0..requests {
         let now = Duration::from_millis(number);
-        let mut chart = RequestChart::received(true);
+        let mut chart = RequestLifecycle::received(true);
         let found = knowledge.table.find("tallowgum.example", "/progress/7");
         let (_, route) = found.expect("the rule");
         chart.matched(now, route);
--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -15,7 +15,7 @@
 pub(crate) use self::instance_watch::{InstanceWatch, KeyWatch, SlowStartBucket};
 pub use self::link_watch::{LinkWatch, RecentConnects, SLOW_CONNECT};
 pub use self::proxy_knowledge::ProxyKnowledge;
-pub use self::request_chart::{AttemptEnd, NextStep, RequestChart, RequestState};
+pub use self::request_chart::{AttemptEnd, NextStep, RequestLifecycle, RequestState};
 pub use self::retry_budget::{RetryBudget, RETRY_FLOOR, RETRY_PERCENT};
 pub use self::service_shard::ServiceShard;
 pub use self::silent_instances::RESPONSE_SPAN;
--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -47,7 +47,7 @@
 
 /// One request's state chart.
 #[derive(Debug, Clone)]
-pub struct RequestChart {
+pub struct RequestLifecycle {
     state: RequestState,
     /// Why it matters: a read may be attempt again, all else only when provably nothing ran.
     read: bool,
@@ -60,7 +60,7 @@
     doubt: bool,
 }
 
-impl RequestChart {
+impl RequestLifecycle {
     pub fn received(read: bool) -> Self {
         Self {
             state: RequestState::Received,
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -8,7 +8,7 @@
 use caperworks::configuration::{check_configuration, RouteTable};
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestChart, RequestState,
+    AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestLifecycle, RequestState,
     RetryBudget, ServiceShard, Target,
 };
 use caperworks::facts::{Heartbeat, InstanceState};
@@ -49,8 +49,8 @@
     }
 }
 
-fn sent_chart(read: bool) -> RequestChart {
-    let mut chart = RequestChart::received(read);
+fn sent_chart(read: bool) -> RequestLifecycle {
+    let mut chart = RequestLifecycle::received(read);
     chart.matched(millis(0), &route());
     chart.admitted(true);
     chart.chosen();
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -7,8 +7,8 @@
 
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome, RequestChart,
-    RequestState, ServiceShard, SLOW_CONNECT,
+    AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome,
+    RequestLifecycle, RequestState, ServiceShard, SLOW_CONNECT,
 };
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
@@ -412,8 +412,8 @@
 }
 
 /// A request of this kind whose first attempt is under way.
-fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestChart {
-    let mut chart = RequestChart::received(reads);
+fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestLifecycle {
+    let mut chart = RequestLifecycle::received(reads);
     let route = Route {
         kind,
         most_attempts,
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -17,7 +17,7 @@
 use crate::outgoing::Outgoing;
 use crate::passing::{AttemptGuard, AttemptResult, Passing, UnderWay};
 use crate::request_body::RequestBody;
-use caperworks::dispatch::{AttemptEnd, Failure, RequestChart, Target, SLOW_CONNECT};
+use caperworks::dispatch::{AttemptEnd, Failure, RequestLifecycle, Target, SLOW_CONNECT};
 use caperworks::map_items::Route;
 use runtime::events::{event, REUSED_CONNECTION_LOST};
 use runtime::http::{full_body, Body};
@@ -57,7 +57,7 @@
         outgoing: Outgoing<'_>,
         mut guard: AttemptGuard,
         body: &mut RequestBody,
-        chart: &mut RequestChart,
+        chart: &mut RequestLifecycle,
         under_way: &mut Option<UnderWay>,
     ) -> AttemptResponse {
         let target = guard.target.clone();
@@ -147,7 +147,7 @@
         response: Response<Incoming>,
         outgoing: Outgoing<'_>,
         mut attempt: UnderWayAttempt,
-        chart: &RequestChart,
+        chart: &RequestLifecycle,
         under_way: &mut Option<UnderWay>,
     ) -> AttemptResponse {
         let dialect = &self.dialect;
@@ -271,7 +271,7 @@
         self: &Arc<Self>,
         response: Response<Incoming>,
         mut attempt: UnderWayAttempt,
-        chart: &RequestChart,
+        chart: &RequestLifecycle,
         under_way: &mut Option<UnderWay>,
     ) -> AttemptResponse {
         let (mut head, body) = response.into_parts();
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -18,8 +18,8 @@
 use crate::passing::{AttemptGuard, AttemptResult, UnderWay};
 use crate::usage::{CountedEnd, UsageAccounts, UsageKey};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome, RequestChart,
-    RequestState, ServiceShard,
+    AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome,
+    RequestLifecycle, RequestState, ServiceShard,
 };
 use caperworks::facts::Demand;
 use caperworks::identifiers::{mix, steady_hash, InstanceId, ServiceName, Zone};
@@ -173,7 +173,7 @@
         let under_way = UnderWay::begin(&self);
         let read = matches!(*request.method(), Method::GET | Method::HEAD);
         let repeats = read || self.broken == BrokenCarrier::RepeatsOnce;
-        let mut chart = RequestChart::received(repeats);
+        let mut chart = RequestLifecycle::received(repeats);
         let mut counted = None;
         let worked = self
             .work(far_end, request, &mut chart, under_way, &mut counted)
@@ -207,7 +207,7 @@
         self: &Arc<Self>,
         far_end: Peer,
         request: Request<Incoming>,
-        chart: &mut RequestChart,
+        chart: &mut RequestLifecycle,
         under_way: UnderWay,
         counted: &mut Option<UsageKey>,
     ) -> Result<Response<Body>, Failure> {
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -10,7 +10,7 @@
 use crate::carrier::Carrier;
 use crate::passing::Counted;
 use crate::usage::UsageKey;
-use caperworks::dispatch::{Failure, RequestChart};
+use caperworks::dispatch::{Failure, RequestLifecycle};
 use caperworks::map_items::Route;
 use runtime::http::Body;
 
@@ -37,7 +37,7 @@
         body: Incoming,
         route: &Route,
         over: &Arc<AtomicBool>,
-        chart: &RequestChart,
+        chart: &RequestLifecycle,
         usage_key: &UsageKey,
     ) -> Result<RequestBody, Failure> {
         match body.size_hint().exact() {
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -8,7 +8,7 @@
 use crate::actors::request::{Carried, ClientRequest, InstanceResponse, ProxyWish, Stage};
 use crate::observers::requests::CallerOutcome;
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestChart, ServiceShard,
+    AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestLifecycle, ServiceShard,
 };
 use caperworks::facts::{Demand, InstanceState};
 use caperworks::identifiers::{steady_hash, RouteName, ServiceName, Version, Zone};
@@ -232,7 +232,7 @@
         locality: Duration,
     ) -> Vec<ProxyWish> {
         let mut chart =
-            RequestChart::received(!request.write || self.broken == BrokenProxy::RepeatsWrites);
+            RequestLifecycle::received(!request.write || self.broken == BrokenProxy::RepeatsWrites);
         let (name, route) = match self.knowledge.find(now, &request.host, &request.path) {
             Ok(found) => found,
             Err(failure) => return vec![self.answered(request, &mut chart, failure, true)],
@@ -279,7 +279,7 @@
     fn answered(
         &self,
         request: ClientRequest,
-        chart: &mut RequestChart,
+        chart: &mut RequestLifecycle,
         failure: Failure,
         unsent: bool,
     ) -> ProxyWish {
--- a/crates/simulator/src/actors/request.rs
+++ b/crates/simulator/src/actors/request.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::observers::requests::CallerOutcome;
-use caperworks::dispatch::{Failure, RequestChart, Target};
+use caperworks::dispatch::{Failure, RequestLifecycle, Target};
 use caperworks::identifiers::{InstanceId, Version};
 use caperworks::map_items::Route;
 use caperworks::messages::Message;
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone)]
 pub struct Carried {
     pub request: ClientRequest,
-    pub chart: RequestChart,
+    pub chart: RequestLifecycle,
     pub route: Route,
     pub target: Option<Target>,
     pub stage: Stage,
