--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -122,7 +122,7 @@
         shard.begin(now, &target);
         chart.chosen();
         knowledge
-            .still_good(now, &own, route, &target)
+            .check_before_send(now, &own, route, &target)
             .expect("nothing has changed");
         chart.begin_attempt();
         chart.sent();
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -188,7 +188,7 @@
     }
 
     /// The last check, at the last moment before the first byte.
-    pub fn still_good(
+    pub fn check_before_send(
         &self,
         now: Duration,
         own_zone: &Zone,
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -293,27 +293,30 @@
     let target = shard
         .choose(millis(1), &known, &own, &route(), None, &[])
         .expect("free");
-    assert_eq!(known.still_good(millis(1), &own, &route(), &target), Ok(()));
-    let late = known.still_good(millis(3000), &own, &route(), &target);
+    assert_eq!(
+        known.check_before_send(millis(1), &own, &route(), &target),
+        Ok(())
+    );
+    let late = known.check_before_send(millis(3000), &own, &route(), &target);
     assert_eq!(late, Err(Failure::Stale));
     let mut draining = heartbeat("one", "e1", 60_000);
     draining.state = InstanceState::Draining;
     let known = knowledge(&[draining]);
     assert_eq!(
-        known.still_good(millis(1), &own, &route(), &target),
+        known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
     );
     let mut reborn = heartbeat("one", "e1", 60_000);
     reborn.incarnation = Incarnation(2);
     let known = knowledge(&[reborn]);
     assert_eq!(
-        known.still_good(millis(1), &own, &route(), &target),
+        known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
     );
     let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     known.closed.insert(own.clone());
     assert_eq!(
-        known.still_good(millis(1), &own, &route(), &target),
+        known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::ZoneClosed)
     );
 }
@@ -543,7 +546,7 @@
 fn key_goes(known: &ProxyKnowledge, now: Duration, target: &Target) -> bool {
     let own = Zone::new("e1");
     let chosen = ServiceShard::new(1).choose(now, known, &own, &route(), Some("k"), &[]);
-    let still = known.still_good(now, &own, &route(), target);
+    let still = known.check_before_send(now, &own, &route(), target);
     assert_eq!(chosen.is_ok(), still.is_ok(), "{chosen:?} {still:?}");
     if chosen.is_err() {
         assert_eq!(chosen, Err(Failure::NoOwner));
@@ -620,7 +623,7 @@
     );
     let chosen = shard.choose(millis(110), &known, &own, &route(), None, &[]);
     assert_eq!(chosen, Err(Failure::NoInstance));
-    let still = known.still_good(millis(110), &own, &route(), &target);
+    let still = known.check_before_send(millis(110), &own, &route(), &target);
     assert_eq!(still, Err(Failure::NoInstance));
 }
 
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -169,7 +169,7 @@
         let own = Zone::new("e1");
         for _ in 0..300 {
             if let Ok(target) = shard.choose(now, &self.known, &own, route, None, &[]) {
-                let still = self.known.still_good(now, &own, route, &target);
+                let still = self.known.check_before_send(now, &own, route, &target);
                 assert_eq!(still, Ok(()));
                 // Why not ended: busy ones make room for all others that may be chosen at all.
                 shard.begin(now, &target);
@@ -328,7 +328,9 @@
         .expect("it is free");
     bench.applies(vec![zone_put("e1", "east", true)]);
     bench.reported_outcome(millis(100), &[heartbeat("in-e1", "e1")]);
-    let still = bench.known.still_good(millis(101), &own, &route(), &target);
+    let still = bench
+        .known
+        .check_before_send(millis(101), &own, &route(), &target);
     assert_eq!(still, Err(Failure::NoInstance));
 }
 
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -80,7 +80,7 @@
         let now = self.clock.now();
         let good = self
             .knowledge()
-            .still_good(now, &self.zone, outgoing.route, &target);
+            .check_before_send(now, &self.zone, outgoing.route, &target);
         if let Err(failure) = good {
             self.connections.give_back(key, connection);
             guard.result = AttemptResult::Good;
@@ -215,7 +215,7 @@
             }
             proxy
                 .knowledge()
-                .still_good(now, &proxy.zone, &route, &target)
+                .check_before_send(now, &proxy.zone, &route, &target)
         })
     }
 
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -371,7 +371,7 @@
         }
         let good = self
             .knowledge
-            .still_good(now, &self.zone, &carried.route, &target);
+            .check_before_send(now, &self.zone, &carried.route, &target);
         if let Err(failure) = good {
             if let Some(shard) = self.shards.get_mut(&carried.route.service) {
                 shard.end(now, &target, true, None);
