--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -60,7 +60,7 @@
                 continue;
             }
             let region = knowledge.regions.get(&heartbeat.zone);
-            if !route.is_at_home(region) {
+            if !route.allows_region(region) {
                 continue;
             }
             let tier = match (heartbeat.zone == *own_zone, region == own_region) {
@@ -201,7 +201,7 @@
             .filter(|heartbeat| heartbeat.incarnation == owner.incarnation)
             .filter(|heartbeat| knowledge.owner_serves(now, heartbeat))
             .filter(|heartbeat| !knowledge.closed.contains(&heartbeat.zone))
-            .filter(|heartbeat| route.is_at_home(knowledge.regions.get(&heartbeat.zone)))
+            .filter(|heartbeat| route.allows_region(knowledge.regions.get(&heartbeat.zone)))
             // Why not again: an owner that says it does not hold the key range will not hold it in the
             // next moment either, and the attempt would be wasted.
             .filter(|heartbeat| !tried.contains(&heartbeat.id))
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -181,7 +181,7 @@
         if self.closed.contains(own_zone) && !self.policy.closed_zone_carries {
             return Err(Failure::ZoneClosed);
         }
-        if !self.policy.carries_home && !route.is_at_home(self.regions.get(own_zone)) {
+        if !self.policy.carries_home && !route.allows_region(self.regions.get(own_zone)) {
             return Err(Failure::OutsideHome);
         }
         Ok(())
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -202,7 +202,7 @@
     }
 
     /// Whether it may be served in a region.
-    pub fn is_at_home(&self, region: Option<&Region>) -> bool {
+    pub fn allows_region(&self, region: Option<&Region>) -> bool {
         self.homes.is_empty() || region.is_some_and(|region| self.homes.contains(region))
     }
 
--- a/crates/caperworks/src/placement/problem.rs
+++ b/crates/caperworks/src/placement/problem.rs
@@ -114,7 +114,7 @@
 
     /// Whether proxies of a zone may accept requests on a route.
     fn may_use(&self, route: &Route, zone: &Zone) -> bool {
-        self.view.carries_home || route.is_at_home(self.regions.get(zone))
+        self.view.carries_home || route.allows_region(self.regions.get(zone))
     }
 
     /// The routes that are placed, with their groups; of each host only the first one where
