--- a/crates/caperworks/src/configuration.rs
+++ b/crates/caperworks/src/configuration.rs
@@ -9,7 +9,7 @@
 pub use self::route_table::{NamedRoute, RouteTable};
 
 /// The most items of the configuration map.
-pub const MOST_ITEMS: usize = 20_000;
+pub const MAX_CONFIGURATION_ITEMS: usize = 20_000;
 /// The longest deadline of a route.
 pub const DEADLINE_MOST: Duration = Duration::from_secs(600);
 /// The longest deadline for keyed services: a lease on a key range, less the time between two renewals
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use crate::configuration::route_table::bare_host;
-use crate::configuration::{Fault, DEADLINE_MOST, KEYED_DEADLINE_MOST, MOST_BYTES, MOST_ITEMS};
+use crate::configuration::{
+    Fault, DEADLINE_MOST, KEYED_DEADLINE_MOST, MAX_CONFIGURATION_ITEMS, MOST_BYTES,
+};
 use crate::identifiers::{Region, RouteName, ServiceName};
 use crate::map_items::{KeySpace, Route, Service, SplitTarget, Value};
 use crate::replicated_map::{Change, Put, ReplicatedMap};
@@ -80,8 +82,8 @@
 /// Checks the number of items and of bytes.
 fn check_size(after: &ReplicatedMap, faults: &mut Vec<Fault>) {
     let items = after.items.len();
-    if items > MOST_ITEMS {
-        let why = format!("there would be {items} items, {MOST_ITEMS} are the most");
+    if items > MAX_CONFIGURATION_ITEMS {
+        let why = format!("there would be {items} items, {MAX_CONFIGURATION_ITEMS} are the most");
         faults.push(Fault::new("items", why));
     }
     let bytes = encoded_bytes(after);
--- a/crates/local-fleet/src/scale/options.rs
+++ b/crates/local-fleet/src/scale/options.rs
@@ -7,7 +7,7 @@
 use jzon::JsonValue;
 
 use crate::hollow::{route_name, service_name};
-use caperworks::configuration::MOST_ITEMS;
+use caperworks::configuration::MAX_CONFIGURATION_ITEMS;
 use runtime::options::OptionsFault;
 use runtime::scenario::Scenario;
 
@@ -99,12 +99,12 @@
                 ),
             );
         }
-        if self.routes + self.services + self.zones > MOST_ITEMS as u32 {
-            let most = (MOST_ITEMS as u32).saturating_sub(self.services + self.zones);
+        if self.routes + self.services + self.zones > MAX_CONFIGURATION_ITEMS as u32 {
+            let most = (MAX_CONFIGURATION_ITEMS as u32).saturating_sub(self.services + self.zones);
             fault(
                 "--routes",
                 format!(
-                    "the standing orders have at most {MOST_ITEMS} items: --routes {most} would fit"
+                    "the standing orders have at most {MAX_CONFIGURATION_ITEMS} items: --routes {most} would fit"
                 ),
             );
         }
