--- a/crates/caperworks/src/configuration.rs
+++ b/crates/caperworks/src/configuration.rs
@@ -11,7 +11,7 @@
 /// The most items of the configuration map.
 pub const MAX_CONFIGURATION_ITEMS: usize = 20_000;
 /// The longest deadline of a route.
-pub const DEADLINE_MOST: Duration = Duration::from_secs(600);
+pub const MAX_DEADLINE: Duration = Duration::from_secs(600);
 /// The longest deadline for keyed services: a lease on a key range, less the time between two renewals
 /// of it.
 pub const KEYED_DEADLINE_MOST: Duration = Duration::from_millis(4500);
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -5,7 +5,7 @@
 
 use crate::configuration::route_table::bare_host;
 use crate::configuration::{
-    Fault, DEADLINE_MOST, KEYED_DEADLINE_MOST, MAX_CONFIGURATION_ITEMS, MOST_BYTES,
+    Fault, KEYED_DEADLINE_MOST, MAX_CONFIGURATION_ITEMS, MAX_DEADLINE, MOST_BYTES,
 };
 use crate::identifiers::{Region, RouteName, ServiceName};
 use crate::map_items::{KeySpace, Route, Service, SplitTarget, Value};
@@ -225,7 +225,7 @@
     if !route.path.starts_with('/') || route.path.len() > 512 {
         fault("path", "give a path prefix that starts with /");
     }
-    if route.deadline.is_zero() || route.deadline > DEADLINE_MOST {
+    if route.deadline.is_zero() || route.deadline > MAX_DEADLINE {
         fault("deadline_ms", "give 1 to 600000");
     }
     // Under the operators' own versions a part may have no weight beside others that have some.
