--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -109,7 +109,7 @@
     }
 
     /// The client waits no longer than this.
-    pub fn caller_waits(&mut self, until: Duration) {
+    pub fn limit_deadline(&mut self, until: Duration) {
         self.deadline = self.deadline.min(until);
     }
 
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -497,9 +497,9 @@
 #[test]
 fn given_a_caller_that_waits_less_than_the_route_when_its_time_is_over_then_no_attempt_follows() {
     let mut chart = sent(RequestKind::Repeatable, true, 0);
-    chart.caller_waits(millis(300));
+    chart.limit_deadline(millis(300));
     assert_eq!(chart.deadline(), millis(300));
-    chart.caller_waits(millis(5000));
+    chart.limit_deadline(millis(5000));
     assert_eq!(
         chart.deadline(),
         millis(300),
@@ -511,7 +511,7 @@
     let step = chart.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
     let mut patient = sent(RequestKind::Repeatable, true, 0);
-    patient.caller_waits(millis(5000));
+    patient.limit_deadline(millis(5000));
     assert_eq!(patient.deadline(), millis(1000), "the route's own holds");
 }
 
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -224,7 +224,7 @@
         if self.dialect.callers_tell_deadline {
             let reported = header_text(&head.headers, self.dialect.deadline.as_str());
             if let Some(millis) = reported.and_then(|reported| reported.parse().ok()) {
-                chart.caller_waits(now + Duration::from_millis(millis));
+                chart.limit_deadline(now + Duration::from_millis(millis));
             }
         }
         let service = route.service_for(fresh_seed()).clone();
