--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -87,7 +87,7 @@
     }
 
     /// Another life than the target's answered at its address: nothing more goes to this one.
-    pub fn incarnation_is_over(&mut self, target: &Target) {
+    pub fn mark_incarnation_ended(&mut self, target: &Target) {
         let watch = self.watches.get_mut(&target.instance);
         if let Some(watch) = watch.filter(|watch| watch.incarnation == target.incarnation) {
             watch.over = true;
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -431,7 +431,7 @@
         .expect("free");
     shard.begin(millis(1), &target);
     shard.end(millis(2), &target, true, None);
-    shard.incarnation_is_over(&target);
+    shard.mark_incarnation_ended(&target);
     let again = shard.choose(millis(3), &known, &own, &route(), None, &[]);
     assert_eq!(again, Err(Failure::NoInstance));
 }
--- a/crates/proxy/src/passing.rs
+++ b/crates/proxy/src/passing.rs
@@ -49,7 +49,7 @@
             AttemptResult::Unjudged => shard.abandon(now, &self.target),
         }
         if self.over {
-            shard.incarnation_is_over(&self.target);
+            shard.mark_incarnation_ended(&self.target);
         }
     }
 }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -434,7 +434,7 @@
         };
         shard.end(now, &target, good, load);
         if response == Some(InstanceResponse::Misdirected) {
-            shard.incarnation_is_over(&target);
+            shard.mark_incarnation_ended(&target);
         }
         if target.is_used_up(end) {
             carried.tried.push(target.instance);
