--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -219,7 +219,7 @@
         if !may_serve {
             return Err(Failure::NoOwner);
         }
-        if (hot && !self.no_key_cap)
+        if (hot && !self.ignore_key_cap)
             || !self.has_capacity(now, heartbeat, service, knowledge.proxies)
             || !self.slow_start_admits(now, heartbeat, service, knowledge)
         {
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -34,7 +34,7 @@
     /// Until when at least one instance is put aside.
     pub(crate) any_ejected_until: Duration,
     /// Only for proving the observers: one key may have all of its owner.
-    pub no_key_cap: bool,
+    pub ignore_key_cap: bool,
     /// Only for proving the observers: an instance whose heartbeats stay away gets nothing.
     pub without_passive_evidence: bool,
 }
@@ -48,7 +48,7 @@
             budget: RetryBudget::default(),
             chance: Chance::seeded(seed),
             any_ejected_until: Duration::ZERO,
-            no_key_cap: false,
+            ignore_key_cap: false,
             without_passive_evidence: false,
         }
     }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -249,7 +249,7 @@
         let seed = self.seed;
         self.shards.entry(route.service.clone()).or_insert_with(|| {
             let mut shard = ServiceShard::new(seed ^ steady_hash(route.service.as_str()));
-            shard.no_key_cap = self.broken == BrokenProxy::NoKeyCap;
+            shard.ignore_key_cap = self.broken == BrokenProxy::NoKeyCap;
             shard.without_passive_evidence = self.broken == BrokenProxy::BelievesSilence;
             shard
         });
