--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -36,7 +36,7 @@
     /// Only for proving the observers: one key may have all of its owner.
     pub ignore_key_cap: bool,
     /// Only for proving the observers: an instance whose heartbeats stay away gets nothing.
-    pub without_passive_evidence: bool,
+    pub ignore_response_evidence: bool,
 }
 
 impl ServiceShard {
@@ -49,7 +49,7 @@
             chance: Chance::seeded(seed),
             any_ejected_until: Duration::ZERO,
             ignore_key_cap: false,
-            without_passive_evidence: false,
+            ignore_response_evidence: false,
         }
     }
 
--- a/crates/caperworks/src/dispatch/silent_instances.rs
+++ b/crates/caperworks/src/dispatch/silent_instances.rs
@@ -35,7 +35,7 @@
         heartbeat: &Heartbeat,
         knowledge: &ProxyKnowledge,
     ) -> bool {
-        if self.without_passive_evidence {
+        if self.ignore_response_evidence {
             return !knowledge.silent.contains(&heartbeat.id);
         }
         // Why looked up last: nearly always no instance is silent.
@@ -53,6 +53,6 @@
     pub(crate) fn is_last_resort(&mut self, heartbeat: &Heartbeat) -> bool {
         let watch = self.watch(heartbeat);
         let has_not_failed = watch.failures == 0 && watch.ejections == 0;
-        has_not_failed && !self.without_passive_evidence
+        has_not_failed && !self.ignore_response_evidence
     }
 }
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -231,7 +231,7 @@
 #[test]
 fn given_proxies_that_believe_silence_alone_when_most_are_silent_then_nothing_is_served() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.shard.without_passive_evidence = true;
+    proxy.shard.ignore_response_evidence = true;
     proxy.sends_to(millis(1000), "a", true);
     proxy.is_notified(&["a", "b", "c"], &["a", "b", "c"], false);
     assert_eq!(proxy.chosen(millis(1100)), names(&[]));
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -250,7 +250,7 @@
         self.shards.entry(route.service.clone()).or_insert_with(|| {
             let mut shard = ServiceShard::new(seed ^ steady_hash(route.service.as_str()));
             shard.ignore_key_cap = self.broken == BrokenProxy::NoKeyCap;
-            shard.without_passive_evidence = self.broken == BrokenProxy::BelievesSilence;
+            shard.ignore_response_evidence = self.broken == BrokenProxy::BelievesSilence;
             shard
         });
         let number = request.number;
