--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -18,6 +18,6 @@
 pub use self::request_chart::{AttemptEnd, NextStep, RequestLifecycle, RequestState};
 pub use self::retry_budget::{RetryBudget, RETRY_FLOOR, RETRY_PERCENT};
 pub use self::service_shard::ServiceShard;
-pub use self::silent_instances::RESPONSE_SPAN;
+pub use self::silent_instances::RECENT_RESPONSE_WINDOW;
 pub(crate) use self::target::target_of;
 pub use self::target::Target;
--- a/crates/caperworks/src/dispatch/silent_instances.rs
+++ b/crates/caperworks/src/dispatch/silent_instances.rs
@@ -15,7 +15,7 @@
 ///
 /// Why shorter than the span of a heartbeat: an instance that crashed must not count as answering
 /// when its silence is noticed.
-pub const RESPONSE_SPAN: Duration = Duration::from_secs(2);
+pub const RECENT_RESPONSE_WINDOW: Duration = Duration::from_secs(2);
 
 impl ProxyKnowledge {
     /// Whether the heartbeats of more than half of a service's instances stay away.
@@ -41,9 +41,9 @@
         // Why looked up last: nearly always no instance is silent.
         !knowledge.silent.contains(&heartbeat.id) || {
             let watch = self.watch(heartbeat);
-            let responses = watch
-                .answered_at
-                .is_some_and(|answered_at| now.saturating_sub(answered_at) < RESPONSE_SPAN);
+            let responses = watch.answered_at.is_some_and(|answered_at| {
+                now.saturating_sub(answered_at) < RECENT_RESPONSE_WINDOW
+            });
             responses && watch.failures == 0
         }
     }
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::dispatch::{Failure, ProxyKnowledge, ServiceShard, Target, RESPONSE_SPAN};
+use caperworks::dispatch::{Failure, ProxyKnowledge, ServiceShard, Target, RECENT_RESPONSE_WINDOW};
 use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
@@ -177,7 +177,7 @@
     let mut proxy = Proxy::new(&["a", "b", "c"]);
     proxy.sends_to(millis(1000), "a", true);
     proxy.is_notified(&["a"], &["a"], false);
-    let late = millis(1000) + RESPONSE_SPAN;
+    let late = millis(1000) + RECENT_RESPONSE_WINDOW;
     assert_eq!(proxy.chosen(late), names(&["b", "c"]));
 }
 
