--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -276,7 +276,7 @@
     ) -> AttemptResponse {
         let (mut head, body) = response.into_parts();
         strip_hop_by_hop(&mut head.headers);
-        strip_own(&mut head.headers, self.dialect.own_prefix);
+        strip_own(&mut head.headers, self.dialect.internal_header_prefix);
         let left = chart.deadline().saturating_sub(self.clock.now());
         let small = body
             .size_hint()
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -33,7 +33,7 @@
     /// Names the client's address to instances.
     pub forwarded_for: Option<HeaderName>,
     /// Headers that begin so are ours and pass in neither direction.
-    pub own_prefix: Option<&'static str>,
+    pub internal_header_prefix: Option<&'static str>,
     /// Whether `Retry-After` may have fractions of a second.
     pub fractions: bool,
     /// The path that tells readiness to whoever reaches the proxy.
@@ -73,7 +73,7 @@
             seal: None,
             outcome: Some(name(OUTCOME_HEADER)),
             forwarded_for: Some(name("x-forwarded-for")),
-            own_prefix: Some("caperworks-"),
+            internal_header_prefix: Some("caperworks-"),
             fractions: false,
             ready_path: "/caperworks/ready",
             promises: &[],
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -76,13 +76,13 @@
 }
 
 /// Why both ways: a client must not speak in our name to an instance, nor an instance to a client.
-pub(crate) fn strip_own(headers: &mut HeaderMap, own_prefix: Option<&str>) {
-    let Some(own_prefix) = own_prefix else {
+pub(crate) fn strip_own(headers: &mut HeaderMap, internal_header_prefix: Option<&str>) {
+    let Some(internal_header_prefix) = internal_header_prefix else {
         return;
     };
     let own: Vec<HeaderName> = headers
         .keys()
-        .filter(|name| name.as_str().starts_with(own_prefix))
+        .filter(|name| name.as_str().starts_with(internal_header_prefix))
         .cloned()
         .collect();
     for name in own {
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -40,7 +40,7 @@
             .map_err(|_| Failure::BadFraming)?;
         let mut headers = self.head.headers.clone();
         strip_hop_by_hop(&mut headers);
-        strip_own(&mut headers, self.dialect.own_prefix);
+        strip_own(&mut headers, self.dialect.internal_header_prefix);
         headers.remove("expect");
         // Why removed: the framing towards the instance follows from the body, never from the
         // client's word.
