--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -157,7 +157,7 @@
             NamedRequest::This => true,
             NamedRequest::Another => false,
             // Why not behind another request: without a name it may be a surplus answer to that one.
-            NamedRequest::Nothing => !dialect.callers_name_requests && !attempt.connection.reused,
+            NamedRequest::Nothing => !dialect.clients_send_request_id && !attempt.connection.reused,
         };
         if !is_own && self.broken != BrokenCarrier::TakesAnyResponse {
             return attempt.garbage();
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -255,7 +255,7 @@
         drop(knowledge);
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let named = header_text(&head.headers, self.dialect.request_id.as_str());
-        let request_id = match named.filter(|_| self.dialect.callers_name_requests) {
+        let request_id = match named.filter(|_| self.dialect.clients_send_request_id) {
             Some(named) => named.to_string(),
             None => format!("{:x}-{number:x}", mix(self.seed)),
         };
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -14,7 +14,7 @@
     /// Names a request, at clients if they name theirs, at instances always.
     pub request_id: HeaderName,
     /// Whether clients name their requests, and instances must name them back.
-    pub callers_name_requests: bool,
+    pub clients_send_request_id: bool,
     /// Milliseconds that the sender waits; at instances always.
     pub deadline: HeaderName,
     /// Whether clients tell how long they wait, under the same name.
@@ -62,7 +62,7 @@
         let name = HeaderName::from_static;
         Self {
             request_id: name(REQUEST_HEADER),
-            callers_name_requests: false,
+            clients_send_request_id: false,
             deadline: name(DEADLINE_HEADER),
             callers_tell_deadline: false,
             instance: name(INSTANCE_HEADER),
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -43,7 +43,7 @@
     let name = HeaderName::from_static;
     ProtocolAdapter {
         request_id: name("request-name"),
-        callers_name_requests: true,
+        clients_send_request_id: true,
         deadline: name("time-left"),
         callers_tell_deadline: true,
         instance: name("meant-instance"),
