--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -221,7 +221,7 @@
         let path = head.uri.path();
         let (name, route) = knowledge.find(now, &host, path)?;
         chart.matched(now, &route);
-        if self.dialect.callers_tell_deadline {
+        if self.dialect.clients_send_deadline {
             let reported = header_text(&head.headers, self.dialect.deadline.as_str());
             if let Some(millis) = reported.and_then(|reported| reported.parse().ok()) {
                 chart.limit_deadline(now + Duration::from_millis(millis));
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -18,7 +18,7 @@
     /// Milliseconds that the sender waits; at instances always.
     pub deadline: HeaderName,
     /// Whether clients tell how long they wait, under the same name.
-    pub callers_tell_deadline: bool,
+    pub clients_send_deadline: bool,
     /// The instance that a request is for.
     pub instance: HeaderName,
     /// By which an instance that is another than was meant tells who it is.
@@ -64,7 +64,7 @@
             request_id: name(REQUEST_HEADER),
             clients_send_request_id: false,
             deadline: name(DEADLINE_HEADER),
-            callers_tell_deadline: false,
+            clients_send_deadline: false,
             instance: name(INSTANCE_HEADER),
             instance_header: None,
             incarnation: Some(name(INCARNATION_HEADER)),
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -45,7 +45,7 @@
         request_id: name("request-name"),
         clients_send_request_id: true,
         deadline: name("time-left"),
-        callers_tell_deadline: true,
+        clients_send_deadline: true,
         instance: name("meant-instance"),
         instance_header: Some(name("actual-instance")),
         incarnation: None,
