--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -165,7 +165,7 @@
         attempt.connection.may_carry_more = named == NamedRequest::This;
         attempt.connection.keep_to(keep_alive(response.headers()));
         attempt.guard.load = (dialect.load)(response.headers());
-        if (dialect.reported_not_run)(response.status(), response.headers()) {
+        if (dialect.reports_not_run)(response.status(), response.headers()) {
             attempt.guard.result = AttemptResult::Good;
             attempt.guard.over =
                 self.is_another_incarnation(response.headers(), &attempt.guard.target);
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -41,7 +41,7 @@
     /// Answers that promise clients that nothing ran: an instance's own are no such word.
     pub promises: &'static [u16],
     /// Whether an instance says that it ran nothing.
-    pub reported_not_run: fn(StatusCode, &HeaderMap) -> bool,
+    pub reports_not_run: fn(StatusCode, &HeaderMap) -> bool,
     /// The load that an instance tells with its answer.
     pub load: fn(&HeaderMap) -> Option<u32>,
 }
@@ -77,7 +77,7 @@
             fractions: false,
             ready_path: "/caperworks/ready",
             promises: &[],
-            reported_not_run: own_reported_not_run,
+            reports_not_run: own_reported_not_run,
             load: own_load,
         }
     }
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -34,7 +34,7 @@
 const BODY_LIMIT: u64 = 1_000_000;
 pub const SERVICE: &str = "records";
 
-fn reported_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
+fn reports_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
     status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key("nothing-ran")
 }
 
@@ -52,7 +52,7 @@
         seal: Some(name("body-seal")),
         outcome: None,
         promises: &PROMISES,
-        reported_not_run,
+        reports_not_run,
         ..ProtocolAdapter::own()
     }
 }
