--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod carrier;
 pub mod daemon;
 pub mod demand_meter;
+#[path = "protocol_adapter.rs"]
 pub mod dialect;
 pub mod error_response;
 pub mod framing;
