--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -150,22 +150,28 @@
         chart: &RequestLifecycle,
         under_way: &mut Option<UnderWay>,
     ) -> AttemptResponse {
-        let dialect = &self.dialect;
+        let protocol_adapter = &self.protocol_adapter;
         // Why before anything else: an answer to another request says nothing of this one.
-        let named = named_request(response.headers(), &dialect.request_id, outgoing.request_id);
+        let named = named_request(
+            response.headers(),
+            &protocol_adapter.request_id,
+            outgoing.request_id,
+        );
         let is_own = match named {
             NamedRequest::This => true,
             NamedRequest::Another => false,
             // Why not behind another request: without a name it may be a surplus answer to that one.
-            NamedRequest::Nothing => !dialect.clients_send_request_id && !attempt.connection.reused,
+            NamedRequest::Nothing => {
+                !protocol_adapter.clients_send_request_id && !attempt.connection.reused
+            }
         };
         if !is_own && self.broken != BrokenCarrier::TakesAnyResponse {
             return attempt.garbage();
         }
         attempt.connection.may_carry_more = named == NamedRequest::This;
         attempt.connection.keep_to(keep_alive(response.headers()));
-        attempt.guard.load = (dialect.load)(response.headers());
-        if (dialect.reports_not_run)(response.status(), response.headers()) {
+        attempt.guard.load = (protocol_adapter.load)(response.headers());
+        if (protocol_adapter.reports_not_run)(response.status(), response.headers()) {
             attempt.guard.result = AttemptResult::Good;
             attempt.guard.over =
                 self.is_another_incarnation(response.headers(), &attempt.guard.target);
@@ -179,9 +185,9 @@
 
     /// Whether an instance that refused is another one than was meant, or lives another life.
     fn is_another_incarnation(&self, headers: &HeaderMap, target: &Target) -> bool {
-        let incarnation = self.dialect.incarnation.as_ref();
+        let incarnation = self.protocol_adapter.incarnation.as_ref();
         let incarnation = incarnation.and_then(|name| header_text(headers, name.as_str()));
-        let reported = self.dialect.instance_header.as_ref();
+        let reported = self.protocol_adapter.instance_header.as_ref();
         let reported = reported.and_then(|name| header_text(headers, name.as_str()));
         incarnation.is_some_and(|incarnation| incarnation != target.incarnation.to_string())
             || reported.is_some_and(|reported| reported != target.instance.as_str())
@@ -189,11 +195,14 @@
 
     /// Whether an answer to this request may reach the client at all.
     fn may_pass(&self, response: &Response<Incoming>, asked: &hyper::http::request::Parts) -> bool {
-        let seal = self.dialect.seal.as_ref();
+        let seal = self.protocol_adapter.seal.as_ref();
         let unsealed = response.status().is_success()
             && seal.is_some_and(|seal| !response.headers().contains_key(seal));
         // Why no promise of ours: the instance did not say that it ran nothing.
-        let false_promise = self.dialect.promises.contains(&response.status().as_u16());
+        let false_promise = self
+            .protocol_adapter
+            .promises
+            .contains(&response.status().as_u16());
         !unsealed && !false_promise && well_framed(response, &asked.method)
     }
 
@@ -276,7 +285,10 @@
     ) -> AttemptResponse {
         let (mut head, body) = response.into_parts();
         strip_hop_by_hop(&mut head.headers);
-        strip_own(&mut head.headers, self.dialect.internal_header_prefix);
+        strip_own(
+            &mut head.headers,
+            self.protocol_adapter.internal_header_prefix,
+        );
         let left = chart.deadline().saturating_sub(self.clock.now());
         let small = body
             .size_hint()
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -11,11 +11,11 @@
 
 use crate::attempt::AttemptResponse;
 use crate::demand_meter::DemandMeter;
-use crate::dialect::ProtocolAdapter;
 use crate::framing::{checked_framing, header_text};
 use crate::instance_connections::InstanceConnections;
 use crate::outgoing::Outgoing;
 use crate::passing::{AttemptGuard, AttemptResult, UnderWay};
+use crate::protocol_adapter::ProtocolAdapter;
 use crate::usage::{CountedEnd, UsageAccounts, UsageKey};
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome,
@@ -55,7 +55,7 @@
 
 pub struct Carrier {
     pub clock: Clock,
-    pub dialect: ProtocolAdapter,
+    pub protocol_adapter: ProtocolAdapter,
     pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
@@ -76,14 +76,18 @@
 }
 
 impl Carrier {
-    pub fn new(clock: Clock, node_settings: &NodeSettings, dialect: ProtocolAdapter) -> Self {
+    pub fn new(
+        clock: Clock,
+        node_settings: &NodeSettings,
+        protocol_adapter: ProtocolAdapter,
+    ) -> Self {
         let knowledge = ProxyKnowledge {
             policy: node_settings.terms.proxy,
             ..ProxyKnowledge::default()
         };
         Self {
             clock,
-            dialect,
+            protocol_adapter,
             zone: node_settings.zone.clone(),
             serving: node_settings.serving,
             capacity: node_settings.capacity,
@@ -167,7 +171,7 @@
         far_end: Peer,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, std::io::Error> {
-        if request.uri().path() == self.dialect.ready_path {
+        if request.uri().path() == self.protocol_adapter.ready_path {
             return Ok(ready_response(self.is_ready()));
         }
         let under_way = UnderWay::begin(&self);
@@ -221,8 +225,8 @@
         let path = head.uri.path();
         let (name, route) = knowledge.find(now, &host, path)?;
         chart.matched(now, &route);
-        if self.dialect.clients_send_deadline {
-            let reported = header_text(&head.headers, self.dialect.deadline.as_str());
+        if self.protocol_adapter.clients_send_deadline {
+            let reported = header_text(&head.headers, self.protocol_adapter.deadline.as_str());
             if let Some(millis) = reported.and_then(|reported| reported.parse().ok()) {
                 chart.limit_deadline(now + Duration::from_millis(millis));
             }
@@ -254,8 +258,8 @@
         chart.admitted(body.is_complete());
         drop(knowledge);
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
-        let named = header_text(&head.headers, self.dialect.request_id.as_str());
-        let request_id = match named.filter(|_| self.dialect.clients_send_request_id) {
+        let named = header_text(&head.headers, self.protocol_adapter.request_id.as_str());
+        let request_id = match named.filter(|_| self.protocol_adapter.clients_send_request_id) {
             Some(named) => named.to_string(),
             None => format!("{:x}-{number:x}", mix(self.seed)),
         };
@@ -298,7 +302,7 @@
                 far_end: &far_end,
                 route: &route,
                 request_id: &request_id,
-                dialect: &self.dialect,
+                protocol_adapter: &self.protocol_adapter,
             };
             let attempt = self
                 .attempt(request, guard, &mut body, chart, &mut under_way)
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -9,7 +9,7 @@
 use anyhow::Context as AnyhowContext;
 
 use crate::carrier::Carrier;
-use crate::dialect::ProtocolAdapter;
+use crate::protocol_adapter::ProtocolAdapter;
 use caperworks::identifiers::NodeId;
 use caperworks::messages::{Message, Pull};
 use caperworks::poll_pacer::PollPacer;
@@ -115,13 +115,13 @@
 pub async fn run(
     node_settings: NodeSettings,
     reread: Reread,
-    dialect: ProtocolAdapter,
+    protocol_adapter: ProtocolAdapter,
 ) -> anyhow::Result<()> {
     // Why nothing is taken from them: the proxy knows nobody but its agent.
     follow_settings(reread, |_| {});
     let agent = node_settings.agent.context("agent")?;
     let clock = Clock::start();
-    let carrier = Arc::new(Carrier::new(clock, &node_settings, dialect));
+    let carrier = Arc::new(Carrier::new(clock, &node_settings, protocol_adapter));
     let asked: Asked = Arc::new(Mutex::new(AskedPulls::new()));
     let (taking, responses) = (carrier.clone(), asked.clone());
     let port = ControlPort::open(
--- a/crates/proxy/src/error_response.rs
+++ b/crates/proxy/src/error_response.rs
@@ -25,7 +25,7 @@
         };
         // Why another status in doubt: one that promises would be a lie.
         let status = match (reported, failure.status()) {
-            ("unknown", status) if self.dialect.promises.contains(&status) => 502,
+            ("unknown", status) if self.protocol_adapter.promises.contains(&status) => 502,
             (_, status) => status,
         };
         self.outcome_response(status, reported, failure.word(), failure.retry_after())
@@ -40,14 +40,14 @@
     ) -> Response<Body> {
         let mut response = json_response(status, &jzon::object! { outcome: reported, why: why });
         let headers = response.headers_mut();
-        if let Some(name) = &self.dialect.outcome {
+        if let Some(name) = &self.protocol_adapter.outcome {
             headers.insert(name.clone(), HeaderValue::from_static(reported));
         }
         headers.remove("retry-after");
         let Some(after) = retry_after else {
             return response;
         };
-        let value = match self.dialect.fractions {
+        let value = match self.protocol_adapter.fractions {
             // Why so soon: clients there count in tenths, and what is short now is seldom so long.
             true => HeaderValue::from_str(&format!("{}", after.as_secs_f64() / 5.0)).ok(),
             false => Some(HeaderValue::from(after.as_secs())),
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,13 +4,13 @@
 pub mod carrier;
 pub mod daemon;
 pub mod demand_meter;
-#[path = "protocol_adapter.rs"]
-pub mod dialect;
 pub mod error_response;
 pub mod framing;
 pub mod gate;
 pub mod instance_connections;
 pub mod outgoing;
 pub mod passing;
+#[path = "protocol_adapter.rs"]
+pub mod protocol_adapter;
 pub mod request_body;
 pub mod usage;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Parser;
 
-use proxy::dialect::ProtocolAdapter;
+use proxy::protocol_adapter::ProtocolAdapter;
 use runtime::actor::{run_daemon, Reread};
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/outgoing.rs
@@ -6,8 +6,8 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::Request;
 
-use crate::dialect::ProtocolAdapter;
 use crate::framing::{strip_hop_by_hop, strip_own};
+use crate::protocol_adapter::ProtocolAdapter;
 use caperworks::dispatch::{Failure, Target};
 use caperworks::map_items::Route;
 use runtime::http::{Body, Peer};
@@ -18,7 +18,7 @@
     pub(crate) far_end: &'order Peer,
     pub(crate) route: &'order Arc<Route>,
     pub(crate) request_id: &'order str,
-    pub(crate) dialect: &'order ProtocolAdapter,
+    pub(crate) protocol_adapter: &'order ProtocolAdapter,
 }
 
 impl Outgoing<'_> {
@@ -40,31 +40,31 @@
             .map_err(|_| Failure::BadFraming)?;
         let mut headers = self.head.headers.clone();
         strip_hop_by_hop(&mut headers);
-        strip_own(&mut headers, self.dialect.internal_header_prefix);
+        strip_own(&mut headers, self.protocol_adapter.internal_header_prefix);
         headers.remove("expect");
         // Why removed: the framing towards the instance follows from the body, never from the
         // client's word.
         headers.remove("content-length");
-        let dialect = self.dialect;
+        let protocol_adapter = self.protocol_adapter;
         let mut set = |name: &HeaderName, text: String| -> Result<(), Failure> {
             let value = HeaderValue::from_str(&text).map_err(|_| Failure::BadFraming)?;
             headers.insert(name.clone(), value);
             Ok(())
         };
-        set(&dialect.instance, target.instance.to_string())?;
-        if let Some(name) = &dialect.incarnation {
+        set(&protocol_adapter.instance, target.instance.to_string())?;
+        if let Some(name) = &protocol_adapter.incarnation {
             set(name, target.incarnation.to_string())?;
         }
-        set(&dialect.request_id, self.request_id.to_string())?;
-        set(&dialect.deadline, left.as_millis().to_string())?;
-        if let Some(name) = &dialect.forwarded_for {
+        set(&protocol_adapter.request_id, self.request_id.to_string())?;
+        set(&protocol_adapter.deadline, left.as_millis().to_string())?;
+        if let Some(name) = &protocol_adapter.forwarded_for {
             set(name, self.far_end.address.ip().to_string())?;
         }
         if let Some((key_range, epoch)) = target.key_range {
-            if let Some(name) = &dialect.key_range {
+            if let Some(name) = &protocol_adapter.key_range {
                 set(name, key_range.to_string())?;
             }
-            if let Some(name) = &dialect.epoch {
+            if let Some(name) = &protocol_adapter.epoch {
                 set(name, epoch.to_string())?;
             }
         }
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -60,8 +60,13 @@
         servers.push(server);
         journals.push(journal);
     }
-    let proxy =
-        ProxyFixture::start(seed, manner.dialect(), BrokenCarrier::Nothing, &addresses).await;
+    let proxy = ProxyFixture::start(
+        seed,
+        manner.protocol_adapter(),
+        BrokenCarrier::Nothing,
+        &addresses,
+    )
+    .await;
     Scripted {
         servers,
         journals,
@@ -354,7 +359,7 @@
         let addresses = [gone, live.address];
         let proxy = ProxyFixture::start(
             seed,
-            Manner::Strict.dialect(),
+            Manner::Strict.protocol_adapter(),
             BrokenCarrier::Nothing,
             &addresses,
         );
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -22,7 +22,7 @@
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
 use proxy::carrier::{BrokenCarrier, Carrier};
-use proxy::dialect::ProtocolAdapter;
+use proxy::protocol_adapter::ProtocolAdapter;
 use runtime::clock::Clock;
 use runtime::http::{serve_http, REQUEST_HEADER};
 use runtime::options::{NodeSettings, Terms};
@@ -67,7 +67,7 @@
 }
 
 impl Manner {
-    pub fn dialect(self) -> ProtocolAdapter {
+    pub fn protocol_adapter(self) -> ProtocolAdapter {
         match self {
             Manner::Strict => strict_dialect(),
             Manner::Own => ProtocolAdapter::own(),
@@ -223,24 +223,24 @@
 impl ProxyFixture {
     pub async fn start(
         seed: u64,
-        dialect: ProtocolAdapter,
+        protocol_adapter: ProtocolAdapter,
         broken: BrokenCarrier,
         instances: &[SocketAddr],
     ) -> Self {
-        Self::start_by(Clock::start(), seed, dialect, broken, instances).await
+        Self::start_by(Clock::start(), seed, protocol_adapter, broken, instances).await
     }
 
     /// The same by a clock that may be interrupted.
     pub async fn start_by(
         clock: Clock,
         seed: u64,
-        dialect: ProtocolAdapter,
+        protocol_adapter: ProtocolAdapter,
         broken: BrokenCarrier,
         instances: &[SocketAddr],
     ) -> Self {
         let listener = listen_for(seed).await;
         let address = address_of(&listener);
-        let mut carrier = Carrier::new(clock, &node_settings(address), dialect);
+        let mut carrier = Carrier::new(clock, &node_settings(address), protocol_adapter);
         carrier.broken = broken;
         let carrier = Arc::new(carrier);
         let heartbeats = instances.iter().enumerate();
--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -106,7 +106,8 @@
     // Why leaked: a clock is copied everywhere, and a few bytes for each request do no harm here.
     let interruption: &'static Interruption = Box::leak(Box::new(interruption));
     let clock = Clock::start().interrupted_by(interruption);
-    let proxy = ProxyFixture::start_by(clock, seed, manner.dialect(), broken, &[address]).await;
+    let proxy =
+        ProxyFixture::start_by(clock, seed, manner.protocol_adapter(), broken, &[address]).await;
     carrier
         .set(proxy.carrier.clone())
         .unwrap_or_else(|_| panic!("it is set once"));
--- a/crates/proxy/tests/support/schedule.rs
+++ b/crates/proxy/tests/support/schedule.rs
@@ -33,7 +33,7 @@
         let server = HostileServer::new(seed, manner, journal.clone(), None);
         servers.spawn(server.serve(listener));
     }
-    let proxy = ProxyFixture::start(seed, manner.dialect(), broken, &addresses).await;
+    let proxy = ProxyFixture::start(seed, manner.protocol_adapter(), broken, &addresses).await;
     let clock = Clock::start();
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
