--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -10,7 +10,6 @@
 pub mod instance_connections;
 pub mod outgoing;
 pub mod passing;
-#[path = "protocol_adapter.rs"]
 pub mod protocol_adapter;
 pub mod request_body;
 pub mod usage;
