--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an instance: sending the request, and judging what comes back.
+//! One attempt at an instance: sends the request and evaluates the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,129 +8,141 @@
 use hyper::header::HeaderMap;
 use hyper::{Request, Response};
 
-use crate::carrier::{BrokenCarrier, Carrier, SMALL};
+use crate::forwarding::{AttemptGuard, AttemptResult, InFlightGuard, ResponseStream};
 use crate::framing::{
-    header_text, keep_alive, named_request, strip_hop_by_hop, strip_own, well_framed, NamedRequest,
+    header_text, is_unambiguously_framed, keep_alive, match_request_id, strip_hop_by_hop,
+    strip_internal, RequestIdMatch,
 };
-use crate::gate::{LastCheck, Passage};
 use crate::instance_connections::{Connection, InstanceKey};
-use crate::outgoing::Outgoing;
-use crate::passing::{AttemptGuard, AttemptResult, Passing, UnderWay};
 use crate::request_body::RequestBody;
+use crate::request_handler::{InjectedBug, RequestHandler, MAX_BUFFERED_RESPONSE};
+use crate::send_guard::{PreSendCheck, SendState};
+use crate::upstream_request::UpstreamRequest;
 use caperworks::dispatch::{AttemptEnd, Failure, RequestLifecycle, Target, SLOW_CONNECT};
 use caperworks::map_items::Route;
 use runtime::events::{event, REUSED_CONNECTION_LOST};
 use runtime::http::{full_body, Body};
 use runtime::locks::locked;
 
-/// How the library's sending ended, within the deadline or not.
+/// The result of sending a request with the HTTP library, or a timeout.
 type SendOutcome = Result<
     Result<Response<Incoming>, hyper::client::conn::TrySendError<Request<Body>>>,
     tokio::time::error::Elapsed,
 >;
 
-/// What one attempt brought back.
+/// The result of one attempt.
 pub(crate) enum AttemptResponse {
     Ended(AttemptEnd),
-    Refused(Failure),
-    Answered(Response<Body>),
+    Rejected(Failure),
+    Responded(Response<Body>),
 }
 
-/// Everything that one attempt holds on to until it is over.
-struct UnderWayAttempt {
+/// The resources of one attempt in flight.
+struct InFlightAttempt {
     connection: Connection,
     key: InstanceKey,
     guard: AttemptGuard,
 }
 
-impl UnderWayAttempt {
-    /// The answer is none that may be passed on, and the instance is to blame.
-    fn garbage(mut self) -> AttemptResponse {
+impl InFlightAttempt {
+    /// Ends the attempt because of a response that must not be forwarded; counts as a failure of
+    /// the instance.
+    fn malformed(mut self) -> AttemptResponse {
         self.guard.result = AttemptResult::Failed;
         AttemptResponse::Ended(AttemptEnd::Garbage)
     }
 }
 
-impl Carrier {
+impl RequestHandler {
+    /// Sends the request to the target of `guard` once.
     pub(crate) async fn attempt(
         self: &Arc<Self>,
-        outgoing: Outgoing<'_>,
+        upstream_request: UpstreamRequest<'_>,
         mut guard: AttemptGuard,
         body: &mut RequestBody,
-        chart: &mut RequestLifecycle,
-        under_way: &mut Option<UnderWay>,
+        lifecycle: &mut RequestLifecycle,
+        in_flight: &mut Option<InFlightGuard>,
     ) -> AttemptResponse {
         let target = guard.target.clone();
         let key = (target.instance.clone(), target.incarnation, target.address);
-        let asked_at = self.clock.now();
-        let timeout = chart.deadline().saturating_sub(asked_at);
-        let opened = self.connections.open(&key, timeout, chart.is_read()).await;
-        self.record_opening(asked_at, opened.as_ref());
-        let Some(mut connection) = opened else {
-            return self.not_opened(guard);
+        let started_at = self.clock.now();
+        let timeout = lifecycle.deadline().saturating_sub(started_at);
+        let connection = self
+            .connections
+            .acquire(&key, timeout, lifecycle.is_read())
+            .await;
+        self.record_connect(started_at, connection.as_ref());
+        let Some(mut connection) = connection else {
+            return self.connect_failed(guard);
         };
-        let sending = match body {
-            RequestBody::Held(bytes) => full_body(bytes.clone()),
+        let payload = match body {
+            RequestBody::Buffered(bytes) => full_body(bytes.clone()),
             RequestBody::Streaming(stream) => match stream.take() {
                 Some(stream) => stream,
                 None => return AttemptResponse::Ended(AttemptEnd::Lost),
             },
         };
-        // The last moment before the first byte: everything that may have changed is asked again.
+        // Check again, right before the first byte is sent, everything that may have changed since
+        // the instance was chosen.
         let now = self.clock.now();
-        let good = self
-            .knowledge()
-            .check_before_send(now, &self.zone, outgoing.route, &target);
-        if let Err(failure) = good {
-            self.connections.give_back(key, connection);
-            guard.result = AttemptResult::Good;
-            return AttemptResponse::Refused(failure);
+        let checked =
+            self.knowledge()
+                .check_before_send(now, &self.zone, upstream_request.route, &target);
+        if let Err(failure) = checked {
+            self.connections.release(key, connection);
+            guard.result = AttemptResult::Succeeded;
+            return AttemptResponse::Rejected(failure);
         }
-        connection
-            .gate
-            .arm(self.last_check(outgoing.route, &target, chart.deadline()));
-        let left = chart.deadline().saturating_sub(now);
-        let request = match outgoing.request(&target, left, sending) {
+        connection.send_guard.arm(self.pre_send_check(
+            upstream_request.route,
+            &target,
+            lifecycle.deadline(),
+        ));
+        let remaining = lifecycle.deadline().saturating_sub(now);
+        let request = match upstream_request.request(&target, remaining, payload) {
             Ok(request) => request,
-            Err(failure) => return AttemptResponse::Refused(failure),
+            Err(failure) => return AttemptResponse::Rejected(failure),
         };
-        chart.begin_attempt();
-        chart.sent();
-        if chart.attempts() == 1 {
-            // Why only now: requests that were refused without an attempt must not make room for retries.
+        lifecycle.begin_attempt();
+        lifecycle.sent();
+        if lifecycle.attempts() == 1 {
+            // Counted only here: requests that were rejected without an attempt must not add to the
+            // retry budget.
             locked(&self.shard(&target.service)).first_attempt(now);
         }
-        let sent = tokio::time::timeout(left, connection.sender.try_send_request(request)).await;
-        let attempt = UnderWayAttempt {
+        let sent =
+            tokio::time::timeout(remaining, connection.sender.try_send_request(request)).await;
+        let attempt = InFlightAttempt {
             connection,
             key,
             guard,
         };
         match sent {
             Ok(Ok(response)) => {
-                self.judge(response, outgoing, attempt, chart, under_way)
+                self.handle_response(response, upstream_request, attempt, lifecycle, in_flight)
                     .await
             }
-            failed => self.lost_attempt(failed, attempt, body),
+            failed => self.handle_send_failure(failed, attempt, body),
         }
     }
 
-    /// Notes what the opening of a connection tells of this machine's link.
-    fn record_opening(&self, asked_at: Duration, opened: Option<&Connection>) {
+    /// Records how long it took to open a connection, as evidence about the link of this machine.
+    fn record_connect(&self, started_at: Duration, connection: Option<&Connection>) {
         let now = self.clock.now();
-        let took = now.saturating_sub(asked_at);
-        // Why not one that failed at once: the instance is gone, or there was no time left for it.
-        let tells = match opened {
+        let took = now.saturating_sub(started_at);
+        // A connection that failed at once is not evidence: the instance is down, or the deadline
+        // left no time to connect.
+        let is_relevant = match connection {
             Some(connection) => !connection.reused,
             None => took >= SLOW_CONNECT,
         };
-        if tells && locked(&self.openings).record(now, took) {
+        if is_relevant && locked(&self.recent_connects).record(now, took) {
             self.knowledge().link_watch.record_full(now);
         }
     }
 
-    /// No connection came about: nothing can have left.
-    fn not_opened(&self, mut guard: AttemptGuard) -> AttemptResponse {
+    /// Ends the attempt because no connection could be opened: nothing can have been sent.
+    fn connect_failed(&self, mut guard: AttemptGuard) -> AttemptResponse {
         let now = self.clock.now();
         let target = &guard.target;
         if let Some(heartbeat) = self.knowledge().instances.get(&target.instance) {
@@ -141,49 +153,54 @@
         AttemptResponse::Ended(AttemptEnd::NotOpened)
     }
 
-    /// Decides by an answer's head what becomes of it.
-    async fn judge(
+    /// Decides from the head of a response whether to forward it, retry or fail.
+    async fn handle_response(
         self: &Arc<Self>,
         response: Response<Incoming>,
-        outgoing: Outgoing<'_>,
-        mut attempt: UnderWayAttempt,
-        chart: &RequestLifecycle,
-        under_way: &mut Option<UnderWay>,
+        upstream_request: UpstreamRequest<'_>,
+        mut attempt: InFlightAttempt,
+        lifecycle: &RequestLifecycle,
+        in_flight: &mut Option<InFlightGuard>,
     ) -> AttemptResponse {
         let protocol_adapter = &self.protocol_adapter;
-        // Why before anything else: an answer to another request says nothing of this one.
-        let named = named_request(
+        // Checked first: the response to another request shows nothing about this one.
+        let id_match = match_request_id(
             response.headers(),
             &protocol_adapter.request_id,
-            outgoing.request_id,
+            upstream_request.request_id,
         );
-        let is_own = match named {
-            NamedRequest::This => true,
-            NamedRequest::Another => false,
-            // Why not behind another request: without a name it may be a surplus answer to that one.
-            NamedRequest::Nothing => {
+        let is_own = match id_match {
+            RequestIdMatch::Same => true,
+            RequestIdMatch::Different => false,
+            // Not on a reused connection: a response without an id may be a surplus response to the
+            // previous request.
+            RequestIdMatch::Missing => {
                 !protocol_adapter.clients_send_request_id && !attempt.connection.reused
             }
         };
-        if !is_own && self.broken != BrokenCarrier::TakesAnyResponse {
-            return attempt.garbage();
+        if !is_own && self.injected_bug != InjectedBug::AcceptsAnyResponse {
+            return attempt.malformed();
         }
-        attempt.connection.may_carry_more = named == NamedRequest::This;
-        attempt.connection.keep_to(keep_alive(response.headers()));
+        attempt.connection.is_reusable = id_match == RequestIdMatch::Same;
+        attempt
+            .connection
+            .set_keep_alive_timeout(keep_alive(response.headers()));
         attempt.guard.load = (protocol_adapter.load)(response.headers());
         if (protocol_adapter.reports_not_run)(response.status(), response.headers()) {
-            attempt.guard.result = AttemptResult::Good;
-            attempt.guard.over =
+            attempt.guard.result = AttemptResult::Succeeded;
+            attempt.guard.incarnation_ended =
                 self.is_another_incarnation(response.headers(), &attempt.guard.target);
             return AttemptResponse::Ended(AttemptEnd::RefusedByInstance);
         }
-        if !self.may_pass(&response, outgoing.head) {
-            return attempt.garbage();
+        if !self.is_forwardable(&response, upstream_request.head) {
+            return attempt.malformed();
         }
-        self.pass_on(response, attempt, chart, under_way).await
+        self.forward_response(response, attempt, lifecycle, in_flight)
+            .await
     }
 
-    /// Whether an instance that refused is another one than was meant, or lives another life.
+    /// Returns whether the instance that rejected the request is another instance or incarnation
+    /// than the target.
     fn is_another_incarnation(&self, headers: &HeaderMap, target: &Target) -> bool {
         let incarnation = self.protocol_adapter.incarnation.as_ref();
         let incarnation = incarnation.and_then(|name| header_text(headers, name.as_str()));
@@ -193,30 +210,35 @@
             || reported.is_some_and(|reported| reported != target.instance.as_str())
     }
 
-    /// Whether an answer to this request may reach the client at all.
-    fn may_pass(&self, response: &Response<Incoming>, asked: &hyper::http::request::Parts) -> bool {
+    /// Returns whether the response may be forwarded to the client.
+    fn is_forwardable(
+        &self,
+        response: &Response<Incoming>,
+        request: &hyper::http::request::Parts,
+    ) -> bool {
         let seal = self.protocol_adapter.seal.as_ref();
-        let unsealed = response.status().is_success()
+        let is_unsealed = response.status().is_success()
             && seal.is_some_and(|seal| !response.headers().contains_key(seal));
-        // Why no promise of ours: the instance did not say that it ran nothing.
-        let false_promise = self
+        // These statuses tell clients that the request did not run, which the instance has not
+        // stated.
+        let claims_not_run = self
             .protocol_adapter
             .promises
             .contains(&response.status().as_u16());
-        !unsealed && !false_promise && well_framed(response, &asked.method)
+        !is_unsealed && !claims_not_run && is_unambiguously_framed(response, &request.method)
     }
 
-    /// The check that is made once more where the first byte of a request is written.
-    fn last_check(
+    /// Returns the check that is made right before the first byte of a request is written.
+    fn pre_send_check(
         self: &Arc<Self>,
         route: &Arc<Route>,
         target: &Target,
         deadline: Duration,
-    ) -> LastCheck {
+    ) -> PreSendCheck {
         let (proxy, route, target) = (self.clone(), route.clone(), target.clone());
         Box::new(move || {
             let now = proxy.clock.now();
-            if proxy.broken == BrokenCarrier::IgnoresLastCheck {
+            if proxy.injected_bug == InjectedBug::SkipsPreSendCheck {
                 return Ok(());
             }
             if now >= deadline {
@@ -228,47 +250,47 @@
         })
     }
 
-    /// What an attempt that brought no answer was: nothing sent, or lost.
-    fn lost_attempt(
+    /// Ends an attempt without a response: either nothing was sent, or the outcome is unknown.
+    fn handle_send_failure(
         &self,
         mut failed: SendOutcome,
-        attempt: UnderWayAttempt,
+        attempt: InFlightAttempt,
         body: &mut RequestBody,
     ) -> AttemptResponse {
-        // Why shut first: only then is it settled for good whether a byte has left.
-        let passage = attempt.connection.gate.shut();
+        // The guard is shut down first: only then is it certain that no further byte leaves.
+        let send_state = attempt.connection.send_guard.shut_down();
         let mut guard = attempt.guard;
         if let (Ok(Err(failure)), RequestBody::Streaming(stream)) = (&mut failed, body) {
             *stream = failure.take_message().map(Request::into_body);
         }
-        match (passage, failed) {
-            (Passage::Nothing(Some(failure)), _) => {
-                guard.result = AttemptResult::Good;
-                AttemptResponse::Refused(failure)
+        match (send_state, failed) {
+            (SendState::NotSent(Some(failure)), _) => {
+                guard.result = AttemptResult::Succeeded;
+                AttemptResponse::Rejected(failure)
             }
-            (Passage::Nothing(None), Err(_)) => {
-                AttemptResponse::Refused(Failure::LateBeforeSending)
+            (SendState::NotSent(None), Err(_)) => {
+                AttemptResponse::Rejected(Failure::LateBeforeSending)
             }
-            (Passage::Nothing(None), Ok(_)) => {
-                guard.result = AttemptResult::Good;
+            (SendState::NotSent(None), Ok(_)) => {
+                guard.result = AttemptResult::Succeeded;
                 AttemptResponse::Ended(AttemptEnd::NotOpened)
             }
-            (Passage::Begun, Err(_)) => {
+            (SendState::Started, Err(_)) => {
                 guard.result = AttemptResult::Failed;
                 AttemptResponse::Ended(AttemptEnd::Late)
             }
-            // Why no result: it was the client that broke off its body.
-            (Passage::Begun, Ok(Err(failure))) if failure.error().is_user() => {
+            // Says nothing about the instance: the client aborted its body.
+            (SendState::Started, Ok(Err(failure))) if failure.error().is_user() => {
                 AttemptResponse::Ended(AttemptEnd::Lost)
             }
-            (Passage::Begun, Ok(Err(failure))) if failure.error().is_parse() => {
+            (SendState::Started, Ok(Err(failure))) if failure.error().is_parse() => {
                 guard.result = AttemptResult::Failed;
                 AttemptResponse::Ended(AttemptEnd::Garbage)
             }
-            (Passage::Begun, Ok(_)) => {
+            (SendState::Started, Ok(_)) => {
                 guard.result = AttemptResult::Failed;
                 if attempt.connection.reused {
-                    // Why noted: most likely the instance closed the connection as it was taken up.
+                    // Most likely the instance closed the idle connection just as it was reused.
                     event(REUSED_CONNECTION_LOST, &guard.target.instance);
                 }
                 AttemptResponse::Ended(AttemptEnd::Lost)
@@ -276,50 +298,51 @@
         }
     }
 
-    async fn pass_on(
+    /// Forwards a response to the client, buffered if it is small and streamed otherwise.
+    async fn forward_response(
         self: &Arc<Self>,
         response: Response<Incoming>,
-        mut attempt: UnderWayAttempt,
-        chart: &RequestLifecycle,
-        under_way: &mut Option<UnderWay>,
+        mut attempt: InFlightAttempt,
+        lifecycle: &RequestLifecycle,
+        in_flight: &mut Option<InFlightGuard>,
     ) -> AttemptResponse {
         let (mut head, body) = response.into_parts();
         strip_hop_by_hop(&mut head.headers);
-        strip_own(
+        strip_internal(
             &mut head.headers,
             self.protocol_adapter.internal_header_prefix,
         );
-        let left = chart.deadline().saturating_sub(self.clock.now());
-        let small = body
+        let remaining = lifecycle.deadline().saturating_sub(self.clock.now());
+        let is_small = body
             .size_hint()
             .exact()
-            .is_some_and(|length| length <= SMALL);
-        if small {
-            return match tokio::time::timeout(left, body.collect()).await {
+            .is_some_and(|length| length <= MAX_BUFFERED_RESPONSE);
+        if is_small {
+            return match tokio::time::timeout(remaining, body.collect()).await {
                 Ok(Ok(collected)) => {
-                    attempt.guard.result = AttemptResult::Good;
-                    self.connections.give_back(attempt.key, attempt.connection);
+                    attempt.guard.result = AttemptResult::Succeeded;
+                    self.connections.release(attempt.key, attempt.connection);
                     let body = full_body(collected.to_bytes());
-                    AttemptResponse::Answered(Response::from_parts(head, body))
+                    AttemptResponse::Responded(Response::from_parts(head, body))
                 }
-                Ok(Err(_)) => attempt.garbage(),
+                Ok(Err(_)) => attempt.malformed(),
                 Err(_) => {
                     attempt.guard.result = AttemptResult::Failed;
                     AttemptResponse::Ended(AttemptEnd::Late)
                 }
             };
         }
-        let Some(under_way) = under_way.take() else {
+        let Some(in_flight) = in_flight.take() else {
             return AttemptResponse::Ended(AttemptEnd::Lost);
         };
-        let passing = Passing {
+        let stream = ResponseStream {
             inner: body,
             connection: Some(attempt.connection),
             key: attempt.key,
             guard: attempt.guard,
-            deadline: Box::pin(tokio::time::sleep(left)),
-            under_way,
+            deadline: Box::pin(tokio::time::sleep(remaining)),
+            in_flight,
         };
-        AttemptResponse::Answered(Response::from_parts(head, passing.boxed()))
+        AttemptResponse::Responded(Response::from_parts(head, stream.boxed()))
     }
 }
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The proxy's process: pulls news from its agent, serves clients, and stops politely.
+//! The proxy process: polls its agent for updates, serves clients, and shuts down gracefully.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 
 use anyhow::Context as AnyhowContext;
 
-use crate::carrier::Carrier;
 use crate::protocol_adapter::ProtocolAdapter;
+use crate::request_handler::RequestHandler;
 use caperworks::identifiers::NodeId;
 use caperworks::messages::{Message, Pull};
 use caperworks::poll_pacer::PollPacer;
@@ -23,12 +23,12 @@
 use runtime::locks::locked;
 use runtime::options::NodeSettings;
 
-/// Asks the agent again and again what the world is like.
-fn start_pulling(
-    carrier: Arc<Carrier>,
+/// Spawns a task that polls the agent for updates in regular intervals.
+fn spawn_polling(
+    request_handler: Arc<RequestHandler>,
     port: ControlPort,
     agent: SocketAddr,
-    asked: Asked,
+    poll_tracker: SharedPollTracker,
     period: Duration,
 ) {
     tokio::spawn(async move {
@@ -39,100 +39,100 @@
         let mut was_ready = false;
         loop {
             heartbeat.tick().await;
-            let ready = carrier.is_ready();
+            let ready = request_handler.is_ready();
             if ready != was_ready {
                 was_ready = ready;
                 event(if ready { READY } else { NOT_READY }, "");
             }
-            if !locked(&asked).may_ask(carrier.clock.now()) {
+            if !locked(&poll_tracker).may_ask(request_handler.clock.now()) {
                 continue;
             }
             number += 1;
-            let knowledge = carrier.knowledge();
+            let knowledge = request_handler.knowledge();
             let pull = Pull {
                 number,
                 configuration: knowledge.maps.map(MapName::Configuration).version,
                 ownership: knowledge.maps.map(MapName::Ownership).version,
-                serving: carrier.serving,
-                // Why not the readiness itself: a stale proxy must be able to become fresh again,
-                // and the core judges staleness by the lease.
-                ready: !carrier.stopping.load(Ordering::SeqCst),
-                capacity: carrier.capacity,
-                demand: carrier.demand(),
+                serving: request_handler.serving,
+                // Not the readiness itself: a stale proxy must be able to become fresh again, and
+                // the controllers judge staleness by the lease.
+                ready: !request_handler.stopping.load(Ordering::SeqCst),
+                capacity: request_handler.capacity,
+                demand: request_handler.demand(),
                 incarnation,
-                usage: carrier.usage.lines(),
+                usage: request_handler.usage.lines(),
                 agent: knowledge.agent,
                 instances_offset: knowledge.instances_offset,
             };
-            locked(&asked).asked(carrier.clock.now(), number);
+            locked(&poll_tracker).record_sent(request_handler.clock.now(), number);
             port.send(agent, Message::Pull { pull });
         }
     });
 }
 
-/// The questions to the agent, and when each was asked.
-struct AskedPulls {
-    pace: PollPacer,
-    pulls: VecDeque<(u64, Duration)>,
+/// The polls sent to the agent, and when each was sent.
+struct PollTracker {
+    pacer: PollPacer,
+    sent: VecDeque<(u64, Duration)>,
 }
 
-/// Of how many questions it is remembered when they were asked.
-const REMEMBERED_PULLS: usize = 16;
+/// The number of polls whose send time is remembered.
+const MAX_TRACKED_POLLS: usize = 16;
 
-impl AskedPulls {
+impl PollTracker {
     fn new() -> Self {
         Self {
-            pace: PollPacer::new(LOCAL_TIMEOUT),
-            pulls: VecDeque::new(),
+            pacer: PollPacer::new(LOCAL_TIMEOUT),
+            sent: VecDeque::new(),
         }
     }
 
     fn may_ask(&self, now: Duration) -> bool {
-        self.pace.may_ask(now)
+        self.pacer.may_ask(now)
     }
 
-    fn asked(&mut self, now: Duration, number: u64) {
-        self.pace.asked(now, number);
-        self.pulls.push_back((number, now));
-        if self.pulls.len() > REMEMBERED_PULLS {
-            self.pulls.pop_front();
+    fn record_sent(&mut self, now: Duration, number: u64) {
+        self.pacer.asked(now, number);
+        self.sent.push_back((number, now));
+        if self.sent.len() > MAX_TRACKED_POLLS {
+            self.sent.pop_front();
         }
     }
 
-    /// An answer came; gives when its question was asked, if that is still known.
-    fn answered(&mut self, now: Duration, number: u64) -> Option<Duration> {
-        let asked = self.pulls.iter().find(|(asked, _)| *asked == number);
-        let asked_at = asked.map(|(_, asked_at)| *asked_at);
-        let took = asked_at.map(|asked_at| now.saturating_sub(asked_at));
-        self.pace.answered(number, took);
-        asked_at
+    /// Records a response; returns when its poll was sent, if that is still known.
+    fn record_response(&mut self, now: Duration, number: u64) -> Option<Duration> {
+        let poll = self.sent.iter().find(|(polled, _)| *polled == number);
+        let sent_at = poll.map(|(_, sent_at)| *sent_at);
+        let took = sent_at.map(|sent_at| now.saturating_sub(sent_at));
+        self.pacer.answered(number, took);
+        sent_at
     }
 }
 
-type Asked = Arc<Mutex<AskedPulls>>;
+type SharedPollTracker = Arc<Mutex<PollTracker>>;
 
-/// Runs a proxy until it is asked to stop.
+/// Runs a proxy until the process receives a stop signal.
 pub async fn run(
     node_settings: NodeSettings,
     reread: Reread,
     protocol_adapter: ProtocolAdapter,
 ) -> anyhow::Result<()> {
-    // Why nothing is taken from them: the proxy knows nobody but its agent.
+    // No setting is reloaded: the proxy has no connections other than to its agent.
     follow_settings(reread, |_| {});
     let agent = node_settings.agent.context("agent")?;
     let clock = Clock::start();
-    let carrier = Arc::new(Carrier::new(clock, &node_settings, protocol_adapter));
-    let asked: Asked = Arc::new(Mutex::new(AskedPulls::new()));
-    let (taking, responses) = (carrier.clone(), asked.clone());
+    let request_handler = Arc::new(RequestHandler::new(clock, &node_settings, protocol_adapter));
+    let poll_tracker: SharedPollTracker = Arc::new(Mutex::new(PollTracker::new()));
+    let (view_receiver, pending_polls) = (request_handler.clone(), poll_tracker.clone());
     let port = ControlPort::open(
         NodeId(fresh_seed() >> 1),
         node_settings.control,
         node_settings.control,
         move |envelope| {
             if let Message::View { view } = envelope.message {
-                let asked_at = locked(&responses).answered(clock.now(), view.number);
-                if let Some(asked_at) = asked_at {
-                    taking.take(asked_at, &view);
+                let sent_at = locked(&pending_polls).record_response(clock.now(), view.number);
+                if let Some(sent_at) = sent_at {
+                    view_receiver.apply_view(sent_at, &view);
                 }
             }
         },
@@ -145,35 +145,35 @@
             node_settings.serving, node_settings.zone
         ),
     );
-    start_pulling(
-        carrier.clone(),
+    spawn_polling(
+        request_handler.clone(),
         port,
         agent,
-        asked,
+        poll_tracker,
         node_settings.terms.pull,
     );
     let listener = listen(node_settings.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
-    let (stopping, carrying) = (stop.clone(), carrier.clone());
-    tokio::spawn(serve_http(listener, stop, move |far_end, request| {
-        carrying.clone().carry(far_end, request)
+    let (stopping, http_handler) = (stop.clone(), request_handler.clone());
+    tokio::spawn(serve_http(listener, stop, move |peer, request| {
+        http_handler.clone().handle(peer, request)
     }));
     if let Some(readiness) = node_settings.terms.readiness {
         let listener = listen(readiness).await?;
-        let recipient = carrier.clone();
+        let readiness_handler = request_handler.clone();
         tokio::spawn(serve_http(listener, Arc::default(), move |_, _| {
-            let response = ready_response(recipient.is_ready());
+            let response = ready_response(readiness_handler.is_ready());
             async move { Ok(response) }
         }));
     }
     asked_to_stop().await;
     event(STOPPING, "");
-    carrier.stopping.store(true, Ordering::SeqCst);
+    request_handler.stopping.store(true, Ordering::SeqCst);
     stopping.store(true, Ordering::Relaxed);
     tokio::time::sleep(node_settings.terms.linger).await;
-    carrier.closed.store(true, Ordering::SeqCst);
-    let until = Instant::now() + node_settings.terms.most_wait;
-    while carrier.under_way.load(Ordering::SeqCst) > 0 && Instant::now() < until {
+    request_handler.closed.store(true, Ordering::SeqCst);
+    let drain_deadline = Instant::now() + node_settings.terms.most_wait;
+    while request_handler.in_flight.load(Ordering::SeqCst) > 0 && Instant::now() < drain_deadline {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     event(STOPPED, "");
--- a/crates/proxy/src/demand_meter.rs
+++ b/crates/proxy/src/demand_meter.rs
@@ -1,4 +1,4 @@
-//! Measures how much is asked for, by group of clients and route.
+//! Measures demand by client group and route.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Mutex;
@@ -11,24 +11,26 @@
 use runtime::locks::locked;
 
 const METER_SHARDS: usize = 8;
-/// How long the demand meter looks back.
-const METER_SPAN: Duration = Duration::from_secs(4);
+/// The window over which demand is averaged.
+const METER_WINDOW: Duration = Duration::from_secs(4);
 
 #[derive(Default)]
-struct Metered {
-    /// Requests by second.
+struct MeterEntry {
+    /// Request count by second.
     seconds: VecDeque<(u64, u32)>,
-    nearest: Duration,
+    min_round_trip: Duration,
 }
 
+/// Counts requests by client group and route, sharded to reduce lock contention.
 #[derive(Default)]
 pub struct DemandMeter {
-    shards: [Mutex<HashMap<(String, RouteName), Metered>>; METER_SHARDS],
+    shards: [Mutex<HashMap<(String, RouteName), MeterEntry>>; METER_SHARDS],
 }
 
 impl DemandMeter {
-    pub fn measure(&self, now: Duration, far_end: &Peer, route: &RouteName) {
-        let group = group_of(far_end.address.ip());
+    /// Counts one request and its round-trip time.
+    pub fn record_request(&self, now: Duration, peer: &Peer, route: &RouteName) {
+        let group = group_of(peer.address.ip());
         let shard = (steady_hash(&group) % METER_SHARDS as u64) as usize;
         let mut meter = locked(&self.shards[shard]);
         let metered = meter.entry((group, route.clone())).or_default();
@@ -37,15 +39,18 @@
             Some(last) if last.0 == second => last.1 += 1,
             _ => metered.seconds.push_back((second, 1)),
         }
-        let round_trip = far_end.round_trip;
-        if !round_trip.is_zero() && (metered.nearest.is_zero() || round_trip < metered.nearest) {
-            metered.nearest = round_trip;
+        let round_trip = peer.round_trip;
+        if !round_trip.is_zero()
+            && (metered.min_round_trip.is_zero() || round_trip < metered.min_round_trip)
+        {
+            metered.min_round_trip = round_trip;
         }
     }
 
-    /// What was measured of late: requests a second by group and route, and how far the group is.
+    /// Returns the recent demand: requests per second by client group and route, and the shortest
+    /// round-trip time to the group.
     pub fn demand(&self, now: Duration) -> Vec<Demand> {
-        let oldest = now.as_secs().saturating_sub(METER_SPAN.as_secs());
+        let oldest = now.as_secs().saturating_sub(METER_WINDOW.as_secs());
         let mut demand = Vec::new();
         for shard in &self.shards {
             let mut meter = locked(shard);
@@ -62,8 +67,8 @@
                     demand.push(Demand {
                         group: group.clone(),
                         route: route.clone(),
-                        requests: requests.div_ceil(METER_SPAN.as_secs() as u32),
-                        locality: metered.nearest,
+                        requests: requests.div_ceil(METER_WINDOW.as_secs() as u32),
+                        locality: metered.min_round_trip,
                     });
                 }
                 requests > 0
--- a/crates/proxy/src/passing.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -1,4 +1,5 @@
-//! An answer on its way through: passed on piece by piece, and broken off rather than cut short.
+//! Streaming of request and response bodies. A truncated response is ended by breaking the
+//! connection to the client, never as though it were complete.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,32 +10,32 @@
 use bytes::Bytes;
 use hyper::body::{Body as HttpBody, Frame, Incoming};
 
-use crate::carrier::{BrokenCarrier, Carrier};
 use crate::instance_connections::{Connection, InstanceKey};
+use crate::request_handler::{InjectedBug, RequestHandler};
 use crate::usage::UsageKey;
 use caperworks::dispatch::Target;
 use caperworks::identifiers::ServiceName;
 use runtime::events::{event, RESPONSE_TRUNCATED};
 use runtime::locks::locked;
 
-/// What an attempt said of the instance.
+/// What an attempt showed about the health of the instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
-    Good,
+    Succeeded,
     Failed,
-    /// The attempt was given up before it said anything of the instance.
-    Unjudged,
+    /// The attempt was abandoned before it showed whether the instance is healthy.
+    Inconclusive,
 }
 
-/// One attempt under way; tells the service's shard when it is over, however that comes about.
+/// One attempt in flight. When dropped, it reports the result to the shard of the service.
 pub struct AttemptGuard {
-    pub proxy: Arc<Carrier>,
+    pub proxy: Arc<RequestHandler>,
     pub service: ServiceName,
     pub target: Target,
     pub result: AttemptResult,
     pub load: Option<u32>,
-    /// Another life answered than the one that the request was for.
-    pub over: bool,
+    /// Set when another incarnation answered than the one the request was sent to.
+    pub incarnation_ended: bool,
     pub usage_key: UsageKey,
 }
 
@@ -44,66 +45,67 @@
         let shard = self.proxy.shard(&self.service);
         let mut shard = locked(&shard);
         match self.result {
-            AttemptResult::Good => shard.end(now, &self.target, true, self.load),
+            AttemptResult::Succeeded => shard.end(now, &self.target, true, self.load),
             AttemptResult::Failed => shard.end(now, &self.target, false, self.load),
-            AttemptResult::Unjudged => shard.abandon(now, &self.target),
+            AttemptResult::Inconclusive => shard.abandon(now, &self.target),
         }
-        if self.over {
+        if self.incarnation_ended {
             shard.mark_incarnation_ended(&self.target);
         }
     }
 }
 
-/// Counts a request that is under way, for the polite stop.
-pub struct UnderWay(pub Arc<Carrier>);
+/// Counts a request as in flight until dropped; a graceful shutdown waits for these.
+pub struct InFlightGuard(pub Arc<RequestHandler>);
 
-impl UnderWay {
-    pub fn begin(proxy: &Arc<Carrier>) -> Self {
-        proxy.under_way.fetch_add(1, Ordering::SeqCst);
+impl InFlightGuard {
+    pub fn begin(proxy: &Arc<RequestHandler>) -> Self {
+        proxy.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(proxy.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.under_way.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// The body of an instance's answer, streamed to the client.
-pub struct Passing {
+/// The body of a response from an instance, streamed to the client.
+pub struct ResponseStream {
     pub inner: Incoming,
     pub connection: Option<Connection>,
     pub key: InstanceKey,
     pub guard: AttemptGuard,
     pub deadline: Pin<Box<tokio::time::Sleep>>,
-    pub under_way: UnderWay,
+    pub in_flight: InFlightGuard,
 }
 
-impl Passing {
-    /// The whole answer has come: the connection may carry another request.
+impl ResponseStream {
+    /// Marks the response as complete and returns the connection to the pool.
     fn complete(&mut self) {
-        self.guard.result = AttemptResult::Good;
+        self.guard.result = AttemptResult::Succeeded;
         if let Some(connection) = self.connection.take() {
             let key = self.key.clone();
-            self.under_way.0.connections.give_back(key, connection);
+            self.in_flight.0.connections.release(key, connection);
         }
     }
 
-    /// The answer broke off, and so must the client's connection.
-    fn break_off(&mut self, why: &str) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        event(RESPONSE_TRUNCATED, why);
+    /// Aborts a truncated response, and with it the connection to the client.
+    fn abort(&mut self, reason: &str) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
+        event(RESPONSE_TRUNCATED, reason);
         self.guard.result = AttemptResult::Failed;
         self.connection = None;
-        if self.guard.proxy.broken == BrokenCarrier::EndsCutResponses {
+        if self.guard.proxy.injected_bug == InjectedBug::EndsTruncatedResponses {
             return Poll::Ready(None);
         }
-        // Why an error and not an end: the client must see a broken connection, not a success.
-        Poll::Ready(Some(Err(std::io::Error::other(why.to_string()))))
+        // An error instead of the end of the body makes the client see a broken connection and not
+        // a success.
+        Poll::Ready(Some(Err(std::io::Error::other(reason.to_string()))))
     }
 }
 
-impl HttpBody for Passing {
+impl HttpBody for ResponseStream {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -114,25 +116,25 @@
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 if let Some(bytes) = frame.data_ref() {
-                    let usage = &self.under_way.0.usage;
-                    usage.gave_out(&self.guard.usage_key, bytes.len() as u64);
+                    let usage = &self.in_flight.0.usage;
+                    usage.add_bytes_out(&self.guard.usage_key, bytes.len() as u64);
                 }
-                // Why here too: the library does not ask for the end of a body whose length it knows.
+                // The HTTP library does not poll for the end of a body whose length it knows.
                 if self.inner.is_end_stream() {
                     self.complete();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
-            Poll::Ready(Some(Err(failure))) => {
-                self.break_off(&format!("the instance's answer broke off: {failure}"))
-            }
+            Poll::Ready(Some(Err(failure))) => self.abort(&format!(
+                "response from the instance was truncated: {failure}"
+            )),
             Poll::Ready(None) => {
                 self.complete();
                 Poll::Ready(None)
             }
             Poll::Pending => {
                 if self.deadline.as_mut().poll(context).is_ready() {
-                    return self.break_off("the deadline passed");
+                    return self.abort("deadline exceeded while the response was streamed");
                 }
                 Poll::Pending
             }
@@ -140,7 +142,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // Why not the inner's word: the connection is only given back when the end was polled.
+        // Always false: the connection is returned to the pool only when the end has been polled.
         false
     }
 
@@ -149,16 +151,17 @@
     }
 }
 
-/// The client's body on its way to an instance: counted against the route's limit.
-pub struct Counted {
+/// The body of a client request, streamed to an instance and limited to the body limit of the
+/// route.
+pub struct LimitedBody {
     pub inner: Incoming,
-    pub left: u64,
-    pub over: Arc<AtomicBool>,
-    pub proxy: Arc<Carrier>,
+    pub remaining: u64,
+    pub limit_exceeded: Arc<AtomicBool>,
+    pub proxy: Arc<RequestHandler>,
     pub usage_key: UsageKey,
 }
 
-impl HttpBody for Counted {
+impl HttpBody for LimitedBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -169,13 +172,16 @@
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 let length = frame.data_ref().map_or(0, Bytes::len) as u64;
-                if length > self.left {
-                    self.over.store(true, Ordering::SeqCst);
-                    // Why an error: it breaks the connection, so the instance never has a whole request.
-                    return Poll::Ready(Some(Err(std::io::Error::other("over the body limit"))));
+                if length > self.remaining {
+                    self.limit_exceeded.store(true, Ordering::SeqCst);
+                    // The error breaks the connection, so that the instance never receives a
+                    // complete request.
+                    return Poll::Ready(Some(Err(std::io::Error::other(
+                        "request body exceeds the limit of the route",
+                    ))));
                 }
-                self.left -= length;
-                self.proxy.usage.took_in(&self.usage_key, length);
+                self.remaining -= length;
+                self.proxy.usage.add_bytes_in(&self.usage_key, length);
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(failure))) => {
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -1,4 +1,4 @@
-//! How requests and answers are framed, and which headers pass.
+//! Validation of HTTP framing, and filtering of headers.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use caperworks::dispatch::Failure;
 use runtime::http::AmbiguousFraming;
 
-/// Refuses what could be read in two ways; says the host.
-pub(crate) fn checked_framing(head: &hyper::http::request::Parts) -> Result<String, Failure> {
+/// Returns the host of a request, or an error if its framing is ambiguous or malformed.
+pub(crate) fn validated_host(head: &hyper::http::request::Parts) -> Result<String, Failure> {
     let count = |name: &str| head.headers.get_all(name).iter().count();
-    let twice = head.extensions.get::<AmbiguousFraming>().is_some();
-    let bad = twice
+    let has_duplicates = head.extensions.get::<AmbiguousFraming>().is_some();
+    let is_ambiguous = has_duplicates
         || count("content-length") > 1
         || count("transfer-encoding") > 1
         || count("host") != 1
@@ -22,7 +22,7 @@
         || count("upgrade") > 0;
     let host = header_text(&head.headers, "host");
     match host {
-        Some(host) if !bad => Ok(host.to_string()),
+        Some(host) if !is_ambiguous => Ok(host.to_string()),
         _ => Err(Failure::BadFraming),
     }
 }
@@ -34,8 +34,8 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Whether the end of the answer can be told from its being cut off.
-pub(crate) fn well_framed(response: &Response<Incoming>, method: &Method) -> bool {
+/// Returns whether the end of the response can be told from a truncation.
+pub(crate) fn is_unambiguously_framed(response: &Response<Incoming>, method: &Method) -> bool {
     let status = response.status();
     let bodiless = status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED
@@ -49,15 +49,16 @@
     !status.is_informational() && !is_ambiguous && (bodiless || chunked || lengths == 1)
 }
 
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<String> = headers
+    let connection_headers: Vec<String> = headers
         .get_all("connection")
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named {
+    for name in connection_headers {
         headers.remove(name.as_str());
     }
     for name in [
@@ -75,8 +76,9 @@
     }
 }
 
-/// Why both ways: a client must not speak in our name to an instance, nor an instance to a client.
-pub(crate) fn strip_own(headers: &mut HeaderMap, internal_header_prefix: Option<&str>) {
+/// Removes headers with the reserved prefix, in both directions: clients must not send internal
+/// headers to instances, nor instances to clients.
+pub(crate) fn strip_internal(headers: &mut HeaderMap, internal_header_prefix: Option<&str>) {
     let Some(internal_header_prefix) = internal_header_prefix else {
         return;
     };
@@ -90,32 +92,32 @@
     }
 }
 
-/// Which request an answer says that it belongs to.
+/// How the request id of a response compares with that of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum NamedRequest {
-    This,
-    Another,
-    Nothing,
+pub(crate) enum RequestIdMatch {
+    Same,
+    Different,
+    Missing,
 }
 
-/// Reads the name of a request from an answer's head.
-pub(crate) fn named_request(
+/// Compares the request id in the head of a response with the expected one.
+pub(crate) fn match_request_id(
     headers: &HeaderMap,
     name: &HeaderName,
     request_id: &str,
-) -> NamedRequest {
-    let mut named = headers.get_all(name).iter().peekable();
-    if named.peek().is_none() {
-        return NamedRequest::Nothing;
+) -> RequestIdMatch {
+    let mut ids = headers.get_all(name).iter().peekable();
+    if ids.peek().is_none() {
+        return RequestIdMatch::Missing;
     }
-    // Why all of them: an answer with two names belongs to nobody for certain.
-    match named.all(|named| named == request_id) {
-        true => NamedRequest::This,
-        false => NamedRequest::Another,
+    // All values are compared: a response with two ids cannot be attributed to either request.
+    match ids.all(|id| id == request_id) {
+        true => RequestIdMatch::Same,
+        false => RequestIdMatch::Different,
     }
 }
 
-/// For how long an instance says that it keeps an idle connection.
+/// Returns the keep-alive timeout that an instance announced.
 pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = header_text(headers, "keep-alive")?;
     let timeout = text
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -1,4 +1,5 @@
-//! Connections to instances: each carries one request at a time, and none is used twice in doubt.
+//! A pool of connections to instances. Each carries one request at a time; a connection whose state
+//! is uncertain is not reused.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,89 +9,92 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use crate::gate::{Gate, Gated};
+use crate::send_guard::{GuardedSocket, SendGuard};
 use caperworks::facts::Heartbeat;
 use caperworks::identifiers::{Incarnation, InstanceId};
 use runtime::http::Body;
 use runtime::locks::locked;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-const IDLE_SPAN: Duration = Duration::from_secs(10);
-/// A write takes no connection that has been idle for longer.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
+/// Writes do not reuse a connection that has been idle for longer.
 ///
-/// Why: an instance may be closing an idle connection just as it is taken up again, and a request
-/// lost that way cannot be told from one that ran. A read may be sent again; a write may not.
-const IDLE_SPAN_FOR_WRITES: Duration = Duration::from_secs(1);
-/// The part of the time that an instance keeps an idle connection in which it is taken up again.
-///
-/// Why not all of it: the request must arrive before the instance closes.
-const KEPT_SHARE: f64 = 0.75;
-const MOST_IDLE: usize = 32;
+/// An instance may close an idle connection just as it is reused, and a request lost that way
+/// cannot be told from one that ran. A read can be retried; a write cannot.
+const MAX_IDLE_TIME_FOR_WRITES: Duration = Duration::from_secs(1);
+/// The fraction of the keep-alive timeout of an instance within which an idle connection is reused.
+/// It is less than one because the request must arrive before the instance closes the connection.
+const KEEP_ALIVE_FRACTION: f64 = 0.75;
+const MAX_IDLE_PER_INSTANCE: usize = 32;
 
+/// Identifies an instance incarnation at an address.
 pub type InstanceKey = (InstanceId, Incarnation, SocketAddr);
 
-/// One open connection. Dropping it breaks it at once, whatever is under way.
+/// One open connection. Dropping it resets the connection at once, even with a request in flight.
 pub struct Connection {
     pub sender: hyper::client::conn::http1::SendRequest<Body>,
-    pub gate: Arc<Gate>,
-    /// It has carried a request before.
+    pub send_guard: Arc<SendGuard>,
+    /// Whether it has carried a request before.
     pub reused: bool,
-    /// Whether answers on it can be told apart, so that it may carry another request.
-    pub may_carry_more: bool,
-    /// For how long the instance said that it keeps the connection when idle.
-    kept_for: Option<Duration>,
+    /// Whether its responses are identified by a request id, so that it may carry another request.
+    pub is_reusable: bool,
+    /// The keep-alive timeout that the instance announced.
+    keep_alive_timeout: Option<Duration>,
     driver: tokio::task::JoinHandle<()>,
     idle_since: Instant,
 }
 
 impl Connection {
-    /// The instance said for how long it keeps the connection when idle.
-    pub fn keep_to(&mut self, kept_for: Option<Duration>) {
-        self.kept_for = kept_for.or(self.kept_for);
+    /// Sets the keep-alive timeout, if the instance announced one.
+    pub fn set_keep_alive_timeout(&mut self, keep_alive_timeout: Option<Duration>) {
+        self.keep_alive_timeout = keep_alive_timeout.or(self.keep_alive_timeout);
     }
 
-    /// Whether it may be taken up again after having been idle for as long as it has been.
-    fn is_fresh(&self, idle_span: Duration) -> bool {
-        let kept_for = self
-            .kept_for
-            .map_or(idle_span, |kept| kept.mul_f64(KEPT_SHARE));
-        self.idle_since.elapsed() < idle_span.min(kept_for)
+    /// Returns whether the idle time is short enough for the connection to be reused.
+    fn is_fresh(&self, max_idle_time: Duration) -> bool {
+        let idle_limit = self.keep_alive_timeout.map_or(max_idle_time, |timeout| {
+            timeout.mul_f64(KEEP_ALIVE_FRACTION)
+        });
+        self.idle_since.elapsed() < max_idle_time.min(idle_limit)
     }
 
-    /// Whether it can carry a request: open, free, and without a byte that nobody asked for.
+    /// Returns whether the connection can carry a request: open, free, and without unsolicited
+    /// bytes.
     fn is_clean(&self) -> bool {
-        self.sender.is_ready() && self.gate.is_quiet()
+        self.sender.is_ready() && self.send_guard.has_no_unread_data()
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Why abort: a half-sent request must end as a broken connection and never as a whole request.
+        // Aborting makes a partly sent request end as a broken connection and never as a complete
+        // request.
         self.driver.abort();
     }
 }
 
+/// The idle connections by instance.
 #[derive(Default)]
 pub struct InstanceConnections {
     idle: Mutex<HashMap<InstanceKey, Vec<Connection>>>,
 }
 
 impl InstanceConnections {
-    /// An idle connection that is still whole, or a new one.
-    pub async fn open(
+    /// Returns an idle connection that can be reused, or opens a new one.
+    pub async fn acquire(
         &self,
         key: &InstanceKey,
         timeout: Duration,
-        read: bool,
+        is_read: bool,
     ) -> Option<Connection> {
-        let idle_span = if read {
-            IDLE_SPAN
+        let max_idle_time = if is_read {
+            MAX_IDLE_TIME
         } else {
-            IDLE_SPAN_FOR_WRITES
+            MAX_IDLE_TIME_FOR_WRITES
         };
         let pooled = locked(&self.idle).get_mut(key).and_then(|idle| {
             while let Some(connection) = idle.pop() {
-                if connection.is_fresh(idle_span) && connection.is_clean() {
+                if connection.is_fresh(max_idle_time) && connection.is_clean() {
                     return Some(connection);
                 }
             }
@@ -99,61 +103,62 @@
         if pooled.is_some() {
             return pooled;
         }
-        let opening = async {
+        let connecting = async {
             let stream = TcpStream::connect(key.2).await.ok()?;
             let _ = stream.set_nodelay(true);
-            // Why: dropping the connection must also drop what still waits to be sent. On a full
-            // link that would reach the instance seconds later, as a request that nobody awaits.
+            // Dropping the connection must also drop the data that is still queued. On a congested
+            // link that data would otherwise reach the instance seconds later, as a request that
+            // nobody waits for.
             let _ = stream.set_zero_linger();
-            let gate = Arc::new(Gate::of(&stream));
-            let gated = Gated {
+            let send_guard = Arc::new(SendGuard::of(&stream));
+            let guarded = GuardedSocket {
                 socket: stream,
-                gate: gate.clone(),
+                send_guard: send_guard.clone(),
             };
             let (sender, connection) = hyper::client::conn::http1::Builder::new()
                 .max_buf_size(64 * 1024)
-                .handshake(TokioIo::new(gated))
+                .handshake(TokioIo::new(guarded))
                 .await
                 .ok()?;
             let driver = tokio::spawn(async move {
-                // Why ignored: whoever holds the sender learns of it there.
+                // Ignored: the holder of the sender sees the same error.
                 let _ = connection.await;
             });
             Some(Connection {
                 sender,
-                gate,
+                send_guard,
                 reused: false,
-                may_carry_more: true,
-                kept_for: None,
+                is_reusable: true,
+                keep_alive_timeout: None,
                 driver,
                 idle_since: Instant::now(),
             })
         };
-        tokio::time::timeout(timeout.min(CONNECT_TIMEOUT), opening)
+        tokio::time::timeout(timeout.min(CONNECT_TIMEOUT), connecting)
             .await
             .ok()
             .flatten()
     }
 
-    /// Takes back a connection whose request and answer are both complete.
-    pub fn give_back(&self, key: InstanceKey, mut connection: Connection) {
-        if connection.sender.is_closed() || !connection.may_carry_more {
+    /// Returns a connection to the pool after its request and response are both complete.
+    pub fn release(&self, key: InstanceKey, mut connection: Connection) {
+        if connection.sender.is_closed() || !connection.is_reusable {
             return;
         }
         connection.idle_since = Instant::now();
         connection.reused = true;
         let mut idle = locked(&self.idle);
         let connections = idle.entry(key).or_default();
-        if connections.len() < MOST_IDLE {
+        if connections.len() < MAX_IDLE_PER_INSTANCE {
             connections.push(connection);
         }
     }
 
-    /// Closes the idle connections to every life of an instance but the present ones.
-    pub fn keep_only(&self, instances: &BTreeMap<InstanceId, Heartbeat>) {
+    /// Closes the idle connections to all incarnations of an instance other than the current one.
+    pub fn retain_current(&self, instances: &BTreeMap<InstanceId, Heartbeat>) {
         locked(&self.idle).retain(|(id, incarnation, address), connections| {
             connections.retain(|connection| {
-                !connection.sender.is_closed() && connection.is_fresh(IDLE_SPAN)
+                !connection.sender.is_closed() && connection.is_fresh(MAX_IDLE_TIME)
             });
             instances.get(id).is_some_and(|heartbeat| {
                 heartbeat.incarnation == *incarnation && heartbeat.address == *address
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,15 +1,16 @@
-//! The proxy: carries requests from clients to instances, as its agent tells it.
+//! The proxy: forwards client requests to instances, with configuration and instance lists from the
+//! local agent.
 
 pub mod attempt;
-pub mod carrier;
 pub mod daemon;
 pub mod demand_meter;
 pub mod error_response;
+pub mod forwarding;
 pub mod framing;
-pub mod gate;
 pub mod instance_connections;
-pub mod outgoing;
-pub mod passing;
 pub mod protocol_adapter;
 pub mod request_body;
+pub mod request_handler;
+pub mod send_guard;
+pub mod upstream_request;
 pub mod usage;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `proxy`: the proxy.
+//! The `proxy` program.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
-const HELP: &str = "The proxy: carries orders from callers to instances, as its agent tells it";
+const HELP: &str =
+    "The proxy: forwards client requests to instances, as configured through its agent";
 const NEEDS: [&str; 4] = ["control", "serving", "area", "agent"];
 
 fn main() -> anyhow::Result<()> {
--- a/crates/proxy/src/protocol_adapter.rs
+++ b/crates/proxy/src/protocol_adapter.rs
@@ -1,4 +1,4 @@
-//! What a proxy and its neighbours call things on the wire: header names, and how answers are read.
+//! Header names and conventions of the protocol between clients, the proxy and instances.
 
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::StatusCode;
@@ -8,56 +8,57 @@
     LOAD_HEADER, OUTCOME_HEADER, REQUEST_HEADER,
 };
 
-/// The names and forms that requests and answers carry. It decides nothing.
+/// The names and formats that requests and responses use. It makes no decisions.
 #[derive(Clone)]
 pub struct ProtocolAdapter {
-    /// Names a request, at clients if they name theirs, at instances always.
+    /// Header with the request id; always sent to instances, and accepted from clients if they send
+    /// one.
     pub request_id: HeaderName,
-    /// Whether clients name their requests, and instances must name them back.
+    /// Whether clients send a request id, and instances must return it.
     pub clients_send_request_id: bool,
-    /// Milliseconds that the sender waits; at instances always.
+    /// Header with the milliseconds for which the sender waits; always sent to instances.
     pub deadline: HeaderName,
-    /// Whether clients tell how long they wait, under the same name.
+    /// Whether clients send their deadline in the same header.
     pub clients_send_deadline: bool,
-    /// The instance that a request is for.
+    /// Header with the instance that a request is sent to.
     pub instance: HeaderName,
-    /// By which an instance that is another than was meant tells who it is.
+    /// Header with the actual identity of an instance that received a request for another one.
     pub instance_header: Option<HeaderName>,
     pub incarnation: Option<HeaderName>,
     pub key_range: Option<HeaderName>,
     pub epoch: Option<HeaderName>,
-    /// Without it an instance's success is none.
+    /// Header without which a success from an instance is not accepted.
     pub seal: Option<HeaderName>,
-    /// Says in answers of ours whether the request ran.
+    /// Header in error responses of the proxy that says whether the request ran.
     pub outcome: Option<HeaderName>,
-    /// Names the client's address to instances.
+    /// Header with the client address, sent to instances.
     pub forwarded_for: Option<HeaderName>,
-    /// Headers that begin so are ours and pass in neither direction.
+    /// Prefix of internal headers, which are forwarded in neither direction.
     pub internal_header_prefix: Option<&'static str>,
     /// Whether `Retry-After` may have fractions of a second.
     pub fractions: bool,
-    /// The path that tells readiness to whoever reaches the proxy.
+    /// Path that reports readiness to anyone who can reach the proxy.
     pub ready_path: &'static str,
-    /// Answers that promise clients that nothing ran: an instance's own are no such word.
+    /// Statuses that tell clients that nothing ran; never forwarded from an instance.
     pub promises: &'static [u16],
-    /// Whether an instance says that it ran nothing.
+    /// Returns whether a response states that the instance did not run the request.
     pub reports_not_run: fn(StatusCode, &HeaderMap) -> bool,
-    /// The load that an instance tells with its answer.
+    /// Returns the load that an instance reports with its response.
     pub load: fn(&HeaderMap) -> Option<u32>,
 }
 
-fn own_reported_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
+fn default_reports_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
     let reported = headers.get(OUTCOME_HEADER);
     status == StatusCode::MISDIRECTED_REQUEST
         || reported.is_some_and(|reported| reported == "not-run")
 }
 
-fn own_load(headers: &HeaderMap) -> Option<u32> {
+fn default_load(headers: &HeaderMap) -> Option<u32> {
     headers.get(LOAD_HEADER)?.to_str().ok()?.parse().ok()
 }
 
 impl ProtocolAdapter {
-    /// The product's own.
+    /// Returns the default protocol.
     pub fn own() -> Self {
         let name = HeaderName::from_static;
         Self {
@@ -77,8 +78,8 @@
             fractions: false,
             ready_path: "/caperworks/ready",
             promises: &[],
-            reports_not_run: own_reported_not_run,
-            load: own_load,
+            reports_not_run: default_reports_not_run,
+            load: default_load,
         }
     }
 }
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -1,4 +1,5 @@
-//! The client's body: held whole, or streamed under the route's limit.
+//! The body of a client request: buffered if small, otherwise streamed up to the body limit of the
+//! route.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
@@ -7,62 +8,64 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body as HttpBody, Incoming};
 
-use crate::carrier::Carrier;
-use crate::passing::Counted;
+use crate::forwarding::LimitedBody;
+use crate::request_handler::RequestHandler;
 use crate::usage::UsageKey;
 use caperworks::dispatch::{Failure, RequestLifecycle};
 use caperworks::map_items::Route;
 use runtime::http::Body;
 
-/// The client's body, in the form it can be sent in.
+/// The body of a client request, ready to be sent.
 pub(crate) enum RequestBody {
-    Held(Bytes),
+    Buffered(Bytes),
     Streaming(Option<Body>),
 }
 
 impl RequestBody {
-    /// Whether all of it can be sent: it is held, or no attempt has begun to take it.
+    /// Returns whether the complete body can still be sent: it is buffered, or no attempt has
+    /// started to consume it.
     pub(crate) fn is_complete(&self) -> bool {
         match self {
-            RequestBody::Held(_) => true,
+            RequestBody::Buffered(_) => true,
             RequestBody::Streaming(stream) => stream.is_some(),
         }
     }
 }
 
-impl Carrier {
-    /// Holds a small body whole; a large or open-ended one streams under the route's limit.
+impl RequestHandler {
+    /// Buffers a small body; a large one or one of unknown length is streamed up to the body limit
+    /// of the route.
     pub(crate) async fn buffer_body(
         self: &Arc<Self>,
         body: Incoming,
         route: &Route,
-        over: &Arc<AtomicBool>,
-        chart: &RequestLifecycle,
+        limit_exceeded: &Arc<AtomicBool>,
+        lifecycle: &RequestLifecycle,
         usage_key: &UsageKey,
     ) -> Result<RequestBody, Failure> {
         match body.size_hint().exact() {
             Some(length) if length > route.body_limit => Err(Failure::BodyTooLarge),
             Some(length) if length <= self.held_body => {
-                let left = chart.deadline().saturating_sub(self.clock.now());
-                match tokio::time::timeout(left, body.collect()).await {
+                let remaining = lifecycle.deadline().saturating_sub(self.clock.now());
+                match tokio::time::timeout(remaining, body.collect()).await {
                     Ok(Ok(collected)) => {
                         let bytes = collected.to_bytes();
-                        self.usage.took_in(usage_key, bytes.len() as u64);
-                        Ok(RequestBody::Held(bytes))
+                        self.usage.add_bytes_in(usage_key, bytes.len() as u64);
+                        Ok(RequestBody::Buffered(bytes))
                     }
                     Ok(Err(_)) => Err(Failure::BadFraming),
                     Err(_) => Err(Failure::LateBeforeSending),
                 }
             }
             _ => {
-                let counted = Counted {
+                let limited = LimitedBody {
                     inner: body,
-                    left: route.body_limit,
-                    over: over.clone(),
+                    remaining: route.body_limit,
+                    limit_exceeded: limit_exceeded.clone(),
                     proxy: self.clone(),
                     usage_key: usage_key.clone(),
                 };
-                Ok(RequestBody::Streaming(Some(counted.boxed())))
+                Ok(RequestBody::Streaming(Some(limited.boxed())))
             }
         }
     }
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -1,4 +1,5 @@
-//! Carries requests from clients to instances along the request's state chart.
+//! Handles client requests: matches a route, chooses an instance, forwards the request, retries
+//! when that is safe, and returns the response.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,12 +12,12 @@
 
 use crate::attempt::AttemptResponse;
 use crate::demand_meter::DemandMeter;
-use crate::framing::{checked_framing, header_text};
+use crate::forwarding::{AttemptGuard, AttemptResult, InFlightGuard};
+use crate::framing::{header_text, validated_host};
 use crate::instance_connections::InstanceConnections;
-use crate::outgoing::Outgoing;
-use crate::passing::{AttemptGuard, AttemptResult, UnderWay};
 use crate::protocol_adapter::ProtocolAdapter;
-use crate::usage::{CountedEnd, UsageAccounts, UsageKey};
+use crate::upstream_request::UpstreamRequest;
+use crate::usage::{UsageAccounts, UsageKey, UsageOutcome};
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome,
     RequestLifecycle, RequestState, ServiceShard,
@@ -30,30 +31,31 @@
 use runtime::locks::locked;
 use runtime::options::NodeSettings;
 
-/// Bodies and answers up to this size are held whole, so that an attempt can be repeated and a
-/// truncated answer never reaches the client.
-pub(crate) const SMALL: u64 = 64 * 1024;
+/// Responses up to this size are buffered completely, so that a truncated one never reaches the
+/// client and the attempt can be repeated.
+pub(crate) const MAX_BUFFERED_RESPONSE: u64 = 64 * 1024;
 
-/// Mistakes that are built in on purpose. Only for proving the observers: no setting names them.
+/// Faults that tests inject to prove that their checks detect them. No setting selects them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum BrokenCarrier {
+pub enum InjectedBug {
     #[default]
-    Nothing,
-    /// The name that an answer bears is not looked at.
-    TakesAnyResponse,
-    /// A request that may run once is sent again after a reset.
-    RepeatsOnce,
-    /// A request in doubt is answered with a promise that it did not run.
-    PromisesInDoubt,
-    /// An answer that breaks off is ended as though it were whole.
-    EndsCutResponses,
-    /// Further attempts are not bounded by the budget.
-    NoBudget,
-    /// What the last check says where the first byte is written does not count.
-    IgnoresLastCheck,
+    Off,
+    /// The request id of a response is not checked.
+    AcceptsAnyResponse,
+    /// A non-idempotent request is retried after a connection reset.
+    RetriesNonIdempotent,
+    /// A request whose outcome is unknown is reported as not run.
+    ReportsUnknownAsNotRun,
+    /// A truncated response is ended as though it were complete.
+    EndsTruncatedResponses,
+    /// Retries are not bounded by the retry budget.
+    IgnoresRetryBudget,
+    /// The result of the check before the first byte is ignored.
+    SkipsPreSendCheck,
 }
 
-pub struct Carrier {
+/// State shared by all requests of one proxy.
+pub struct RequestHandler {
     pub clock: Clock,
     pub protocol_adapter: ProtocolAdapter,
     pub zone: Zone,
@@ -61,13 +63,13 @@
     pub capacity: u32,
     pub(crate) held_body: u64,
     pub stopping: AtomicBool,
-    /// Set when even new requests are refused, just before the end.
+    /// Set shortly before the process ends: from then on new requests are rejected too.
     pub closed: AtomicBool,
-    pub under_way: AtomicU32,
+    pub in_flight: AtomicU32,
     pub connections: InstanceConnections,
-    pub(crate) openings: Mutex<RecentConnects>,
+    pub(crate) recent_connects: Mutex<RecentConnects>,
     pub usage: UsageAccounts,
-    pub broken: BrokenCarrier,
+    pub injected_bug: InjectedBug,
     requests: AtomicU64,
     seed: u64,
     knowledge: RwLock<Arc<ProxyKnowledge>>,
@@ -75,7 +77,7 @@
     meter: DemandMeter,
 }
 
-impl Carrier {
+impl RequestHandler {
     pub fn new(
         clock: Clock,
         node_settings: &NodeSettings,
@@ -94,11 +96,11 @@
             held_body: node_settings.terms.held_body,
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
-            under_way: AtomicU32::new(0),
+            in_flight: AtomicU32::new(0),
             connections: InstanceConnections::default(),
-            openings: Mutex::default(),
+            recent_connects: Mutex::default(),
             usage: UsageAccounts::default(),
-            broken: BrokenCarrier::Nothing,
+            injected_bug: InjectedBug::Off,
             requests: AtomicU64::new(0),
             seed: fresh_seed(),
             knowledge: RwLock::new(Arc::new(knowledge)),
@@ -115,30 +117,31 @@
     }
 
     pub fn shard(&self, service: &ServiceName) -> Arc<Mutex<ServiceShard>> {
-        let read = self
+        let shards = self
             .shards
             .read()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        if let Some(shard) = read.get(service) {
+        if let Some(shard) = shards.get(service) {
             return shard.clone();
         }
-        drop(read);
-        let mut write = self
+        drop(shards);
+        let mut shards = self
             .shards
             .write()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let seed = self.seed ^ steady_hash(service.as_str());
-        write
+        shards
             .entry(service.clone())
             .or_insert_with(|| Arc::new(Mutex::new(ServiceShard::new(seed))))
             .clone()
     }
 
-    /// Takes what the agent told; connections to lives that are over are closed.
-    pub fn take(&self, asked_at: Duration, view: &ProxyView) {
+    /// Applies an update from the agent, and closes connections to instance incarnations that have
+    /// ended.
+    pub fn apply_view(&self, asked_at: Duration, view: &ProxyView) {
         let mut next = (*self.knowledge()).clone();
         next.take(asked_at, view);
-        self.connections.keep_only(&next.instances);
+        self.connections.retain_current(&next.instances);
         let shards = self
             .shards
             .read()
@@ -160,83 +163,96 @@
             && (knowledge.policy.closed_zone_carries || !knowledge.closed.contains(&self.zone))
     }
 
-    /// What was measured of late: requests a second by group and route, and how far the group is.
+    /// Returns the recently measured demand: requests per second by client group and route, and the
+    /// round-trip time to the group.
     pub fn demand(&self) -> Vec<Demand> {
         self.meter.demand(self.clock.now())
     }
 
-    /// Answers one request.
-    pub async fn carry(
+    /// Handles one client request and returns its response.
+    pub async fn handle(
         self: Arc<Self>,
-        far_end: Peer,
+        peer: Peer,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, std::io::Error> {
         if request.uri().path() == self.protocol_adapter.ready_path {
             return Ok(ready_response(self.is_ready()));
         }
-        let under_way = UnderWay::begin(&self);
-        let read = matches!(*request.method(), Method::GET | Method::HEAD);
-        let repeats = read || self.broken == BrokenCarrier::RepeatsOnce;
-        let mut chart = RequestLifecycle::received(repeats);
-        let mut counted = None;
-        let worked = self
-            .work(far_end, request, &mut chart, under_way, &mut counted)
+        let in_flight = InFlightGuard::begin(&self);
+        let is_read = matches!(*request.method(), Method::GET | Method::HEAD);
+        let is_idempotent = is_read || self.injected_bug == InjectedBug::RetriesNonIdempotent;
+        let mut lifecycle = RequestLifecycle::received(is_idempotent);
+        let mut usage_key_slot = None;
+        let processed = self
+            .process(
+                peer,
+                request,
+                &mut lifecycle,
+                in_flight,
+                &mut usage_key_slot,
+            )
             .await;
-        let (response, end) = match worked {
-            // Why by the chart: an answer of ours to a body that was too long is no success.
-            Ok(response) if chart.state() != RequestState::Done => (response, CountedEnd::Unknown),
-            Ok(response) => (response, CountedEnd::Served),
+        let (response, end) = match processed {
+            // The lifecycle decides: the proxy also returns `Ok` with its own 413 response to a
+            // body that exceeds the limit, which is not a success.
+            Ok(response) if lifecycle.state() != RequestState::Done => {
+                (response, UsageOutcome::Unknown)
+            }
+            Ok(response) => (response, UsageOutcome::Served),
             Err(failure) => {
-                chart.refuse(failure);
-                let reported = chart.reported_outcome(failure);
+                lifecycle.refuse(failure);
+                let reported = lifecycle.reported_outcome(failure);
                 let end = match reported {
-                    ReportedOutcome::NotRun => CountedEnd::NotRun,
-                    ReportedOutcome::Unknown => CountedEnd::Unknown,
+                    ReportedOutcome::NotRun => UsageOutcome::NotRun,
+                    ReportedOutcome::Unknown => UsageOutcome::Unknown,
                 };
                 (self.error_response(failure, reported), end)
             }
         };
-        if let Some(key) = counted {
-            self.usage.ended(&key, end);
+        if let Some(key) = usage_key_slot {
+            self.usage.record_end(&key, end);
             let length = response.body().size_hint().exact();
-            // Why only short ones: a long answer is counted as it passes.
-            if let Some(length) = length.filter(|length| *length <= SMALL) {
-                self.usage.gave_out(&key, length);
+            // Only buffered responses are counted here; the bytes of a streamed one are counted as
+            // they are forwarded.
+            if let Some(length) = length.filter(|length| *length <= MAX_BUFFERED_RESPONSE) {
+                self.usage.add_bytes_out(&key, length);
             }
         }
         Ok(response)
     }
 
-    async fn work(
+    /// Routes the request and attempts it until it succeeds or must not be retried.
+    async fn process(
         self: &Arc<Self>,
-        far_end: Peer,
+        peer: Peer,
         request: Request<Incoming>,
-        chart: &mut RequestLifecycle,
-        under_way: UnderWay,
-        counted: &mut Option<UsageKey>,
+        lifecycle: &mut RequestLifecycle,
+        in_flight: InFlightGuard,
+        usage_key_slot: &mut Option<UsageKey>,
     ) -> Result<Response<Body>, Failure> {
         if self.closed.load(Ordering::SeqCst) {
             return Err(Failure::Draining);
         }
         let (head, body) = request.into_parts();
-        let host = checked_framing(&head)?;
+        let host = validated_host(&head)?;
         let knowledge = self.knowledge();
         let now = self.clock.now();
         let path = head.uri.path();
         let (name, route) = knowledge.find(now, &host, path)?;
-        chart.matched(now, &route);
+        lifecycle.matched(now, &route);
         if self.protocol_adapter.clients_send_deadline {
             let reported = header_text(&head.headers, self.protocol_adapter.deadline.as_str());
             if let Some(millis) = reported.and_then(|reported| reported.parse().ok()) {
-                chart.limit_deadline(now + Duration::from_millis(millis));
+                lifecycle.limit_deadline(now + Duration::from_millis(millis));
             }
         }
         let service = route.service_for(fresh_seed()).clone();
         let usage_key = UsageKey::of(&name, &service);
-        *counted = Some(usage_key.clone());
-        self.meter.measure(now, &far_end, &name);
+        *usage_key_slot = Some(usage_key.clone());
+        self.meter.record_request(now, &peer, &name);
         knowledge.admits(now, &self.zone, &route)?;
-        // Why only for keyed services: of a split route's requests some may go where keys mean nothing.
+        // Keys apply to keyed services only: a route can split its requests between keyed services
+        // and others.
         let keyed = knowledge
             .service(&service)
             .is_some_and(|service| service.keyed);
@@ -251,24 +267,26 @@
                 }
             }
         };
-        let over = Arc::new(AtomicBool::new(false));
+        let limit_exceeded = Arc::new(AtomicBool::new(false));
         let mut body = self
-            .buffer_body(body, &route, &over, chart, &usage_key)
+            .buffer_body(body, &route, &limit_exceeded, lifecycle, &usage_key)
             .await?;
-        chart.admitted(body.is_complete());
+        lifecycle.admitted(body.is_complete());
         drop(knowledge);
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
-        let named = header_text(&head.headers, self.protocol_adapter.request_id.as_str());
-        let request_id = match named.filter(|_| self.protocol_adapter.clients_send_request_id) {
-            Some(named) => named.to_string(),
-            None => format!("{:x}-{number:x}", mix(self.seed)),
-        };
+        let client_request_id =
+            header_text(&head.headers, self.protocol_adapter.request_id.as_str());
+        let request_id =
+            match client_request_id.filter(|_| self.protocol_adapter.clients_send_request_id) {
+                Some(id) => id.to_string(),
+                None => format!("{:x}-{number:x}", mix(self.seed)),
+            };
         let shard = self.shard(&service);
-        let mut tried: Vec<InstanceId> = Vec::new();
-        let mut under_way = Some(under_way);
+        let mut excluded: Vec<InstanceId> = Vec::new();
+        let mut in_flight = Some(in_flight);
         loop {
             let now = self.clock.now();
-            if now >= chart.deadline() {
+            if now >= lifecycle.deadline() {
                 return Err(Failure::LateBeforeSending);
             }
             let knowledge = self.knowledge();
@@ -282,43 +300,44 @@
                     &route,
                     &service,
                     key.as_deref(),
-                    &tried,
+                    &excluded,
                 )?;
                 shard.begin(now, &target);
                 target
             };
-            chart.chosen();
+            lifecycle.chosen();
             let guard = AttemptGuard {
                 proxy: self.clone(),
                 service: service.clone(),
                 target: target.clone(),
-                result: AttemptResult::Unjudged,
+                result: AttemptResult::Inconclusive,
                 load: None,
-                over: false,
+                incarnation_ended: false,
                 usage_key: usage_key.clone(),
             };
-            let request = Outgoing {
+            let request = UpstreamRequest {
                 head: &head,
-                far_end: &far_end,
+                peer: &peer,
                 route: &route,
                 request_id: &request_id,
                 protocol_adapter: &self.protocol_adapter,
             };
             let attempt = self
-                .attempt(request, guard, &mut body, chart, &mut under_way)
+                .attempt(request, guard, &mut body, lifecycle, &mut in_flight)
                 .await;
             let end = match attempt {
-                AttemptResponse::Answered(response) => {
-                    chart.attempt_ended(self.clock.now(), AttemptEnd::Answered, || false);
-                    chart.done();
+                AttemptResponse::Responded(response) => {
+                    lifecycle.attempt_ended(self.clock.now(), AttemptEnd::Answered, || false);
+                    lifecycle.done();
                     return Ok(response);
                 }
-                AttemptResponse::Refused(failure) => return Err(failure),
+                AttemptResponse::Rejected(failure) => return Err(failure),
                 AttemptResponse::Ended(end) => end,
             };
-            if over.load(Ordering::SeqCst) {
-                // Why unknown: bytes have left, though the instance cannot have had all of them.
-                chart.refuse(Failure::LostAfterSending);
+            if limit_exceeded.load(Ordering::SeqCst) {
+                // Unknown, since some bytes were sent, although the instance cannot have received
+                // the complete request.
+                lifecycle.refuse(Failure::LostAfterSending);
                 return Ok(self.outcome_response(
                     413,
                     "unknown",
@@ -327,15 +346,15 @@
                 ));
             }
             if target.is_used_up(end) {
-                tried.push(target.instance);
+                excluded.push(target.instance);
             }
             let now = self.clock.now();
-            chart.body_left(body.is_complete());
+            lifecycle.body_left(body.is_complete());
             let may_retry = || {
                 let in_budget = locked(&shard).take_retry(now);
-                in_budget || self.broken == BrokenCarrier::NoBudget
+                in_budget || self.injected_bug == InjectedBug::IgnoresRetryBudget
             };
-            match chart.attempt_ended(now, end, may_retry) {
+            match lifecycle.attempt_ended(now, end, may_retry) {
                 NextStep::Retry => {}
                 NextStep::Respond(failure) => return Err(failure),
                 NextStep::ForwardResponse => return Err(Failure::Garbage),
--- a/crates/proxy/src/outgoing.rs
+++ b/crates/proxy/src/upstream_request.rs
@@ -1,4 +1,4 @@
-//! The request that goes to an instance with an attempt.
+//! Builds the request that is sent to an instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,26 +6,27 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::Request;
 
-use crate::framing::{strip_hop_by_hop, strip_own};
+use crate::framing::{strip_hop_by_hop, strip_internal};
 use crate::protocol_adapter::ProtocolAdapter;
 use caperworks::dispatch::{Failure, Target};
 use caperworks::map_items::Route;
 use runtime::http::{Body, Peer};
 
-/// What goes to an instance with every attempt.
-pub(crate) struct Outgoing<'order> {
-    pub(crate) head: &'order hyper::http::request::Parts,
-    pub(crate) far_end: &'order Peer,
-    pub(crate) route: &'order Arc<Route>,
-    pub(crate) request_id: &'order str,
-    pub(crate) protocol_adapter: &'order ProtocolAdapter,
+/// The parts of a request that are the same for each attempt.
+pub(crate) struct UpstreamRequest<'request> {
+    pub(crate) head: &'request hyper::http::request::Parts,
+    pub(crate) peer: &'request Peer,
+    pub(crate) route: &'request Arc<Route>,
+    pub(crate) request_id: &'request str,
+    pub(crate) protocol_adapter: &'request ProtocolAdapter,
 }
 
-impl Outgoing<'_> {
+impl UpstreamRequest<'_> {
+    /// Returns the request for one attempt at `target`, with `remaining` as its deadline.
     pub(crate) fn request(
         &self,
         target: &Target,
-        left: Duration,
+        remaining: Duration,
         body: Body,
     ) -> Result<Request<Body>, Failure> {
         let path = self
@@ -40,10 +41,10 @@
             .map_err(|_| Failure::BadFraming)?;
         let mut headers = self.head.headers.clone();
         strip_hop_by_hop(&mut headers);
-        strip_own(&mut headers, self.protocol_adapter.internal_header_prefix);
+        strip_internal(&mut headers, self.protocol_adapter.internal_header_prefix);
         headers.remove("expect");
-        // Why removed: the framing towards the instance follows from the body, never from the
-        // client's word.
+        // The framing towards the instance follows from the body and never from the header of the
+        // client.
         headers.remove("content-length");
         let protocol_adapter = self.protocol_adapter;
         let mut set = |name: &HeaderName, text: String| -> Result<(), Failure> {
@@ -56,9 +57,12 @@
             set(name, target.incarnation.to_string())?;
         }
         set(&protocol_adapter.request_id, self.request_id.to_string())?;
-        set(&protocol_adapter.deadline, left.as_millis().to_string())?;
+        set(
+            &protocol_adapter.deadline,
+            remaining.as_millis().to_string(),
+        )?;
         if let Some(name) = &protocol_adapter.forwarded_for {
-            set(name, self.far_end.address.ip().to_string())?;
+            set(name, self.peer.address.ip().to_string())?;
         }
         if let Some((key_range, epoch)) = target.key_range {
             if let Some(name) = &protocol_adapter.key_range {
--- a/crates/proxy/src/usage.rs
+++ b/crates/proxy/src/usage.rs
@@ -1,4 +1,4 @@
-//! What was carried, counted by hour, route and service, for the operators' export.
+//! Usage counters by hour, route and service, for export to operators.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,17 +7,18 @@
 use caperworks::messages::UsageLine;
 use runtime::locks::locked;
 
-/// How many hours are remembered.
-const MOST_HOURS: u64 = 48;
+/// The number of hours for which counters are kept.
+const RETAINED_HOURS: u64 = 48;
 
-/// The hour that the wall clock shows. Why the wall clock: it only labels, and decides nothing.
-fn present_hour() -> u64 {
+/// Returns the current hour of the wall clock. The wall clock is acceptable here because the hour
+/// is only a label.
+fn current_hour() -> u64 {
     std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
-        .map_or(0, |span| span.as_secs() / 3600)
+        .map_or(0, |since_epoch| since_epoch.as_secs() / 3600)
 }
 
-/// One request's place in the counts.
+/// The counter that a request belongs to.
 #[derive(Debug, Clone)]
 pub struct UsageKey {
     hour: u64,
@@ -28,28 +29,29 @@
 impl UsageKey {
     pub fn of(route: &RouteName, service: &ServiceName) -> Self {
         Self {
-            hour: present_hour(),
+            hour: current_hour(),
             route: route.clone(),
             service: service.clone(),
         }
     }
 }
 
-/// How a request ended for its client.
+/// The outcome of a request as reported to its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CountedEnd {
+pub enum UsageOutcome {
     Served,
     NotRun,
     Unknown,
 }
 
+/// The usage counters of one proxy.
 #[derive(Default)]
 pub struct UsageAccounts {
     lines: Mutex<BTreeMap<(u64, RouteName, ServiceName), UsageLine>>,
 }
 
 impl UsageAccounts {
-    fn change(&self, key: &UsageKey, change: impl FnOnce(&mut UsageLine)) {
+    fn update(&self, key: &UsageKey, update: impl FnOnce(&mut UsageLine)) {
         let mut lines = locked(&self.lines);
         let entry_key = (key.hour, key.route.clone(), key.service.clone());
         let line = lines.entry(entry_key).or_insert_with(|| UsageLine {
@@ -58,33 +60,40 @@
             service: key.service.clone(),
             ..UsageLine::default()
         });
-        change(line);
-        // Why forgotten: a proxy lives for long on little memory.
-        let oldest = key.hour.saturating_sub(MOST_HOURS);
-        while let Some(first) = lines.first_entry().filter(|first| first.key().0 < oldest) {
+        update(line);
+        // Old hours are removed to bound the memory of a long-running proxy.
+        let oldest_hour = key.hour.saturating_sub(RETAINED_HOURS);
+        while let Some(first) = lines
+            .first_entry()
+            .filter(|first| first.key().0 < oldest_hour)
+        {
             first.remove();
         }
     }
 
-    pub fn ended(&self, key: &UsageKey, end: CountedEnd) {
-        self.change(key, |line| {
+    /// Counts a finished request by its outcome.
+    pub fn record_end(&self, key: &UsageKey, end: UsageOutcome) {
+        self.update(key, |line| {
             line.requests += 1;
             match end {
-                CountedEnd::Served => line.served += 1,
-                CountedEnd::NotRun => line.not_run += 1,
-                CountedEnd::Unknown => line.unknown += 1,
+                UsageOutcome::Served => line.served += 1,
+                UsageOutcome::NotRun => line.not_run += 1,
+                UsageOutcome::Unknown => line.unknown += 1,
             }
         });
     }
 
-    pub fn took_in(&self, key: &UsageKey, bytes: u64) {
-        self.change(key, |line| line.bytes_in += bytes);
+    /// Adds bytes received from clients.
+    pub fn add_bytes_in(&self, key: &UsageKey, bytes: u64) {
+        self.update(key, |line| line.bytes_in += bytes);
     }
 
-    pub fn gave_out(&self, key: &UsageKey, bytes: u64) {
-        self.change(key, |line| line.bytes_out += bytes);
+    /// Adds bytes sent to clients.
+    pub fn add_bytes_out(&self, key: &UsageKey, bytes: u64) {
+        self.update(key, |line| line.bytes_out += bytes);
     }
 
+    /// Returns all counters.
     pub fn lines(&self) -> Vec<UsageLine> {
         locked(&self.lines).values().cloned().collect()
     }
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -19,8 +19,8 @@
 use crate::support::schedule::Schedules;
 use crate::support::server::{HostileServer, Script};
 use crate::support::wire::in_chunks;
-use proxy::carrier::BrokenCarrier;
-use proxy::gate::{Gate, Gated, Passage};
+use proxy::request_handler::InjectedBug;
+use proxy::send_guard::{GuardedSocket, SendGuard, SendState};
 use runtime::clock::Clock;
 
 const SCHEDULES: u64 = 2000;
@@ -63,7 +63,7 @@
     let proxy = ProxyFixture::start(
         seed,
         manner.protocol_adapter(),
-        BrokenCarrier::Nothing,
+        InjectedBug::Off,
         &addresses,
     )
     .await;
@@ -107,7 +107,7 @@
 
 /// Runs schedules that must break nothing, and must not be empty.
 async fn assert_kept(seeds: std::ops::Range<u64>, manner: Manner) {
-    let schedules = Schedules::run(seeds, manner, BrokenCarrier::Nothing).await;
+    let schedules = Schedules::run(seeds, manner, InjectedBug::Off).await;
     let breaches = &schedules.breaches;
     assert!(breaches.is_empty(), "{}", breaches.join("\n"));
     let tally = schedules.tally;
@@ -140,14 +140,14 @@
 }
 
 /// Runs a proxy with a mistake built in; each of these kinds of breach must be told of it.
-async fn assert_caught(first_seed: u64, broken: BrokenCarrier, kinds: &[&str]) {
+async fn assert_caught(first_seed: u64, injected_bug: InjectedBug, kinds: &[&str]) {
     let seeds = first_seed..first_seed + SCHEDULES_TO_CATCH;
-    let schedules = Schedules::run(seeds, Manner::Strict, broken).await;
+    let schedules = Schedules::run(seeds, Manner::Strict, injected_bug).await;
     for kind in kinds {
         let breaches = &schedules.breaches;
         assert!(
             schedules.reported(kind),
-            "{broken:?}: no {kind:?} in {breaches:?}"
+            "{injected_bug:?}: no {kind:?} in {breaches:?}"
         );
     }
 }
@@ -155,30 +155,35 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn given_a_proxy_that_ignores_names_of_answers_when_schedules_run_then_it_is_caught() {
     let kinds = ["got an answer that names", "without its own whole body"];
-    assert_caught(100_000, BrokenCarrier::TakesAnyResponse, &kinds).await;
+    assert_caught(100_000, InjectedBug::AcceptsAnyResponse, &kinds).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn given_a_proxy_that_repeats_after_a_reset_when_schedules_run_then_it_is_caught() {
-    assert_caught(110_000, BrokenCarrier::RepeatsOnce, &["may run once"]).await;
+    assert_caught(
+        110_000,
+        InjectedBug::RetriesNonIdempotent,
+        &["may run once"],
+    )
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn given_a_proxy_that_promises_in_doubt_when_schedules_run_then_it_is_caught() {
     let kinds = ["promises that it never ran"];
-    assert_caught(120_000, BrokenCarrier::PromisesInDoubt, &kinds).await;
+    assert_caught(120_000, InjectedBug::ReportsUnknownAsNotRun, &kinds).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn given_a_proxy_that_ends_cut_answers_as_whole_when_schedules_run_then_it_is_caught() {
     let kinds = ["without its own whole body"];
-    assert_caught(130_000, BrokenCarrier::EndsCutResponses, &kinds).await;
+    assert_caught(130_000, InjectedBug::EndsTruncatedResponses, &kinds).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn given_a_proxy_without_a_budget_when_schedules_run_then_it_is_caught() {
     let kinds = ["though the budget allows"];
-    assert_caught(140_000, BrokenCarrier::NoBudget, &kinds).await;
+    assert_caught(140_000, InjectedBug::IgnoresRetryBudget, &kinds).await;
 }
 
 #[tokio::test]
@@ -211,7 +216,15 @@
         let asking = scripted.get_task(&format!("gone-{number}"));
         until(|| asking.is_finished() || shunned.arrivals_with(Behaviour::Silence) > before).await;
         asking.abort();
-        until(|| scripted.proxy.carrier.under_way.load(Ordering::SeqCst) == 0).await;
+        until(|| {
+            scripted
+                .proxy
+                .request_handler
+                .in_flight
+                .load(Ordering::SeqCst)
+                == 0
+        })
+        .await;
     }
     assert_eq!(shunned.arrivals_with(Behaviour::Silence), 8);
     for number in 0..60 {
@@ -287,14 +300,20 @@
 }
 
 /// A connection whose near end stands behind an armed gate.
-async fn gated_pair() -> (Gated<TcpStream>, TcpStream) {
+async fn gated_pair() -> (GuardedSocket<TcpStream>, TcpStream) {
     let listener = listen_for(200_006).await;
     let near = TcpStream::connect(address_of(&listener)).await;
     let near = near.expect("it listens");
     let (far, _) = listener.accept().await.expect("it came");
-    let gate = Arc::new(Gate::of(&near));
-    gate.arm(Box::new(|| Ok(())));
-    (Gated { socket: near, gate }, far)
+    let send_guard = Arc::new(SendGuard::of(&near));
+    send_guard.arm(Box::new(|| Ok(())));
+    (
+        GuardedSocket {
+            socket: near,
+            send_guard,
+        },
+        far,
+    )
 }
 
 #[tokio::test]
@@ -308,25 +327,28 @@
                 .await
                 .expect("it takes it"),
         }
-        let gate = gated.gate.clone();
-        until(|| !gate.is_quiet()).await;
+        let send_guard = gated.send_guard.clone();
+        until(|| !send_guard.has_no_unread_data()).await;
         assert!(gated.write_all(b"POST / HTTP/1.1\r\n").await.is_err());
-        assert_eq!(gate.shut(), Passage::Nothing(None));
+        assert_eq!(send_guard.shut_down(), SendState::NotSent(None));
     }
 }
 
 #[tokio::test]
 async fn given_a_quiet_connection_when_a_request_is_written_then_it_leaves() {
     let (mut gated, _far) = gated_pair().await;
-    assert!(gated.gate.is_quiet());
+    assert!(gated.send_guard.has_no_unread_data());
     gated
         .write_all(b"POST / HTTP/1.1\r\n")
         .await
         .expect("it leaves");
-    assert_eq!(gated.gate.shut(), Passage::Begun);
-    let gate = gated.gate.clone();
+    assert_eq!(gated.send_guard.shut_down(), SendState::Started);
+    let send_guard = gated.send_guard.clone();
     drop(gated);
-    assert!(!gate.is_quiet(), "a closed socket is no clean connection");
+    assert!(
+        !send_guard.has_no_unread_data(),
+        "a closed socket is no clean connection"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -360,7 +382,7 @@
         let proxy = ProxyFixture::start(
             seed,
             Manner::Strict.protocol_adapter(),
-            BrokenCarrier::Nothing,
+            InjectedBug::Off,
             &addresses,
         );
         let proxy = proxy.await;
--- a/crates/proxy/tests/instance_connections.rs
+++ b/crates/proxy/tests/instance_connections.rs
@@ -42,7 +42,7 @@
     let key = (InstanceId::new("i-1"), Incarnation(0), address);
     let connections = InstanceConnections::default();
     let mut connection = connections
-        .open(&key, Duration::from_secs(5), false)
+        .acquire(&key, Duration::from_secs(5), false)
         .await
         .expect("the instance accepts");
     let (stream, _) = listener.accept().await.expect("it is opened");
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -21,8 +21,8 @@
 use caperworks::map_items::{Route, Service, Value, ZoneSettings};
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
-use proxy::carrier::{BrokenCarrier, Carrier};
 use proxy::protocol_adapter::ProtocolAdapter;
+use proxy::request_handler::{InjectedBug, RequestHandler};
 use runtime::clock::Clock;
 use runtime::http::{serve_http, REQUEST_HEADER};
 use runtime::options::{NodeSettings, Terms};
@@ -216,7 +216,7 @@
 /// A proxy that serves, and knows of instances at these addresses.
 pub struct ProxyFixture {
     pub address: SocketAddr,
-    pub carrier: Arc<Carrier>,
+    pub request_handler: Arc<RequestHandler>,
     tasks: JoinSet<()>,
 }
 
@@ -224,10 +224,17 @@
     pub async fn start(
         seed: u64,
         protocol_adapter: ProtocolAdapter,
-        broken: BrokenCarrier,
+        injected_bug: InjectedBug,
         instances: &[SocketAddr],
     ) -> Self {
-        Self::start_by(Clock::start(), seed, protocol_adapter, broken, instances).await
+        Self::start_by(
+            Clock::start(),
+            seed,
+            protocol_adapter,
+            injected_bug,
+            instances,
+        )
+        .await
     }
 
     /// The same by a clock that may be interrupted.
@@ -235,27 +242,28 @@
         clock: Clock,
         seed: u64,
         protocol_adapter: ProtocolAdapter,
-        broken: BrokenCarrier,
+        injected_bug: InjectedBug,
         instances: &[SocketAddr],
     ) -> Self {
         let listener = listen_for(seed).await;
         let address = address_of(&listener);
-        let mut carrier = Carrier::new(clock, &node_settings(address), protocol_adapter);
-        carrier.broken = broken;
-        let carrier = Arc::new(carrier);
+        let mut request_handler =
+            RequestHandler::new(clock, &node_settings(address), protocol_adapter);
+        request_handler.injected_bug = injected_bug;
+        let request_handler = Arc::new(request_handler);
         let heartbeats = instances.iter().enumerate();
         let heartbeats = heartbeats.map(|(number, address)| instance(number, *address));
         let view = view(1, heartbeats.collect());
-        carrier.take(carrier.clock.now(), &view);
-        let carrying = carrier.clone();
+        request_handler.apply_view(request_handler.clock.now(), &view);
+        let handler = request_handler.clone();
         let stop = Arc::new(AtomicBool::new(false));
         let mut tasks = JoinSet::new();
-        tasks.spawn(serve_http(listener, stop, move |far_end, request| {
-            carrying.clone().carry(far_end, request)
+        tasks.spawn(serve_http(listener, stop, move |peer, request| {
+            handler.clone().handle(peer, request)
         }));
         Self {
             address,
-            carrier,
+            request_handler,
             tasks,
         }
     }
@@ -263,6 +271,8 @@
     /// Takes no more connections, and closes the idle ones to instances.
     pub fn stop(mut self) {
         self.tasks.abort_all();
-        self.carrier.connections.keep_only(&BTreeMap::new());
+        self.request_handler
+            .connections
+            .retain_current(&BTreeMap::new());
     }
 }
--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -20,7 +20,7 @@
 use crate::support::server::HostileServer;
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::messages::ProxyView;
-use proxy::carrier::{BrokenCarrier, Carrier};
+use proxy::request_handler::{InjectedBug, RequestHandler};
 use runtime::clock::{Clock, Interruption};
 
 /// More looks than one request takes.
@@ -87,7 +87,7 @@
 }
 
 /// Sends one request, with a strike at this look at the clock.
-async fn outcome_of(strike: Strike, look: u32, broken: BrokenCarrier, upload: bool) -> Outcome {
+async fn outcome_of(strike: Strike, look: u32, injected_bug: InjectedBug, upload: bool) -> Outcome {
     let seed = 300_000 + u64::from(look);
     let manner = Manner::Strict;
     let listener = listen_for(seed).await;
@@ -96,20 +96,26 @@
     let server = HostileServer::new(seed, manner, journal.clone(), Some(|_| Behaviour::Good));
     let mut serving = JoinSet::new();
     serving.spawn(server.serve(listener));
-    let carrier: Arc<std::sync::OnceLock<Arc<Carrier>>> = Arc::default();
-    let struck = carrier.clone();
+    let request_handler: Arc<std::sync::OnceLock<Arc<RequestHandler>>> = Arc::default();
+    let struck = request_handler.clone();
     let interruption = Interruption::new(strike.nap(), move || {
-        if let (Some(carrier), Some(updates)) = (struck.get(), strike.updates(address)) {
-            carrier.take(Duration::ZERO, &updates);
+        if let (Some(request_handler), Some(updates)) = (struck.get(), strike.updates(address)) {
+            request_handler.apply_view(Duration::ZERO, &updates);
         }
     });
     // Why leaked: a clock is copied everywhere, and a few bytes for each request do no harm here.
     let interruption: &'static Interruption = Box::leak(Box::new(interruption));
     let clock = Clock::start().interrupted_by(interruption);
-    let proxy =
-        ProxyFixture::start_by(clock, seed, manner.protocol_adapter(), broken, &[address]).await;
-    carrier
-        .set(proxy.carrier.clone())
+    let proxy = ProxyFixture::start_by(
+        clock,
+        seed,
+        manner.protocol_adapter(),
+        injected_bug,
+        &[address],
+    )
+    .await;
+    request_handler
+        .set(proxy.request_handler.clone())
         .unwrap_or_else(|_| panic!("it is set once"));
     interruption.strike_at(look);
     let body = if upload { 900_000 } else { 5 };
@@ -130,10 +136,10 @@
 }
 
 /// At how many looks, from the first on, a strike keeps the request back; from then on it is sent.
-async fn looks_that_keep_back(strike: Strike, broken: BrokenCarrier, upload: bool) -> u32 {
+async fn looks_that_keep_back(strike: Strike, injected_bug: InjectedBug, upload: bool) -> u32 {
     let mut kept_back = 0;
     for look in 1..=MOST_LOOKS {
-        let outcome = outcome_of(strike, look, broken, upload).await;
+        let outcome = outcome_of(strike, look, injected_bug, upload).await;
         let all_so_far = kept_back == look - 1;
         if outcome.is_kept_back() && all_so_far {
             kept_back = look;
@@ -153,7 +159,7 @@
 async fn given_a_freeze_or_news_at_any_step_when_no_byte_has_left_then_none_leaves() {
     for strike in STRIKES {
         for upload in [false, true] {
-            let kept_back = looks_that_keep_back(strike, BrokenCarrier::Nothing, upload).await;
+            let kept_back = looks_that_keep_back(strike, InjectedBug::Off, upload).await;
             // When it is matched, chosen, about to be sent, and where its first byte is written.
             assert!(kept_back >= 4, "{strike:?}, upload {upload}: {kept_back}");
         }
@@ -165,9 +171,8 @@
 ) {
     for strike in STRIKES {
         for upload in [false, true] {
-            let sound = looks_that_keep_back(strike, BrokenCarrier::Nothing, upload).await;
-            let broken =
-                looks_that_keep_back(strike, BrokenCarrier::IgnoresLastCheck, upload).await;
+            let sound = looks_that_keep_back(strike, InjectedBug::Off, upload).await;
+            let broken = looks_that_keep_back(strike, InjectedBug::SkipsPreSendCheck, upload).await;
             assert!(
                 broken < sound,
                 "{strike:?}, upload {upload}: kept back at {broken} and {sound} looks"
--- a/crates/proxy/tests/support/schedule.rs
+++ b/crates/proxy/tests/support/schedule.rs
@@ -9,7 +9,7 @@
 use crate::support::journal::{Journal, Tally};
 use crate::support::server::HostileServer;
 use caperworks::identifiers::{mix, Chance};
-use proxy::carrier::BrokenCarrier;
+use proxy::request_handler::InjectedBug;
 use runtime::clock::Clock;
 
 const SERVERS: usize = 3;
@@ -22,7 +22,7 @@
 pub async fn run_schedule(
     seed: u64,
     manner: Manner,
-    broken: BrokenCarrier,
+    injected_bug: InjectedBug,
 ) -> (Vec<String>, Tally) {
     let journal = Arc::new(Journal::new(manner));
     let mut servers = JoinSet::new();
@@ -33,7 +33,8 @@
         let server = HostileServer::new(seed, manner, journal.clone(), None);
         servers.spawn(server.serve(listener));
     }
-    let proxy = ProxyFixture::start(seed, manner.protocol_adapter(), broken, &addresses).await;
+    let proxy =
+        ProxyFixture::start(seed, manner.protocol_adapter(), injected_bug, &addresses).await;
     let clock = Clock::start();
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
@@ -59,23 +60,27 @@
 
 impl Schedules {
     /// Runs schedules with these seeds, many at once.
-    pub async fn run(seeds: std::ops::Range<u64>, manner: Manner, broken: BrokenCarrier) -> Self {
+    pub async fn run(
+        seeds: std::ops::Range<u64>,
+        manner: Manner,
+        injected_bug: InjectedBug,
+    ) -> Self {
         let mut schedules = Self::default();
-        let mut under_way = JoinSet::new();
+        let mut in_flight = JoinSet::new();
         for seed in seeds {
-            if under_way.len() >= AT_ONCE {
-                schedules.take_in(&mut under_way).await;
+            if in_flight.len() >= AT_ONCE {
+                schedules.take_in(&mut in_flight).await;
             }
-            under_way.spawn(async move { (seed, run_schedule(seed, manner, broken).await) });
+            in_flight.spawn(async move { (seed, run_schedule(seed, manner, injected_bug).await) });
         }
-        while !under_way.is_empty() {
-            schedules.take_in(&mut under_way).await;
+        while !in_flight.is_empty() {
+            schedules.take_in(&mut in_flight).await;
         }
         schedules
     }
 
-    async fn take_in(&mut self, under_way: &mut JoinSet<(u64, (Vec<String>, Tally))>) {
-        let Some(ended) = under_way.join_next().await else {
+    async fn take_in(&mut self, in_flight: &mut JoinSet<(u64, (Vec<String>, Tally))>) {
+        let Some(ended) = in_flight.join_next().await else {
             return;
         };
         let (seed, (breaches, tally)) = ended.expect("a schedule does not panic");
