--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -4,7 +4,7 @@
 mod failure;
 mod instance_watch;
 #[path = "dispatch/link_monitor.rs"]
-mod link_watch;
+mod link_monitor;
 mod proxy_knowledge;
 mod request_chart;
 mod retry_budget;
@@ -14,7 +14,7 @@
 
 pub use self::failure::{Failure, ReportedOutcome};
 pub(crate) use self::instance_watch::{InstanceWatch, KeyWatch, SlowStartBucket};
-pub use self::link_watch::{LinkWatch, RecentConnects, SLOW_CONNECT};
+pub use self::link_monitor::{LinkWatch, RecentConnects, SLOW_CONNECT};
 pub use self::proxy_knowledge::ProxyKnowledge;
 pub use self::request_chart::{AttemptEnd, NextStep, RequestLifecycle, RequestState};
 pub use self::retry_budget::{RetryBudget, RETRY_FLOOR, RETRY_PERCENT};
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -26,7 +26,7 @@
     /// Until when the agent takes the core's silence for a slow link.
     pub link_slow_until: Duration,
     /// Whether this machine's own link is full, as the proxy sees it.
-    pub link_watch: Arc<LinkWatch>,
+    pub link_monitor: Arc<LinkWatch>,
     pub maps: Arc<Follower>,
     pub table: Arc<RouteTable>,
     pub instances: BTreeMap<InstanceId, Heartbeat>,
@@ -158,7 +158,7 @@
     /// go by an old configuration; one that the core reaches late has to follow it in time.
     pub fn is_usable(&self, now: Duration) -> bool {
         let known = self.maps.map(MapName::Configuration).version > Version(0);
-        let cut_off = now >= self.link_slow_until && !self.link_watch.is_full(now);
+        let cut_off = now >= self.link_slow_until && !self.link_monitor.is_full(now);
         now < self.fresh_until || (self.policy.serves_on && known && cut_off)
     }
 
