--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -3,7 +3,6 @@
 mod choice;
 mod failure;
 mod instance_watch;
-#[path = "dispatch/link_monitor.rs"]
 mod link_monitor;
 mod proxy_knowledge;
 mod request_chart;
