--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -1,23 +1,24 @@
-//! A request's way through the proxy: its state chart, the choice of an instance, and the budgets.
+//! Request handling in the proxy: the request lifecycle, the choice of an instance, and the retry
+//! budget.
 
 mod choice;
 mod failure;
-mod instance_watch;
+mod instance_stats;
 mod link_monitor;
+mod passive_health;
 mod proxy_knowledge;
-mod request_chart;
+mod request_lifecycle;
 mod retry_budget;
 mod service_shard;
-mod silent_instances;
 mod target;
 
 pub use self::failure::{Failure, ReportedOutcome};
-pub(crate) use self::instance_watch::{InstanceWatch, KeyWatch, SlowStartBucket};
-pub use self::link_monitor::{LinkWatch, RecentConnects, SLOW_CONNECT};
+pub(crate) use self::instance_stats::{InstanceStats, KeyStats, SlowStartBucket};
+pub use self::link_monitor::{LinkMonitor, RecentConnects, SLOW_CONNECT};
+pub use self::passive_health::RECENT_RESPONSE_WINDOW;
 pub use self::proxy_knowledge::ProxyKnowledge;
-pub use self::request_chart::{AttemptEnd, NextStep, RequestLifecycle, RequestState};
+pub use self::request_lifecycle::{AttemptEnd, NextStep, RequestLifecycle, RequestState};
 pub use self::retry_budget::{RetryBudget, RETRY_FLOOR, RETRY_PERCENT};
 pub use self::service_shard::ServiceShard;
-pub use self::silent_instances::RECENT_RESPONSE_WINDOW;
 pub(crate) use self::target::target_of;
 pub use self::target::Target;
--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an instance for an attempt.
+//! Chooses the instance for an attempt.
 
 use std::time::Duration;
 
@@ -8,15 +8,17 @@
 use crate::map_items::{Route, Service};
 use crate::replicated_map::MapName;
 
-/// Up to which load a slot instances are chosen before those of the next tier: the own zone, the
-/// region, beyond.
-const SPILL_LOADS: [f64; 3] = [1.25, 2.0, 2.0];
+/// The load per slot up to which instances of a tier are chosen before those of the next one. The
+/// tiers are the zone of the proxy, its region, and other regions.
+const TIER_LOAD_LIMITS: [f64; 3] = [1.25, 2.0, 2.0];
 
-/// The instances that could serve, by how near they are: in the own zone, the region, beyond.
-type Tiers<'heartbeats> = [Vec<&'heartbeats Heartbeat>; 3];
+/// The eligible instances by distance: in the zone of the proxy, in its region, and in other
+/// regions.
+type DistanceTiers<'heartbeats> = [Vec<&'heartbeats Heartbeat>; 3];
 
 impl ServiceShard {
-    /// Chooses an instance: same zone first, then the region, and never beyond a home region.
+    /// Chooses an instance: first in the same zone, then in the region, and only in the home
+    /// regions of the route.
     pub fn choose(
         &mut self,
         now: Duration,
@@ -24,14 +26,22 @@
         own_zone: &Zone,
         route: &Route,
         key: Option<&str>,
-        tried: &[InstanceId],
+        excluded: &[InstanceId],
     ) -> Result<Target, Failure> {
-        self.choose_in(now, knowledge, own_zone, route, &route.service, key, tried)
+        self.choose_in_service(
+            now,
+            knowledge,
+            own_zone,
+            route,
+            &route.service,
+            key,
+            excluded,
+        )
     }
 
-    /// The same in one of the services that the route's requests are split over.
+    /// Chooses an instance of one of the services that the requests of the route are split over.
     #[allow(clippy::too_many_arguments)]
-    pub fn choose_in(
+    pub fn choose_in_service(
         &mut self,
         now: Duration,
         knowledge: &ProxyKnowledge,
@@ -39,23 +49,23 @@
         route: &Route,
         service_name: &ServiceName,
         key: Option<&str>,
-        tried: &[InstanceId],
+        excluded: &[InstanceId],
     ) -> Result<Target, Failure> {
         let service = knowledge.service(service_name).ok_or(Failure::NoInstance)?;
         if service.keyed {
-            return self.choose_owner(now, knowledge, route, service_name, service, key, tried);
+            return self.choose_owner(now, knowledge, route, service_name, service, key, excluded);
         }
         let own_region = knowledge.regions.get(own_zone);
         let heartbeats = knowledge
             .by_service
             .get(service_name)
             .ok_or(Failure::NoInstance)?;
-        let mut tiers: Tiers<'_> = Default::default();
-        let mut last_resort: Tiers<'_> = Default::default();
+        let mut tiers: DistanceTiers<'_> = Default::default();
+        let mut fallback_tiers: DistanceTiers<'_> = Default::default();
         for heartbeat in heartbeats {
             if heartbeat.state == InstanceState::Draining
                 || knowledge.closed.contains(&heartbeat.zone)
-                || tried.contains(&heartbeat.id)
+                || excluded.contains(&heartbeat.id)
             {
                 continue;
             }
@@ -68,77 +78,83 @@
                 (false, true) => 1,
                 (false, false) => 2,
             };
-            match self.seems_alive(now, heartbeat, knowledge) {
+            match self.is_presumed_alive(now, heartbeat, knowledge) {
                 true => tiers[tier].push(heartbeat),
-                false => last_resort[tier].push(heartbeat),
+                false => fallback_tiers[tier].push(heartbeat),
             }
         }
-        if now < self.any_ejected_until {
-            self.bound_ejections(now, &tiers);
+        if now < self.last_ejection_ends {
+            self.limit_ejections(now, &tiers);
         }
-        // Why near ones a second time: when all are busy, waiting near by beats waiting far away.
-        for spill in [SPILL_LOADS, [f64::MAX; 3]] {
-            if let Some(heartbeat) = self.pick_in(now, &tiers, service, knowledge, spill) {
+        // The second pass ignores the load limits: when all instances are busy, waiting nearby is
+        // better than waiting far away.
+        for load_limits in [TIER_LOAD_LIMITS, [f64::MAX; 3]] {
+            if let Some(heartbeat) =
+                self.pick_in_tiers(now, &tiers, service, knowledge, load_limits)
+            {
                 return Ok(target_of(heartbeat, None, None));
             }
         }
-        if knowledge.most_are_silent(service_name) {
-            for tier in &mut last_resort {
-                tier.retain(|heartbeat| self.is_last_resort(heartbeat));
+        if knowledge.most_lack_heartbeats(service_name) {
+            for tier in &mut fallback_tiers {
+                tier.retain(|heartbeat| self.is_fallback_candidate(heartbeat));
             }
             let any_load = [f64::MAX; 3];
-            if let Some(heartbeat) = self.pick_in(now, &last_resort, service, knowledge, any_load) {
+            if let Some(heartbeat) =
+                self.pick_in_tiers(now, &fallback_tiers, service, knowledge, any_load)
+            {
                 return Ok(target_of(heartbeat, None, None));
             }
         }
         Err(Failure::NoInstance)
     }
 
-    /// Picks in the first tier that has an instance under the load that is allowed there.
-    fn pick_in<'heartbeats>(
+    /// Picks an instance in the first tier that has one below the load limit of the tier.
+    fn pick_in_tiers<'heartbeats>(
         &mut self,
         now: Duration,
-        tiers: &Tiers<'heartbeats>,
+        tiers: &DistanceTiers<'heartbeats>,
         service: &Service,
         knowledge: &ProxyKnowledge,
-        most_loads: [f64; 3],
+        load_limits: [f64; 3],
     ) -> Option<&'heartbeats Heartbeat> {
         tiers
             .iter()
-            .zip(most_loads)
-            .find_map(|(tier, most_load)| self.pick(now, tier, service, knowledge, most_load))
+            .zip(load_limits)
+            .find_map(|(tier, load_limit)| self.pick(now, tier, service, knowledge, load_limit))
     }
 
-    /// Takes instances back when more than half of those that could serve are put aside.
+    /// Ends all ejections when more than half of the eligible instances are ejected.
     ///
-    /// Why bounded: that many failures say more of the way there than of the instances, and the rest
-    /// would be sunk by all the load.
-    fn bound_ejections(&mut self, now: Duration, tiers: &Tiers<'_>) {
-        let known: usize = tiers.iter().map(Vec::len).sum();
+    /// That many failures indicate a fault of the network path and not of the instances, and the
+    /// remaining instances would be overloaded by all the traffic.
+    fn limit_ejections(&mut self, now: Duration, tiers: &DistanceTiers<'_>) {
+        let eligible: usize = tiers.iter().map(Vec::len).sum();
         let ejected = tiers
             .iter()
             .flatten()
-            .filter(|heartbeat| now < self.watch(heartbeat).ejected_until)
+            .filter(|heartbeat| now < self.stats_for(heartbeat).ejected_until)
             .count();
-        if ejected * 2 > known {
+        if ejected * 2 > eligible {
             for heartbeat in tiers.iter().flatten() {
-                self.watch(heartbeat).ejected_until = Duration::ZERO;
+                self.stats_for(heartbeat).ejected_until = Duration::ZERO;
             }
         }
     }
 
-    /// Picks within a tier: a cold instance whose turn has come, or the less loaded of two.
+    /// Picks within a tier: an instance in slow start whose rate admits a request, or else the less
+    /// loaded of two random ones.
     fn pick<'heartbeats>(
         &mut self,
         now: Duration,
         tier: &[&'heartbeats Heartbeat],
         service: &Service,
         knowledge: &ProxyKnowledge,
-        most_load: f64,
+        load_limit: f64,
     ) -> Option<&'heartbeats Heartbeat> {
         let proxies = knowledge.proxies;
-        // Why the cold first when their turn has come: it comes seldom, and a cold instance that
-        // is never chosen never warms.
+        // Instances in slow start come first when their rate admits a request: that is seldom the
+        // case, and an instance that is never chosen never warms up.
         let is_warming_up = |heartbeat: &Heartbeat| knowledge.is_warming_up(heartbeat, service);
         for heartbeat in tier.iter().filter(|heartbeat| is_warming_up(heartbeat)) {
             if self.has_capacity(now, heartbeat, service, proxies)
@@ -147,20 +163,20 @@
                 return Some(heartbeat);
             }
         }
-        // Why by drawing first: nearly always one of two drawn is free, and looking at all of them
-        // for every request is what a request would mostly cost.
+        // Random picks are tried before a scan: nearly always one of two is free, and looking at
+        // all instances would be the largest part of the cost of a request.
         let mut best: Option<&Heartbeat> = None;
         for _ in 0..2 {
-            let drawn = *tier.get(self.chance.below(tier.len() as u64) as usize)?;
-            if is_warming_up(drawn)
-                || !self.has_capacity(now, drawn, service, proxies)
-                || self.weight(now, drawn) > most_load
+            let candidate = *tier.get(self.chance.below(tier.len() as u64) as usize)?;
+            if is_warming_up(candidate)
+                || !self.has_capacity(now, candidate, service, proxies)
+                || self.weight(now, candidate) > load_limit
             {
                 continue;
             }
             best = match best {
-                Some(best) if self.weight(now, best) <= self.weight(now, drawn) => Some(best),
-                _ => Some(drawn),
+                Some(best) if self.weight(now, best) <= self.weight(now, candidate) => Some(best),
+                _ => Some(candidate),
             };
         }
         if best.is_some() {
@@ -168,14 +184,15 @@
         }
         let start = self.chance.below(tier.len() as u64) as usize;
         (0..tier.len())
-            .map(|step| tier[(start + step) % tier.len()])
+            .map(|offset| tier[(start + offset) % tier.len()])
             .find(|heartbeat| {
                 !is_warming_up(heartbeat)
                     && self.has_capacity(now, heartbeat, service, proxies)
-                    && self.weight(now, heartbeat) <= most_load
+                    && self.weight(now, heartbeat) <= load_limit
             })
     }
 
+    /// Returns the owner of the key, if it can take the request.
     #[allow(clippy::too_many_arguments)]
     fn choose_owner(
         &mut self,
@@ -185,7 +202,7 @@
         service_name: &ServiceName,
         service: &Service,
         key: Option<&str>,
-        tried: &[InstanceId],
+        excluded: &[InstanceId],
     ) -> Result<Target, Failure> {
         let key = key.ok_or(Failure::MissingKey)?;
         let key_range = service.key_range_of(key).ok_or(Failure::BadKey)?;
@@ -202,24 +219,25 @@
             .filter(|heartbeat| knowledge.owner_serves(now, heartbeat))
             .filter(|heartbeat| !knowledge.closed.contains(&heartbeat.zone))
             .filter(|heartbeat| route.allows_region(knowledge.regions.get(&heartbeat.zone)))
-            // Why not again: an owner that says it does not hold the key range will not hold it in the
-            // next moment either, and the attempt would be wasted.
-            .filter(|heartbeat| !tried.contains(&heartbeat.id))
+            // An owner that stated that it does not hold the key range will not hold it a moment
+            // later, so another attempt would be wasted.
+            .filter(|heartbeat| !excluded.contains(&heartbeat.id))
             .ok_or(Failure::NoOwner)?;
         let key = steady_hash(key);
-        // Why a cap per key: one hot key must not take all of its owner's room from the others.
+        // The limit per key keeps one hot key from taking the whole capacity of its owner.
         self.key_share = f64::from(service.key_cap) / f64::from(knowledge.proxies.max(1));
-        let most = (self.key_share as u32).max(1);
-        let hot = self
+        let max_in_flight = (self.key_share as u32).max(1);
+        let is_hot = self
             .keys
             .get(&key)
-            .is_some_and(|watch| watch.under_way >= most || now < watch.rests_until);
-        let may_serve = self.seems_alive(now, heartbeat, knowledge)
-            || (knowledge.most_are_silent(service_name) && self.is_last_resort(heartbeat));
+            .is_some_and(|stats| stats.in_flight >= max_in_flight || now < stats.paused_until);
+        let may_serve = self.is_presumed_alive(now, heartbeat, knowledge)
+            || (knowledge.most_lack_heartbeats(service_name)
+                && self.is_fallback_candidate(heartbeat));
         if !may_serve {
             return Err(Failure::NoOwner);
         }
-        if (hot && !self.ignore_key_cap)
+        if (is_hot && !self.ignore_key_cap)
             || !self.has_capacity(now, heartbeat, service, knowledge.proxies)
             || !self.slow_start_admits(now, heartbeat, service, knowledge)
         {
--- a/crates/caperworks/src/dispatch/failure.rs
+++ b/crates/caperworks/src/dispatch/failure.rs
@@ -1,8 +1,8 @@
-//! Why a request was refused or lost, and what its client is told.
+//! The reasons why a request is rejected or lost, and what its client is told.
 
 use std::time::Duration;
 
-/// Why a request was refused or lost; the answer's status follows from it.
+/// The reason why a request was rejected or lost; it determines the response status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     NoRoute,
@@ -24,7 +24,7 @@
     Garbage,
 }
 
-/// What the client is told of whether the request ran.
+/// What the client is told about whether the request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedOutcome {
     NotRun,
@@ -32,6 +32,7 @@
 }
 
 impl Failure {
+    /// Returns the outcome that the failure alone implies.
     pub fn reported_outcome(self) -> ReportedOutcome {
         match self {
             Failure::LostAfterSending | Failure::LateAfterSending | Failure::Garbage => {
@@ -41,6 +42,7 @@
         }
     }
 
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Failure::NoRoute => 404,
@@ -52,7 +54,7 @@
         }
     }
 
-    /// When to come back, for those that may be tried again with hope.
+    /// Returns the retry delay for failures that may be temporary.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Failure::NoRoute
@@ -67,6 +69,7 @@
         }
     }
 
+    /// Returns the reason in the body of the response.
     pub fn word(self) -> &'static str {
         match self {
             Failure::NoRoute => "no rule matches",
--- a/crates/caperworks/src/dispatch/link_monitor.rs
+++ b/crates/caperworks/src/dispatch/link_monitor.rs
@@ -1,8 +1,10 @@
-//! Whether this machine's own link is full, by how long connections to instances take to open.
+//! Detects congestion of the link of this machine by how long connections to instances take to
+//! open.
 //!
-//! When the core falls silent, a proxy that serves on must know why. Cut off from the core alone, it
-//! still opens connections to instances at once. Behind a full link it does not, and then the core's
-//! news is on its way: it has to wait for that, and must not go on by what it knows.
+//! When the controllers do not respond, a proxy that serves stale must know the cause. If only the
+//! controllers are unreachable, connections to instances still open at once. On a congested link
+//! they do not, and then updates from the controllers are delayed but on their way: the proxy has
+//! to wait for them and must not act on its old state.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,49 +12,50 @@
 
 use crate::link::SLOW_LINK_SPAN;
 
-/// A connection that took longer to open came over a full link, or did not come at all; regions lie
-/// some 0.1 s apart.
+/// An attempt to connect that takes longer went over a congested link or failed. Regions are about
+/// 0.1 s apart.
 pub const SLOW_CONNECT: Duration = Duration::from_millis(300);
-/// How long an opening tells of the link.
-const OPENING_SPAN: Duration = Duration::from_secs(2);
-/// Fewer openings tell nothing: a single instance may be down.
-const FEWEST_OPENINGS: usize = 3;
+/// How long a measurement is used.
+const MEASUREMENT_WINDOW: Duration = Duration::from_secs(2);
+/// With fewer measurements there is no verdict: a single instance may be down.
+const MIN_MEASUREMENTS: usize = 3;
 
-/// The connections that were opened of late.
+/// Recent attempts to connect: when each ended, and whether it was slow.
 #[derive(Debug, Clone, Default)]
 pub struct RecentConnects {
     recent: VecDeque<(Duration, bool)>,
 }
 
 impl RecentConnects {
-    /// Notes how long an opening took; says whether the link seems full: more than half of those of
-    /// late were slow.
+    /// Records how long an attempt to connect took. Returns whether the link seems congested: more
+    /// than half of the recent attempts were slow.
     pub fn record(&mut self, now: Duration, took: Duration) -> bool {
         self.recent.push_back((now, took >= SLOW_CONNECT));
-        let is_over = |(at, _): &(Duration, bool)| now.saturating_sub(*at) >= OPENING_SPAN;
-        while self.recent.front().is_some_and(is_over) {
+        let is_expired = |(at, _): &(Duration, bool)| now.saturating_sub(*at) >= MEASUREMENT_WINDOW;
+        while self.recent.front().is_some_and(is_expired) {
             self.recent.pop_front();
         }
         let slow = self.recent.iter().filter(|(_, is_slow)| *is_slow).count();
-        self.recent.len() >= FEWEST_OPENINGS && slow * 2 > self.recent.len()
+        self.recent.len() >= MIN_MEASUREMENTS && slow * 2 > self.recent.len()
     }
 }
 
-/// Until when the link counts as full; shared by all copies of what a proxy knows.
+/// Until when the link is considered congested; shared by all copies of the state of a proxy.
 #[derive(Debug, Default)]
-pub struct LinkWatch {
-    full_until_micros: AtomicU64,
+pub struct LinkMonitor {
+    congested_until_micros: AtomicU64,
 }
 
-impl LinkWatch {
-    /// The link seems full at this moment.
+impl LinkMonitor {
+    /// Records that the link seems congested now.
     pub fn record_full(&self, now: Duration) {
         let until = (now + SLOW_LINK_SPAN).as_micros() as u64;
-        self.full_until_micros.fetch_max(until, Ordering::Relaxed);
+        self.congested_until_micros
+            .fetch_max(until, Ordering::Relaxed);
     }
 
-    /// Whether the link counted as full a moment ago.
+    /// Returns whether the link is considered congested.
     pub fn is_full(&self, now: Duration) -> bool {
-        (now.as_micros() as u64) < self.full_until_micros.load(Ordering::Relaxed)
+        (now.as_micros() as u64) < self.congested_until_micros.load(Ordering::Relaxed)
     }
 }
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -1,11 +1,11 @@
-//! What a proxy knows of the world, and the last check before a byte is sent.
+//! The state that a proxy has received from its agent, and the checks before a request is sent.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::configuration::{NamedRoute, RouteTable};
-use crate::dispatch::{Failure, LinkWatch, Target};
+use crate::dispatch::{Failure, LinkMonitor, Target};
 use crate::facts::{Heartbeat, InstanceState};
 use crate::feed::Follower;
 use crate::identifiers::{InstanceId, NodeId, Region, ServiceName, Version, Zone};
@@ -14,45 +14,46 @@
 use crate::policy::ProxyPolicy;
 use crate::replicated_map::MapName;
 
-/// What a proxy knows of the world, as its agent last told it.
+/// The state that a proxy last received from its agent.
 ///
-/// Why the maps and the table are shared: most news is of instances, and a proxy copies its
-/// knowledge for every piece of news; the configuration may be many thousand.
+/// The maps and the route table are shared: most updates concern instances, the proxy copies this
+/// state for every update, and a configuration may have many thousand items.
 #[derive(Debug, Clone, Default)]
 pub struct ProxyKnowledge {
-    /// The number of the last answer taken.
+    /// The number of the last view applied.
     pub last_view: u64,
     pub fresh_until: Duration,
-    /// Until when the agent takes the core's silence for a slow link.
+    /// Until when the agent attributes missing responses of the controllers to a slow link.
     pub link_slow_until: Duration,
-    /// Whether this machine's own link is full, as the proxy sees it.
-    pub link_monitor: Arc<LinkWatch>,
+    /// Whether the link of this machine is congested, as measured by the proxy.
+    pub link_monitor: Arc<LinkMonitor>,
     pub maps: Arc<Follower>,
     pub table: Arc<RouteTable>,
     pub instances: BTreeMap<InstanceId, Heartbeat>,
     pub by_service: HashMap<ServiceName, Vec<Heartbeat>>,
-    /// Instances whose heartbeats have stayed away for their span, though they may still answer.
+    /// Instances without a recent heartbeat, which may still respond to requests.
     pub silent: BTreeSet<InstanceId>,
     pub closed: BTreeSet<Zone>,
     pub regions: BTreeMap<Zone, Region>,
     pub proxies: u32,
-    /// Up to which place of which agent the instances are held.
+    /// The agent, and its offset, up to which the instances are current.
     pub agent: NodeId,
     pub instances_offset: u64,
     pub policy: ProxyPolicy,
-    /// Instances of zones that were taken back, with the last heartbeat heard before: nobody knows yet
-    /// whether they turned cold.
-    pub doubtful: BTreeMap<InstanceId, u64>,
-    /// When owners of keys were first heard to leave.
+    /// Instances in reopened zones, with the counter of the last heartbeat before: until the next
+    /// heartbeat it is unknown whether they are warming up.
+    pub maybe_warming_up: BTreeMap<InstanceId, u64>,
+    /// When owners of keys were first seen draining.
     pub draining: BTreeMap<InstanceId, Duration>,
 }
 
 impl ProxyKnowledge {
-    /// Takes what the agent told in answer to a question asked at `asked_at`.
+    /// Applies a view that the agent sent in response to a poll at `polled_at`.
     ///
-    /// Why only news: an answer that was overtaken on its way tells of instances that have left
-    /// since, and would be acted on for as long as the newer one keeps this proxy fresh.
-    pub fn take(&mut self, asked_at: Duration, view: &ProxyView) {
+    /// Older views are ignored: a response that was overtaken on its way contains instances that
+    /// have left since, and requests would go to them for as long as the newer response keeps this
+    /// proxy fresh.
+    pub fn take(&mut self, polled_at: Duration, view: &ProxyView) {
         if view.number <= self.last_view {
             return;
         }
@@ -63,18 +64,18 @@
                 self.table = Arc::new(self.table.after(configuration));
                 let closed: BTreeSet<Zone> = configuration
                     .zones()
-                    .filter(|(_, request)| request.closed)
+                    .filter(|(_, zone_settings)| zone_settings.closed)
                     .map(|(zone, _)| zone)
                     .collect();
                 let reopened: BTreeSet<Zone> = self.closed.difference(&closed).cloned().collect();
-                let doubtful = self.instances.values();
-                let doubtful = doubtful.filter(|heartbeat| reopened.contains(&heartbeat.zone));
-                self.doubtful
-                    .extend(doubtful.map(|heartbeat| (heartbeat.id.clone(), heartbeat.counter)));
+                let affected = self.instances.values();
+                let affected = affected.filter(|heartbeat| reopened.contains(&heartbeat.zone));
+                self.maybe_warming_up
+                    .extend(affected.map(|heartbeat| (heartbeat.id.clone(), heartbeat.counter)));
                 self.closed = closed;
                 self.regions = configuration
                     .zones()
-                    .map(|(zone, request)| (zone, request.region.clone()))
+                    .map(|(zone, zone_settings)| (zone, zone_settings.region.clone()))
                     .collect();
             }
         }
@@ -83,9 +84,9 @@
             self.silent.clear();
         }
         if view.all_instances || !view.instances.is_empty() {
-            let reported = view.instances.iter();
+            let received = view.instances.iter();
             self.instances
-                .extend(reported.map(|heartbeat| (heartbeat.id.clone(), heartbeat.clone())));
+                .extend(received.map(|heartbeat| (heartbeat.id.clone(), heartbeat.clone())));
             for heartbeat in &view.instances {
                 self.silent.remove(&heartbeat.id);
             }
@@ -98,33 +99,38 @@
                     .push(heartbeat.clone());
             }
         }
-        let leaves = |heartbeat: &Heartbeat| heartbeat.state == InstanceState::Draining;
+        let is_draining = |heartbeat: &Heartbeat| heartbeat.state == InstanceState::Draining;
         let instances = &self.instances;
         self.draining
-            .retain(|id, _| instances.get(id).is_some_and(leaves));
-        for heartbeat in instances.values().filter(|heartbeat| leaves(heartbeat)) {
+            .retain(|id, _| instances.get(id).is_some_and(is_draining));
+        for heartbeat in instances
+            .values()
+            .filter(|heartbeat| is_draining(heartbeat))
+        {
             self.draining
                 .entry(heartbeat.id.clone())
-                .or_insert(asked_at);
+                .or_insert(polled_at);
         }
         self.agent = view.agent;
         self.instances_offset = view.instances_offset;
         self.proxies = view.proxies.max(1);
         let instances = &self.instances;
-        self.doubtful.retain(|id, counter| {
+        self.maybe_warming_up.retain(|id, counter| {
             instances
                 .get(id)
                 .is_some_and(|heartbeat| heartbeat.counter <= *counter)
         });
-        // Why both maps: being fresh means acting on at least what the agent held when it said so.
-        self.link_slow_until = asked_at + view.link_slow_for;
-        let caught_up = self.maps.map(MapName::Configuration).version >= view.configuration
+        // Both maps must be current: a fresh proxy acts on at least what the agent held when it
+        // sent the view.
+        self.link_slow_until = polled_at + view.link_slow_for;
+        let is_caught_up = self.maps.map(MapName::Configuration).version >= view.configuration
             && self.maps.map(MapName::Ownership).version >= view.ownership;
-        if caught_up {
-            self.fresh_until = self.fresh_until.max(asked_at + view.left);
+        if is_caught_up {
+            self.fresh_until = self.fresh_until.max(polled_at + view.left);
         }
     }
 
+    /// Returns the settings of a service.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         match &self
             .maps
@@ -138,12 +144,13 @@
         }
     }
 
-    /// Whether an instance may be cold, as far as can be told.
+    /// Returns whether the instance may be warming up.
     pub(crate) fn is_warming_up(&self, heartbeat: &Heartbeat, service: &Service) -> bool {
-        heartbeat.is_warming_up(service.warm_up_span) || self.doubtful.contains_key(&heartbeat.id)
+        heartbeat.is_warming_up(service.warm_up_span)
+            || self.maybe_warming_up.contains_key(&heartbeat.id)
     }
 
-    /// Whether keys may still go to an owner, though it may be leaving.
+    /// Returns whether keys may still go to an owner that may be draining.
     pub(crate) fn owner_serves(&self, now: Duration, heartbeat: &Heartbeat) -> bool {
         if heartbeat.state != InstanceState::Draining {
             return true;
@@ -152,28 +159,29 @@
         since.is_some_and(|since| now < *since + self.policy.draining_owner)
     }
 
-    /// Whether what is known here may be acted on.
+    /// Returns whether the proxy may act on this state.
     ///
-    /// Why not over a slow link, even by a proxy that serves on: only a proxy that is cut off may
-    /// go by an old configuration; one that the core reaches late has to follow it in time.
+    /// Over a slow link even a proxy that serves stale may not: only a partitioned proxy may use an
+    /// old configuration, while one that receives updates late has to follow them in time.
     pub fn is_usable(&self, now: Duration) -> bool {
-        let known = self.maps.map(MapName::Configuration).version > Version(0);
-        let cut_off = now >= self.link_slow_until && !self.link_monitor.is_full(now);
-        now < self.fresh_until || (self.policy.serves_on && known && cut_off)
+        let has_configuration = self.maps.map(MapName::Configuration).version > Version(0);
+        let is_partitioned = now >= self.link_slow_until && !self.link_monitor.is_full(now);
+        now < self.fresh_until || (self.policy.serves_on && has_configuration && is_partitioned)
     }
 
-    /// The route for a host and path.
+    /// Returns the route for a host and path.
     pub fn find(&self, now: Duration, host: &str, path: &str) -> Result<NamedRoute, Failure> {
-        // Why not "no route" when stale: a route may have come that we have not heard of.
-        let otherwise = if !self.is_usable(now) {
+        // A stale proxy does not answer "no route": the route may have been added since its last
+        // update.
+        let failure = if !self.is_usable(now) {
             Failure::Stale
         } else {
             Failure::NoRoute
         };
-        self.table.find(host, path).cloned().ok_or(otherwise)
+        self.table.find(host, path).cloned().ok_or(failure)
     }
 
-    /// Whether this proxy may carry anything for the route now.
+    /// Returns an error if this proxy may not handle requests of the route now.
     pub fn admits(&self, now: Duration, own_zone: &Zone, route: &Route) -> Result<(), Failure> {
         if !self.is_usable(now) {
             return Err(Failure::Stale);
@@ -187,7 +195,7 @@
         Ok(())
     }
 
-    /// The last check, at the last moment before the first byte.
+    /// Checks right before the first byte is sent that the request may still go to the target.
     pub fn check_before_send(
         &self,
         now: Duration,
@@ -196,7 +204,7 @@
         target: &Target,
     ) -> Result<(), Failure> {
         self.admits(now, own_zone, route)?;
-        let is_alive = self
+        let is_current = self
             .instances
             .get(&target.instance)
             .is_some_and(|heartbeat| {
@@ -205,17 +213,17 @@
                     && (heartbeat.state != InstanceState::Draining
                         || (target.key_range.is_some() && self.owner_serves(now, heartbeat)))
             });
-        if !is_alive || self.closed.contains(&target.zone) {
+        if !is_current || self.closed.contains(&target.zone) {
             return Err(Failure::NoInstance);
         }
         if let Some((key_range, epoch)) = target.key_range {
-            let holds = self
+            let is_owner = self
                 .maps
                 .map(MapName::Ownership)
                 .key_ranges(&target.service)
                 .and_then(|table| table.owners.get(key_range as usize)?.as_ref())
                 .is_some_and(|owner| owner.epoch == epoch && owner.instance == target.instance);
-            if !holds {
+            if !is_owner {
                 return Err(Failure::NoOwner);
             }
         }
--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -1,21 +1,22 @@
-//! One request's state chart: when another attempt is allowed, and what may be said.
+//! The state machine of one request: when a retry is allowed, and which outcome the client may be
+//! told.
 
 use std::time::Duration;
 
 use crate::dispatch::{Failure, ReportedOutcome};
 use crate::map_items::Route;
 
-/// How often one request may be attempted at most.
-const MOST_ATTEMPTS: u32 = 3;
+/// The default maximum number of attempts per request.
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
-/// The named states of a request.
+/// The states of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
     Received,
     Matched,
     Admitted,
     Chosen,
-    Shooting,
+    Sending,
     Sent,
     Answering,
     Done,
@@ -23,12 +24,12 @@
     Unknown,
 }
 
-/// How one attempt at an instance ended.
+/// How one attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No byte can have left.
+    /// No connection could be opened, so nothing was sent.
     NotOpened,
-    /// The instance said itself that it ran nothing.
+    /// The instance stated that it ran nothing.
     RefusedByInstance,
     Lost,
     Late,
@@ -36,54 +37,57 @@
     Answered,
 }
 
-/// What the chart wants next.
+/// The next step of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Choose an instance again and shoot.
+    /// Choose an instance again and make another attempt.
     Retry,
     ForwardResponse,
     Respond(Failure),
 }
 
-/// One request's state chart.
+/// The state machine of one request.
 #[derive(Debug, Clone)]
 pub struct RequestLifecycle {
     state: RequestState,
-    /// Why it matters: a read may be attempt again, all else only when provably nothing ran.
-    read: bool,
-    /// Whether the body can be sent a second time.
+    /// Whether the request is idempotent: such a request may be retried after any failure, others
+    /// only when it is certain that nothing ran.
+    idempotent: bool,
+    /// Whether the body can be sent again.
     replayable: bool,
     attempts: u32,
     most_attempts: u32,
     deadline: Duration,
-    /// An attempt of this request may have run and its answer is not known.
-    doubt: bool,
+    /// Whether an earlier attempt may have run without its response being known.
+    is_outcome_unknown: bool,
 }
 
 impl RequestLifecycle {
-    pub fn received(read: bool) -> Self {
+    /// Creates the state of a new request.
+    pub fn received(idempotent: bool) -> Self {
         Self {
             state: RequestState::Received,
-            read,
+            idempotent,
             replayable: true,
             attempts: 0,
-            most_attempts: MOST_ATTEMPTS,
+            most_attempts: DEFAULT_MAX_ATTEMPTS,
             deadline: Duration::ZERO,
-            doubt: false,
+            is_outcome_unknown: false,
         }
     }
 
-    /// What the client may be told: never "not run" once an attempt is in doubt.
+    /// Returns the outcome to report: never "not run" once the outcome of an attempt is unknown.
     pub fn reported_outcome(&self, failure: Failure) -> ReportedOutcome {
-        if self.doubt {
+        if self.is_outcome_unknown {
             ReportedOutcome::Unknown
         } else {
             failure.reported_outcome()
         }
     }
 
+    /// Returns whether the request is idempotent.
     pub fn is_read(&self) -> bool {
-        self.read
+        self.idempotent
     }
 
     pub fn state(&self) -> RequestState {
@@ -98,19 +102,19 @@
         self.deadline
     }
 
-    /// A route was found; the deadline counts from here.
+    /// Records the route that matched; the deadline counts from here.
     pub fn matched(&mut self, now: Duration, route: &Route) {
         self.state = RequestState::Matched;
         self.deadline = now + route.deadline;
-        self.read = route.may_repeat(self.read);
+        self.idempotent = route.may_repeat(self.idempotent);
         if route.most_attempts > 0 {
             self.most_attempts = route.most_attempts;
         }
     }
 
-    /// The client waits no longer than this.
-    pub fn limit_deadline(&mut self, until: Duration) {
-        self.deadline = self.deadline.min(until);
+    /// Shortens the deadline to the time until which the client waits.
+    pub fn limit_deadline(&mut self, client_deadline: Duration) {
+        self.deadline = self.deadline.min(client_deadline);
     }
 
     pub fn admitted(&mut self, replayable: bool) {
@@ -118,8 +122,8 @@
         self.replayable = replayable;
     }
 
-    /// Whether the whole body is still there to be sent after an attempt.
-    pub fn body_left(&mut self, is_complete: bool) {
+    /// Sets whether the complete body can still be sent after an attempt.
+    pub fn set_replayable(&mut self, is_complete: bool) {
         self.replayable = is_complete;
     }
 
@@ -127,9 +131,10 @@
         self.state = RequestState::Chosen;
     }
 
-    /// The last check before the first byte held; from here on bytes may leave.
+    /// Starts an attempt, after the check before the first byte has passed; from here on bytes may
+    /// be sent.
     pub fn begin_attempt(&mut self) {
-        self.state = RequestState::Shooting;
+        self.state = RequestState::Sending;
         self.attempts += 1;
     }
 
@@ -141,6 +146,7 @@
         self.state = RequestState::Done;
     }
 
+    /// Ends the request with a failure.
     pub fn refuse(&mut self, failure: Failure) -> NextStep {
         self.state = match self.reported_outcome(failure) {
             ReportedOutcome::NotRun => RequestState::Refused,
@@ -149,14 +155,15 @@
         NextStep::Respond(failure)
     }
 
-    /// What follows the end of an attempt; `again` asks the budget and is asked only when it counts.
+    /// Returns the next step after an attempt. `take_retry` takes a retry from the budget and is
+    /// called only if a retry is allowed otherwise.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
         end: AttemptEnd,
-        again: impl FnOnce() -> bool,
+        take_retry: impl FnOnce() -> bool,
     ) -> NextStep {
-        let nothing_ran = match end {
+        let has_not_run = match end {
             AttemptEnd::Answered => {
                 self.state = RequestState::Answering;
                 return NextStep::ForwardResponse;
@@ -164,13 +171,13 @@
             AttemptEnd::NotOpened | AttemptEnd::RefusedByInstance => true,
             AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::Garbage => false,
         };
-        self.doubt |= !nothing_ran;
-        let may = (nothing_ran || self.read)
+        self.is_outcome_unknown |= !has_not_run;
+        let may_retry = (has_not_run || self.idempotent)
             && self.replayable
             && self.attempts < self.most_attempts
             && end != AttemptEnd::Late
             && now < self.deadline;
-        if may && again() {
+        if may_retry && take_retry() {
             self.state = RequestState::Admitted;
             return NextStep::Retry;
         }
--- a/crates/caperworks/src/dispatch/retry_budget.rs
+++ b/crates/caperworks/src/dispatch/retry_budget.rs
@@ -1,22 +1,23 @@
-//! Bounds a service's further attempts by its first ones.
+//! Limits the retries of a service in proportion to its first attempts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Which part of a service's first attempts may be followed by another attempt.
+/// The number of retries per hundred first attempts of a service.
 pub const RETRY_PERCENT: u32 = 15;
-/// How many further attempts each proxy has per window whatever the traffic; twelve proxies share
-/// the "few dozen" of the brief.
+/// The number of retries that each proxy has per window whatever the traffic. Twelve proxies share
+/// the "few dozen" that the requirements allow.
 pub const RETRY_FLOOR: u32 = 2;
 const RETRY_WINDOW: usize = 10;
 
-/// Counts first and further attempts over a sliding window of seconds.
+/// Counts first attempts and retries over a sliding window of seconds.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
     seconds: VecDeque<(u64, u32, u32)>,
 }
 
 impl RetryBudget {
+    /// Moves the window forward and returns the entry of the current second.
     fn roll(&mut self, now: Duration) -> &mut (u64, u32, u32) {
         let second = now.as_secs();
         if self.seconds.back().is_none_or(|last| last.0 != second) {
@@ -30,11 +31,12 @@
         &mut self.seconds[index]
     }
 
+    /// Counts a first attempt.
     pub fn first_attempt(&mut self, now: Duration) {
         self.roll(now).1 += 1;
     }
 
-    /// Takes one further attempt from the budget if there is one.
+    /// Takes one retry from the budget and returns whether there was one.
     pub fn take(&mut self, now: Duration) -> bool {
         self.roll(now);
         let first: u32 = self.seconds.iter().map(|second| second.1).sum();
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -1,103 +1,112 @@
-//! One service as one proxy sees it: room, load, health and the retry budget.
+//! The view that one proxy has of one service: capacity, load, health and the retry budget.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 use crate::dispatch::{
-    InstanceWatch, KeyWatch, ProxyKnowledge, RetryBudget, SlowStartBucket, Target,
+    InstanceStats, KeyStats, ProxyKnowledge, RetryBudget, SlowStartBucket, Target,
 };
 use crate::facts::Heartbeat;
 use crate::identifiers::{Chance, InstanceId};
 use crate::map_items::Service;
 
-/// How many failures in a row put an instance aside.
+/// The number of consecutive failures after which an instance is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-const EJECT_SPAN: Duration = Duration::from_secs(2);
-const EJECT_MOST: Duration = Duration::from_secs(16);
-/// For how long an instance that could not be reached is left alone when it does not heartbeat either.
-const UNREACHED_SPAN: Duration = Duration::from_secs(3);
-/// For how long what an instance said of its load counts.
-const REPORT_SPAN: Duration = Duration::from_millis(500);
+const BASE_EJECTION: Duration = Duration::from_secs(2);
+const MAX_EJECTION: Duration = Duration::from_secs(16);
+/// How long an instance that could not be reached is not chosen when it sends no heartbeat either.
+const UNREACHABLE_PERIOD: Duration = Duration::from_secs(3);
+/// How long the load that an instance reported is used.
+const LOAD_REPORT_VALIDITY: Duration = Duration::from_millis(500);
 
-/// A key that everyone wants rests no longer than this between two requests.
-const KEY_REST_MOST: Duration = Duration::from_secs(1);
+/// The longest pause between two requests for a hot key.
+const MAX_KEY_PAUSE: Duration = Duration::from_secs(1);
 
-/// One service as one proxy sees it: a shard with its own lock in the daemon.
+/// The view that one proxy has of one service. In the daemon each service has a lock of its own.
 #[derive(Debug, Clone)]
 pub struct ServiceShard {
-    pub(crate) watches: HashMap<InstanceId, InstanceWatch>,
-    pub(crate) keys: HashMap<u64, KeyWatch>,
-    /// How many requests for one key this proxy may have under way: its part of the service's cap.
+    pub(crate) instance_stats: HashMap<InstanceId, InstanceStats>,
+    pub(crate) keys: HashMap<u64, KeyStats>,
+    /// The number of requests for one key that this proxy may have in flight: its share of the
+    /// limit of the service.
     pub(crate) key_share: f64,
     pub(crate) budget: RetryBudget,
     pub(crate) chance: Chance,
-    /// Until when at least one instance is put aside.
-    pub(crate) any_ejected_until: Duration,
-    /// Only for proving the observers: one key may have all of its owner.
+    /// When the last ejection ends.
+    pub(crate) last_ejection_ends: Duration,
+    /// Only for fault injection in tests: ignores the limit per key.
     pub ignore_key_cap: bool,
-    /// Only for proving the observers: an instance whose heartbeats stay away gets nothing.
+    /// Only for fault injection in tests: an instance without heartbeats gets no requests even if
+    /// it responds.
     pub ignore_response_evidence: bool,
 }
 
 impl ServiceShard {
     pub fn new(seed: u64) -> Self {
         Self {
-            watches: HashMap::new(),
+            instance_stats: HashMap::new(),
             keys: HashMap::new(),
             key_share: 1.0,
             budget: RetryBudget::default(),
             chance: Chance::seeded(seed),
-            any_ejected_until: Duration::ZERO,
+            last_ejection_ends: Duration::ZERO,
             ignore_key_cap: false,
             ignore_response_evidence: false,
         }
     }
 
+    /// Counts a first attempt for the retry budget.
     pub fn first_attempt(&mut self, now: Duration) {
         self.budget.first_attempt(now);
     }
 
+    /// Takes a retry from the budget and returns whether there was one.
     pub fn take_retry(&mut self, now: Duration) -> bool {
         self.budget.take(now)
     }
 
-    /// Makes a watch for a heartbeat, anew when the instance lives another life.
-    pub(crate) fn watch(&mut self, heartbeat: &Heartbeat) -> &mut InstanceWatch {
-        // Why look before: the name is copied once in an instance's life and not for every request.
+    /// Returns the statistics of an instance; they start again when its incarnation changes.
+    pub(crate) fn stats_for(&mut self, heartbeat: &Heartbeat) -> &mut InstanceStats {
+        // Looked up first, so that the name is copied once per incarnation and not for every
+        // request.
         if self
-            .watches
+            .instance_stats
             .get(&heartbeat.id)
-            .is_none_or(|watch| watch.incarnation != heartbeat.incarnation)
+            .is_none_or(|stats| stats.incarnation != heartbeat.incarnation)
         {
-            let watch = InstanceWatch {
+            let stats = InstanceStats {
                 incarnation: heartbeat.incarnation,
-                ..InstanceWatch::default()
+                ..InstanceStats::default()
             };
-            self.watches.insert(heartbeat.id.clone(), watch);
+            self.instance_stats.insert(heartbeat.id.clone(), stats);
         }
-        // Why this cannot miss: it was there or has just been put there.
-        self.watches.get_mut(&heartbeat.id).expect("a watch")
+        // The entry exists or was inserted above.
+        self.instance_stats
+            .get_mut(&heartbeat.id)
+            .expect("inserted above")
     }
 
-    /// Forgets the instances that are gone, and the keys that nobody wants any more.
+    /// Removes instances that no longer exist, and keys that are no longer in use.
     pub fn keep_only(&mut self, now: Duration, instances: &BTreeMap<InstanceId, Heartbeat>) {
-        self.watches.retain(|id, _| instances.contains_key(id));
+        self.instance_stats
+            .retain(|id, _| instances.contains_key(id));
         self.keys
-            .retain(|_, watch| watch.under_way > 0 || now < watch.rests_until);
+            .retain(|_, stats| stats.in_flight > 0 || now < stats.paused_until);
     }
 
-    /// Another life than the target's answered at its address: nothing more goes to this one.
+    /// Records that another incarnation answered at the address of the target: the target gets no
+    /// more requests.
     pub fn mark_incarnation_ended(&mut self, target: &Target) {
-        let watch = self.watches.get_mut(&target.instance);
-        if let Some(watch) = watch.filter(|watch| watch.incarnation == target.incarnation) {
-            watch.over = true;
+        let stats = self.instance_stats.get_mut(&target.instance);
+        if let Some(stats) = stats.filter(|stats| stats.incarnation == target.incarnation) {
+            stats.has_ended = true;
         }
     }
 
-    /// Whether the instance may take one more, leaving the gentle rate aside.
+    /// Returns whether the instance may take another request, apart from the slow-start rate.
     ///
-    /// Why this proxy's part of the cap only: the cap is what an instance can stand, from however
-    /// many proxies; a part is never less than one.
+    /// Only the share of this proxy counts: the limit is what an instance can take from all proxies
+    /// together. A share is at least one.
     pub(crate) fn has_capacity(
         &mut self,
         now: Duration,
@@ -105,29 +114,30 @@
         service: &Service,
         proxies: u32,
     ) -> bool {
-        let cap = service.instance_cap.div_ceil(proxies.max(1));
-        let watch = self.watch(heartbeat);
-        if let Some((counter, until)) = watch.unreached {
+        let max_in_flight = service.instance_cap.div_ceil(proxies.max(1));
+        let stats = self.stats_for(heartbeat);
+        if let Some((counter, until)) = stats.unreachable_until {
             if heartbeat.counter <= counter && now < until {
                 return false;
             }
-            watch.unreached = None;
+            stats.unreachable_until = None;
         }
-        watch.under_way < cap && now >= watch.ejected_until && !watch.over
+        stats.in_flight < max_in_flight && now >= stats.ejected_until && !stats.has_ended
     }
 
-    /// No connection came about: until it heartbeats again the instance is not chosen.
+    /// Records that no connection could be opened: the instance is not chosen until its next
+    /// heartbeat.
     ///
-    /// Why until then: it may come back cold, and only a heartbeat tells. Why for a while only: it may be
-    /// this proxy alone that cannot reach it.
+    /// It may have restarted and be warming up, which only a heartbeat shows. The block is limited
+    /// in time, since the instance may be unreachable from this proxy alone.
     pub fn not_opened(&mut self, now: Duration, target: &Target, counter: u64) {
-        let watch = self.watches.get_mut(&target.instance);
-        if let Some(watch) = watch.filter(|watch| watch.incarnation == target.incarnation) {
-            watch.unreached = Some((counter, now + UNREACHED_SPAN));
+        let stats = self.instance_stats.get_mut(&target.instance);
+        if let Some(stats) = stats.filter(|stats| stats.incarnation == target.incarnation) {
+            stats.unreachable_until = Some((counter, now + UNREACHABLE_PERIOD));
         }
     }
 
-    /// Whether the gentle rate lets a cold instance take one now.
+    /// Returns whether the slow-start rate admits a request to an instance that is warming up.
     pub(crate) fn slow_start_admits(
         &mut self,
         now: Duration,
@@ -135,111 +145,116 @@
         service: &Service,
         knowledge: &ProxyKnowledge,
     ) -> bool {
-        // Why divided: the rate is the instance's, however many proxies there are.
+        // The rate is that of the instance and is shared by all proxies.
         let rate = service.slow_start_rate() / f64::from(knowledge.proxies.max(1));
-        let cold = knowledge.is_warming_up(heartbeat, service);
-        // Why by chance: buckets that all begin empty at once are all full at once, and that many
-        // proxies together would send in one second what the instance bears in several.
-        let part = self.chance.below(1_000_000) as f64 / 1_000_000.0;
-        let watch = self.watch(heartbeat);
-        if !cold {
-            watch.slow_start = None;
+        let is_warming_up = knowledge.is_warming_up(heartbeat, service);
+        // Buckets start with a random level: if all started empty they would all be full at the
+        // same time, and the proxies together would send in one second what the instance can take
+        // in several.
+        let initial_tokens = self.chance.below(1_000_000) as f64 / 1_000_000.0;
+        let stats = self.stats_for(heartbeat);
+        if !is_warming_up {
+            stats.slow_start = None;
             return true;
         }
-        let bucket = watch.slow_start.get_or_insert(SlowStartBucket {
-            tokens: part,
+        let bucket = stats.slow_start.get_or_insert(SlowStartBucket {
+            tokens: initial_tokens,
             filled_at: now,
         });
         bucket.fill(now, rate);
         bucket.tokens >= 1.0
     }
 
+    /// Returns the load of the instance in relation to its capacity.
     pub(crate) fn weight(&mut self, now: Duration, heartbeat: &Heartbeat) -> f64 {
-        let watch = self.watch(heartbeat);
-        // Why only of late: an instance that told of much to do and was then left alone would else
-        // be left alone for ever.
-        let reported = match now.saturating_sub(watch.reported_at) < REPORT_SPAN {
-            true => watch.reported,
+        let stats = self.stats_for(heartbeat);
+        // Old reports are ignored: otherwise an instance that once reported a high load would never
+        // be chosen again, and so never report a lower one.
+        let reported_load = match now.saturating_sub(stats.load_reported_at) < LOAD_REPORT_VALIDITY
+        {
+            true => stats.reported_load,
             false => 0,
         };
-        let load = f64::from(watch.under_way) + f64::from(reported.max(heartbeat.load));
+        let load = f64::from(stats.in_flight) + f64::from(reported_load.max(heartbeat.load));
         load / f64::from(heartbeat.capacity.max(1))
     }
 
-    /// An attempt at the target begins. `cold` spends a token of the gentle rate.
+    /// Starts an attempt at the target, and spends a slow-start token if the instance is warming
+    /// up.
     pub fn begin(&mut self, now: Duration, target: &Target) {
-        if let Some(watch) = self
-            .watches
+        if let Some(stats) = self
+            .instance_stats
             .get_mut(&target.instance)
-            .filter(|watch| watch.incarnation == target.incarnation)
+            .filter(|stats| stats.incarnation == target.incarnation)
         {
-            watch.under_way += 1;
-            if let Some(bucket) = &mut watch.slow_start {
+            stats.in_flight += 1;
+            if let Some(bucket) = &mut stats.slow_start {
                 bucket.tokens -= 1.0;
             }
         }
         if let Some(key) = target.key {
-            let watch = self.keys.entry(key).or_default();
-            watch.under_way += 1;
-            watch.began_at = now;
+            let stats = self.keys.entry(key).or_default();
+            stats.in_flight += 1;
+            stats.started_at = now;
         }
     }
 
-    /// A request for a key is over; the key may have to rest before the next.
+    /// Ends a request for a key, and may delay the next one.
     ///
-    /// Why rest: a part of the cap that is less than one request is kept by having one under way for
-    /// that part of the time. Why only under load: an owner with little to do needs no such care.
-    fn end_key(&mut self, now: Duration, target: &Target, load: Option<u32>) {
+    /// A share of less than one request in flight is enforced by having one in flight for that
+    /// fraction of the time. This applies only under load: an owner with little to do needs no such
+    /// limit.
+    fn end_key_request(&mut self, now: Duration, target: &Target, load: Option<u32>) {
         let share = self.key_share;
-        let Some(watch) = target.key.and_then(|key| self.keys.get_mut(&key)) else {
+        let Some(stats) = target.key.and_then(|key| self.keys.get_mut(&key)) else {
             return;
         };
-        watch.under_way = watch.under_way.saturating_sub(1);
+        stats.in_flight = stats.in_flight.saturating_sub(1);
         if share < 1.0 && load.is_some_and(|load| load >= 2) {
-            let took = now.saturating_sub(watch.began_at);
-            let rest = took.mul_f64(1.0 / share.max(0.01) - 1.0);
-            watch.rests_until = now + rest.min(KEY_REST_MOST);
+            let took = now.saturating_sub(stats.started_at);
+            let pause = took.mul_f64(1.0 / share.max(0.01) - 1.0);
+            stats.paused_until = now + pause.min(MAX_KEY_PAUSE);
         }
     }
 
-    /// The attempt was given up for a reason that says nothing of the instance: its client went
-    /// away, or broke off its body.
+    /// Ends an attempt that shows nothing about the instance: the client disconnected or aborted
+    /// its body.
     pub fn abandon(&mut self, now: Duration, target: &Target) {
-        self.end_key(now, target, None);
-        let watch = self.watches.get_mut(&target.instance);
-        if let Some(watch) = watch.filter(|watch| watch.incarnation == target.incarnation) {
-            watch.under_way = watch.under_way.saturating_sub(1);
+        self.end_key_request(now, target, None);
+        let stats = self.instance_stats.get_mut(&target.instance);
+        if let Some(stats) = stats.filter(|stats| stats.incarnation == target.incarnation) {
+            stats.in_flight = stats.in_flight.saturating_sub(1);
         }
     }
 
-    /// The attempt is over; `load` is what the instance reported with its answer.
-    pub fn end(&mut self, now: Duration, target: &Target, good: bool, load: Option<u32>) {
-        self.end_key(now, target, load);
-        let Some(watch) = self
-            .watches
+    /// Ends an attempt; `load` is what the instance reported with its response.
+    pub fn end(&mut self, now: Duration, target: &Target, has_succeeded: bool, load: Option<u32>) {
+        self.end_key_request(now, target, load);
+        let Some(stats) = self
+            .instance_stats
             .get_mut(&target.instance)
-            .filter(|watch| watch.incarnation == target.incarnation)
+            .filter(|stats| stats.incarnation == target.incarnation)
         else {
             return;
         };
-        watch.under_way = watch.under_way.saturating_sub(1);
+        stats.in_flight = stats.in_flight.saturating_sub(1);
         if let Some(load) = load {
-            watch.reported = load;
-            watch.reported_at = now;
+            stats.reported_load = load;
+            stats.load_reported_at = now;
         }
-        if good {
-            watch.answered_at = Some(now);
-            watch.failures = 0;
-            watch.ejections = 0;
+        if has_succeeded {
+            stats.answered_at = Some(now);
+            stats.failures = 0;
+            stats.ejections = 0;
             return;
         }
-        watch.failures += 1;
-        if watch.failures >= FAILURES_TO_EJECT {
-            let span = EJECT_SPAN * 2_u32.pow(watch.ejections.min(3));
-            watch.ejected_until = now + span.min(EJECT_MOST);
-            watch.ejections += 1;
-            watch.failures = 0;
-            self.any_ejected_until = self.any_ejected_until.max(watch.ejected_until);
+        stats.failures += 1;
+        if stats.failures >= FAILURES_TO_EJECT {
+            let duration = BASE_EJECTION * 2_u32.pow(stats.ejections.min(3));
+            stats.ejected_until = now + duration.min(MAX_EJECTION);
+            stats.ejections += 1;
+            stats.failures = 0;
+            self.last_ejection_ends = self.last_ejection_ends.max(stats.ejected_until);
         }
     }
 }
--- a/crates/caperworks/src/dispatch/target.rs
+++ b/crates/caperworks/src/dispatch/target.rs
@@ -1,4 +1,4 @@
-//! The instance that an attempt goes to.
+//! The instance that an attempt is sent to.
 
 use std::net::SocketAddr;
 
@@ -19,15 +19,17 @@
 }
 
 impl Target {
-    /// Whether a request whose attempt at this target ended so is to go elsewhere from now on.
+    /// Returns whether retries must avoid this target after an attempt that ended this way.
     ///
-    /// Why not always for keyed services: a key range has one owner, and a connection that could not be opened
-    /// says nothing of whether it holds the key range.
+    /// For keyed services only a rejection by the instance counts: a key range has one owner, and a
+    /// connection that could not be opened does not show whether the owner still holds the key
+    /// range.
     pub fn is_used_up(&self, end: AttemptEnd) -> bool {
         self.key_range.is_none() || end == AttemptEnd::RefusedByInstance
     }
 }
 
+/// Returns the target for an instance with this heartbeat.
 pub(crate) fn target_of(
     heartbeat: &Heartbeat,
     key_range: Option<(u32, Epoch)>,
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -51,11 +51,11 @@
     }
 
     /// Returns whether the idle time is short enough for the connection to be reused.
-    fn is_fresh(&self, max_idle_time: Duration) -> bool {
-        let idle_limit = self.keep_alive_timeout.map_or(max_idle_time, |timeout| {
-            timeout.mul_f64(KEEP_ALIVE_FRACTION)
-        });
-        self.idle_since.elapsed() < max_idle_time.min(idle_limit)
+    fn is_fresh(&self, idle_timeout: Duration) -> bool {
+        let idle_limit = self
+            .keep_alive_timeout
+            .map_or(idle_timeout, |timeout| timeout.mul_f64(KEEP_ALIVE_FRACTION));
+        self.idle_since.elapsed() < idle_timeout.min(idle_limit)
     }
 
     /// Returns whether the connection can carry a request: open, free, and without unsolicited
@@ -87,14 +87,14 @@
         timeout: Duration,
         is_read: bool,
     ) -> Option<Connection> {
-        let max_idle_time = if is_read {
+        let idle_timeout = if is_read {
             MAX_IDLE_TIME
         } else {
             MAX_IDLE_TIME_FOR_WRITES
         };
         let pooled = locked(&self.idle).get_mut(key).and_then(|idle| {
             while let Some(connection) = idle.pop() {
-                if connection.is_fresh(max_idle_time) && connection.is_clean() {
+                if connection.is_fresh(idle_timeout) && connection.is_clean() {
                     return Some(connection);
                 }
             }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -293,7 +293,7 @@
             knowledge.admits(now, &self.zone, &route)?;
             let target = {
                 let mut shard = locked(&shard);
-                let target = shard.choose_in(
+                let target = shard.choose_in_service(
                     now,
                     &knowledge,
                     &self.zone,
@@ -349,7 +349,7 @@
                 excluded.push(target.instance);
             }
             let now = self.clock.now();
-            lifecycle.body_left(body.is_complete());
+            lifecycle.set_replayable(body.is_complete());
             let may_retry = || {
                 let in_budget = locked(&shard).take_retry(now);
                 in_budget || self.injected_bug == InjectedBug::IgnoresRetryBudget
