--- a/crates/caperworks/src/configuration.rs
+++ b/crates/caperworks/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: the check of a change set, and the table by which requests find their route.
+//! The configuration: validation of change sets, and the table that finds the route of a request.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 pub use self::checks::check_configuration;
 pub use self::route_table::{NamedRoute, RouteTable};
 
-/// The most items of the configuration map.
+/// The maximum number of items in the configuration map.
 pub const MAX_CONFIGURATION_ITEMS: usize = 20_000;
-/// The longest deadline of a route.
+/// The maximum deadline of a route.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(600);
-/// The longest deadline for keyed services: a lease on a key range, less the time between two renewals
-/// of it.
-pub const KEYED_DEADLINE_MOST: Duration = Duration::from_millis(4500);
-/// The most bytes of the encoded configuration map, and of a change set.
+/// The maximum deadline of a route to a keyed service: the duration of a key range lease, less the
+/// time between two renewals of it.
+pub const MAX_KEYED_DEADLINE: Duration = Duration::from_millis(4500);
+/// The maximum size in bytes of the encoded configuration map, and of a change set.
 pub const MOST_BYTES: usize = 6 * 1024 * 1024;
 
 messages! {
-    /// One fault in a change set.
+    /// One error in a change set.
     #[derive(Eq)]
     struct Fault {
-        /// The item and the field, as the operators' pages name them.
+        /// The item and the field, under the names that the operator documentation uses.
         0 field: String,
-        /// What is wrong, or what to give instead.
+        /// What is wrong, or which value is expected.
         1 why: String,
     }
 }
 
 impl Fault {
-    /// A fault in a field.
+    /// Creates an error for a field.
     pub fn new(field: impl Into<String>, why: impl Into<String>) -> Self {
         Self {
             field: field.into(),
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -1,28 +1,28 @@
-//! The check of a change set: everything that would be wrong with the configuration after it.
+//! Validation of a change set: lists every error that the configuration would have after it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::configuration::route_table::bare_host;
+use crate::configuration::route_table::normalized_host;
 use crate::configuration::{
-    Fault, KEYED_DEADLINE_MOST, MAX_CONFIGURATION_ITEMS, MAX_DEADLINE, MOST_BYTES,
+    Fault, MAX_CONFIGURATION_ITEMS, MAX_DEADLINE, MAX_KEYED_DEADLINE, MOST_BYTES,
 };
 use crate::identifiers::{Region, RouteName, ServiceName};
 use crate::map_items::{KeySpace, Route, Service, SplitTarget, Value};
 use crate::replicated_map::{Change, Put, ReplicatedMap};
 use crate::version_history::{ConfirmedVersion, VersionStanding};
 
-/// Lists all faults of the configuration as it would be after the change; none if it is valid.
+/// Returns all errors of the configuration as it would be after the change; none if it is valid.
 ///
-/// Called by the proposer before a change is proposed. The resulting map is checked and not only the
-/// items that are put, since a change may remove what another item needs.
+/// Called by the proposer before a change is proposed. The resulting map is checked and not only
+/// the items of the change, since a change may remove an item that another one refers to.
 pub fn check_configuration(map: &ReplicatedMap, change: &Change) -> Vec<Fault> {
     let mut faults = Vec::new();
     check_puts(map, change, &mut faults);
     let mut after = map.with_histories_of(change);
     after.apply(change);
-    // Histories have a bound of their own: a configuration that fits must not cease to fit because it
-    // was changed often.
+    // Histories have a limit of their own: a configuration that fits must not stop fitting because
+    // it was changed often.
     after.histories.clear();
     check_size(&after, &mut faults);
     check_routes(&after, &mut faults);
@@ -31,13 +31,13 @@
     faults
 }
 
-/// Checks each put by itself.
+/// Checks each put on its own.
 fn check_puts(map: &ReplicatedMap, change: &Change, faults: &mut Vec<Fault>) {
     let mut seen = BTreeSet::new();
     for put in &change.puts {
-        // Under the operators' own versions an item may be named twice: the higher version wins.
+        // With versions assigned by operators an item may occur twice: the higher version wins.
         if !seen.insert(put.key.as_str()) && put.written.is_none() {
-            faults.push(Fault::new(&put.key, "is named twice in one change set"));
+            faults.push(Fault::new(&put.key, "occurs twice in one change set"));
         }
         let (kind, name) = put.key.split_once('/').unwrap_or((&put.key, ""));
         if !is_valid_name(name) {
@@ -48,10 +48,10 @@
     }
 }
 
-/// Checks that the contents of a put are valid and go with its kind, or that a dropped item exists.
+/// Checks that the value of a put is valid and matches its kind, or that a dropped item exists.
 ///
-/// Under the operators' own versions an item that does not exist may be dropped: the drop may arrive
-/// before the put that it overtakes.
+/// With versions assigned by operators an item that does not exist may be dropped: the drop may
+/// arrive before the put that it supersedes.
 fn check_put(map: &ReplicatedMap, kind: &str, put: &Put, faults: &mut Vec<Fault>) {
     match (&put.value, kind) {
         (Some(Value::Route { route }), "rule") => check_route(put, route, faults),
@@ -59,12 +59,12 @@
         (Some(Value::Zone { zone }), "area") => {
             if !is_valid_name(zone.region.as_str()) {
                 let field = format!("{}.region", put.key);
-                faults.push(Fault::new(field, "give a region's name"));
+                faults.push(Fault::new(field, "give a region name"));
             }
         }
         (Some(Value::Limits { limits }), "limits") => {
             if limits.head_bytes == 0 || limits.head_span.is_zero() {
-                let why = "a head has some bytes and some time";
+                let why = "request heads need a size limit and a timeout above 0";
                 faults.push(Fault::new(&put.key, why));
             }
         }
@@ -75,26 +75,33 @@
                 faults.push(Fault::new(&put.key, why));
             }
         }
-        _ => faults.push(Fault::new(&put.key, "kind and contents do not go together")),
+        _ => faults.push(Fault::new(
+            &put.key,
+            "the value does not match the kind of the item",
+        )),
     }
 }
 
-/// Checks the number of items and of bytes.
+/// Checks the number of items and the encoded size.
 fn check_size(after: &ReplicatedMap, faults: &mut Vec<Fault>) {
     let items = after.items.len();
     if items > MAX_CONFIGURATION_ITEMS {
-        let why = format!("there would be {items} items, {MAX_CONFIGURATION_ITEMS} are the most");
+        let why = format!(
+            "the configuration would have {items} items; the maximum is {MAX_CONFIGURATION_ITEMS}"
+        );
         faults.push(Fault::new("items", why));
     }
     let bytes = encoded_bytes(after);
     if bytes > MOST_BYTES {
-        let why = format!("the orders would take {bytes} bytes, {MOST_BYTES} are the most");
+        let why =
+            format!("the configuration would take {bytes} bytes; the maximum is {MOST_BYTES}");
         faults.push(Fault::new("items", why));
     }
 }
 
-/// Checks what routes refer to, and that no two have the same host and path. Hosts are compared in
-/// lower case and without a port, as requests are matched: one of two routes would hide the other.
+/// Checks the references of routes, and that no two routes have the same host and path. Hosts are
+/// compared in lower case and without a port, as in request matching, where one of two such routes
+/// would hide the other.
 fn check_routes(after: &ReplicatedMap, faults: &mut Vec<Fault>) {
     let services: BTreeMap<ServiceName, &Service> = after.services().collect();
     let zones = after.zones();
@@ -103,13 +110,13 @@
     for (name, route) in after.routes() {
         for service_name in route.services() {
             let service = services.get(service_name);
-            check_service_of(&name, route, service_name, service, faults);
+            check_route_service(&name, route, service_name, service, faults);
         }
         for home in route.homes.iter().filter(|home| !regions.contains(home)) {
-            let why = format!("no zone lies in region {home}");
+            let why = format!("no zone is in region {home}");
             faults.push(Fault::new(format!("rule/{name}.home"), why));
         }
-        let host = bare_host(&route.host);
+        let host = normalized_host(&route.host);
         if let Some(other) = matches.insert((host, &route.path), name.clone()) {
             let why = format!("has the same host and path as rule {other}");
             faults.push(Fault::new(format!("rule/{name}"), why));
@@ -117,10 +124,11 @@
     }
 }
 
-/// The routes of a change under the operators' own versions that were not confirmed before: of each name
-/// the one with the highest version.
+/// Returns the routes of a change with versions assigned by operators that were not confirmed
+/// before; for each name the one with the highest version.
 ///
-/// What was confirmed before is acknowledged again, whatever has become of the services that it names.
+/// A version that was confirmed before is acknowledged again, whether or not the services that it
+/// names still exist.
 fn unconfirmed_routes<'change>(
     map: &ReplicatedMap,
     change: &'change Change,
@@ -140,34 +148,38 @@
     routes
 }
 
-/// Lists what is wrong with the routes of a call by themselves, also where a later version of a route
-/// stands and the call changes nothing of it: an invalid call is refused, not acknowledged without effect.
+/// Lists the errors of the routes of a call on their own, even where a later version of a route is
+/// in force and the call changes nothing: an invalid call is rejected, not acknowledged without
+/// effect.
 fn check_call(
     map: &ReplicatedMap,
     after: &ReplicatedMap,
     change: &Change,
     faults: &mut Vec<Fault>,
 ) {
-    let mut places: BTreeMap<(String, &str), (&str, bool)> = BTreeMap::new();
+    let mut routes_by_path: BTreeMap<(String, &str), (&str, bool)> = BTreeMap::new();
     for (key, (numbered, route)) in unconfirmed_routes(map, change) {
-        let is_overtaken = map.history(key).standing(numbered) == VersionStanding::Overtaken;
-        // A route that was overtaken may name a service that was dropped since its operator sent it.
-        let is_known = |name: &ServiceName| match after.items.get(&format!("pool/{name}")) {
-            Some(item) => is_overtaken || item.value != Value::Dropped,
+        let is_superseded = map.history(key).standing(numbered) == VersionStanding::Overtaken;
+        // A superseded route may name a service that was dropped after its operator sent it.
+        let service_exists = |name: &ServiceName| match after.items.get(&format!("pool/{name}")) {
+            Some(item) => is_superseded || item.value != Value::Dropped,
             None => false,
         };
-        let parts = route.split.iter().map(|part| &part.service);
-        for name in parts.chain([&route.service]).filter(|name| !is_known(name)) {
+        let split_services = route.split.iter().map(|part| &part.service);
+        for name in split_services
+            .chain([&route.service])
+            .filter(|name| !service_exists(name))
+        {
             let why = format!("there is no service {name}");
             let fault = Fault::new(format!("{key}.pool"), why);
             if !faults.contains(&fault) {
                 faults.push(fault);
             }
         }
-        let index = (bare_host(&route.host), route.path.as_str());
-        match places.insert(index, (key, is_overtaken)) {
-            // Two that both come into force are told of when the map after the change is looked at.
-            Some((other, other_is_overtaken)) if is_overtaken || other_is_overtaken => {
+        let host_and_path = (normalized_host(&route.host), route.path.as_str());
+        match routes_by_path.insert(host_and_path, (key, is_superseded)) {
+            // Two routes that both take effect are reported by the check of the resulting map.
+            Some((other, other_is_superseded)) if is_superseded || other_is_superseded => {
                 let why = format!("has the same host and path as {other} of this call");
                 faults.push(Fault::new(key, why));
             }
@@ -176,7 +188,7 @@
     }
 }
 
-/// Counts the bytes that are written to it.
+/// A writer that only counts bytes.
 #[derive(Default)]
 struct ByteCount(usize);
 
@@ -189,7 +201,7 @@
     }
 }
 
-/// How many bytes a map takes when it is encoded.
+/// Returns the encoded size of a map.
 fn encoded_bytes(map: &ReplicatedMap) -> usize {
     let mut count = ByteCount::default();
     match minicbor::encode(map, &mut count) {
@@ -202,17 +214,17 @@
 fn check_zones(after: &ReplicatedMap, faults: &mut Vec<Fault>) {
     let mut zones = after.zones().peekable();
     if zones.peek().is_some() && zones.all(|(_, zone)| zone.closed) {
-        faults.push(Fault::new("area", "this would close every zone"));
+        faults.push(Fault::new("area", "the change would close every zone"));
     }
 }
 
-/// Whether it may be the name of an item.
+/// Returns whether this is a valid item name.
 fn is_valid_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= 64
         && name
             .chars()
-            .all(|sign| sign.is_ascii_alphanumeric() || "-_.".contains(sign))
+            .all(|character| character.is_ascii_alphanumeric() || "-_.".contains(character))
 }
 
 /// Checks the fields of one route.
@@ -228,7 +240,7 @@
     if route.deadline.is_zero() || route.deadline > MAX_DEADLINE {
         fault("deadline_ms", "give 1 to 600000");
     }
-    // Under the operators' own versions a part may have no weight beside others that have some.
+    // With versions assigned by operators a part may have no weight beside others that have some.
     let needs_weight = |part: &SplitTarget| part.weight == 0 && put.written.is_none();
     if route.split.iter().any(needs_weight) {
         fault("split", "every part has a weight of at least 1");
@@ -260,10 +272,10 @@
 
 /// Checks a route against one of the services that it leads to.
 ///
-/// A keyed service bounds the deadline of its routes: the owner starts nothing that may outlive its
-/// lease, so every request with a longer deadline would be refused. Where keys are ranges there is no
-/// bound, since the owner itself ends what outlasts its lease.
-fn check_service_of(
+/// A keyed service limits the deadline of its routes: the owner starts no request that may outlast
+/// its lease, so every request with a longer deadline would be rejected. Where the keys are ranges
+/// there is no limit, since the owner itself ends requests that outlast its lease.
+fn check_route_service(
     name: &RouteName,
     route: &Route,
     service_name: &ServiceName,
@@ -282,11 +294,11 @@
         Some(service)
             if service.keyed
                 && service.key_space == KeySpace::Hashed
-                && route.deadline > KEYED_DEADLINE_MOST =>
+                && route.deadline > MAX_KEYED_DEADLINE =>
         {
-            let most = KEYED_DEADLINE_MOST.as_millis();
+            let max_deadline = MAX_KEYED_DEADLINE.as_millis();
             let why = format!(
-                "service {service_name} is keyed: no order may take longer than its owner's hold; give at most {most}"
+                "service {service_name} is keyed: no order may take longer than its owner's hold; give at most {max_deadline}"
             );
             faults.push(Fault::new(format!("rule/{name}.deadline_ms"), why));
         }
