--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -1,6 +1,7 @@
-//! An order's way: matched, admitted, an instance chosen, attempt at, and answered.
+//! Handles requests: matches and admits them, chooses an instance, makes an attempt, and forwards
+//! the response.
 //!
-//! Given a number it takes that many orders, for counting instructions per order.
+//! Takes the number of requests as an argument, for counting instructions per request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -109,27 +110,29 @@
     let mut done = 0;
     for number in 0..requests {
         let now = Duration::from_millis(number);
-        let mut chart = RequestLifecycle::received(true);
+        let mut lifecycle = RequestLifecycle::received(true);
         let found = knowledge.table.find("tallowgum.example", "/progress/7");
-        let (_, route) = found.expect("the rule");
-        chart.matched(now, route);
-        knowledge.admits(now, &own, route).expect("fresh and open");
-        chart.admitted(true);
+        let (_, route) = found.expect("the route exists");
+        lifecycle.matched(now, route);
+        knowledge
+            .admits(now, &own, route)
+            .expect("the proxy is fresh and its zone is open");
+        lifecycle.admitted(true);
         shard.first_attempt(now);
         let target = shard
             .choose(now, &knowledge, &own, route, None, &[])
-            .expect("an instance");
+            .expect("an instance has capacity");
         shard.begin(now, &target);
-        chart.chosen();
+        lifecycle.chosen();
         knowledge
             .check_before_send(now, &own, route, &target)
             .expect("nothing has changed");
-        chart.begin_attempt();
-        chart.sent();
+        lifecycle.begin_attempt();
+        lifecycle.sent();
         shard.end(now, &target, true, Some(0));
-        let step = chart.attempt_ended(now, AttemptEnd::Answered, || false);
+        let step = lifecycle.attempt_ended(now, AttemptEnd::Answered, || false);
         done += u64::from(step == NextStep::ForwardResponse);
     }
-    println!("{done} orders passed on");
+    println!("{done} responses forwarded");
     assert_eq!(done, requests);
 }
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -1,4 +1,4 @@
-//! Prints what a change of one route costs at 300 and 6,000 routes: in a proxy, and to check.
+//! Prints the cost of changing one route at 300 and 6,000 routes: in a proxy, and in validation.
 
 use std::time::Duration;
 
@@ -57,14 +57,14 @@
     }
 }
 
-fn take_changes(map: &ReplicatedMap) -> Duration {
+fn measure_changes(map: &ReplicatedMap) -> Duration {
     let mut knowledge = ProxyKnowledge::default();
     let full_map = ConsensusMessage::Snapshot {
         map: MapName::Configuration,
         full_map: map.reduced(),
     };
     knowledge.take(Duration::ZERO, &view(1, full_map));
-    let mut span = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for number in 0..u64::from(REPEATS) {
         let version = Version(map.version.0 + 1 + number);
         let change = change(vec![route_put(number, 2)]).reduced();
@@ -72,14 +72,14 @@
             map: MapName::Configuration,
             changes: vec![NumberedChange { version, change }],
         };
-        // Requests under way hold the knowledge from before the change.
+        // Requests in flight hold the state from before the change.
         let shared = knowledge.clone();
         let began = std::time::Instant::now();
         knowledge.take(Duration::ZERO, &view(2 + number, updates));
-        span += began.elapsed();
+        elapsed += began.elapsed();
         drop(shared);
     }
-    span / REPEATS
+    elapsed / REPEATS
 }
 
 fn main() {
@@ -93,7 +93,7 @@
             std::hint::black_box(RouteTable::of(&map));
         }
         let table = began.elapsed() / REPEATS;
-        let taken = take_changes(&map);
+        let taken = measure_changes(&map);
         let began = std::time::Instant::now();
         for number in 0..u64::from(REPEATS) {
             let change = change(vec![route_put(number, 3)]);
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -1,4 +1,5 @@
-//! Stories of an order's way: the chart, the budgets, the choice, and the configuration' check.
+//! Tests of request handling: the request lifecycle, the budgets, the choice of an instance, and
+//! the check of the configuration.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -49,68 +50,71 @@
     }
 }
 
-fn sent_chart(read: bool) -> RequestLifecycle {
-    let mut chart = RequestLifecycle::received(read);
-    chart.matched(millis(0), &route());
-    chart.admitted(true);
-    chart.chosen();
-    chart.begin_attempt();
-    chart.sent();
-    chart
+fn sent_request(read: bool) -> RequestLifecycle {
+    let mut lifecycle = RequestLifecycle::received(read);
+    lifecycle.matched(millis(0), &route());
+    lifecycle.admitted(true);
+    lifecycle.chosen();
+    lifecycle.begin_attempt();
+    lifecycle.sent();
+    lifecycle
 }
 
 #[test]
-fn given_a_write_when_its_answer_is_lost_then_it_is_never_attempt_again_and_told_unknown() {
+fn write_with_lost_response_is_not_retried_and_reported_unknown() {
     for end in [AttemptEnd::Lost, AttemptEnd::Garbage, AttemptEnd::Late] {
-        let mut chart = sent_chart(false);
-        match chart.attempt_ended(millis(10), end, || true) {
+        let mut lifecycle = sent_request(false);
+        match lifecycle.attempt_ended(millis(10), end, || true) {
             NextStep::Respond(failure) => {
-                assert_eq!(chart.reported_outcome(failure), ReportedOutcome::Unknown)
+                assert_eq!(
+                    lifecycle.reported_outcome(failure),
+                    ReportedOutcome::Unknown
+                )
             }
             other => panic!("{end:?} led to {other:?}"),
         }
-        assert_eq!(chart.state(), RequestState::Unknown);
+        assert_eq!(lifecycle.state(), RequestState::Unknown);
     }
 }
 
 #[test]
-fn given_a_write_when_provably_nothing_ran_then_it_may_be_attempt_again_until_the_budget_ends() {
-    let mut chart = sent_chart(false);
-    let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
+fn write_that_did_not_run_is_retried_within_the_budget() {
+    let mut lifecycle = sent_request(false);
+    let step = lifecycle.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
     assert_eq!(step, NextStep::Retry);
-    chart.begin_attempt();
-    let step = chart.attempt_ended(millis(20), AttemptEnd::NotOpened, || false);
+    lifecycle.begin_attempt();
+    let step = lifecycle.attempt_ended(millis(20), AttemptEnd::NotOpened, || false);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
     assert_eq!(
-        chart.reported_outcome(Failure::NotOpened),
+        lifecycle.reported_outcome(Failure::NotOpened),
         ReportedOutcome::NotRun
     );
 }
 
 #[test]
-fn given_a_read_in_doubt_when_no_instance_is_left_for_another_attempt_then_not_run_is_not_said() {
-    let mut chart = sent_chart(true);
-    let step = chart.attempt_ended(millis(10), AttemptEnd::Lost, || true);
+fn read_with_unknown_outcome_is_never_reported_as_not_run() {
+    let mut lifecycle = sent_request(true);
+    let step = lifecycle.attempt_ended(millis(10), AttemptEnd::Lost, || true);
     assert_eq!(step, NextStep::Retry);
-    chart.refuse(Failure::NoInstance);
+    lifecycle.refuse(Failure::NoInstance);
     assert_eq!(
-        chart.reported_outcome(Failure::NoInstance),
+        lifecycle.reported_outcome(Failure::NoInstance),
         ReportedOutcome::Unknown
     );
-    assert_eq!(chart.state(), RequestState::Unknown);
+    assert_eq!(lifecycle.state(), RequestState::Unknown);
 }
 
 #[test]
-fn given_a_request_past_its_deadline_when_an_attempt_fails_then_it_ends_at_once() {
-    let mut chart = sent_chart(true);
-    let step = chart.attempt_ended(millis(1500), AttemptEnd::NotOpened, || true);
+fn failed_attempt_past_the_deadline_is_not_retried() {
+    let mut lifecycle = sent_request(true);
+    let step = lifecycle.attempt_ended(millis(1500), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
 }
 
 #[test]
-fn given_twelve_proxies_when_every_attempt_fails_then_retries_stay_within_the_brief() {
+fn retries_of_twelve_proxies_stay_within_the_requirement() {
     let mut budgets: Vec<RetryBudget> = (0..12).map(|_| RetryBudget::default()).collect();
-    let mut further = VecDeque::new();
+    let mut retries = VecDeque::new();
     let mut first = VecDeque::new();
     for step in 0..60_000_u64 {
         let now = millis(step);
@@ -127,25 +131,25 @@
             first.push_back(step);
             for _ in 0..2 {
                 if budget.take(now) {
-                    further.push_back(step);
+                    retries.push_back(step);
                 }
             }
         }
-        for window in [&mut first, &mut further] {
+        for window in [&mut first, &mut retries] {
             while window.front().is_some_and(|at| step - at > 10_000) {
                 window.pop_front();
             }
         }
         let allowed = first.len() / 5 + 36;
         assert!(
-            further.len() <= allowed,
+            retries.len() <= allowed,
             "{} retries at {now:?}",
-            further.len()
+            retries.len()
         );
     }
 }
 
-/// What a proxy knows of some instances.
+/// The state of a proxy that knows these instances.
 fn knowledge(heartbeats: &[Heartbeat]) -> ProxyKnowledge {
     let mut configuration = ReplicatedMap::empty();
     let zones = [("e1", "east"), ("e2", "east"), ("w1", "west")];
@@ -216,7 +220,7 @@
 }
 
 #[test]
-fn given_a_cold_instance_when_twelve_proxies_want_it_then_together_they_keep_its_gentle_rate() {
+fn twelve_proxies_together_keep_the_slow_start_rate() {
     let known = knowledge(&[heartbeat("cold", "e1", 0), heartbeat("warm", "e2", 60_000)]);
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
@@ -233,12 +237,12 @@
     // Twelve a second for five seconds, and no burst at the start.
     assert!(
         (40..=62).contains(&sent),
-        "{sent} orders went to the cold instance"
+        "{sent} requests went to the instance in slow start"
     );
 }
 
 #[test]
-fn given_instances_near_and_far_when_chosen_then_the_zone_goes_first_and_home_is_never_left() {
+fn choice_prefers_the_own_zone_and_never_leaves_the_home_region() {
     let near = heartbeat("near", "e1", 60_000);
     let same_region = heartbeat("region", "e2", 60_000);
     let far = heartbeat("far", "w1", 60_000);
@@ -260,16 +264,16 @@
         .collect();
     assert_eq!(
         request, expected,
-        "caps of four each, and nothing in the other region"
+        "four requests each, and none in the other region"
     );
     let target = shard
         .choose(millis(1), &known, &own, &route(), None, &[])
-        .expect("unbound");
+        .expect("the route has no home region");
     assert_eq!(target.instance.as_str(), "far");
 }
 
 #[test]
-fn given_every_instance_put_aside_when_chosen_then_the_service_is_not_lost_with_them() {
+fn service_stays_available_when_every_instance_is_ejected() {
     let heartbeats: Vec<Heartbeat> = (0..4)
         .map(|number| heartbeat(&format!("i{number}"), "e1", 60_000))
         .collect();
@@ -286,13 +290,13 @@
 }
 
 #[test]
-fn given_a_target_when_the_world_changed_before_the_first_byte_then_the_last_check_says_so() {
+fn check_before_sending_detects_changes_since_the_choice() {
     let known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
         .choose(millis(1), &known, &own, &route(), None, &[])
-        .expect("free");
+        .expect("the instance has capacity");
     assert_eq!(
         known.check_before_send(millis(1), &own, &route(), &target),
         Ok(())
@@ -306,9 +310,9 @@
         known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
     );
-    let mut reborn = heartbeat("one", "e1", 60_000);
-    reborn.incarnation = Incarnation(2);
-    let known = knowledge(&[reborn]);
+    let mut restarted = heartbeat("one", "e1", 60_000);
+    restarted.incarnation = Incarnation(2);
+    let known = knowledge(&[restarted]);
     assert_eq!(
         known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
@@ -321,7 +325,7 @@
     );
 }
 
-/// What a proxy knows of a keyed service with one key range and one owner.
+/// The state of a proxy that knows a keyed service with one key range and one owner.
 fn keyed_knowledge() -> ProxyKnowledge {
     let mut known = knowledge(&[heartbeat("owner", "e1", 60_000)]);
     let mut keyed = service();
@@ -374,7 +378,7 @@
 }
 
 #[test]
-fn given_a_hot_key_when_its_owner_is_asked_again_and_again_then_other_keys_still_get_through() {
+fn hot_key_leaves_owner_capacity_for_other_keys() {
     let mut known = keyed_knowledge();
     known.proxies = 1;
     let mut shard = ServiceShard::new(1);
@@ -387,25 +391,25 @@
     assert_eq!(
         choose("hot"),
         Err(Failure::NoInstance),
-        "two at once are the key's cap"
+        "the limit per key is two at once"
     );
     assert!(
         choose("cool").is_ok(),
-        "the owner's room is not all the hot key's"
+        "the hot key must not take the whole capacity of the owner"
     );
 }
 
 #[test]
-fn given_twelve_proxies_when_all_want_one_key_then_together_they_keep_near_its_cap() {
+fn twelve_proxies_together_stay_near_the_key_cap() {
     let known = keyed_knowledge();
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
-    let mut under_way: Vec<Option<(u64, Target)>> = vec![None; 12];
+    let mut in_flight: Vec<Option<(u64, Target)>> = vec![None; 12];
     let mut busy = 0;
     for step in 0..4000_u64 {
         let now = millis(step);
-        let load = under_way.iter().flatten().count() as u32;
-        for (shard, request) in shards.iter_mut().zip(&mut under_way) {
+        let load = in_flight.iter().flatten().count() as u32;
+        for (shard, request) in shards.iter_mut().zip(&mut in_flight) {
             if let Some((_, target)) = request.take_if(|(since, _)| step - *since >= 20) {
                 shard.end(now, &target, true, Some(load));
             }
@@ -415,20 +419,20 @@
                 *request = Some((step, target));
             }
         }
-        busy += under_way.iter().flatten().count();
+        busy += in_flight.iter().flatten().count();
     }
-    // The cap is two; without a common measure twelve would be under way at all times.
+    // The limit is two; if proxies did not share it, twelve would be in flight at all times.
     assert!((4000..=12_000).contains(&busy), "{busy} in 4000 moments");
 }
 
 #[test]
-fn given_another_life_at_an_address_when_it_answers_then_nothing_more_goes_to_the_old_one() {
+fn ended_incarnation_gets_no_more_requests() {
     let known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
         .choose(millis(1), &known, &own, &route(), None, &[])
-        .expect("free");
+        .expect("the instance has capacity");
     shard.begin(millis(1), &target);
     shard.end(millis(2), &target, true, None);
     shard.mark_incarnation_ended(&target);
@@ -437,7 +441,7 @@
 }
 
 #[test]
-fn given_an_answer_of_the_agent_that_was_overtaken_when_it_comes_then_it_changes_nothing() {
+fn overtaken_agent_response_is_ignored() {
     let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     let view = |number: u64, state: InstanceState| ProxyView {
         agent: NodeId(1),
@@ -462,8 +466,8 @@
     assert_eq!(one.state, InstanceState::Draining);
 }
 
-/// A proxy that knows one owner of all keys, heard as serving at first.
-fn knowledge_of_an_owner(policy: ProxyPolicy) -> ProxyKnowledge {
+/// The state of a proxy that knows one owner of all keys, which serves at first.
+fn knowledge_with_owner(policy: ProxyPolicy) -> ProxyKnowledge {
     let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     known.policy = policy;
     let maps = [
@@ -520,7 +524,7 @@
     known
 }
 
-/// What an agent tells when the owner is in this state.
+/// A view in which the owner is in this state.
 fn state_view(number: u64, state: InstanceState, updates: Vec<ConsensusMessage>) -> ProxyView {
     ProxyView {
         agent: NodeId(1),
@@ -542,8 +546,9 @@
     }
 }
 
-/// Whether a key goes to its owner now, by the choice and by the last check alike.
-fn key_goes(known: &ProxyKnowledge, now: Duration, target: &Target) -> bool {
+/// Returns whether a key goes to its owner now, after checking that the choice and the check before
+/// sending agree.
+fn is_key_routed(known: &ProxyKnowledge, now: Duration, target: &Target) -> bool {
     let own = Zone::new("e1");
     let chosen = ServiceShard::new(1).choose(now, known, &own, &route(), Some("k"), &[]);
     let still = known.check_before_send(now, &own, &route(), target);
@@ -556,8 +561,8 @@
 }
 
 #[test]
-fn given_a_leaving_owner_when_keys_come_then_they_go_there_for_the_span_and_not_after() {
-    for (span, policy) in [
+fn draining_owner_gets_its_keys_for_the_configured_period() {
+    for (period, policy) in [
         (
             4000,
             ProxyPolicy {
@@ -567,56 +572,61 @@
         ),
         (0, ProxyPolicy::default()),
     ] {
-        let mut known = knowledge_of_an_owner(policy);
+        let mut known = knowledge_with_owner(policy);
         let own = Zone::new("e1");
         let target = ServiceShard::new(1)
             .choose(millis(60), &known, &own, &route(), Some("k"), &[])
-            .expect("it serves");
-        assert!(key_goes(&known, millis(90), &target));
+            .expect("the instance is serving");
+        assert!(is_key_routed(&known, millis(90), &target));
         known.take(
             millis(100),
             &state_view(3, InstanceState::Draining, Vec::new()),
         );
-        for (after, goes) in [
-            (0, span > 0),
-            (10, span > 0),
-            (3999, span > 0),
+        for (after, is_expected) in [
+            (0, period > 0),
+            (10, period > 0),
+            (3999, period > 0),
             (4000, false),
         ] {
             let now = millis(100 + after);
-            assert_eq!(key_goes(&known, now, &target), goes, "{span} {after}");
+            assert_eq!(
+                is_key_routed(&known, now, &target),
+                is_expected,
+                "{period} {after}"
+            );
         }
-        // Hearing again that it leaves begins no new span.
+        // Another draining heartbeat does not start a new period.
         known.take(
             millis(3000),
             &state_view(4, InstanceState::Draining, Vec::new()),
         );
-        assert_eq!(key_goes(&known, millis(4099), &target), span > 0);
-        assert!(!key_goes(&known, millis(4100), &target));
-        // One that serves again gets keys for as long as it does, and then for a span of its own.
+        assert_eq!(is_key_routed(&known, millis(4099), &target), period > 0);
+        assert!(!is_key_routed(&known, millis(4100), &target));
+        // An instance that serves again gets keys without limit, and a period of its own when it
+        // drains later.
         known.take(
             millis(5000),
             &state_view(5, InstanceState::Serving, Vec::new()),
         );
-        assert!(key_goes(&known, millis(20_000), &target));
+        assert!(is_key_routed(&known, millis(20_000), &target));
         known.take(
             millis(21_000),
             &state_view(6, InstanceState::Draining, Vec::new()),
         );
-        assert_eq!(key_goes(&known, millis(24_999), &target), span > 0);
-        assert!(!key_goes(&known, millis(25_000), &target));
+        assert_eq!(is_key_routed(&known, millis(24_999), &target), period > 0);
+        assert!(!is_key_routed(&known, millis(25_000), &target));
     }
 }
 
 #[test]
-fn given_a_leaving_instance_when_its_service_has_no_keys_then_the_span_lets_nothing_go_there() {
+fn draining_instance_of_an_unkeyed_service_gets_nothing() {
     let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     known.policy.draining_owner = millis(4000);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
         .choose(millis(60), &known, &own, &route(), None, &[])
-        .expect("it serves");
+        .expect("the instance is serving");
     known.take(
         millis(100),
         &state_view(2, InstanceState::Draining, Vec::new()),
@@ -628,7 +638,7 @@
 }
 
 #[test]
-fn given_a_change_with_many_faults_when_checked_then_each_of_them_is_named() {
+fn configuration_check_names_every_fault() {
     let put = |key: &str, value: Value| Put {
         key: key.to_string(),
         expected: None,
@@ -638,8 +648,8 @@
     let mut dangling = route();
     dangling.service = ServiceName::new("nowhere");
     dangling.path = "no-slash".to_string();
-    let mut homeless = route();
-    homeless.homes = vec![Region::new("moon")];
+    let mut unknown_home = route();
+    unknown_home.homes = vec![Region::new("moon")];
     let mut keyed = service();
     keyed.keyed = true;
     let mut slow = route();
@@ -654,7 +664,12 @@
         id: ChangeId::new("bad"),
         puts: vec![
             put("rule/dangling", Value::Route { route: dangling }),
-            put("rule/one", Value::Route { route: homeless }),
+            put(
+                "rule/one",
+                Value::Route {
+                    route: unknown_home,
+                },
+            ),
             put("rule/two", Value::Route { route: route() }),
             put("rule/slow", Value::Route { route: slow }),
             put("pool/records", Value::Service { service: keyed }),
@@ -687,7 +702,7 @@
 }
 
 #[test]
-fn given_routes_when_a_request_is_matched_then_exact_hosts_and_longer_paths_go_first() {
+fn exact_hosts_and_longer_paths_match_first() {
     let mut map = ReplicatedMap::empty();
     let with = |host: &str, path: &str| Value::Route {
         route: Route {
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -1,5 +1,5 @@
-//! What a change of routes leaves in a proxy's table: every route that stands is found, no older map is
-//! taken, and a change costs what it changes.
+//! Tests how route changes reach the route table of a proxy: every current route is found, no older
+//! map is applied, and the cost is that of the change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -30,12 +30,12 @@
     }
 }
 
-/// A put of a route under a version; no place drops it.
-fn put(name: u64, version: u64, index: Option<(&str, &str)>) -> Put {
+/// Returns a put of a route with a version; without a host and path the route is dropped.
+fn put(name: u64, version: u64, host_and_path: Option<(&str, &str)>) -> Put {
     Put {
         key: format!("rule/route-{name}"),
         expected: None,
-        value: index.map(|(host, path)| Value::Route {
+        value: host_and_path.map(|(host, path)| Value::Route {
             route: route(host, path),
         }),
         written: Some(Written {
@@ -53,7 +53,7 @@
     }
 }
 
-/// A map of this many routes over seven hosts.
+/// Returns a map of this many routes over seven hosts.
 fn map_of(routes: u64) -> ReplicatedMap {
     let mut map = ReplicatedMap::empty();
     let puts = (0..routes).map(|number| {
@@ -92,8 +92,8 @@
     table.find(host, path).map(|(name, _)| name.to_string())
 }
 
-/// The name of the route with the longest prefix that begins the path, found by looking at all of them.
-fn longest(map: &ReplicatedMap, host: &str, path: &str) -> Option<String> {
+/// Returns the route with the longest prefix of the path, found by comparing all of them.
+fn longest_prefix(map: &ReplicatedMap, host: &str, path: &str) -> Option<String> {
     map.routes()
         .filter(|(_, route)| route.host == host && path.starts_with(&route.path))
         .max_by_key(|(_, route)| route.path.len())
@@ -114,7 +114,7 @@
     "/none/1",
 ];
 
-/// One change: which route, and where it goes; past the last prefix it is dropped.
+/// One change: the route, and its new host and prefix; past the last prefix it is dropped.
 fn any_change() -> impl Strategy<Value = Vec<(u64, usize, usize)>> {
     prop::collection::vec((0..8_u64, 0..HOSTS.len(), 0..=PREFIXES.len()), 1..6)
 }
@@ -127,7 +127,7 @@
     })]
 
     #[test]
-    fn table_that_follows_any_changes_finds_the_longest_prefix_that_stands(
+    fn updated_table_finds_the_longest_prefix(
         changes in prop::collection::vec(any_change(), 1..20),
     ) {
         let mut map = ReplicatedMap::empty();
@@ -136,15 +136,15 @@
             let version = number as u64 + 1;
             let mut next = map.clone();
             let puts = moves.iter().map(|(name, host, prefix)| {
-                let index = PREFIXES.get(*prefix).map(|prefix| (HOSTS[*host], *prefix));
-                put(*name, version, index)
+                let host_and_path = PREFIXES.get(*prefix).map(|prefix| (HOSTS[*host], *prefix));
+                put(*name, version, host_and_path)
             });
             next.apply(&change(version, puts.collect()));
-            let mut places = BTreeSet::new();
+            let mut routed_paths = BTreeSet::new();
             let is_sound = next
                 .routes()
-                .all(|(_, route)| places.insert((route.host.clone(), route.path.clone())));
-            // What would put two routes at one place is refused before it gets so far.
+                .all(|(_, route)| routed_paths.insert((route.host.clone(), route.path.clone())));
+            // Validation rejects changes that give two routes the same host and path.
             if !is_sound {
                 continue;
             }
@@ -152,7 +152,7 @@
             table = table.after(&map);
             for (host, path) in HOSTS.iter().flat_map(|host| PATHS.map(|path| (host, path))) {
                 let bare = path.split('?').next().unwrap_or_default();
-                let expected = longest(&map, host, bare);
+                let expected = longest_prefix(&map, host, bare);
                 prop_assert_eq!(found(&table, host, path), expected, "{}{}", host, path);
             }
         }
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn change_of_one_route_leaves_the_other_thousands_shared_with_the_table_before() {
+fn unchanged_routes_are_shared_with_the_previous_table() {
     let mut map = map_of(6_000);
     let before = RouteTable::of(&map);
     map.apply(&change(2, vec![put(7, 2, Some(("h0.example", "/moved/")))]));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn thousands_of_routes_added_at_once_are_all_found_and_those_that_follow_too() {
+fn all_of_thousands_of_routes_are_found_and_later_ones_too() {
     let mut map = map_of(6_000);
     let mut knowledge = ProxyKnowledge::default();
     let first = view(1, 1, map.version, vec![full_map(&map)]);
@@ -203,7 +203,7 @@
         knowledge.take(Duration::ZERO, &view(number, 1, map.version, vec![updates]));
         let route = knowledge.find(Duration::ZERO, "h9.example", &format!("{path}1"));
         assert_eq!(
-            route.expect("it is found").0.as_str(),
+            route.expect("the route is found").0.as_str(),
             format!("route-{number}")
         );
     }
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn response_that_names_a_later_configuration_than_it_brought_makes_nothing_fresh() {
+fn response_without_the_configuration_it_names_does_not_make_the_proxy_fresh() {
     let map = map_of(3);
     let mut knowledge = ProxyKnowledge::default();
     knowledge.take(
@@ -255,7 +255,7 @@
     assert_eq!(
         route.err(),
         Some(Failure::Stale),
-        "it may have been added since"
+        "the route may have been added since"
     );
     knowledge.take(Duration::ZERO, &view(2, 1, map.version, Vec::new()));
     assert!(knowledge.is_usable(Duration::ZERO));
@@ -295,7 +295,7 @@
     assert_eq!(found(&knowledge.table, "h0.example", "/route-0/1"), None);
 }
 
-/// A map as it was stored and sent when its items were a plain map.
+/// A map in the encoding of the time when its items were a plain map.
 #[derive(minicbor::Encode)]
 struct PlainMap {
     #[n(0)]
@@ -320,10 +320,10 @@
             histories: map.histories.clone(),
             is_reduced: map.is_reduced(),
         };
-        let bytes = minicbor::to_vec(&plain).expect("it encodes");
-        assert_eq!(minicbor::to_vec(&map).expect("it encodes"), bytes);
+        let bytes = minicbor::to_vec(&plain).expect("the map is encoded");
+        assert_eq!(minicbor::to_vec(&map).expect("the map is encoded"), bytes);
         assert_eq!(
-            minicbor::decode::<ReplicatedMap>(&bytes).expect("it decodes"),
+            minicbor::decode::<ReplicatedMap>(&bytes).expect("the map is decoded"),
             map
         );
     }
--- a/crates/proxy/src/send_guard.rs
+++ b/crates/proxy/src/send_guard.rs
@@ -258,7 +258,7 @@
     }
 
     #[tokio::test]
-    async fn given_a_check_that_fails_when_the_head_is_written_then_no_byte_leaves() {
+    async fn request_is_not_written_when_the_check_fails() {
         let (send_state, count) = send_with_check(|| Err(Failure::Stale)).await;
         assert_eq!(
             (send_state, count),
@@ -267,14 +267,14 @@
     }
 
     #[tokio::test]
-    async fn given_a_check_that_holds_when_the_head_is_written_then_the_request_has_begun() {
+    async fn request_is_written_when_the_check_passes() {
         let (send_state, count) = send_with_check(|| Ok(())).await;
         assert_eq!(send_state, SendState::Started);
         assert!(count > 0);
     }
 
     #[test]
-    fn given_a_gate_that_was_shut_when_the_library_writes_later_then_nothing_leaves() {
+    fn nothing_is_written_after_shut_down() {
         let send_guard = SendGuard::default();
         send_guard.arm(Box::new(|| Ok(())));
         assert_eq!(send_guard.shut_down(), SendState::NotSent(None));
--- a/crates/proxy/tests/instance_connections.rs
+++ b/crates/proxy/tests/instance_connections.rs
@@ -1,4 +1,4 @@
-//! Stories of connections to instances, on real sockets.
+//! Tests connections to instances on real sockets.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 use proxy::instance_connections::InstanceConnections;
 use runtime::http::Body;
 
-/// More than the sockets' buffers on both sides hold.
+/// More than the socket buffers of both sides hold.
 const LARGE_BODY: usize = 64 * 1024 * 1024;
 
-/// A body of which only a part can have left when the connection is dropped.
+/// A request with a body of which only a part can have been sent when the connection is dropped.
 fn large_request() -> Request<Body> {
     let body = Full::new(Bytes::from(vec![b'x'; LARGE_BODY]))
         .map_err(|never| match never {})
         .boxed();
     Request::post("/upload")
         .body(body)
-        .expect("it is a request")
+        .expect("the request is valid")
 }
 
-/// Reads until the other side ends the connection; says how it ended.
+/// Reads until the peer ends the connection; returns how it ended.
 async fn read_to_its_end(mut stream: TcpStream) -> std::io::Result<()> {
     let mut bytes = vec![0; 64 * 1024];
     while stream.read(&mut bytes).await? > 0 {}
@@ -33,22 +33,21 @@
 }
 
 #[tokio::test]
-async fn given_a_request_on_its_way_when_its_connection_is_dropped_then_what_waits_to_be_sent_is_dropped_too(
-) {
+async fn dropping_a_connection_discards_queued_data() {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
-    let address = listener.local_addr().expect("it listens");
+    let address = listener.local_addr().expect("the listener has an address");
     let key = (InstanceId::new("i-1"), Incarnation(0), address);
     let connections = InstanceConnections::default();
     let mut connection = connections
         .acquire(&key, Duration::from_secs(5), false)
         .await
         .expect("the instance accepts");
-    let (stream, _) = listener.accept().await.expect("it is opened");
+    let (stream, _) = listener.accept().await.expect("the connection is opened");
     let response = connection.sender.send_request(large_request());
-    // Why a first byte: by then the buffers fill, as the instance reads nothing.
-    stream.readable().await.expect("a part arrives");
+    // Once a first byte has arrived the buffers fill up, since the instance reads nothing.
+    stream.readable().await.expect("the first bytes arrive");
 
     drop(response);
     drop(connection);
--- a/crates/proxy/tests/support/behaviour.rs
+++ b/crates/proxy/tests/support/behaviour.rs
@@ -1,6 +1,6 @@
-//! What the hostile server may do with a request.
+//! The behaviours of the hostile server.
 
-use crate::support::wire::in_chunks;
+use crate::support::wire::chunked_body;
 use caperworks::identifiers::Chance;
 
 /// What the server does with one request. All but the first group run it.
@@ -11,9 +11,9 @@
     ResetAfterHead,
     Misdirected,
     MisdirectedBeforeBody,
-    FullWithWord,
-    TooManyWithWord,
-    /// The request runs and a whole answer of its own comes.
+    UnavailableNotRun,
+    TooManyRequestsNotRun,
+    /// The request runs and a complete response of its own is sent.
     Good,
     GoodLarge,
     GoodInChunks,
@@ -23,20 +23,20 @@
     GoodThenReset,
     GoodAnnouncingClose,
     GoodAnnouncingCloseKeptOpen,
-    GoodShortKeepAlive,
+    GoodZeroKeepAlive,
     GoodThenSurplus,
     GoodThenSurplusLater,
     GoodThenSurplusRefusal,
-    GoodThenUnnamedSurplus,
-    OwnFailure,
-    /// The request runs and what comes back must not reach the client as a success.
+    GoodThenSurplusWithoutId,
+    ServerError,
+    /// The request runs, and the response must not reach the client as a success.
     SurplusBeforeOwn,
     SurplusRefusalBeforeOwn,
-    AnotherName,
-    NoName,
-    TwoNames,
+    WrongRequestId,
+    NoRequestId,
+    TwoRequestIds,
     NoSeal,
-    FalsePromise,
+    FalseNotRunStatus,
     SwitchingProtocols,
     TwoLengths,
     NoLength,
@@ -50,18 +50,18 @@
     ResetMidway,
     ResetAfterRun,
     CloseAfterRun,
-    Silence,
-    SilenceMidway,
+    NoResponse,
+    StalledMidway,
 }
 
-/// Behaviours with how often they are drawn.
+/// Behaviours with their weights in the random choice.
 const WEIGHTED: [(Behaviour, u64); 43] = [
     (Behaviour::ResetBeforeReading, 3),
     (Behaviour::ResetAfterHead, 3),
     (Behaviour::Misdirected, 3),
     (Behaviour::MisdirectedBeforeBody, 2),
-    (Behaviour::FullWithWord, 3),
-    (Behaviour::TooManyWithWord, 2),
+    (Behaviour::UnavailableNotRun, 3),
+    (Behaviour::TooManyRequestsNotRun, 2),
     (Behaviour::Good, 50),
     (Behaviour::GoodLarge, 6),
     (Behaviour::GoodInChunks, 6),
@@ -71,19 +71,19 @@
     (Behaviour::GoodThenReset, 2),
     (Behaviour::GoodAnnouncingClose, 3),
     (Behaviour::GoodAnnouncingCloseKeptOpen, 2),
-    (Behaviour::GoodShortKeepAlive, 2),
+    (Behaviour::GoodZeroKeepAlive, 2),
     (Behaviour::GoodThenSurplus, 5),
     (Behaviour::GoodThenSurplusLater, 8),
     (Behaviour::GoodThenSurplusRefusal, 5),
-    (Behaviour::GoodThenUnnamedSurplus, 5),
-    (Behaviour::OwnFailure, 3),
+    (Behaviour::GoodThenSurplusWithoutId, 5),
+    (Behaviour::ServerError, 3),
     (Behaviour::SurplusBeforeOwn, 5),
     (Behaviour::SurplusRefusalBeforeOwn, 5),
-    (Behaviour::AnotherName, 4),
-    (Behaviour::NoName, 2),
-    (Behaviour::TwoNames, 2),
+    (Behaviour::WrongRequestId, 4),
+    (Behaviour::NoRequestId, 2),
+    (Behaviour::TwoRequestIds, 2),
     (Behaviour::NoSeal, 2),
-    (Behaviour::FalsePromise, 3),
+    (Behaviour::FalseNotRunStatus, 3),
     (Behaviour::SwitchingProtocols, 1),
     (Behaviour::TwoLengths, 1),
     (Behaviour::NoLength, 2),
@@ -97,35 +97,35 @@
     (Behaviour::ResetMidway, 3),
     (Behaviour::ResetAfterRun, 4),
     (Behaviour::CloseAfterRun, 3),
-    (Behaviour::Silence, 1),
-    (Behaviour::SilenceMidway, 1),
+    (Behaviour::NoResponse, 1),
+    (Behaviour::StalledMidway, 1),
 ];
 
 impl Behaviour {
-    pub fn draw(chance: &mut Chance) -> Self {
+    pub fn random(chance: &mut Chance) -> Self {
         let total: u64 = WEIGHTED.iter().map(|(_, weight)| weight).sum();
-        let mut drawn = chance.below(total);
+        let mut remaining_weight = chance.below(total);
         for (behaviour, weight) in WEIGHTED {
-            if drawn < weight {
+            if remaining_weight < weight {
                 return behaviour;
             }
-            drawn -= weight;
+            remaining_weight -= weight;
         }
         Behaviour::Good
     }
 
-    /// Every behaviour that can be drawn.
+    /// Returns every behaviour that can be chosen.
     pub fn all() -> impl Iterator<Item = Behaviour> {
         WEIGHTED.iter().map(|(behaviour, _)| *behaviour)
     }
 
-    /// Whether the request is turned away, or its connection broken, before it runs.
-    pub fn runs_nothing(self) -> bool {
+    /// Returns whether the request is rejected, or its connection broken, before it runs.
+    pub fn is_rejected_before_run(self) -> bool {
         self < Behaviour::Good
     }
 
-    /// Whether a whole head of the request's own comes, with whatever behind it.
-    pub fn gives_own_head(self) -> bool {
+    /// Returns whether a complete head of its own response is sent, whatever follows it.
+    pub fn sends_own_head(self) -> bool {
         let cut_behind_head = [
             Behaviour::NoLength,
             Behaviour::LengthAndChunks,
@@ -134,40 +134,40 @@
             Behaviour::CutLarge,
             Behaviour::CutChunks,
             Behaviour::ResetMidway,
-            Behaviour::SilenceMidway,
+            Behaviour::StalledMidway,
         ];
         self.is_good() || cut_behind_head.contains(&self)
     }
 
-    /// Whether a whole answer of the request's own comes first.
+    /// Returns whether a complete response of its own is sent first.
     pub fn is_good(self) -> bool {
-        !self.runs_nothing() && self < Behaviour::OwnFailure
+        !self.is_rejected_before_run() && self < Behaviour::ServerError
     }
 }
 
 pub const SEAL: &str = "Body-Seal: whole";
 
-/// The header by which an answer names its request.
+/// The header line with the request id in a response.
 #[derive(Debug, Clone)]
-pub struct NameLine(pub String);
+pub struct RequestIdHeader(pub String);
 
-/// Answers as bytes.
+/// Builds the bytes of a response.
 pub struct PlannedResponse {
     status: &'static str,
     headers: Vec<String>,
 }
 
 impl PlannedResponse {
-    /// A success with its seal, in the name of a request.
-    pub fn success(name: &NameLine) -> Self {
-        Self::named("200 OK", name).header(SEAL)
+    /// A successful response with its seal and the id of a request.
+    pub fn success(name: &RequestIdHeader) -> Self {
+        Self::with_id("200 OK", name).header(SEAL)
     }
 
-    pub fn named(status: &'static str, name: &NameLine) -> Self {
-        Self::unnamed(status).header(&name.0)
+    pub fn with_id(status: &'static str, name: &RequestIdHeader) -> Self {
+        Self::without_id(status).header(&name.0)
     }
 
-    pub fn unnamed(status: &'static str) -> Self {
+    pub fn without_id(status: &'static str) -> Self {
         Self {
             status,
             headers: Vec::new(),
@@ -179,7 +179,7 @@
         self
     }
 
-    /// The head alone, in this version of the protocol.
+    /// Returns the head alone, with this HTTP version.
     pub fn head(&self, version: &str) -> Vec<u8> {
         let mut text = format!("{version} {}\r\n", self.status);
         for line in &self.headers {
@@ -199,7 +199,7 @@
 
     pub fn with_chunks(self, body: &[u8]) -> Vec<u8> {
         let mut bytes = self.header("Transfer-Encoding: chunked").head("HTTP/1.1");
-        bytes.extend(in_chunks(body, 700));
+        bytes.extend(chunked_body(body, 700));
         bytes
     }
 }
--- a/crates/proxy/tests/support/client.rs
+++ b/crates/proxy/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! Clients that speak to the proxy over a socket of their own.
+//! Clients of the proxy, each with a socket of its own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,54 +8,54 @@
 use tokio::net::TcpStream;
 
 use crate::support::journal::{Journal, ObservedResponse, SentRequest};
-use crate::support::wire::{body_of, in_chunks, Cut, Wire};
+use crate::support::wire::{body_of, chunked_body, Truncated, Wire};
 use caperworks::identifiers::Chance;
 use runtime::http::OUTCOME_HEADER;
 
-/// Uploads are longer than what the proxy holds whole.
-const UPLOAD: usize = 90_000;
-/// Longer than any request may take, however slow the machine.
+/// Uploads are larger than what the proxy buffers.
+const UPLOAD_BYTES: usize = 90_000;
+/// Longer than any request may take, even on slow machines.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What a client does with one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ClientMove {
+enum ClientAction {
     Read,
     ReadHead,
     Once,
     OnceInChunks,
     Upload,
     UploadInChunks,
-    /// Sends half of an upload and goes away.
-    BrokenUpload,
-    /// Sends a whole request and goes away.
-    GoneWaiting,
-    /// Sends two requests at once and reads both answers.
+    /// Sends a part of an upload and disconnects.
+    AbortedUpload,
+    /// Sends a complete request and disconnects.
+    DisconnectWhileWaiting,
+    /// Sends two requests at once and reads both responses.
     Pipelined,
 }
 
-const MOVES: [(ClientMove, u64); 9] = [
-    (ClientMove::Read, 35),
-    (ClientMove::ReadHead, 3),
-    (ClientMove::Once, 25),
-    (ClientMove::OnceInChunks, 6),
-    (ClientMove::Upload, 4),
-    (ClientMove::UploadInChunks, 4),
-    (ClientMove::BrokenUpload, 4),
-    (ClientMove::GoneWaiting, 4),
-    (ClientMove::Pipelined, 6),
+const ACTIONS: [(ClientAction, u64); 9] = [
+    (ClientAction::Read, 35),
+    (ClientAction::ReadHead, 3),
+    (ClientAction::Once, 25),
+    (ClientAction::OnceInChunks, 6),
+    (ClientAction::Upload, 4),
+    (ClientAction::UploadInChunks, 4),
+    (ClientAction::AbortedUpload, 4),
+    (ClientAction::DisconnectWhileWaiting, 4),
+    (ClientAction::Pipelined, 6),
 ];
 
-fn draw_move(chance: &mut Chance) -> ClientMove {
-    let total: u64 = MOVES.iter().map(|(_, weight)| weight).sum();
-    let mut drawn = chance.below(total);
-    for (client_move, weight) in MOVES {
-        if drawn < weight {
-            return client_move;
+fn random_action(chance: &mut Chance) -> ClientAction {
+    let total: u64 = ACTIONS.iter().map(|(_, weight)| weight).sum();
+    let mut remaining_weight = chance.below(total);
+    for (action, weight) in ACTIONS {
+        if remaining_weight < weight {
+            return action;
         }
-        drawn -= weight;
+        remaining_weight -= weight;
     }
-    ClientMove::Read
+    ClientAction::Read
 }
 
 /// A client with at most one open connection to the proxy.
@@ -89,17 +89,17 @@
     /// Sends this many requests, one after the other.
     pub async fn run(mut self, requests: u32) {
         for _ in 0..requests {
-            let client_move = draw_move(&mut self.chance);
-            let moved = tokio::time::timeout(TIMEOUT, self.make(client_move)).await;
-            if moved.is_err() {
+            let action = random_action(&mut self.chance);
+            let performed = tokio::time::timeout(TIMEOUT, self.perform(action)).await;
+            if performed.is_err() {
                 self.journal
-                    .breach(format!("{}: no end to {client_move:?}", self.name));
+                    .record_violation(format!("{}: request did not finish: {action:?}", self.name));
             }
         }
         self.end().await;
     }
 
-    /// Says that nothing more will be sent; nothing more may come then.
+    /// Half-closes the connection; the proxy must send nothing after that.
     async fn end(&mut self) {
         let Some(mut wire) = self.wire.take() else {
             return;
@@ -109,25 +109,25 @@
         if ended.unwrap_or(true) {
             let name = &self.name;
             self.journal
-                .breach(format!("{name}: bytes came that belong to no request"));
+                .record_violation(format!("{name}: received bytes that belong to no request"));
         }
     }
 
-    async fn make(&mut self, client_move: ClientMove) {
-        match client_move {
-            ClientMove::Read => self.ask("GET", 0, false).await,
-            ClientMove::ReadHead => self.ask("HEAD", 0, false).await,
-            ClientMove::Once => self.ask("POST", 300, false).await,
-            ClientMove::OnceInChunks => self.ask("POST", 300, true).await,
-            ClientMove::Upload => self.ask("POST", UPLOAD, false).await,
-            ClientMove::UploadInChunks => self.ask("POST", UPLOAD, true).await,
-            ClientMove::BrokenUpload => self.break_off().await,
-            ClientMove::GoneWaiting => self.go_away().await,
-            ClientMove::Pipelined => self.pipeline().await,
+    async fn perform(&mut self, action: ClientAction) {
+        match action {
+            ClientAction::Read => self.exchange_request("GET", 0, false).await,
+            ClientAction::ReadHead => self.exchange_request("HEAD", 0, false).await,
+            ClientAction::Once => self.exchange_request("POST", 300, false).await,
+            ClientAction::OnceInChunks => self.exchange_request("POST", 300, true).await,
+            ClientAction::Upload => self.exchange_request("POST", UPLOAD_BYTES, false).await,
+            ClientAction::UploadInChunks => self.exchange_request("POST", UPLOAD_BYTES, true).await,
+            ClientAction::AbortedUpload => self.abort_upload().await,
+            ClientAction::DisconnectWhileWaiting => self.disconnect().await,
+            ClientAction::Pipelined => self.pipeline().await,
         }
     }
 
-    /// A new request, told to the journal.
+    /// Creates a request and records it in the journal.
     fn prepare(&mut self, method: &'static str, length: usize, is_chunked: bool) -> Prepared {
         self.sent += 1;
         let id = format!("{}-{}", self.name, self.sent);
@@ -143,7 +143,7 @@
         let mut payload = body.clone();
         if has_body && is_chunked {
             text.push_str("Transfer-Encoding: chunked\r\n");
-            payload = in_chunks(&body, 5000);
+            payload = chunked_body(&body, 5000);
         } else if has_body {
             text.push_str(&format!("Content-Length: {}\r\n", body.len()));
         }
@@ -153,14 +153,14 @@
             path,
             body,
             repeatable: !has_body,
-            streams: is_chunked || length >= UPLOAD,
+            streams: is_chunked || length >= UPLOAD_BYTES,
         };
         self.journal.send(&id, request);
         let bytes = [text.into_bytes(), payload].concat();
         Prepared { id, bytes }
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or opens one.
     async fn connected(&mut self) -> Wire<TcpStream> {
         match self.wire.take() {
             Some(wire) => wire,
@@ -173,14 +173,15 @@
         }
     }
 
-    /// Sends one request and waits for its answer.
-    async fn ask(&mut self, method: &'static str, length: usize, is_chunked: bool) {
+    /// Sends one request and waits for its response.
+    async fn exchange_request(&mut self, method: &'static str, length: usize, is_chunked: bool) {
         let prepared = self.prepare(method, length, is_chunked);
         let wire = self.connected().await;
         let (seen, wire) = exchange(wire, method, &prepared.bytes).await;
         self.journal.see(&prepared.id, seen);
-        // Why not after an upload: the proxy may have answered before it had read all of it.
-        self.wire = wire.filter(|_| length < UPLOAD && !is_chunked);
+        // Not reused after an upload: the proxy may have responded before it had read the complete
+        // body.
+        self.wire = wire.filter(|_| length < UPLOAD_BYTES && !is_chunked);
     }
 
     async fn pipeline(&mut self) {
@@ -201,16 +202,16 @@
         self.journal.see(&second.id, seen);
     }
 
-    async fn break_off(&mut self) {
+    async fn abort_upload(&mut self) {
         let is_chunked = self.chance.below(2) == 0;
-        let prepared = self.prepare("POST", UPLOAD, is_chunked);
+        let prepared = self.prepare("POST", UPLOAD_BYTES, is_chunked);
         let mut wire = self.connected().await;
         let part = self.chance.below(prepared.bytes.len() as u64) as usize;
         let _ = wire.reader.write_all(&prepared.bytes[..part]).await;
         self.journal.see(&prepared.id, ObservedResponse::GaveUp);
     }
 
-    async fn go_away(&mut self) {
+    async fn disconnect(&mut self) {
         let prepared = self.prepare("POST", 300, false);
         let mut wire = self.connected().await;
         let _ = wire.reader.write_all(&prepared.bytes).await;
@@ -221,7 +222,8 @@
     }
 }
 
-/// Writes a request while its answer is awaited; gives the connection back if it is still good.
+/// Writes a request and reads its response at the same time; returns the connection if it can be
+/// reused.
 async fn exchange(
     wire: Wire<TcpStream>,
     method: &str,
@@ -233,7 +235,8 @@
         reader: reading,
         buffer,
     };
-    // Why its failure is ignored: the proxy may answer and close before it has read everything.
+    // The result of the write is ignored: the proxy may respond and close before it has read
+    // everything.
     let (_, (seen, open)) = tokio::join!(
         writing.write_all(bytes),
         read_response(&mut incoming, method)
@@ -246,7 +249,7 @@
     (seen, wire.filter(|_| open))
 }
 
-/// Reads one answer; says also whether the connection may be used on.
+/// Reads one response; also returns whether the connection may be reused.
 async fn read_response<Reader: AsyncRead + Unpin>(
     wire: &mut Wire<Reader>,
     method: &str,
@@ -255,7 +258,7 @@
         match wire.read_head().await {
             Ok(head) if head.second_word().starts_with('1') => {}
             Ok(head) => break head,
-            Err(Cut) => return (ObservedResponse::Nothing, false),
+            Err(Truncated) => return (ObservedResponse::Nothing, false),
         }
     };
     let body = match method {
@@ -275,15 +278,17 @@
     (seen, head.header("connection") != Some("close"))
 }
 
-/// Sends one request as it stands on a connection of its own, and waits for its answer.
-pub async fn ask_alone(proxy: SocketAddr, method: &str, bytes: &[u8]) -> ObservedResponse {
+/// Sends these bytes as one request on a connection of its own, and waits for the response.
+pub async fn send_alone(proxy: SocketAddr, method: &str, bytes: &[u8]) -> ObservedResponse {
     let stream = TcpStream::connect(proxy).await;
     let wire = Wire::over(stream.expect("the proxy listens"));
     let exchanged = tokio::time::timeout(TIMEOUT, exchange(wire, method, bytes)).await;
-    exchanged.expect("an answer or an end").0
+    exchanged
+        .expect("a response or the end of the connection")
+        .0
 }
 
-/// The status of a whole answer.
+/// Returns the status of a complete response.
 pub fn status_of(seen: &ObservedResponse) -> Option<u16> {
     match seen {
         ObservedResponse::Complete { status, .. } => Some(*status),
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -1,4 +1,4 @@
-//! A real proxy on the loopback that knows of the hostile servers.
+//! A real proxy on the loopback interface in front of the hostile servers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,9 +27,9 @@
 use runtime::http::{serve_http, REQUEST_HEADER};
 use runtime::options::{NodeSettings, Terms};
 
-/// How long a request may take; silence costs as much.
+/// The deadline of a request; a server that does not respond delays it by as much.
 const ROUTE_DEADLINE: Duration = Duration::from_millis(500);
-/// How long a proxy's knowledge counts as fresh.
+/// How long the state of the proxy counts as fresh.
 pub const LEASE: Duration = Duration::from_secs(3600);
 const BODY_LIMIT: u64 = 1_000_000;
 pub const SERVICE: &str = "records";
@@ -38,8 +38,8 @@
     status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key("nothing-ran")
 }
 
-/// A dialect in which clients name their requests, and successes bear a seal.
-pub fn strict_dialect() -> ProtocolAdapter {
+/// A protocol in which clients send a request id, and successful responses carry a seal.
+pub fn strict_adapter() -> ProtocolAdapter {
     let name = HeaderName::from_static;
     ProtocolAdapter {
         request_id: name("request-name"),
@@ -57,44 +57,45 @@
     }
 }
 
-/// How a proxy, its clients and its instances speak.
+/// The protocol between the proxy, its clients and its instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
-    /// Clients name their requests, successes bear a seal, and statuses promise.
+pub enum Protocol {
+    /// Clients send a request id, successful responses carry a seal, and the status says whether a
+    /// request ran.
     Strict,
-    /// The product's own: the proxy names requests, and a header promises.
+    /// The default: the proxy assigns request ids, and a header says whether a request ran.
     Own,
 }
 
-impl Manner {
+impl Protocol {
     pub fn protocol_adapter(self) -> ProtocolAdapter {
         match self {
-            Manner::Strict => strict_dialect(),
-            Manner::Own => ProtocolAdapter::own(),
+            Protocol::Strict => strict_adapter(),
+            Protocol::Own => ProtocolAdapter::own(),
         }
     }
 
-    /// The header that names a request, towards instances and back.
-    pub fn name_header(self) -> &'static str {
+    /// Returns the header with the request id, in requests to instances and in their responses.
+    pub fn request_id_header(self) -> &'static str {
         match self {
-            Manner::Strict => "request-name",
-            Manner::Own => REQUEST_HEADER,
+            Protocol::Strict => "request-name",
+            Protocol::Own => REQUEST_HEADER,
         }
     }
 
-    /// An instance's word that it ran nothing.
-    pub fn refusal(self) -> &'static str {
+    /// Returns the header by which an instance states that it ran nothing.
+    pub fn not_run_header(self) -> &'static str {
         match self {
-            Manner::Strict => "Nothing-Ran: full",
-            Manner::Own => "caperworks-outcome: not-run",
+            Protocol::Strict => "Nothing-Ran: full",
+            Protocol::Own => "caperworks-outcome: not-run",
         }
     }
 
-    /// Whether an answer promises that the request did not run.
+    /// Returns whether a response states that the request did not run.
     pub fn promises(self, status: u16, outcome: Option<&str>) -> bool {
         match self {
-            Manner::Strict => PROMISES.contains(&status),
-            Manner::Own => outcome == Some("not-run"),
+            Protocol::Strict => PROMISES.contains(&status),
+            Protocol::Own => outcome == Some("not-run"),
         }
     }
 }
@@ -177,10 +178,10 @@
     }
 }
 
-/// A listener on a loopback address that this seed has for itself.
+/// Opens a listener on a loopback address that only this seed uses.
 ///
-/// Why not one address for all: a port that is free again would be taken by another schedule's
-/// server, and a request on its way to the first would reach the second.
+/// On a shared address a port that was released could be reused by the server of another schedule,
+/// and a request in flight to the first server would reach the second.
 pub async fn listen_for(seed: u64) -> TcpListener {
     let [.., high, middle, low] = seed.to_be_bytes();
     let address = SocketAddr::from(([127, high.saturating_add(1), middle, low], 0));
@@ -189,10 +190,10 @@
 }
 
 pub fn address_of(listener: &TcpListener) -> SocketAddr {
-    listener.local_addr().expect("it has an address")
+    listener.local_addr().expect("the listener has an address")
 }
 
-/// A view that tells of these instances, and of no others; its lease lives for [`LEASE`].
+/// Returns a view with exactly these instances; its lease is valid for [`LEASE`].
 pub fn view(number: u64, instances: Vec<Heartbeat>) -> ProxyView {
     ProxyView {
         agent: NodeId(1),
@@ -213,7 +214,7 @@
     }
 }
 
-/// A proxy that serves, and knows of instances at these addresses.
+/// A running proxy that knows instances at these addresses.
 pub struct ProxyFixture {
     pub address: SocketAddr,
     pub request_handler: Arc<RequestHandler>,
@@ -237,7 +238,7 @@
         .await
     }
 
-    /// The same by a clock that may be interrupted.
+    /// Starts it with a clock that may be interrupted.
     pub async fn start_by(
         clock: Clock,
         seed: u64,
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Takes no more connections, and closes the idle ones to instances.
+    /// Stops accepting connections, and closes the idle ones to instances.
     pub fn stop(mut self) {
         self.tasks.abort_all();
         self.request_handler
--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -1,9 +1,9 @@
-//! Freezes and news between any two steps of a request, through the whole proxy.
+//! Pauses the process or updates the state of the proxy between any two steps of a request.
 //!
-//! The proxy looks at its clock before whatever depends on time or on what it knows. So an
-//! interruption is brought about at each of these looks in turn: the process sleeps until its lease is
-//! over, or it hears that the instance leaves or has ended. Whatever strikes before
-//! the first byte has left must keep the request from leaving.
+//! The proxy reads its clock before everything that depends on time or on its state. A disruption
+//! is therefore caused at each clock read in turn: the process is paused until its lease has
+//! expired, or an update says that the instance is draining or has ended. A disruption before the
+//! first byte was sent must keep the request from being sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 use tokio::task::JoinSet;
 
 use crate::support::behaviour::Behaviour;
-use crate::support::client::ask_alone;
+use crate::support::client::send_alone;
 use crate::support::fixture::{
-    address_of, instance, listen_for, view, Manner, ProxyFixture, LEASE,
+    address_of, instance, listen_for, view, Protocol, ProxyFixture, LEASE,
 };
 use crate::support::journal::{Journal, ObservedResponse, PROMISES};
 use crate::support::server::HostileServer;
@@ -23,61 +23,66 @@
 use proxy::request_handler::{InjectedBug, RequestHandler};
 use runtime::clock::{Clock, Interruption};
 
-/// More looks than one request takes.
-const MOST_LOOKS: u32 = 30;
+/// More clock reads than one request needs.
+const MAX_CLOCK_READS: u32 = 30;
 
-/// What strikes between two steps.
+/// What happens between two steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Strike {
-    /// The process is frozen until long after its lease.
+enum Disruption {
+    /// The process is paused until long after its lease has expired.
     Freeze,
-    /// The instance says that it leaves.
-    InstanceLeaves,
-    /// The instance is told to have ended.
+    /// The instance starts draining.
+    InstanceDrains,
+    /// The instance has ended.
     InstanceEnds,
 }
 
-const STRIKES: [Strike; 3] = [Strike::Freeze, Strike::InstanceLeaves, Strike::InstanceEnds];
+const DISRUPTIONS: [Disruption; 3] = [
+    Disruption::Freeze,
+    Disruption::InstanceDrains,
+    Disruption::InstanceEnds,
+];
 
-impl Strike {
-    fn nap(self) -> Duration {
+impl Disruption {
+    fn pause(self) -> Duration {
         match self {
-            Strike::Freeze => LEASE * 2,
+            Disruption::Freeze => LEASE * 2,
             _ => Duration::ZERO,
         }
     }
 
-    /// What the agent tells of the instance at this address from then on.
+    /// Returns the view that the agent sends about the instance at this address after the
+    /// disruption.
     fn updates(self, address: SocketAddr) -> Option<ProxyView> {
         let reported = match self {
-            Strike::Freeze => return None,
-            Strike::InstanceLeaves => vec![Heartbeat {
+            Disruption::Freeze => return None,
+            Disruption::InstanceDrains => vec![Heartbeat {
                 state: InstanceState::Draining,
                 counter: 2,
                 ..instance(0, address)
             }],
-            Strike::InstanceEnds => Vec::new(),
+            Disruption::InstanceEnds => Vec::new(),
         };
         Some(view(2, reported))
     }
 }
 
-/// What came of one request.
+/// The outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Outcome {
     status: Option<u16>,
     arrivals: usize,
-    /// Whether the request took fewer looks than were waited for.
-    undisturbed: bool,
+    /// Whether the request ended before the clock read that was to be disrupted.
+    is_undisturbed: bool,
 }
 
 impl Outcome {
-    /// Whether nothing reached the instance, and the client was promised so.
-    fn is_kept_back(self) -> bool {
+    /// Returns whether nothing reached the instance and the client was told so.
+    fn is_blocked(self) -> bool {
         self.arrivals == 0 && self.status == Some(503)
     }
 
-    /// Whether it reached the instance once, and the client was not told otherwise.
+    /// Returns whether the request reached the instance once and the client was not told otherwise.
     fn is_sent(self) -> bool {
         self.arrivals == 1
             && self
@@ -86,30 +91,37 @@
     }
 }
 
-/// Sends one request, with a strike at this look at the clock.
-async fn outcome_of(strike: Strike, look: u32, injected_bug: InjectedBug, upload: bool) -> Outcome {
-    let seed = 300_000 + u64::from(look);
-    let manner = Manner::Strict;
+/// Sends one request, with a disruption at this clock read.
+async fn outcome_of(
+    disruption: Disruption,
+    clock_read: u32,
+    injected_bug: InjectedBug,
+    upload: bool,
+) -> Outcome {
+    let seed = 300_000 + u64::from(clock_read);
+    let protocol = Protocol::Strict;
     let listener = listen_for(seed).await;
     let address = address_of(&listener);
-    let journal = Arc::new(Journal::new(manner));
-    let server = HostileServer::new(seed, manner, journal.clone(), Some(|_| Behaviour::Good));
+    let journal = Arc::new(Journal::new(protocol));
+    let server = HostileServer::new(seed, protocol, journal.clone(), Some(|_| Behaviour::Good));
     let mut serving = JoinSet::new();
     serving.spawn(server.serve(listener));
     let request_handler: Arc<std::sync::OnceLock<Arc<RequestHandler>>> = Arc::default();
-    let struck = request_handler.clone();
-    let interruption = Interruption::new(strike.nap(), move || {
-        if let (Some(request_handler), Some(updates)) = (struck.get(), strike.updates(address)) {
+    let handler_slot = request_handler.clone();
+    let interruption = Interruption::new(disruption.pause(), move || {
+        if let (Some(request_handler), Some(updates)) =
+            (handler_slot.get(), disruption.updates(address))
+        {
             request_handler.apply_view(Duration::ZERO, &updates);
         }
     });
-    // Why leaked: a clock is copied everywhere, and a few bytes for each request do no harm here.
+    // Leaked because clocks are copied everywhere; it costs a few bytes per request of the test.
     let interruption: &'static Interruption = Box::leak(Box::new(interruption));
     let clock = Clock::start().interrupted_by(interruption);
     let proxy = ProxyFixture::start_by(
         clock,
         seed,
-        manner.protocol_adapter(),
+        protocol.protocol_adapter(),
         injected_bug,
         &[address],
     )
@@ -117,13 +129,13 @@
     request_handler
         .set(proxy.request_handler.clone())
         .unwrap_or_else(|_| panic!("it is set once"));
-    interruption.strike_at(look);
+    interruption.strike_at(clock_read);
     let body = if upload { 900_000 } else { 5 };
     let head = format!(
         "POST /one HTTP/1.1\r\nHost: a.example\r\nRequest-Name: one\r\nContent-Length: {body}\r\n\r\n"
     );
     let bytes = [head.into_bytes(), vec![b'a'; body]].concat();
-    let seen = ask_alone(proxy.address, "POST", &bytes).await;
+    let seen = send_alone(proxy.address, "POST", &bytes).await;
     let status = match seen {
         ObservedResponse::Complete { status, .. } => Some(status),
         _ => None,
@@ -131,51 +143,57 @@
     Outcome {
         status,
         arrivals: journal.arrivals_with(Behaviour::Good),
-        undisturbed: interruption.is_to_come(),
+        is_undisturbed: interruption.is_to_come(),
     }
 }
 
-/// At how many looks, from the first on, a strike keeps the request back; from then on it is sent.
-async fn looks_that_keep_back(strike: Strike, injected_bug: InjectedBug, upload: bool) -> u32 {
-    let mut kept_back = 0;
-    for look in 1..=MOST_LOOKS {
-        let outcome = outcome_of(strike, look, injected_bug, upload).await;
-        let all_so_far = kept_back == look - 1;
-        if outcome.is_kept_back() && all_so_far {
-            kept_back = look;
+/// Returns at how many clock reads, from the first on, a disruption keeps the request from being
+/// sent. At all later ones it must be sent.
+async fn clock_reads_that_block(
+    disruption: Disruption,
+    injected_bug: InjectedBug,
+    upload: bool,
+) -> u32 {
+    let mut blocked = 0;
+    for clock_read in 1..=MAX_CLOCK_READS {
+        let outcome = outcome_of(disruption, clock_read, injected_bug, upload).await;
+        let all_so_far = blocked == clock_read - 1;
+        if outcome.is_blocked() && all_so_far {
+            blocked = clock_read;
             continue;
         }
-        let case = format!("{strike:?} at look {look}, upload {upload}");
+        let case = format!("{disruption:?} at clock read {clock_read}, upload {upload}");
         assert!(outcome.is_sent(), "{case}: {outcome:?}");
-        if outcome.undisturbed {
+        if outcome.is_undisturbed {
             assert_eq!(outcome.status, Some(200), "{case}");
-            return kept_back;
+            return blocked;
         }
     }
-    panic!("a request takes more than {MOST_LOOKS} looks");
+    panic!("a request takes more than {MAX_CLOCK_READS} clock reads");
 }
 
 #[tokio::test]
-async fn given_a_freeze_or_news_at_any_step_when_no_byte_has_left_then_none_leaves() {
-    for strike in STRIKES {
+async fn nothing_is_sent_after_a_pause_or_update_before_the_first_byte() {
+    for disruption in DISRUPTIONS {
         for upload in [false, true] {
-            let kept_back = looks_that_keep_back(strike, InjectedBug::Off, upload).await;
-            // When it is matched, chosen, about to be sent, and where its first byte is written.
-            assert!(kept_back >= 4, "{strike:?}, upload {upload}: {kept_back}");
+            let blocked = clock_reads_that_block(disruption, InjectedBug::Off, upload).await;
+            // When it is matched, when an instance is chosen, before it is sent, and when its first
+            // byte is written.
+            assert!(blocked >= 4, "{disruption:?}, upload {upload}: {blocked}");
         }
     }
 }
 
 #[tokio::test]
-async fn given_a_proxy_that_ignores_the_last_check_when_interrupted_before_the_byte_then_it_is_seen(
-) {
-    for strike in STRIKES {
+async fn interruptions_detect_a_skipped_pre_send_check() {
+    for disruption in DISRUPTIONS {
         for upload in [false, true] {
-            let sound = looks_that_keep_back(strike, InjectedBug::Off, upload).await;
-            let broken = looks_that_keep_back(strike, InjectedBug::SkipsPreSendCheck, upload).await;
+            let without_bug = clock_reads_that_block(disruption, InjectedBug::Off, upload).await;
+            let with_bug =
+                clock_reads_that_block(disruption, InjectedBug::SkipsPreSendCheck, upload).await;
             assert!(
-                broken < sound,
-                "{strike:?}, upload {upload}: kept back at {broken} and {sound} looks"
+                with_bug < without_bug,
+                "{disruption:?}, upload {upload}: blocked at {with_bug} and {without_bug} clock reads"
             );
         }
     }
--- a/crates/proxy/tests/support/journal.rs
+++ b/crates/proxy/tests/support/journal.rs
@@ -1,11 +1,12 @@
-//! What clients sent and got and what the server did, and the rules that both together must keep.
+//! Records what the clients sent and received and what the server did, and checks the rules for
+//! both.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::Duration;
 
 use crate::support::behaviour::Behaviour;
-use crate::support::fixture::Manner;
+use crate::support::fixture::Protocol;
 use crate::support::wire::{is_complete_body_of, WireHead};
 use caperworks::dispatch::{RETRY_FLOOR, RETRY_PERCENT};
 use caperworks::identifiers::Chance;
@@ -19,26 +20,26 @@
     pub body: Vec<u8>,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Whether its body is passed on as it comes.
+    /// Whether its body is streamed.
     pub streams: bool,
 }
 
-/// What a client saw of the answer to one request.
+/// What a client received for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ObservedResponse {
     Complete {
         status: u16,
         named: Option<String>,
         sealed: bool,
-        /// What the proxy's own header says of whether it ran.
+        /// The outcome that the header of the proxy reports.
         outcome: Option<String>,
         body: Vec<u8>,
     },
-    /// The head came, and the connection broke within the body.
+    /// The head was received, and the connection broke within the body.
     CutBody,
     /// The connection ended without a head.
     Nothing,
-    /// The client went away by itself.
+    /// The client disconnected.
     GaveUp,
 }
 
@@ -47,7 +48,7 @@
 pub struct ServedRequest {
     pub arrivals: u32,
     pub runs: u32,
-    /// Whole answers of the request's own that the server wrote.
+    /// Complete responses to this request that the server wrote.
     pub complete_responses: u32,
     pub own_failures: u32,
     pub behaviours: Vec<Behaviour>,
@@ -58,17 +59,17 @@
     sent: BTreeMap<String, SentRequest>,
     served: BTreeMap<String, ServedRequest>,
     seen: BTreeMap<String, ObservedResponse>,
-    breaches: Vec<String>,
+    violations: Vec<String>,
 }
 
 /// Everything that happened in one schedule.
 #[derive(Debug)]
 pub struct Journal {
-    manner: Manner,
+    protocol: Protocol,
     entries: Mutex<JournalEntries>,
 }
 
-/// What one schedule brought about, for telling that the schedules together are not empty.
+/// Counts of what happened in a schedule, to check that the schedules exercise the proxy.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     pub requests: u64,
@@ -77,10 +78,10 @@
     pub unknowns: u64,
     pub cut_bodies: u64,
     pub gave_up: u64,
-    /// Uploads whose connection ended without an answer.
+    /// Uploads whose connection ended without a response.
     pub unanswered: u64,
     pub uploads: u64,
-    pub further_arrivals: u64,
+    pub retry_arrivals: u64,
     pub behaviours: BTreeMap<Behaviour, u64>,
 }
 
@@ -94,24 +95,24 @@
         self.gave_up += other.gave_up;
         self.unanswered += other.unanswered;
         self.uploads += other.uploads;
-        self.further_arrivals += other.further_arrivals;
+        self.retry_arrivals += other.retry_arrivals;
         for (behaviour, count) in &other.behaviours {
             *self.behaviours.entry(*behaviour).or_default() += count;
         }
     }
 }
 
-/// Statuses that promise that the request did not run and never will.
+/// Statuses that state that the request did not run and never will.
 pub const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// Statuses of the proxy's own that promise nothing.
+/// Statuses of the proxy that do not say whether the request ran.
 const UNKNOWNS: [u16; 3] = [413, 502, 504];
-/// To how many instances one request may be sent.
-const MOST_ARRIVALS: u32 = 3;
+/// The maximum number of instances that one request may be sent to.
+const MAX_ARRIVALS: u32 = 3;
 
 impl Journal {
-    pub fn new(manner: Manner) -> Self {
+    pub fn new(protocol: Protocol) -> Self {
         Self {
-            manner,
+            protocol,
             entries: Mutex::default(),
         }
     }
@@ -124,16 +125,17 @@
         locked(&self.entries).seen.insert(id.to_string(), response);
     }
 
-    pub fn breach(&self, breach: String) {
-        locked(&self.entries).breaches.push(breach);
+    pub fn record_violation(&self, violation: String) {
+        locked(&self.entries).violations.push(violation);
     }
 
-    /// A head came to the server; says how many came for this request so far.
+    /// Records that the head of a request arrived; returns how many arrived for this request so
+    /// far.
     pub fn arrive(&self, id: &str) -> u32 {
         let mut entries = locked(&self.entries);
         if !entries.sent.contains_key(id) {
-            let breach = format!("{id}: a request arrived that no client sent");
-            entries.breaches.push(breach);
+            let violation = format!("{id}: a request arrived that no client sent");
+            entries.violations.push(violation);
         }
         let served = entries.served.entry(id.to_string()).or_default();
         served.arrivals += 1;
@@ -146,7 +148,7 @@
         served.behaviours.push(behaviour);
     }
 
-    /// The server begins to work on a whole request.
+    /// Records that the server starts to run a complete request.
     pub fn run(&self, id: &str, head: &WireHead, body: &[u8]) {
         let mut entries = locked(&self.entries);
         entries.served.entry(id.to_string()).or_default().runs += 1;
@@ -155,8 +157,8 @@
         };
         let first_line = format!("{} {} HTTP/1.1", sent.method, sent.path);
         if head.first_line != first_line || sent.body != body {
-            let breach = format!("{id}: a request ran with another head or body than was sent");
-            entries.breaches.push(breach);
+            let violation = format!("{id}: a request ran with another head or body than was sent");
+            entries.violations.push(violation);
         }
     }
 
@@ -172,20 +174,20 @@
         served.own_failures += 1;
     }
 
-    /// Any request other than this one whose client has its answer.
+    /// Returns the id of any other request whose client has its response.
     ///
-    /// Why only those: an answer made up in the name of a request that is under way elsewhere
-    /// could be told from its own by nobody.
-    pub fn another_than(&self, id: &str, chance: &mut Chance) -> String {
+    /// Only such requests are used: a forged response with the id of a request still in flight
+    /// elsewhere could not be told from its real one.
+    pub fn other_request(&self, id: &str, chance: &mut Chance) -> String {
         let entries = locked(&self.entries);
         let others: Vec<&String> = entries.seen.keys().filter(|known| *known != id).collect();
-        let drawn = chance.below(others.len() as u64) as usize;
+        let index = chance.below(others.len() as u64) as usize;
         others
-            .get(drawn)
+            .get(index)
             .map_or_else(|| "nobody".to_string(), |other| other.to_string())
     }
 
-    /// How many requests arrived, by what was done with them.
+    /// Returns how many requests arrived that were treated with this behaviour.
     pub fn arrivals_with(&self, behaviour: Behaviour) -> usize {
         let entries = locked(&self.entries);
         let behaviours = entries
@@ -195,30 +197,30 @@
         behaviours.filter(|known| **known == behaviour).count()
     }
 
-    /// Everything that broke a rule, in a schedule that took this long.
-    pub fn judge(&self, took: Duration) -> Vec<String> {
+    /// Returns all violations in a schedule that took this long.
+    pub fn find_violations(&self, took: Duration) -> Vec<String> {
         let entries = locked(&self.entries);
-        let mut breaches = entries.breaches.clone();
+        let mut violations = entries.violations.clone();
         for (id, sent) in &entries.sent {
             let served = entries.served.get(id).cloned().unwrap_or_default();
             let seen = entries.seen.get(id);
-            let reported = reported_breaches(self.manner, id, sent, &served, seen);
-            let story = format!("{:?}", served.behaviours);
-            breaches.extend(
+            let reported = request_violations(self.protocol, id, sent, &served, seen);
+            let behaviours_text = format!("{:?}", served.behaviours);
+            violations.extend(
                 reported
                     .into_iter()
-                    .map(|breach| format!("{breach} ({story})")),
+                    .map(|violation| format!("{violation} ({behaviours_text})")),
             );
         }
-        breaches.extend(entries.budget_breach(took));
-        breaches
+        violations.extend(entries.budget_violation(took));
+        violations
     }
 
     pub fn tally(&self) -> Tally {
         let entries = locked(&self.entries);
         let mut tally = Tally {
             requests: entries.sent.len() as u64,
-            further_arrivals: entries.further_arrivals(),
+            retry_arrivals: entries.retry_arrivals(),
             uploads: entries.sent.values().filter(|sent| sent.streams).count() as u64,
             ..Tally::default()
         };
@@ -227,7 +229,7 @@
                 ObservedResponse::Complete { status, .. } if *status < 300 => tally.successes += 1,
                 ObservedResponse::Complete {
                     status, outcome, ..
-                } if self.manner.promises(*status, outcome.as_deref()) => tally.promises += 1,
+                } if self.protocol.promises(*status, outcome.as_deref()) => tally.promises += 1,
                 ObservedResponse::Complete { .. } => tally.unknowns += 1,
                 ObservedResponse::CutBody => tally.cut_bodies += 1,
                 ObservedResponse::Nothing => tally.unanswered += 1,
@@ -246,43 +248,44 @@
 }
 
 impl JournalEntries {
-    fn further_arrivals(&self) -> u64 {
+    fn retry_arrivals(&self) -> u64 {
         let served = self.served.values();
         served
             .map(|served| u64::from(served.arrivals.saturating_sub(1)))
             .sum()
     }
 
-    fn budget_breach(&self, took: Duration) -> Option<String> {
-        // Why more for longer ones: the budget's floor is granted anew in each window of ten seconds.
+    fn budget_violation(&self, took: Duration) -> Option<String> {
+        // Longer schedules may have more retries: the budget grants its floor again in each window
+        // of ten seconds.
         let windows = 1 + took.as_secs() / 10;
         let share = self.sent.len() as u64 * u64::from(RETRY_PERCENT) / 100;
         let allowed = share + u64::from(RETRY_FLOOR) * windows;
-        let further = self.further_arrivals();
-        (further > allowed)
-            .then(|| format!("{further} further arrivals, though the budget allows {allowed}"))
+        let retries = self.retry_arrivals();
+        (retries > allowed)
+            .then(|| format!("{retries} retries arrived, though the budget allows {allowed}"))
     }
 }
 
-/// What is wrong with one request's end.
-fn reported_breaches(
-    manner: Manner,
+/// Returns the violations of one request.
+fn request_violations(
+    protocol: Protocol,
     id: &str,
     sent: &SentRequest,
     served: &ServedRequest,
     seen: Option<&ObservedResponse>,
 ) -> Vec<String> {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     if !sent.repeatable && served.runs > 1 {
-        breaches.push(format!("{id}: ran {} times, may run once", served.runs));
+        violations.push(format!("{id}: ran {} times, may run once", served.runs));
     }
-    if served.arrivals > MOST_ARRIVALS {
-        breaches.push(format!("{id}: arrived {} times", served.arrivals));
+    if served.arrivals > MAX_ARRIVALS {
+        violations.push(format!("{id}: arrived {} times", served.arrivals));
     }
     match seen {
-        None => breaches.push(format!("{id}: its client never came to an end")),
+        None => violations.push(format!("{id}: its client never finished")),
         Some(ObservedResponse::Nothing) if !sent.streams => {
-            breaches.push(format!("{id}: its connection ended without any answer"));
+            violations.push(format!("{id}: its connection ended without a response"));
         }
         Some(ObservedResponse::Complete {
             status,
@@ -291,58 +294,62 @@
             outcome,
             body,
         }) => {
-            // Why a name only on success: the proxy's own failures bear none.
+            // Only successes must carry the id: error responses of the proxy do not.
             let is_success = (200..300).contains(status);
             let is_own = match named {
                 Some(named) => named == id,
-                None => !is_success || manner == Manner::Own,
+                None => !is_success || protocol == Protocol::Own,
             };
             if !is_own {
-                breaches.push(format!("{id}: got an answer that names {named:?}"));
+                violations.push(format!("{id}: got a response that names {named:?}"));
             }
             let has_own_body = match sent.method {
-                // Why empty: the server writes its body all the same, and it belongs to nobody.
+                // Empty, since the server sends a body even for HEAD, and that must not be
+                // forwarded.
                 "HEAD" => body.is_empty(),
                 _ => is_complete_body_of(id, body),
             };
-            // Why another measure: an answer to HEAD is whole with its head.
+            // A response to HEAD is complete with its head.
             let is_complete_by_head = sent.method == "HEAD"
-                && served.behaviours.iter().any(|drawn| drawn.gives_own_head());
+                && served
+                    .behaviours
+                    .iter()
+                    .any(|behaviour| behaviour.sends_own_head());
             let was_given = served.complete_responses > 0 || is_complete_by_head;
-            let response = JudgedResponse {
+            let response = CheckedResponse {
                 status: *status,
-                sealed: *sealed || manner == Manner::Own,
+                sealed: *sealed || protocol == Protocol::Own,
                 says_unknown: outcome.as_deref() == Some("unknown"),
-                promises: manner.promises(*status, outcome.as_deref()),
+                promises: protocol.promises(*status, outcome.as_deref()),
                 has_own_body,
                 was_given,
             };
-            breaches.extend(response.breach(id, served));
+            violations.extend(response.violation(id, served));
         }
         Some(ObservedResponse::Nothing | ObservedResponse::CutBody | ObservedResponse::GaveUp) => {}
     }
-    breaches
+    violations
 }
 
-/// A whole answer, as far as its judgement needs it.
-struct JudgedResponse {
+/// The properties of a complete response that are checked.
+struct CheckedResponse {
     status: u16,
     sealed: bool,
     promises: bool,
     says_unknown: bool,
     has_own_body: bool,
-    /// Whether the server wrote such a success for the request.
+    /// Whether the server sent such a successful response to the request.
     was_given: bool,
 }
 
-impl JudgedResponse {
-    /// What is wrong with the answer to this request.
-    fn breach(&self, id: &str, served: &ServedRequest) -> Option<String> {
+impl CheckedResponse {
+    /// Returns the violation in the response to this request.
+    fn violation(&self, id: &str, served: &ServedRequest) -> Option<String> {
         let status = self.status;
         match status {
             200..=299 if !self.sealed => Some(format!("{id}: a success without a seal")),
             200..=299 if !self.has_own_body => {
-                Some(format!("{id}: a success without its own whole body"))
+                Some(format!("{id}: a success without its own complete body"))
             }
             200..=299 if !self.was_given => {
                 Some(format!("{id}: a success that the server never gave"))
@@ -353,9 +360,9 @@
             )),
             _ if self.promises || UNKNOWNS.contains(&status) => None,
             _ if served.own_failures > 0 && self.has_own_body => None,
-            // Why allowed: the proxy says beside it that the outcome is unknown.
+            // Allowed, since the proxy also reports that the outcome is unknown.
             503 if self.says_unknown => None,
-            _ => Some(format!("{id}: {status} is no answer that it may get")),
+            _ => Some(format!("{id}: {status} is not an allowed response")),
         }
     }
 }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A hostile stand-in server, clients, and what judges what they saw.
+//! A hostile server, clients, and checks of what they observed.
 
 pub mod behaviour;
 pub mod client;
--- a/crates/proxy/tests/support/server.rs
+++ b/crates/proxy/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an instance that does to each request what it draws for it.
+//! A server in place of an instance that treats each request with a random behaviour.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
@@ -7,36 +7,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-use crate::support::behaviour::{Behaviour, NameLine, PlannedResponse, SEAL};
-use crate::support::fixture::Manner;
+use crate::support::behaviour::{Behaviour, PlannedResponse, RequestIdHeader, SEAL};
+use crate::support::fixture::Protocol;
 use crate::support::journal::Journal;
-use crate::support::wire::{body_of, Cut, Wire, WireHead};
+use crate::support::wire::{body_of, Truncated, Wire, WireHead};
 use caperworks::identifiers::{mix, steady_hash, Chance};
 
 const LARGE: usize = 100_000;
 const SMALL: usize = 900;
 
-/// What may come next on a connection to the server.
+/// What follows on a connection to the server.
 enum Next {
     AnotherRequest,
     Close,
 }
 
-/// The request that a path stands for: its last part, without the query.
+/// Returns the request id in a path: its last part, without the query.
 fn id_in(path: &str) -> String {
     let path = path.split('?').next().unwrap_or_default();
     path.rsplit('/').next().unwrap_or_default().to_string()
 }
 
-/// Says what to do with a request, by its head.
+/// Chooses the behaviour for a request by its head.
 pub type Script = fn(&WireHead) -> Behaviour;
 
-/// A server on the loopback that draws a behaviour for each request.
+/// A server on the loopback interface that chooses a behaviour for each request.
 pub struct HostileServer {
     seed: u64,
-    manner: Manner,
+    protocol: Protocol,
     journal: Arc<Journal>,
-    /// What it does with each request, in place of drawing.
+    /// Chooses the behaviours in place of the random choice.
     script: Option<Script>,
     pub connections: AtomicU32,
 }
@@ -45,35 +45,35 @@
 struct ServerConnection {
     server: Arc<HostileServer>,
     wire: Wire<TcpStream>,
-    /// The requests that came on it before.
-    earlier: Vec<Asked>,
+    /// The earlier requests on this connection.
+    earlier: Vec<ReceivedRequest>,
 }
 
-/// A request as the server knows it.
+/// A request as the server received it.
 #[derive(Debug, Clone)]
-struct Asked {
+struct ReceivedRequest {
     id: String,
-    /// By which answers to it are known.
-    name: NameLine,
+    /// The request id header of its response.
+    name: RequestIdHeader,
 }
 
 impl HostileServer {
     pub fn new(
         seed: u64,
-        manner: Manner,
+        protocol: Protocol,
         journal: Arc<Journal>,
         script: Option<Script>,
     ) -> Arc<Self> {
         Arc::new(Self {
             seed,
-            manner,
+            protocol,
             journal,
             script,
             connections: AtomicU32::new(0),
         })
     }
 
-    /// Serves until the task is ended; its connections are ended with it.
+    /// Serves until the task is aborted; its connections end with it.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Why by request and arrival: the same seed then does the same whatever the timing.
+    /// Returns the random source for a request and its number of arrival, so that the same seed
+    /// acts in the same way whatever the timing.
     fn chance_for(&self, id: &str, arrival: u32) -> Chance {
         Chance::seeded(mix(self.seed ^ steady_hash(id) ^ u64::from(arrival) << 32))
     }
@@ -98,29 +99,33 @@
         while let Ok(Next::AnotherRequest) = self.serve_one().await {}
     }
 
-    /// Ends the connection so that the far end sees a reset.
+    /// Makes the connection end with a reset.
     fn reset(&self) {
         let _ = self.wire.reader.set_zero_linger();
     }
 
-    async fn write(&mut self, bytes: &[u8]) -> Result<(), Cut> {
-        self.wire.reader.write_all(bytes).await.map_err(|_| Cut)
+    async fn write(&mut self, bytes: &[u8]) -> Result<(), Truncated> {
+        self.wire
+            .reader
+            .write_all(bytes)
+            .await
+            .map_err(|_| Truncated)
     }
 
-    async fn serve_one(&mut self) -> Result<Next, Cut> {
+    async fn serve_one(&mut self) -> Result<Next, Truncated> {
         let head = self.wire.read_head().await?;
         let journal = self.server.journal.clone();
         let id = id_in(head.second_word());
-        let header = self.server.manner.name_header();
+        let header = self.server.protocol.request_id_header();
         let named = head.header(header).unwrap_or("none");
-        let asked = Asked {
+        let request = ReceivedRequest {
             id: id.clone(),
-            name: NameLine(format!("{header}: {named}")),
+            name: RequestIdHeader(format!("{header}: {named}")),
         };
         let arrival = journal.arrive(&id);
         let mut chance = self.server.chance_for(&id, arrival);
-        let drawn = Behaviour::draw(&mut chance);
-        let behaviour = self.server.script.map_or(drawn, |script| script(&head));
+        let random = Behaviour::random(&mut chance);
+        let behaviour = self.server.script.map_or(random, |script| script(&head));
         journal.behave(&id, behaviour);
         match behaviour {
             Behaviour::ResetBeforeReading | Behaviour::ResetAfterHead => {
@@ -128,82 +133,93 @@
                 return Ok(Next::Close);
             }
             Behaviour::MisdirectedBeforeBody => {
-                let misdirected = PlannedResponse::named("421 Misdirected Request", &asked.name);
+                let misdirected =
+                    PlannedResponse::with_id("421 Misdirected Request", &request.name);
                 self.write(&misdirected.with_length(b"")).await?;
                 return Ok(Next::Close);
             }
             _ => {}
         }
         let body = self.wire.read_body(&head).await?;
-        if behaviour.runs_nothing() {
-            self.turn_away(behaviour, &asked).await?;
+        if behaviour.is_rejected_before_run() {
+            self.reject(behaviour, &request).await?;
         } else {
             journal.run(&id, &head, &body);
-            let answered = self.respond(behaviour, &asked, &mut chance).await;
+            let answered = self.respond(behaviour, &request, &mut chance).await;
             if let Next::Close = answered? {
                 return Ok(Next::Close);
             }
         }
-        self.earlier.push(asked);
+        self.earlier.push(request);
         Ok(Next::AnotherRequest)
     }
 
-    async fn turn_away(&mut self, behaviour: Behaviour, asked: &Asked) -> Result<(), Cut> {
+    async fn reject(
+        &mut self,
+        behaviour: Behaviour,
+        request: &ReceivedRequest,
+    ) -> Result<(), Truncated> {
         let response = match behaviour {
-            Behaviour::FullWithWord => self.refusal("503 Service Unavailable", asked),
-            Behaviour::TooManyWithWord => self.refusal("429 Too Many Requests", asked),
-            _ => PlannedResponse::named("421 Misdirected Request", &asked.name),
+            Behaviour::UnavailableNotRun => {
+                self.not_run_response("503 Service Unavailable", request)
+            }
+            Behaviour::TooManyRequestsNotRun => {
+                self.not_run_response("429 Too Many Requests", request)
+            }
+            _ => PlannedResponse::with_id("421 Misdirected Request", &request.name),
         };
         self.write(&response.with_length(b"turned away")).await
     }
 
-    /// The instance's word that it ran nothing of a request.
-    fn refusal(&self, status: &'static str, asked: &Asked) -> PlannedResponse {
-        PlannedResponse::named(status, &asked.name).header(self.server.manner.refusal())
+    /// Returns a response which states that the instance ran nothing.
+    fn not_run_response(&self, status: &'static str, request: &ReceivedRequest) -> PlannedResponse {
+        PlannedResponse::with_id(status, &request.name)
+            .header(self.server.protocol.not_run_header())
     }
 
-    /// A request that came before on this connection, or else any other.
-    fn earlier_than(&self, id: &str, chance: &mut Chance) -> Asked {
-        let drawn = chance.below(self.earlier.len() as u64) as usize;
-        if let Some(earlier) = self.earlier.get(drawn) {
+    /// Returns an earlier request of this connection, or else any other request.
+    fn earlier_request(&self, id: &str, chance: &mut Chance) -> ReceivedRequest {
+        let index = chance.below(self.earlier.len() as u64) as usize;
+        if let Some(earlier) = self.earlier.get(index) {
             return earlier.clone();
         }
-        let other = self.server.journal.another_than(id, chance);
-        let header = self.server.manner.name_header();
-        Asked {
-            name: NameLine(format!("{header}: {other}")),
+        let other = self.server.journal.other_request(id, chance);
+        let header = self.server.protocol.request_id_header();
+        ReceivedRequest {
+            name: RequestIdHeader(format!("{header}: {other}")),
             id: other,
         }
     }
 
-    /// An answer without a seal or a name: a whole one only where neither is asked for.
-    fn respond_plainly(&self, id: &str) {
-        if self.server.manner == Manner::Own {
+    /// Records a response without a seal or a request id; it counts as complete only where the
+    /// protocol needs neither.
+    fn record_unverified_response(&self, id: &str) {
+        if self.server.protocol == Protocol::Own {
             self.server.journal.respond_completely(id);
         }
     }
 
-    /// What comes back for a request that ran.
+    /// Sends the response to a request that ran.
     async fn respond(
         &mut self,
         behaviour: Behaviour,
-        asked: &Asked,
+        request: &ReceivedRequest,
         chance: &mut Chance,
-    ) -> Result<Next, Cut> {
+    ) -> Result<Next, Truncated> {
         if behaviour.is_good() {
-            return self.respond_well(behaviour, asked, chance).await;
+            return self.respond_correctly(behaviour, request, chance).await;
         }
-        let Asked { id, name } = asked;
-        let other = self.earlier_than(id, chance);
+        let ReceivedRequest { id, name } = request;
+        let other = self.earlier_request(id, chance);
         let length = chance.below(SMALL as u64) as usize;
         let body = body_of(id, length);
         let own = PlannedResponse::success(name);
         let other_response =
             PlannedResponse::success(&other.name).with_length(&body_of(&other.id, length));
         match behaviour {
-            Behaviour::OwnFailure => {
+            Behaviour::ServerError => {
                 self.server.journal.respond_with_failure(id);
-                let failure = PlannedResponse::named("500 Internal Server Error", name);
+                let failure = PlannedResponse::with_id("500 Internal Server Error", name);
                 self.write(&failure.with_length(&body)).await?;
                 return Ok(Next::AnotherRequest);
             }
@@ -215,27 +231,27 @@
             }
             Behaviour::SurplusRefusalBeforeOwn => {
                 self.server.journal.respond_completely(id);
-                let refusal = self.refusal("503 Service Unavailable", &other);
-                self.write(&[refusal.with_length(b""), own.with_length(&body)].concat())
+                let not_run = self.not_run_response("503 Service Unavailable", &other);
+                self.write(&[not_run.with_length(b""), own.with_length(&body)].concat())
                     .await?;
                 return Ok(Next::AnotherRequest);
             }
-            Behaviour::AnotherName => self.write(&other_response).await?,
-            Behaviour::NoName => {
-                self.respond_plainly(id);
-                let unnamed = PlannedResponse::unnamed("200 OK").header(SEAL);
-                self.write(&unnamed.with_length(&body)).await?;
+            Behaviour::WrongRequestId => self.write(&other_response).await?,
+            Behaviour::NoRequestId => {
+                self.record_unverified_response(id);
+                let without_id = PlannedResponse::without_id("200 OK").header(SEAL);
+                self.write(&without_id.with_length(&body)).await?;
             }
-            Behaviour::TwoNames => {
+            Behaviour::TwoRequestIds => {
                 let named = own.header(&other.name.0);
                 self.write(&named.with_length(&body)).await?;
             }
             Behaviour::NoSeal => {
-                self.respond_plainly(id);
-                self.write(&PlannedResponse::named("200 OK", name).with_length(&body))
+                self.record_unverified_response(id);
+                self.write(&PlannedResponse::with_id("200 OK", name).with_length(&body))
                     .await?;
             }
-            Behaviour::FalsePromise => {
+            Behaviour::FalseNotRunStatus => {
                 let statuses = [
                     "503 Service Unavailable",
                     "429 Too Many Requests",
@@ -243,11 +259,11 @@
                 ];
                 let status = statuses[chance.below(3) as usize];
                 self.server.journal.respond_with_failure(id);
-                self.write(&PlannedResponse::named(status, name).with_length(&body))
+                self.write(&PlannedResponse::with_id(status, name).with_length(&body))
                     .await?;
             }
             Behaviour::SwitchingProtocols => {
-                let switching = PlannedResponse::named("101 Switching Protocols", name);
+                let switching = PlannedResponse::with_id("101 Switching Protocols", name);
                 self.write(&switching.header("Upgrade: other").head("HTTP/1.1"))
                     .await?;
             }
@@ -272,22 +288,26 @@
                 let broken = b"5\r\nabcde\r\nzz\r\nrest".to_vec();
                 self.write(&[head, broken].concat()).await?;
             }
-            Behaviour::Silence => {
+            Behaviour::NoResponse => {
                 self.wire.read_to_end().await;
                 return Ok(Next::Close);
             }
-            _ => return self.break_off(behaviour, own, &body_of(id, LARGE)).await,
+            _ => {
+                return self
+                    .truncate_response(behaviour, own, &body_of(id, LARGE))
+                    .await
+            }
         }
         Ok(Next::AnotherRequest)
     }
 
-    /// Ends the connection before the answer is whole.
-    async fn break_off(
+    /// Ends the connection before the response is complete.
+    async fn truncate_response(
         &mut self,
         behaviour: Behaviour,
         own: PlannedResponse,
         large: &[u8],
-    ) -> Result<Next, Cut> {
+    ) -> Result<Next, Truncated> {
         let small = &large[..SMALL];
         match behaviour {
             Behaviour::CutHead => self.write(&own.head("HTTP/1.1")[..30]).await?,
@@ -308,7 +328,7 @@
                 self.write(&bytes[..bytes.len() / 2]).await?;
                 self.reset();
             }
-            Behaviour::SilenceMidway => {
+            Behaviour::StalledMidway => {
                 let bytes = own.with_chunks(small);
                 self.write(&bytes[..bytes.len() - 5]).await?;
                 self.wire.read_to_end().await;
@@ -319,16 +339,16 @@
         Ok(Next::Close)
     }
 
-    /// A whole answer of the request's own, and whatever comes behind it.
-    async fn respond_well(
+    /// Sends a complete response of its own, and whatever the behaviour adds after it.
+    async fn respond_correctly(
         &mut self,
         behaviour: Behaviour,
-        asked: &Asked,
+        request: &ReceivedRequest,
         chance: &mut Chance,
-    ) -> Result<Next, Cut> {
-        let Asked { id, name } = asked;
+    ) -> Result<Next, Truncated> {
+        let ReceivedRequest { id, name } = request;
         self.server.journal.respond_completely(id);
-        let other = self.earlier_than(id, chance);
+        let other = self.earlier_request(id, chance);
         let body = body_of(id, chance.below(SMALL as u64) as usize);
         let own = PlannedResponse::success(name);
         let surplus = PlannedResponse::success(&other.name).with_length(&body_of(&other.id, 10));
@@ -367,7 +387,7 @@
                 let closing = own.header("Connection: close");
                 self.write(&closing.with_length(&body)).await?;
             }
-            Behaviour::GoodShortKeepAlive => {
+            Behaviour::GoodZeroKeepAlive => {
                 let kept = own.header("Keep-Alive: timeout=0");
                 self.write(&kept.with_length(&body)).await?;
             }
@@ -385,16 +405,16 @@
             Behaviour::GoodThenSurplusRefusal => {
                 self.write(&own.with_length(&body)).await?;
                 tokio::task::yield_now().await;
-                let refusal = self.refusal("503 Service Unavailable", &other);
-                self.write(&refusal.with_length(b"")).await?;
+                let not_run = self.not_run_response("503 Service Unavailable", &other);
+                self.write(&not_run.with_length(b"")).await?;
             }
-            Behaviour::GoodThenUnnamedSurplus => {
+            Behaviour::GoodThenSurplusWithoutId => {
                 self.write(&own.with_length(&body)).await?;
                 for _ in 0..chance.below(20) {
                     tokio::task::yield_now().await;
                 }
-                let unnamed = PlannedResponse::unnamed("200 OK").header(SEAL);
-                self.write(&unnamed.with_length(&body_of(&other.id, 10)))
+                let without_id = PlannedResponse::without_id("200 OK").header(SEAL);
+                self.write(&without_id.with_length(&body_of(&other.id, 10)))
                     .await?;
             }
             _ => self.write(&own.with_length(&body)).await?,
--- a/crates/proxy/tests/support/wire.rs
+++ b/crates/proxy/tests/support/wire.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 read from a socket by hand, so that no library hides what was sent.
+//! Reads HTTP/1.1 from a socket without a library, so that nothing that was sent is hidden.
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 use caperworks::identifiers::steady_hash;
 
-/// A head as it came: its first line and its headers.
+/// A head as received: its first line and its headers.
 #[derive(Debug, Clone)]
 pub struct WireHead {
     pub first_line: String,
@@ -30,17 +30,18 @@
         named.next().map(|(_, value)| value.as_str())
     }
 
-    /// The second word of the first line: a request's target, or an answer's status.
+    /// Returns the second word of the first line: the target of a request, or the status of a
+    /// response.
     pub fn second_word(&self) -> &str {
         self.first_line.split(' ').nth(1).unwrap_or_default()
     }
 }
 
-/// The stream ended or broke before what was awaited had come.
+/// The stream ended or broke before the expected bytes were received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Cut;
+pub struct Truncated;
 
-/// One end of a connection, with the bytes that were read and not used yet.
+/// One end of a connection, with the bytes that were received and not consumed yet.
 pub struct Wire<Reader> {
     pub reader: Reader,
     pub buffer: Vec<u8>,
@@ -54,20 +55,20 @@
         }
     }
 
-    async fn read_more(&mut self) -> Result<(), Cut> {
+    async fn read_more(&mut self) -> Result<(), Truncated> {
         match self.reader.read_buf(&mut self.buffer).await {
-            Ok(0) | Err(_) => Err(Cut),
+            Ok(0) | Err(_) => Err(Truncated),
             Ok(_) => Ok(()),
         }
     }
 
-    /// Waits for the stream to end; says whether bytes came before that.
+    /// Waits for the end of the stream; returns whether bytes were received before that.
     pub async fn read_to_end(&mut self) -> bool {
         while self.read_more().await.is_ok() {}
         !self.buffer.is_empty()
     }
 
-    pub async fn read_head(&mut self) -> Result<WireHead, Cut> {
+    pub async fn read_head(&mut self) -> Result<WireHead, Truncated> {
         loop {
             if let Some(end) = find(&self.buffer, b"\r\n\r\n") {
                 let text = String::from_utf8_lossy(&self.buffer[..end]).into_owned();
@@ -78,7 +79,7 @@
         }
     }
 
-    async fn read_line(&mut self) -> Result<String, Cut> {
+    async fn read_line(&mut self) -> Result<String, Truncated> {
         loop {
             if let Some(end) = find(&self.buffer, b"\r\n") {
                 let line = String::from_utf8_lossy(&self.buffer[..end]).into_owned();
@@ -89,22 +90,22 @@
         }
     }
 
-    async fn read_exactly(&mut self, length: usize) -> Result<Vec<u8>, Cut> {
+    async fn read_exactly(&mut self, length: usize) -> Result<Vec<u8>, Truncated> {
         while self.buffer.len() < length {
             self.read_more().await?;
         }
         Ok(self.buffer.drain(..length).collect())
     }
 
-    async fn read_chunks(&mut self) -> Result<Vec<u8>, Cut> {
+    async fn read_chunks(&mut self) -> Result<Vec<u8>, Truncated> {
         let mut body = Vec::new();
         loop {
             let line = self.read_line().await?;
-            let length = usize::from_str_radix(line.trim(), 16).map_err(|_| Cut)?;
+            let length = usize::from_str_radix(line.trim(), 16).map_err(|_| Truncated)?;
             body.extend(self.read_exactly(length).await?);
             let end = self.read_line().await?;
             if !end.is_empty() {
-                return Err(Cut);
+                return Err(Truncated);
             }
             if length == 0 {
                 return Ok(body);
@@ -112,28 +113,28 @@
         }
     }
 
-    /// The body that belongs to a head; an answer must name its length or come in chunks.
-    pub async fn read_body(&mut self, head: &WireHead) -> Result<Vec<u8>, Cut> {
+    /// Reads the body after a head, by its length or in chunks.
+    pub async fn read_body(&mut self, head: &WireHead) -> Result<Vec<u8>, Truncated> {
         if head.header("transfer-encoding") == Some("chunked") {
             return self.read_chunks().await;
         }
         match head.header("content-length").map(str::parse) {
             Some(Ok(length)) => self.read_exactly(length).await,
-            Some(Err(_)) => Err(Cut),
+            Some(Err(_)) => Err(Truncated),
             None => Ok(Vec::new()),
         }
     }
 }
 
-/// Where a run of bytes begins.
+/// Returns the offset of the wanted bytes.
 pub fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
     bytes
         .windows(wanted.len())
         .position(|window| window == wanted)
 }
 
-/// A body in chunks of this many bytes, with the last chunk.
-pub fn in_chunks(body: &[u8], size: usize) -> Vec<u8> {
+/// Returns a body in chunks of this many bytes, with the last chunk.
+pub fn chunked_body(body: &[u8], size: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
     for chunk in body.chunks(size) {
         bytes.extend(format!("{:x}\r\n", chunk.len()).into_bytes());
@@ -144,7 +145,7 @@
     bytes
 }
 
-/// A body that can be told from that of every other request, and from a part of itself.
+/// Returns a body that differs from that of every other request and from every part of itself.
 pub fn body_of(owner: &str, length: usize) -> Vec<u8> {
     let first_line = format!("{owner} {length}\n");
     let hash = steady_hash(owner) as usize;
@@ -152,7 +153,7 @@
     first_line.into_bytes().into_iter().chain(filling).collect()
 }
 
-/// Whether a body is the whole one of this owner.
+/// Returns whether this is the complete body of this owner.
 pub fn is_complete_body_of(owner: &str, body: &[u8]) -> bool {
     let Some(end) = find(body, b"\n") else {
         return false;
