--- a/crates/caperworks/src/dispatch/failure.rs
+++ b/crates/caperworks/src/dispatch/failure.rs
@@ -21,7 +21,7 @@
     Draining,
     LostAfterSending,
     LateAfterSending,
-    Garbage,
+    MalformedResponse,
 }
 
 /// What the client is told about whether the request ran.
@@ -35,7 +35,7 @@
     /// Returns the outcome that the failure alone implies.
     pub fn reported_outcome(self) -> ReportedOutcome {
         match self {
-            Failure::LostAfterSending | Failure::LateAfterSending | Failure::Garbage => {
+            Failure::LostAfterSending | Failure::LateAfterSending | Failure::MalformedResponse => {
                 ReportedOutcome::Unknown
             }
             _ => ReportedOutcome::NotRun,
@@ -49,7 +49,7 @@
             Failure::BodyTooLarge => 413,
             Failure::BadFraming | Failure::MissingKey | Failure::BadKey => 400,
             Failure::LateAfterSending => 504,
-            Failure::LostAfterSending | Failure::Garbage => 502,
+            Failure::LostAfterSending | Failure::MalformedResponse => 502,
             _ => 503,
         }
     }
@@ -88,7 +88,7 @@
             Failure::Draining => "this proxy is about to stop",
             Failure::LostAfterSending => "the connection was lost after sending",
             Failure::LateAfterSending => "the deadline passed after sending",
-            Failure::Garbage => "the instance's answer was malformed",
+            Failure::MalformedResponse => "the instance's answer was malformed",
         }
     }
 }
--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -33,7 +33,7 @@
     RefusedByInstance,
     Lost,
     Late,
-    Garbage,
+    MalformedResponse,
     Answered,
 }
 
@@ -169,7 +169,7 @@
                 return NextStep::ForwardResponse;
             }
             AttemptEnd::NotOpened | AttemptEnd::RefusedByInstance => true,
-            AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::Garbage => false,
+            AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::MalformedResponse => false,
         };
         self.is_outcome_unknown |= !has_not_run;
         let may_retry = (has_not_run || self.idempotent)
@@ -185,7 +185,7 @@
             AttemptEnd::NotOpened => Failure::NotOpened,
             AttemptEnd::RefusedByInstance => Failure::InstanceRefused,
             AttemptEnd::Late => Failure::LateAfterSending,
-            AttemptEnd::Garbage => Failure::Garbage,
+            AttemptEnd::MalformedResponse => Failure::MalformedResponse,
             AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
         };
         self.refuse(failure)
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -62,7 +62,11 @@
 
 #[test]
 fn write_with_lost_response_is_not_retried_and_reported_unknown() {
-    for end in [AttemptEnd::Lost, AttemptEnd::Garbage, AttemptEnd::Late] {
+    for end in [
+        AttemptEnd::Lost,
+        AttemptEnd::MalformedResponse,
+        AttemptEnd::Late,
+    ] {
         let mut lifecycle = sent_request(false);
         match lifecycle.attempt_ended(millis(10), end, || true) {
             NextStep::Respond(failure) => {
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -441,7 +441,7 @@
         (RequestKind::Upload, true, false),
         (RequestKind::Upload, false, false),
     ] {
-        for end in [AttemptEnd::Lost, AttemptEnd::Garbage] {
+        for end in [AttemptEnd::Lost, AttemptEnd::MalformedResponse] {
             let mut chart = sent(kind, reads, 0);
             let step = chart.attempt_ended(millis(10), end, || true);
             let is_again = step == NextStep::Retry;
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -49,7 +49,7 @@
     /// the instance.
     fn malformed(mut self) -> AttemptResponse {
         self.guard.result = AttemptResult::Failed;
-        AttemptResponse::Ended(AttemptEnd::Garbage)
+        AttemptResponse::Ended(AttemptEnd::MalformedResponse)
     }
 }
 
@@ -285,7 +285,7 @@
             }
             (SendState::Started, Ok(Err(failure))) if failure.error().is_parse() => {
                 guard.result = AttemptResult::Failed;
-                AttemptResponse::Ended(AttemptEnd::Garbage)
+                AttemptResponse::Ended(AttemptEnd::MalformedResponse)
             }
             (SendState::Started, Ok(_)) => {
                 guard.result = AttemptResult::Failed;
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -357,7 +357,7 @@
             match lifecycle.attempt_ended(now, end, may_retry) {
                 NextStep::Retry => {}
                 NextStep::Respond(failure) => return Err(failure),
-                NextStep::ForwardResponse => return Err(Failure::Garbage),
+                NextStep::ForwardResponse => return Err(Failure::MalformedResponse),
             }
         }
     }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -408,7 +408,7 @@
             Some(InstanceResponse::NotRun | InstanceResponse::Misdirected) => {
                 (AttemptEnd::RefusedByInstance, None, None)
             }
-            Some(InstanceResponse::Garbage) => (end, None, Some(number + 1_000_000_000)),
+            Some(InstanceResponse::MalformedResponse) => (end, None, Some(number + 1_000_000_000)),
             None => (end, None, None),
         };
         let Some(carried) = self.carried.get_mut(&number) else {
@@ -425,7 +425,7 @@
             && answered != Some(number)
             && self.broken != BrokenProxy::TakesAnyResponse
         {
-            end = AttemptEnd::Garbage;
+            end = AttemptEnd::MalformedResponse;
         }
         let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
         let no_budget = self.broken == BrokenProxy::NoBudget;
--- a/crates/simulator/src/actors/request.rs
+++ b/crates/simulator/src/actors/request.rs
@@ -84,5 +84,5 @@
     NotRun,
     /// Another life answers here than the one that the request is for.
     Misdirected,
-    Garbage,
+    MalformedResponse,
 }
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -233,7 +233,7 @@
     }
     if instance.sends_garbage > 0 {
         instance.sends_garbage -= 1;
-        return Some(InstanceResponse::Garbage);
+        return Some(InstanceResponse::MalformedResponse);
     }
     Some(InstanceResponse::Ran {
         request,
