--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -30,7 +30,7 @@
     /// No connection could be opened, so nothing was sent.
     NotOpened,
     /// The instance stated that it ran nothing.
-    RefusedByInstance,
+    RejectedByInstance,
     Lost,
     Late,
     MalformedResponse,
@@ -168,7 +168,7 @@
                 self.state = RequestState::Answering;
                 return NextStep::ForwardResponse;
             }
-            AttemptEnd::NotOpened | AttemptEnd::RefusedByInstance => true,
+            AttemptEnd::NotOpened | AttemptEnd::RejectedByInstance => true,
             AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::MalformedResponse => false,
         };
         self.is_outcome_unknown |= !has_not_run;
@@ -183,7 +183,7 @@
         }
         let failure = match end {
             AttemptEnd::NotOpened => Failure::NotOpened,
-            AttemptEnd::RefusedByInstance => Failure::InstanceRefused,
+            AttemptEnd::RejectedByInstance => Failure::InstanceRefused,
             AttemptEnd::Late => Failure::LateAfterSending,
             AttemptEnd::MalformedResponse => Failure::MalformedResponse,
             AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
--- a/crates/caperworks/src/dispatch/target.rs
+++ b/crates/caperworks/src/dispatch/target.rs
@@ -25,7 +25,7 @@
     /// connection that could not be opened does not show whether the owner still holds the key
     /// range.
     pub fn is_used_up(&self, end: AttemptEnd) -> bool {
-        self.key_range.is_none() || end == AttemptEnd::RefusedByInstance
+        self.key_range.is_none() || end == AttemptEnd::RejectedByInstance
     }
 }
 
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -84,7 +84,7 @@
 #[test]
 fn write_that_did_not_run_is_retried_within_the_budget() {
     let mut lifecycle = sent_request(false);
-    let step = lifecycle.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
+    let step = lifecycle.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
     assert_eq!(step, NextStep::Retry);
     lifecycle.begin_attempt();
     let step = lifecycle.attempt_ended(millis(20), AttemptEnd::NotOpened, || false);
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -456,7 +456,7 @@
         }
         // What provably did not run may go elsewhere, whatever it is.
         let mut chart = sent(kind, reads, 0);
-        let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
+        let step = chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
         assert_eq!(step, NextStep::Retry, "{kind:?} reads {reads}");
     }
 }
@@ -464,7 +464,7 @@
 #[test]
 fn given_a_refused_attempt_when_the_second_one_is_lost_then_a_once_request_ends_as_unknown() {
     let mut chart = sent(RequestKind::Once, true, 0);
-    let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
+    let step = chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
     assert_eq!(step, NextStep::Retry);
     chart.chosen();
     chart.begin_attempt();
@@ -481,7 +481,7 @@
     for (most, expected) in [(1, 1), (2, 2), (5, 5), (0, 3)] {
         let mut chart = sent(RequestKind::Repeatable, true, most);
         let mut attempts = 1;
-        while chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true)
+        while chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true)
             == NextStep::Retry
         {
             chart.chosen();
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -190,7 +190,7 @@
             attempt.guard.result = AttemptResult::Succeeded;
             attempt.guard.incarnation_ended =
                 self.is_another_incarnation(response.headers(), &attempt.guard.target);
-            return AttemptResponse::Ended(AttemptEnd::RefusedByInstance);
+            return AttemptResponse::Ended(AttemptEnd::RejectedByInstance);
         }
         if !self.is_forwardable(&response, upstream_request.head) {
             return attempt.malformed();
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -406,7 +406,7 @@
         let (end, load, answered) = match response {
             Some(InstanceResponse::Ran { request, load }) => (end, Some(load), Some(request)),
             Some(InstanceResponse::NotRun | InstanceResponse::Misdirected) => {
-                (AttemptEnd::RefusedByInstance, None, None)
+                (AttemptEnd::RejectedByInstance, None, None)
             }
             Some(InstanceResponse::MalformedResponse) => (end, None, Some(number + 1_000_000_000)),
             None => (end, None, None),
@@ -427,7 +427,7 @@
         {
             end = AttemptEnd::MalformedResponse;
         }
-        let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
+        let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RejectedByInstance);
         let no_budget = self.broken == BrokenProxy::NoBudget;
         let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -122,7 +122,7 @@
             let ended = Happening::Ended {
                 request,
                 attempt,
-                end: AttemptEnd::RefusedByInstance,
+                end: AttemptEnd::RejectedByInstance,
                 response: Some(response),
             };
             return (self.nodes[proxy].incarnation == proxy_incarnation).then_some((proxy, ended));
