--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -183,7 +183,7 @@
         }
         let failure = match end {
             AttemptEnd::NotOpened => Failure::NotOpened,
-            AttemptEnd::RejectedByInstance => Failure::InstanceRefused,
+            AttemptEnd::RejectedByInstance => Failure::InstanceRejected,
             AttemptEnd::Late => Failure::LateAfterSending,
             AttemptEnd::MalformedResponse => Failure::MalformedResponse,
             AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
