--- a/crates/caperworks/src/dispatch/link_monitor.rs
+++ b/crates/caperworks/src/dispatch/link_monitor.rs
@@ -48,7 +48,7 @@
 
 impl LinkMonitor {
     /// Records that the link seems congested now.
-    pub fn record_full(&self, now: Duration) {
+    pub fn record_congestion(&self, now: Duration) {
         let until = (now + SLOW_LINK_SPAN).as_micros() as u64;
         self.congested_until_micros
             .fetch_max(until, Ordering::Relaxed);
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -244,7 +244,7 @@
         ..ProxyPolicy::default()
     });
     bench.reported_outcome(Duration::ZERO, &one_everywhere());
-    bench.known.link_monitor.record_full(millis(2000));
+    bench.known.link_monitor.record_congestion(millis(2000));
     // Its lease counts first, and views that come later do not undo what it saw itself.
     assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
     assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -137,7 +137,7 @@
             None => took >= SLOW_CONNECT,
         };
         if is_relevant && locked(&self.recent_connects).record(now, took) {
-            self.knowledge().link_monitor.record_full(now);
+            self.knowledge().link_monitor.record_congestion(now);
         }
     }
 
