--- a/crates/caperworks/src/configuration/route_table.rs
+++ b/crates/caperworks/src/configuration/route_table.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns the routes of one host, in no particular order.
-    pub fn of_host(&self, host: &str) -> impl Iterator<Item = &NamedRoute> {
+    pub fn routes_of_host(&self, host: &str) -> impl Iterator<Item = &NamedRoute> {
         let host = normalized_host(host);
         self.by_host
             .get(&host)
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -292,8 +292,16 @@
         }
         let draw = self.chance.draw();
         let feed_cache = self.link.feed_cache.follower();
-        let routes: Vec<&RouteName> = self.table.of_host(host).map(|(name, _)| name).collect();
-        let bounds = HomeBounds::of(self.table.of_host(host).map(|(_, route)| route.as_ref()));
+        let routes: Vec<&RouteName> = self
+            .table
+            .routes_of_host(host)
+            .map(|(name, _)| name)
+            .collect();
+        let bounds = HomeBounds::of(
+            self.table
+                .routes_of_host(host)
+                .map(|(_, route)| route.as_ref()),
+        );
         let client = self.regions.get(zone);
         let may_carry = |proxy: &Zone| bounds.allow(self.regions.get(proxy), client);
         let mapping = feed_cache.map(MapName::Placement).mapping();
