--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -167,7 +167,7 @@
         // all instances would be the largest part of the cost of a request.
         let mut best: Option<&Heartbeat> = None;
         for _ in 0..2 {
-            let candidate = *tier.get(self.chance.below(tier.len() as u64) as usize)?;
+            let candidate = *tier.get(self.random_source.below(tier.len() as u64) as usize)?;
             if is_warming_up(candidate)
                 || !self.has_capacity(now, candidate, service, proxies)
                 || self.weight(now, candidate) > load_limit
@@ -182,7 +182,7 @@
         if best.is_some() {
             return best;
         }
-        let start = self.chance.below(tier.len() as u64) as usize;
+        let start = self.random_source.below(tier.len() as u64) as usize;
         (0..tier.len())
             .map(|offset| tier[(start + offset) % tier.len()])
             .find(|heartbeat| {
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -31,7 +31,7 @@
     /// limit of the service.
     pub(crate) key_share: f64,
     pub(crate) budget: RetryBudget,
-    pub(crate) chance: Chance,
+    pub(crate) random_source: Chance,
     /// When the last ejection ends.
     pub(crate) last_ejection_ends: Duration,
     /// Only for fault injection in tests: ignores the limit per key.
@@ -48,7 +48,7 @@
             keys: HashMap::new(),
             key_share: 1.0,
             budget: RetryBudget::default(),
-            chance: Chance::seeded(seed),
+            random_source: Chance::seeded(seed),
             last_ejection_ends: Duration::ZERO,
             ignore_key_cap: false,
             ignore_response_evidence: false,
@@ -151,7 +151,7 @@
         // Buckets start with a random level: if all started empty they would all be full at the
         // same time, and the proxies together would send in one second what the instance can take
         // in several.
-        let initial_tokens = self.chance.below(1_000_000) as f64 / 1_000_000.0;
+        let initial_tokens = self.random_source.below(1_000_000) as f64 / 1_000_000.0;
         let stats = self.stats_for(heartbeat);
         if !is_warming_up {
             stats.slow_start = None;
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -34,11 +34,11 @@
     tokio::spawn(async move {
         let mut number = 0;
         let incarnation = fresh_seed();
-        let mut heartbeat = tokio::time::interval(period);
-        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut interval = tokio::time::interval(period);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut was_ready = false;
         loop {
-            heartbeat.tick().await;
+            interval.tick().await;
             let ready = request_handler.is_ready();
             if ready != was_ready {
                 was_ready = ready;
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -37,16 +37,18 @@
 /// Returns whether the end of the response can be told from a truncation.
 pub(crate) fn is_unambiguously_framed(response: &Response<Incoming>, method: &Method) -> bool {
     let status = response.status();
-    let bodiless = status == StatusCode::NO_CONTENT
+    let has_no_body = status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED
         || method == Method::HEAD;
-    let chunked = response
+    let is_chunked = response
         .headers()
         .get("transfer-encoding")
         .is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked"));
-    let lengths = response.headers().get_all("content-length").iter().count();
-    let is_ambiguous = lengths > 1 || (chunked && lengths > 0);
-    !status.is_informational() && !is_ambiguous && (bodiless || chunked || lengths == 1)
+    let length_headers = response.headers().get_all("content-length").iter().count();
+    let is_ambiguous = length_headers > 1 || (is_chunked && length_headers > 0);
+    !status.is_informational()
+        && !is_ambiguous
+        && (has_no_body || is_chunked || length_headers == 1)
 }
 
 /// Removes the hop-by-hop headers, including those listed in `Connection`.
@@ -82,12 +84,12 @@
     let Some(internal_header_prefix) = internal_header_prefix else {
         return;
     };
-    let own: Vec<HeaderName> = headers
+    let internal: Vec<HeaderName> = headers
         .keys()
         .filter(|name| name.as_str().starts_with(internal_header_prefix))
         .cloned()
         .collect();
-    for name in own {
+    for name in internal {
         headers.remove(name);
     }
 }
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -126,10 +126,10 @@
     }
     assert!(tally.successes * 3 > tally.requests, "{tally:?}");
     for count in [
-        tally.promises,
+        tally.not_run,
         tally.unknowns,
-        tally.cut_bodies,
-        tally.gave_up,
+        tally.truncated_bodies,
+        tally.disconnected,
         tally.retry_arrivals,
     ] {
         assert!(count > 100, "{tally:?}");
--- a/crates/proxy/tests/support/behaviour.rs
+++ b/crates/proxy/tests/support/behaviour.rs
@@ -43,10 +43,10 @@
     LengthAndChunks,
     NoHttp,
     BrokenChunk,
-    CutHead,
-    CutLength,
-    CutLarge,
-    CutChunks,
+    TruncatedHead,
+    TruncatedFixedLength,
+    TruncatedLarge,
+    TruncatedChunks,
     ResetMidway,
     ResetAfterRun,
     CloseAfterRun,
@@ -90,10 +90,10 @@
     (Behaviour::LengthAndChunks, 1),
     (Behaviour::NoHttp, 2),
     (Behaviour::BrokenChunk, 2),
-    (Behaviour::CutHead, 2),
-    (Behaviour::CutLength, 3),
-    (Behaviour::CutLarge, 3),
-    (Behaviour::CutChunks, 3),
+    (Behaviour::TruncatedHead, 2),
+    (Behaviour::TruncatedFixedLength, 3),
+    (Behaviour::TruncatedLarge, 3),
+    (Behaviour::TruncatedChunks, 3),
     (Behaviour::ResetMidway, 3),
     (Behaviour::ResetAfterRun, 4),
     (Behaviour::CloseAfterRun, 3),
@@ -102,9 +102,9 @@
 ];
 
 impl Behaviour {
-    pub fn random(chance: &mut Chance) -> Self {
+    pub fn random(random_source: &mut Chance) -> Self {
         let total: u64 = WEIGHTED.iter().map(|(_, weight)| weight).sum();
-        let mut remaining_weight = chance.below(total);
+        let mut remaining_weight = random_source.below(total);
         for (behaviour, weight) in WEIGHTED {
             if remaining_weight < weight {
                 return behaviour;
@@ -126,17 +126,17 @@
 
     /// Returns whether a complete head of its own response is sent, whatever follows it.
     pub fn sends_own_head(self) -> bool {
-        let cut_behind_head = [
+        let truncated_after_head = [
             Behaviour::NoLength,
             Behaviour::LengthAndChunks,
             Behaviour::BrokenChunk,
-            Behaviour::CutLength,
-            Behaviour::CutLarge,
-            Behaviour::CutChunks,
+            Behaviour::TruncatedFixedLength,
+            Behaviour::TruncatedLarge,
+            Behaviour::TruncatedChunks,
             Behaviour::ResetMidway,
             Behaviour::StalledMidway,
         ];
-        self.is_good() || cut_behind_head.contains(&self)
+        self.is_good() || truncated_after_head.contains(&self)
     }
 
     /// Returns whether a complete response of its own is sent first.
--- a/crates/proxy/tests/support/client.rs
+++ b/crates/proxy/tests/support/client.rs
@@ -46,9 +46,9 @@
     (ClientAction::Pipelined, 6),
 ];
 
-fn random_action(chance: &mut Chance) -> ClientAction {
+fn random_action(random_source: &mut Chance) -> ClientAction {
     let total: u64 = ACTIONS.iter().map(|(_, weight)| weight).sum();
-    let mut remaining_weight = chance.below(total);
+    let mut remaining_weight = random_source.below(total);
     for (action, weight) in ACTIONS {
         if remaining_weight < weight {
             return action;
@@ -63,7 +63,7 @@
     pub name: String,
     pub proxy: SocketAddr,
     pub journal: Arc<Journal>,
-    pub chance: Chance,
+    pub random_source: Chance,
     wire: Option<Wire<TcpStream>>,
     sent: u32,
 }
@@ -75,12 +75,17 @@
 }
 
 impl Client {
-    pub fn new(name: String, proxy: SocketAddr, journal: Arc<Journal>, chance: Chance) -> Self {
+    pub fn new(
+        name: String,
+        proxy: SocketAddr,
+        journal: Arc<Journal>,
+        random_source: Chance,
+    ) -> Self {
         Self {
             name,
             proxy,
             journal,
-            chance,
+            random_source,
             wire: None,
             sent: 0,
         }
@@ -89,7 +94,7 @@
     /// Sends this many requests, one after the other.
     pub async fn run(mut self, requests: u32) {
         for _ in 0..requests {
-            let action = random_action(&mut self.chance);
+            let action = random_action(&mut self.random_source);
             let performed = tokio::time::timeout(TIMEOUT, self.perform(action)).await;
             if performed.is_err() {
                 self.journal
@@ -197,28 +202,30 @@
                 self.wire = open.then_some(wire);
                 seen
             }
-            None => ObservedResponse::GaveUp,
+            None => ObservedResponse::Disconnected,
         };
         self.journal.see(&second.id, seen);
     }
 
     async fn abort_upload(&mut self) {
-        let is_chunked = self.chance.below(2) == 0;
+        let is_chunked = self.random_source.below(2) == 0;
         let prepared = self.prepare("POST", UPLOAD_BYTES, is_chunked);
         let mut wire = self.connected().await;
-        let part = self.chance.below(prepared.bytes.len() as u64) as usize;
+        let part = self.random_source.below(prepared.bytes.len() as u64) as usize;
         let _ = wire.reader.write_all(&prepared.bytes[..part]).await;
-        self.journal.see(&prepared.id, ObservedResponse::GaveUp);
+        self.journal
+            .see(&prepared.id, ObservedResponse::Disconnected);
     }
 
     async fn disconnect(&mut self) {
         let prepared = self.prepare("POST", 300, false);
         let mut wire = self.connected().await;
         let _ = wire.reader.write_all(&prepared.bytes).await;
-        for _ in 0..self.chance.below(30) {
+        for _ in 0..self.random_source.below(30) {
             tokio::task::yield_now().await;
         }
-        self.journal.see(&prepared.id, ObservedResponse::GaveUp);
+        self.journal
+            .see(&prepared.id, ObservedResponse::Disconnected);
     }
 }
 
@@ -266,7 +273,7 @@
         _ => wire.read_body(&head).await,
     };
     let Ok(body) = body else {
-        return (ObservedResponse::CutBody, false);
+        return (ObservedResponse::TruncatedBody, false);
     };
     let seen = ObservedResponse::Complete {
         status: head.second_word().parse().unwrap_or(0),
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-use crate::support::journal::PROMISES;
+use crate::support::journal::NOT_RUN_STATUSES;
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
@@ -51,7 +51,7 @@
         incarnation: None,
         seal: Some(name("body-seal")),
         outcome: None,
-        promises: &PROMISES,
+        promises: &NOT_RUN_STATUSES,
         reports_not_run,
         ..ProtocolAdapter::own()
     }
@@ -92,9 +92,9 @@
     }
 
     /// Returns whether a response states that the request did not run.
-    pub fn promises(self, status: u16, outcome: Option<&str>) -> bool {
+    pub fn states_not_run(self, status: u16, outcome: Option<&str>) -> bool {
         match self {
-            Protocol::Strict => PROMISES.contains(&status),
+            Protocol::Strict => NOT_RUN_STATUSES.contains(&status),
             Protocol::Own => outcome == Some("not-run"),
         }
     }
--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -16,7 +16,7 @@
 use crate::support::fixture::{
     address_of, instance, listen_for, view, Protocol, ProxyFixture, LEASE,
 };
-use crate::support::journal::{Journal, ObservedResponse, PROMISES};
+use crate::support::journal::{Journal, ObservedResponse, NOT_RUN_STATUSES};
 use crate::support::server::HostileServer;
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::messages::ProxyView;
@@ -87,7 +87,7 @@
         self.arrivals == 1
             && self
                 .status
-                .is_some_and(|status| !PROMISES.contains(&status))
+                .is_some_and(|status| !NOT_RUN_STATUSES.contains(&status))
     }
 }
 
--- a/crates/proxy/tests/support/journal.rs
+++ b/crates/proxy/tests/support/journal.rs
@@ -36,11 +36,11 @@
         body: Vec<u8>,
     },
     /// The head was received, and the connection broke within the body.
-    CutBody,
+    TruncatedBody,
     /// The connection ended without a head.
     Nothing,
     /// The client disconnected.
-    GaveUp,
+    Disconnected,
 }
 
 /// What the server did with one request.
@@ -74,10 +74,10 @@
 pub struct Tally {
     pub requests: u64,
     pub successes: u64,
-    pub promises: u64,
+    pub not_run: u64,
     pub unknowns: u64,
-    pub cut_bodies: u64,
-    pub gave_up: u64,
+    pub truncated_bodies: u64,
+    pub disconnected: u64,
     /// Uploads whose connection ended without a response.
     pub unanswered: u64,
     pub uploads: u64,
@@ -89,10 +89,10 @@
     pub fn add(&mut self, other: &Tally) {
         self.requests += other.requests;
         self.successes += other.successes;
-        self.promises += other.promises;
+        self.not_run += other.not_run;
         self.unknowns += other.unknowns;
-        self.cut_bodies += other.cut_bodies;
-        self.gave_up += other.gave_up;
+        self.truncated_bodies += other.truncated_bodies;
+        self.disconnected += other.disconnected;
         self.unanswered += other.unanswered;
         self.uploads += other.uploads;
         self.retry_arrivals += other.retry_arrivals;
@@ -103,9 +103,9 @@
 }
 
 /// Statuses that state that the request did not run and never will.
-pub const PROMISES: [u16; 4] = [408, 421, 429, 503];
+pub const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Statuses of the proxy that do not say whether the request ran.
-const UNKNOWNS: [u16; 3] = [413, 502, 504];
+const UNKNOWN_STATUSES: [u16; 3] = [413, 502, 504];
 /// The maximum number of instances that one request may be sent to.
 const MAX_ARRIVALS: u32 = 3;
 
@@ -178,10 +178,10 @@
     ///
     /// Only such requests are used: a forged response with the id of a request still in flight
     /// elsewhere could not be told from its real one.
-    pub fn other_request(&self, id: &str, chance: &mut Chance) -> String {
+    pub fn other_request(&self, id: &str, random_source: &mut Chance) -> String {
         let entries = locked(&self.entries);
         let others: Vec<&String> = entries.seen.keys().filter(|known| *known != id).collect();
-        let index = chance.below(others.len() as u64) as usize;
+        let index = random_source.below(others.len() as u64) as usize;
         others
             .get(index)
             .map_or_else(|| "nobody".to_string(), |other| other.to_string())
@@ -229,11 +229,13 @@
                 ObservedResponse::Complete { status, .. } if *status < 300 => tally.successes += 1,
                 ObservedResponse::Complete {
                     status, outcome, ..
-                } if self.protocol.promises(*status, outcome.as_deref()) => tally.promises += 1,
+                } if self.protocol.states_not_run(*status, outcome.as_deref()) => {
+                    tally.not_run += 1
+                }
                 ObservedResponse::Complete { .. } => tally.unknowns += 1,
-                ObservedResponse::CutBody => tally.cut_bodies += 1,
+                ObservedResponse::TruncatedBody => tally.truncated_bodies += 1,
                 ObservedResponse::Nothing => tally.unanswered += 1,
-                ObservedResponse::GaveUp => tally.gave_up += 1,
+                ObservedResponse::Disconnected => tally.disconnected += 1,
             }
         }
         for behaviour in entries
@@ -315,18 +317,22 @@
                     .behaviours
                     .iter()
                     .any(|behaviour| behaviour.sends_own_head());
-            let was_given = served.complete_responses > 0 || is_complete_by_head;
+            let was_sent_by_server = served.complete_responses > 0 || is_complete_by_head;
             let response = CheckedResponse {
                 status: *status,
                 sealed: *sealed || protocol == Protocol::Own,
-                says_unknown: outcome.as_deref() == Some("unknown"),
-                promises: protocol.promises(*status, outcome.as_deref()),
+                reports_unknown: outcome.as_deref() == Some("unknown"),
+                states_not_run: protocol.states_not_run(*status, outcome.as_deref()),
                 has_own_body,
-                was_given,
+                was_sent_by_server,
             };
             violations.extend(response.violation(id, served));
         }
-        Some(ObservedResponse::Nothing | ObservedResponse::CutBody | ObservedResponse::GaveUp) => {}
+        Some(
+            ObservedResponse::Nothing
+            | ObservedResponse::TruncatedBody
+            | ObservedResponse::Disconnected,
+        ) => {}
     }
     violations
 }
@@ -335,11 +341,11 @@
 struct CheckedResponse {
     status: u16,
     sealed: bool,
-    promises: bool,
-    says_unknown: bool,
+    states_not_run: bool,
+    reports_unknown: bool,
     has_own_body: bool,
     /// Whether the server sent such a successful response to the request.
-    was_given: bool,
+    was_sent_by_server: bool,
 }
 
 impl CheckedResponse {
@@ -351,17 +357,17 @@
             200..=299 if !self.has_own_body => {
                 Some(format!("{id}: a success without its own complete body"))
             }
-            200..=299 if !self.was_given => {
+            200..=299 if !self.was_sent_by_server => {
                 Some(format!("{id}: a success that the server never gave"))
             }
             200..=299 => None,
-            _ if self.promises && served.runs > 0 => Some(format!(
+            _ if self.states_not_run && served.runs > 0 => Some(format!(
                 "{id}: {status} promises that it never ran, but it ran"
             )),
-            _ if self.promises || UNKNOWNS.contains(&status) => None,
+            _ if self.states_not_run || UNKNOWN_STATUSES.contains(&status) => None,
             _ if served.own_failures > 0 && self.has_own_body => None,
             // Allowed, since the proxy also reports that the outcome is unknown.
-            503 if self.says_unknown => None,
+            503 if self.reports_unknown => None,
             _ => Some(format!("{id}: {status} is not an allowed response")),
         }
     }
--- a/crates/proxy/tests/support/schedule.rs
+++ b/crates/proxy/tests/support/schedule.rs
@@ -38,9 +38,9 @@
     let clock = Clock::start();
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
-        let chance = Chance::seeded(mix(seed ^ number << 40));
+        let random_source = Chance::seeded(mix(seed ^ number << 40));
         let name = format!("s{seed}-c{number}");
-        let client = Client::new(name, proxy.address, journal.clone(), chance);
+        let client = Client::new(name, proxy.address, journal.clone(), random_source);
         clients.spawn(client.run(REQUESTS_PER_CLIENT));
     }
     while let Some(ended) = clients.join_next().await {
--- a/crates/proxy/tests/support/server.rs
+++ b/crates/proxy/tests/support/server.rs
@@ -123,8 +123,8 @@
             name: RequestIdHeader(format!("{header}: {named}")),
         };
         let arrival = journal.arrive(&id);
-        let mut chance = self.server.chance_for(&id, arrival);
-        let random = Behaviour::random(&mut chance);
+        let mut random_source = self.server.chance_for(&id, arrival);
+        let random = Behaviour::random(&mut random_source);
         let behaviour = self.server.script.map_or(random, |script| script(&head));
         journal.behave(&id, behaviour);
         match behaviour {
@@ -145,7 +145,7 @@
             self.reject(behaviour, &request).await?;
         } else {
             journal.run(&id, &head, &body);
-            let answered = self.respond(behaviour, &request, &mut chance).await;
+            let answered = self.respond(behaviour, &request, &mut random_source).await;
             if let Next::Close = answered? {
                 return Ok(Next::Close);
             }
@@ -178,12 +178,12 @@
     }
 
     /// Returns an earlier request of this connection, or else any other request.
-    fn earlier_request(&self, id: &str, chance: &mut Chance) -> ReceivedRequest {
-        let index = chance.below(self.earlier.len() as u64) as usize;
+    fn earlier_request(&self, id: &str, random_source: &mut Chance) -> ReceivedRequest {
+        let index = random_source.below(self.earlier.len() as u64) as usize;
         if let Some(earlier) = self.earlier.get(index) {
             return earlier.clone();
         }
-        let other = self.server.journal.other_request(id, chance);
+        let other = self.server.journal.other_request(id, random_source);
         let header = self.server.protocol.request_id_header();
         ReceivedRequest {
             name: RequestIdHeader(format!("{header}: {other}")),
@@ -204,14 +204,16 @@
         &mut self,
         behaviour: Behaviour,
         request: &ReceivedRequest,
-        chance: &mut Chance,
+        random_source: &mut Chance,
     ) -> Result<Next, Truncated> {
         if behaviour.is_good() {
-            return self.respond_correctly(behaviour, request, chance).await;
+            return self
+                .respond_correctly(behaviour, request, random_source)
+                .await;
         }
         let ReceivedRequest { id, name } = request;
-        let other = self.earlier_request(id, chance);
-        let length = chance.below(SMALL as u64) as usize;
+        let other = self.earlier_request(id, random_source);
+        let length = random_source.below(SMALL as u64) as usize;
         let body = body_of(id, length);
         let own = PlannedResponse::success(name);
         let other_response =
@@ -257,7 +259,7 @@
                     "429 Too Many Requests",
                     "408 Request Timeout",
                 ];
-                let status = statuses[chance.below(3) as usize];
+                let status = statuses[random_source.below(3) as usize];
                 self.server.journal.respond_with_failure(id);
                 self.write(&PlannedResponse::with_id(status, name).with_length(&body))
                     .await?;
@@ -310,16 +312,16 @@
     ) -> Result<Next, Truncated> {
         let small = &large[..SMALL];
         match behaviour {
-            Behaviour::CutHead => self.write(&own.head("HTTP/1.1")[..30]).await?,
-            Behaviour::CutLength => {
+            Behaviour::TruncatedHead => self.write(&own.head("HTTP/1.1")[..30]).await?,
+            Behaviour::TruncatedFixedLength => {
                 let bytes = own.with_length(small);
                 self.write(&bytes[..bytes.len() - 100]).await?;
             }
-            Behaviour::CutLarge => {
+            Behaviour::TruncatedLarge => {
                 let bytes = own.with_length(large);
                 self.write(&bytes[..bytes.len() - 100]).await?;
             }
-            Behaviour::CutChunks => {
+            Behaviour::TruncatedChunks => {
                 let bytes = own.with_chunks(small);
                 self.write(&bytes[..bytes.len() - 5]).await?;
             }
@@ -344,12 +346,12 @@
         &mut self,
         behaviour: Behaviour,
         request: &ReceivedRequest,
-        chance: &mut Chance,
+        random_source: &mut Chance,
     ) -> Result<Next, Truncated> {
         let ReceivedRequest { id, name } = request;
         self.server.journal.respond_completely(id);
-        let other = self.earlier_request(id, chance);
-        let body = body_of(id, chance.below(SMALL as u64) as usize);
+        let other = self.earlier_request(id, random_source);
+        let body = body_of(id, random_source.below(SMALL as u64) as usize);
         let own = PlannedResponse::success(name);
         let surplus = PlannedResponse::success(&other.name).with_length(&body_of(&other.id, 10));
         match behaviour {
@@ -397,7 +399,7 @@
             }
             Behaviour::GoodThenSurplusLater => {
                 self.write(&own.with_length(&body)).await?;
-                for _ in 0..chance.below(20) {
+                for _ in 0..random_source.below(20) {
                     tokio::task::yield_now().await;
                 }
                 self.write(&surplus).await?;
@@ -410,7 +412,7 @@
             }
             Behaviour::GoodThenSurplusWithoutId => {
                 self.write(&own.with_length(&body)).await?;
-                for _ in 0..chance.below(20) {
+                for _ in 0..random_source.below(20) {
                     tokio::task::yield_now().await;
                 }
                 let without_id = PlannedResponse::without_id("200 OK").header(SEAL);
