--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::dispatch::{AttemptEnd, NextStep, ProxyKnowledge, RequestLifecycle, ServiceShard};
+use caperworks::dispatch::{AttemptEnd, NextStep, ProxyState, RequestLifecycle, ServiceShard};
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
@@ -103,7 +103,7 @@
         configuration: Version(1),
         ownership: Version(0),
     };
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     knowledge.take(Duration::ZERO, &view);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -4,7 +4,7 @@
 
 use caperworks::configuration::{check_configuration, RouteTable};
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
-use caperworks::dispatch::ProxyKnowledge;
+use caperworks::dispatch::ProxyState;
 use caperworks::identifiers::{ChangeId, NodeId, ServiceName, Version};
 use caperworks::map_items::{Route, Value};
 use caperworks::messages::ProxyView;
@@ -58,7 +58,7 @@
 }
 
 fn measure_changes(map: &ReplicatedMap) -> Duration {
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     let full_map = ConsensusMessage::Snapshot {
         map: MapName::Configuration,
         full_map: map.reduced(),
--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -16,7 +16,7 @@
 pub(crate) use self::instance_stats::{InstanceStats, KeyStats, SlowStartBucket};
 pub use self::link_monitor::{LinkMonitor, RecentConnects, SLOW_CONNECT};
 pub use self::passive_health::RECENT_RESPONSE_WINDOW;
-pub use self::proxy_knowledge::ProxyKnowledge;
+pub use self::proxy_knowledge::ProxyState;
 pub use self::request_lifecycle::{AttemptEnd, NextStep, RequestLifecycle, RequestState};
 pub use self::retry_budget::{RetryBudget, RETRY_FLOOR, RETRY_PERCENT};
 pub use self::service_shard::ServiceShard;
--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::dispatch::{target_of, Failure, ProxyKnowledge, ServiceShard, Target};
+use crate::dispatch::{target_of, Failure, ProxyState, ServiceShard, Target};
 use crate::facts::{Heartbeat, InstanceState};
 use crate::identifiers::{steady_hash, InstanceId, ServiceName, Zone};
 use crate::map_items::{Route, Service};
@@ -22,7 +22,7 @@
     pub fn choose(
         &mut self,
         now: Duration,
-        knowledge: &ProxyKnowledge,
+        knowledge: &ProxyState,
         own_zone: &Zone,
         route: &Route,
         key: Option<&str>,
@@ -44,7 +44,7 @@
     pub fn choose_in_service(
         &mut self,
         now: Duration,
-        knowledge: &ProxyKnowledge,
+        knowledge: &ProxyState,
         own_zone: &Zone,
         route: &Route,
         service_name: &ServiceName,
@@ -115,7 +115,7 @@
         now: Duration,
         tiers: &DistanceTiers<'heartbeats>,
         service: &Service,
-        knowledge: &ProxyKnowledge,
+        knowledge: &ProxyState,
         load_limits: [f64; 3],
     ) -> Option<&'heartbeats Heartbeat> {
         tiers
@@ -149,7 +149,7 @@
         now: Duration,
         tier: &[&'heartbeats Heartbeat],
         service: &Service,
-        knowledge: &ProxyKnowledge,
+        knowledge: &ProxyState,
         load_limit: f64,
     ) -> Option<&'heartbeats Heartbeat> {
         let proxies = knowledge.proxies;
@@ -197,7 +197,7 @@
     fn choose_owner(
         &mut self,
         now: Duration,
-        knowledge: &ProxyKnowledge,
+        knowledge: &ProxyState,
         route: &Route,
         service_name: &ServiceName,
         service: &Service,
--- a/crates/caperworks/src/dispatch/passive_health.rs
+++ b/crates/caperworks/src/dispatch/passive_health.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::dispatch::{ProxyKnowledge, ServiceShard};
+use crate::dispatch::{ProxyState, ServiceShard};
 use crate::facts::Heartbeat;
 use crate::identifiers::ServiceName;
 
@@ -17,7 +17,7 @@
 /// when its missing heartbeats are noticed.
 pub const RECENT_RESPONSE_WINDOW: Duration = Duration::from_secs(2);
 
-impl ProxyKnowledge {
+impl ProxyState {
     /// Returns whether more than half of the instances of a service have no recent heartbeat.
     pub(crate) fn most_lack_heartbeats(&self, service: &ServiceName) -> bool {
         let heartbeats = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
@@ -33,7 +33,7 @@
         &mut self,
         now: Duration,
         heartbeat: &Heartbeat,
-        knowledge: &ProxyKnowledge,
+        knowledge: &ProxyState,
     ) -> bool {
         if self.ignore_response_evidence {
             return !knowledge.silent.contains(&heartbeat.id);
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -19,7 +19,7 @@
 /// The maps and the route table are shared: most updates concern instances, the proxy copies this
 /// state for every update, and a configuration may have many thousand items.
 #[derive(Debug, Clone, Default)]
-pub struct ProxyKnowledge {
+pub struct ProxyState {
     /// The number of the last view applied.
     pub last_view: u64,
     pub fresh_until: Duration,
@@ -47,7 +47,7 @@
     pub draining: BTreeMap<InstanceId, Duration>,
 }
 
-impl ProxyKnowledge {
+impl ProxyState {
     /// Applies a view that the agent sent in response to a poll at `polled_at`.
     ///
     /// Older views are ignored: a response that was overtaken on its way contains instances that
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -3,9 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use crate::dispatch::{
-    InstanceStats, KeyStats, ProxyKnowledge, RetryBudget, SlowStartBucket, Target,
-};
+use crate::dispatch::{InstanceStats, KeyStats, ProxyState, RetryBudget, SlowStartBucket, Target};
 use crate::facts::Heartbeat;
 use crate::identifiers::{Chance, InstanceId};
 use crate::map_items::Service;
@@ -143,7 +141,7 @@
         now: Duration,
         heartbeat: &Heartbeat,
         service: &Service,
-        knowledge: &ProxyKnowledge,
+        knowledge: &ProxyState,
     ) -> bool {
         // The rate is that of the instance and is shared by all proxies.
         let rate = service.slow_start_rate() / f64::from(knowledge.proxies.max(1));
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -9,7 +9,7 @@
 use caperworks::configuration::{check_configuration, RouteTable};
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestLifecycle, RequestState,
+    AttemptEnd, Failure, NextStep, ProxyState, ReportedOutcome, RequestLifecycle, RequestState,
     RetryBudget, ServiceShard, Target,
 };
 use caperworks::facts::{Heartbeat, InstanceState};
@@ -154,7 +154,7 @@
 }
 
 /// The state of a proxy that knows these instances.
-fn knowledge(heartbeats: &[Heartbeat]) -> ProxyKnowledge {
+fn knowledge(heartbeats: &[Heartbeat]) -> ProxyState {
     let mut configuration = ReplicatedMap::empty();
     let zones = [("e1", "east"), ("e2", "east"), ("w1", "west")];
     let mut puts: Vec<Put> = zones
@@ -183,7 +183,7 @@
         guards: Vec::new(),
     };
     configuration.apply(&change);
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     let view = ProxyView {
         agent: NodeId(1),
         instances_offset: 1,
@@ -330,7 +330,7 @@
 }
 
 /// The state of a proxy that knows a keyed service with one key range and one owner.
-fn keyed_knowledge() -> ProxyKnowledge {
+fn keyed_knowledge() -> ProxyState {
     let mut known = knowledge(&[heartbeat("owner", "e1", 60_000)]);
     let mut keyed = service();
     keyed.keyed = true;
@@ -471,7 +471,7 @@
 }
 
 /// The state of a proxy that knows one owner of all keys, which serves at first.
-fn knowledge_with_owner(policy: ProxyPolicy) -> ProxyKnowledge {
+fn knowledge_with_owner(policy: ProxyPolicy) -> ProxyState {
     let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
     known.policy = policy;
     let maps = [
@@ -552,7 +552,7 @@
 
 /// Returns whether a key goes to its owner now, after checking that the choice and the check before
 /// sending agree.
-fn is_key_routed(known: &ProxyKnowledge, now: Duration, target: &Target) -> bool {
+fn is_key_routed(known: &ProxyState, now: Duration, target: &Target) -> bool {
     let own = Zone::new("e1");
     let chosen = ServiceShard::new(1).choose(now, known, &own, &route(), Some("k"), &[]);
     let still = known.check_before_send(now, &own, &route(), target);
--- a/crates/caperworks/tests/fact_stories.rs
+++ b/crates/caperworks/tests/fact_stories.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::dispatch::ProxyKnowledge;
+use caperworks::dispatch::ProxyState;
 use caperworks::facts::{HeardHeartbeat, HeardMember, Heartbeat, InstanceState, Member, Role};
 use caperworks::identifiers::{
     steady_hash, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
@@ -313,7 +313,7 @@
 }
 
 /// The instances that a proxy knows, by name and count, alike in both ways that it keeps them.
-fn known(knowledge: &ProxyKnowledge) -> Vec<(String, u64)> {
+fn known(knowledge: &ProxyState) -> Vec<(String, u64)> {
     let pair = |heartbeat: &Heartbeat| (heartbeat.id.to_string(), heartbeat.counter);
     let by_name: Vec<(String, u64)> = knowledge.instances.values().map(pair).collect();
     let by_service = knowledge.by_service.values().flatten().map(pair);
@@ -325,7 +325,7 @@
 
 #[test]
 fn given_a_proxy_that_is_told_of_changes_when_it_takes_them_then_the_rest_is_kept() {
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     let named = |pairs: &[(&str, u64)]| -> Vec<(String, u64)> {
         let pairs = pairs.iter();
         pairs
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -7,8 +7,8 @@
 
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome,
-    RequestLifecycle, RequestState, ServiceShard, SLOW_CONNECT,
+    AttemptEnd, Failure, NextStep, ProxyState, RecentConnects, ReportedOutcome, RequestLifecycle,
+    RequestState, ServiceShard, SLOW_CONNECT,
 };
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
@@ -93,7 +93,7 @@
 
 /// A proxy in zone e1 and what it is told: e1 and e2 lie east, w1 west, n1 north.
 struct Bench {
-    known: ProxyKnowledge,
+    known: ProxyState,
     /// For how long the agent takes the core's silence for a slow link.
     link_slow_for: Duration,
     configuration: ReplicatedMap,
@@ -117,9 +117,9 @@
         puts.push(put("rule/any", Value::Route { route: route() }));
         let mut configuration = ReplicatedMap::empty();
         configuration.apply(&change("first", puts));
-        let known = ProxyKnowledge {
+        let known = ProxyState {
             policy,
-            ..ProxyKnowledge::default()
+            ..ProxyState::default()
         };
         Self {
             known,
@@ -279,12 +279,12 @@
 
 #[test]
 fn given_a_proxy_that_serves_on_when_it_never_knew_anything_then_it_refuses_as_out_of_touch() {
-    let known = ProxyKnowledge {
+    let known = ProxyState {
         policy: ProxyPolicy {
             serves_on: true,
             ..ProxyPolicy::default()
         },
-        ..ProxyKnowledge::default()
+        ..ProxyState::default()
     };
     let admitted = known.admits(millis(10), &Zone::new("e1"), &route());
     assert_eq!(admitted, Err(Failure::Stale));
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -10,7 +10,7 @@
 use caperworks::configuration::RouteTable;
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::dispatch::Failure;
-use caperworks::dispatch::ProxyKnowledge;
+use caperworks::dispatch::ProxyState;
 use caperworks::identifiers::{ChangeId, NodeId, ServiceName, Version};
 use caperworks::map_items::{Route, Value};
 use caperworks::messages::ProxyView;
@@ -186,7 +186,7 @@
 #[test]
 fn all_of_thousands_of_routes_are_found_and_later_ones_too() {
     let mut map = map_of(6_000);
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     let first = view(1, 1, map.version, vec![full_map(&map)]);
     knowledge.take(Duration::ZERO, &first);
     for number in 6_000..6_050 {
@@ -222,7 +222,7 @@
         2,
         vec![put(0, 2, None), put(3, 2, Some(("h0.example", "/new/")))],
     ));
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     knowledge.take(
         Duration::ZERO,
         &view(1, 1, newer.version, vec![full_map(&newer)]),
@@ -245,7 +245,7 @@
 #[test]
 fn response_without_the_configuration_it_names_does_not_make_the_proxy_fresh() {
     let map = map_of(3);
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     knowledge.take(
         Duration::ZERO,
         &view(1, 1, map.version.next(), vec![full_map(&map)]),
@@ -264,7 +264,7 @@
 #[test]
 fn changes_behind_a_gap_are_not_applied() {
     let mut map = map_of(3);
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     knowledge.take(
         Duration::ZERO,
         &view(1, 1, map.version, vec![full_map(&map)]),
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::dispatch::{Failure, ProxyKnowledge, ServiceShard, Target, RECENT_RESPONSE_WINDOW};
+use caperworks::dispatch::{Failure, ProxyState, ServiceShard, Target, RECENT_RESPONSE_WINDOW};
 use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
@@ -83,7 +83,7 @@
 
 /// One proxy with what it knows of some instances.
 struct Proxy {
-    knowledge: ProxyKnowledge,
+    knowledge: ProxyState,
     shard: ServiceShard,
     views: u64,
 }
@@ -91,7 +91,7 @@
 impl Proxy {
     fn new(names: &[&str]) -> Self {
         let mut proxy = Self {
-            knowledge: ProxyKnowledge::default(),
+            knowledge: ProxyState::default(),
             shard: ServiceShard::new(1),
             views: 0,
         };
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -19,8 +19,8 @@
 use crate::upstream_request::UpstreamRequest;
 use crate::usage::{UsageAccounts, UsageKey, UsageOutcome};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, RecentConnects, ReportedOutcome,
-    RequestLifecycle, RequestState, ServiceShard,
+    AttemptEnd, Failure, NextStep, ProxyState, RecentConnects, ReportedOutcome, RequestLifecycle,
+    RequestState, ServiceShard,
 };
 use caperworks::facts::Demand;
 use caperworks::identifiers::{mix, steady_hash, InstanceId, ServiceName, Zone};
@@ -72,7 +72,7 @@
     pub injected_bug: InjectedBug,
     requests: AtomicU64,
     seed: u64,
-    knowledge: RwLock<Arc<ProxyKnowledge>>,
+    knowledge: RwLock<Arc<ProxyState>>,
     shards: RwLock<HashMap<ServiceName, Arc<Mutex<ServiceShard>>>>,
     meter: DemandMeter,
 }
@@ -83,9 +83,9 @@
         node_settings: &NodeSettings,
         protocol_adapter: ProtocolAdapter,
     ) -> Self {
-        let knowledge = ProxyKnowledge {
+        let knowledge = ProxyState {
             policy: node_settings.terms.proxy,
-            ..ProxyKnowledge::default()
+            ..ProxyState::default()
         };
         Self {
             clock,
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn knowledge(&self) -> Arc<ProxyKnowledge> {
+    pub fn knowledge(&self) -> Arc<ProxyState> {
         self.knowledge
             .read()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -8,7 +8,7 @@
 use crate::actors::request::{Carried, ClientRequest, InstanceResponse, ProxyWish, Stage};
 use crate::observers::requests::CallerOutcome;
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestLifecycle, ServiceShard,
+    AttemptEnd, Failure, NextStep, ProxyState, ReportedOutcome, RequestLifecycle, ServiceShard,
 };
 use caperworks::facts::{Demand, InstanceState};
 use caperworks::identifiers::{steady_hash, RouteName, ServiceName, Version, Zone};
@@ -55,7 +55,7 @@
     pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
-    pub knowledge: ProxyKnowledge,
+    pub knowledge: ProxyState,
     pub shards: HashMap<ServiceName, ServiceShard>,
     pub carried: HashMap<u64, Carried>,
     pub broken: BrokenProxy,
@@ -90,7 +90,7 @@
             zone,
             serving,
             capacity,
-            knowledge: ProxyKnowledge::default(),
+            knowledge: ProxyState::default(),
             shards: HashMap::new(),
             carried: HashMap::new(),
             broken,
