--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -32,7 +32,7 @@
     /// The instance stated that it ran nothing.
     RejectedByInstance,
     Lost,
-    Late,
+    DeadlineExceeded,
     MalformedResponse,
     Answered,
 }
@@ -169,13 +169,15 @@
                 return NextStep::ForwardResponse;
             }
             AttemptEnd::NotOpened | AttemptEnd::RejectedByInstance => true,
-            AttemptEnd::Lost | AttemptEnd::Late | AttemptEnd::MalformedResponse => false,
+            AttemptEnd::Lost | AttemptEnd::DeadlineExceeded | AttemptEnd::MalformedResponse => {
+                false
+            }
         };
         self.is_outcome_unknown |= !has_not_run;
         let may_retry = (has_not_run || self.idempotent)
             && self.replayable
             && self.attempts < self.most_attempts
-            && end != AttemptEnd::Late
+            && end != AttemptEnd::DeadlineExceeded
             && now < self.deadline;
         if may_retry && take_retry() {
             self.state = RequestState::Admitted;
@@ -184,7 +186,7 @@
         let failure = match end {
             AttemptEnd::NotOpened => Failure::NotOpened,
             AttemptEnd::RejectedByInstance => Failure::InstanceRejected,
-            AttemptEnd::Late => Failure::LateAfterSending,
+            AttemptEnd::DeadlineExceeded => Failure::LateAfterSending,
             AttemptEnd::MalformedResponse => Failure::MalformedResponse,
             AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
         };
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -65,7 +65,7 @@
     for end in [
         AttemptEnd::Lost,
         AttemptEnd::MalformedResponse,
-        AttemptEnd::Late,
+        AttemptEnd::DeadlineExceeded,
     ] {
         let mut lifecycle = sent_request(false);
         match lifecycle.attempt_ended(millis(10), end, || true) {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -277,7 +277,7 @@
             }
             (SendState::Started, Err(_)) => {
                 guard.result = AttemptResult::Failed;
-                AttemptResponse::Ended(AttemptEnd::Late)
+                AttemptResponse::Ended(AttemptEnd::DeadlineExceeded)
             }
             // Says nothing about the instance: the client aborted its body.
             (SendState::Started, Ok(Err(failure))) if failure.error().is_user() => {
@@ -328,7 +328,7 @@
                 Ok(Err(_)) => attempt.malformed(),
                 Err(_) => {
                     attempt.guard.result = AttemptResult::Failed;
-                    AttemptResponse::Ended(AttemptEnd::Late)
+                    AttemptResponse::Ended(AttemptEnd::DeadlineExceeded)
                 }
             };
         }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -466,7 +466,9 @@
         let late = now >= carried.chart.deadline();
         let (stage, attempt) = (carried.stage, carried.attempt);
         match stage {
-            Stage::Sent if late => self.ended(now, number, attempt, AttemptEnd::Late, None),
+            Stage::Sent if late => {
+                self.ended(now, number, attempt, AttemptEnd::DeadlineExceeded, None)
+            }
             Stage::Opening if late => {
                 if let Some(target) = carried.target.clone() {
                     if let Some(shard) = self.shards.get_mut(&carried.route.service.clone()) {
