--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -242,7 +242,7 @@
                 return Ok(());
             }
             if now >= deadline {
-                return Err(Failure::LateBeforeSending);
+                return Err(Failure::DeadlineBeforeSending);
             }
             proxy
                 .knowledge()
@@ -269,7 +269,7 @@
                 AttemptResponse::Rejected(failure)
             }
             (SendState::NotSent(None), Err(_)) => {
-                AttemptResponse::Rejected(Failure::LateBeforeSending)
+                AttemptResponse::Rejected(Failure::DeadlineBeforeSending)
             }
             (SendState::NotSent(None), Ok(_)) => {
                 guard.result = AttemptResult::Succeeded;
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -54,7 +54,7 @@
                         Ok(RequestBody::Buffered(bytes))
                     }
                     Ok(Err(_)) => Err(Failure::BadFraming),
-                    Err(_) => Err(Failure::LateBeforeSending),
+                    Err(_) => Err(Failure::DeadlineBeforeSending),
                 }
             }
             _ => {
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -287,7 +287,7 @@
         loop {
             let now = self.clock.now();
             if now >= lifecycle.deadline() {
-                return Err(Failure::LateBeforeSending);
+                return Err(Failure::DeadlineBeforeSending);
             }
             let knowledge = self.knowledge();
             knowledge.admits(now, &self.zone, &route)?;
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -315,7 +315,7 @@
             return Vec::new();
         };
         if now >= carried.chart.deadline() {
-            return self.finish(number, Failure::LateBeforeSending);
+            return self.finish(number, Failure::DeadlineBeforeSending);
         }
         let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
@@ -475,7 +475,7 @@
                         shard.end(now, &target, false, None);
                     }
                 }
-                self.finish(number, Failure::LateBeforeSending)
+                self.finish(number, Failure::DeadlineBeforeSending)
             }
             // Why compare: only the wake-up that belongs to this opening ends it.
             Stage::Opening if now >= at && carried.target.is_some() => {
