--- a/crates/caperworks/src/dispatch/failure.rs
+++ b/crates/caperworks/src/dispatch/failure.rs
@@ -20,7 +20,7 @@
     InstanceRejected,
     Draining,
     LostAfterSending,
-    LateAfterSending,
+    DeadlineAfterSending,
     MalformedResponse,
 }
 
@@ -35,9 +35,9 @@
     /// Returns the outcome that the failure alone implies.
     pub fn reported_outcome(self) -> ReportedOutcome {
         match self {
-            Failure::LostAfterSending | Failure::LateAfterSending | Failure::MalformedResponse => {
-                ReportedOutcome::Unknown
-            }
+            Failure::LostAfterSending
+            | Failure::DeadlineAfterSending
+            | Failure::MalformedResponse => ReportedOutcome::Unknown,
             _ => ReportedOutcome::NotRun,
         }
     }
@@ -48,7 +48,7 @@
             Failure::NoRoute => 404,
             Failure::BodyTooLarge => 413,
             Failure::BadFraming | Failure::MissingKey | Failure::BadKey => 400,
-            Failure::LateAfterSending => 504,
+            Failure::DeadlineAfterSending => 504,
             Failure::LostAfterSending | Failure::MalformedResponse => 502,
             _ => 503,
         }
@@ -87,7 +87,7 @@
             Failure::InstanceRejected => "the instance refused and ran nothing",
             Failure::Draining => "this proxy is about to stop",
             Failure::LostAfterSending => "the connection was lost after sending",
-            Failure::LateAfterSending => "the deadline passed after sending",
+            Failure::DeadlineAfterSending => "the deadline passed after sending",
             Failure::MalformedResponse => "the instance's answer was malformed",
         }
     }
--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -186,7 +186,7 @@
         let failure = match end {
             AttemptEnd::NotOpened => Failure::NotOpened,
             AttemptEnd::RejectedByInstance => Failure::InstanceRejected,
-            AttemptEnd::DeadlineExceeded => Failure::LateAfterSending,
+            AttemptEnd::DeadlineExceeded => Failure::DeadlineAfterSending,
             AttemptEnd::MalformedResponse => Failure::MalformedResponse,
             AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
         };
