--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -190,7 +190,7 @@
             return Err(Failure::ZoneClosed);
         }
         if !self.policy.carries_home && !route.allows_region(self.regions.get(own_zone)) {
-            return Err(Failure::OutsideHome);
+            return Err(Failure::OutsideHomeRegion);
         }
         Ok(())
     }
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -354,7 +354,10 @@
             bench.reported_outcome(millis(2), &absent);
             assert_eq!(bench.chosen(millis(3), &bound), names(&[]), "never beyond");
         } else {
-            assert_eq!(bench.admits(millis(1), &bound), Err(Failure::OutsideHome));
+            assert_eq!(
+                bench.admits(millis(1), &bound),
+                Err(Failure::OutsideHomeRegion)
+            );
         }
     }
 }
@@ -369,7 +372,10 @@
     let chosen = bench.chosen(millis(1), &bound);
     assert_eq!(chosen, names(&["in-e1", "in-e2", "in-n1"]));
     bound.homes = vec![Region::new("north"), Region::new("west")];
-    assert_eq!(bench.admits(millis(1), &bound), Err(Failure::OutsideHome));
+    assert_eq!(
+        bench.admits(millis(1), &bound),
+        Err(Failure::OutsideHomeRegion)
+    );
 }
 
 #[test]
