--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -103,28 +103,28 @@
         configuration: Version(1),
         ownership: Version(0),
     };
-    let mut knowledge = ProxyState::default();
-    knowledge.take(Duration::ZERO, &view);
+    let mut proxy_state = ProxyState::default();
+    proxy_state.take(Duration::ZERO, &view);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let mut done = 0;
     for number in 0..requests {
         let now = Duration::from_millis(number);
         let mut lifecycle = RequestLifecycle::received(true);
-        let found = knowledge.table.find("tallowgum.example", "/progress/7");
+        let found = proxy_state.table.find("tallowgum.example", "/progress/7");
         let (_, route) = found.expect("the route exists");
         lifecycle.matched(now, route);
-        knowledge
+        proxy_state
             .admits(now, &own, route)
             .expect("the proxy is fresh and its zone is open");
         lifecycle.admitted(true);
         shard.first_attempt(now);
         let target = shard
-            .choose(now, &knowledge, &own, route, None, &[])
+            .choose(now, &proxy_state, &own, route, None, &[])
             .expect("an instance has capacity");
         shard.begin(now, &target);
         lifecycle.chosen();
-        knowledge
+        proxy_state
             .check_before_send(now, &own, route, &target)
             .expect("nothing has changed");
         lifecycle.begin_attempt();
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -58,12 +58,12 @@
 }
 
 fn measure_changes(map: &ReplicatedMap) -> Duration {
-    let mut knowledge = ProxyState::default();
+    let mut proxy_state = ProxyState::default();
     let full_map = ConsensusMessage::Snapshot {
         map: MapName::Configuration,
         full_map: map.reduced(),
     };
-    knowledge.take(Duration::ZERO, &view(1, full_map));
+    proxy_state.take(Duration::ZERO, &view(1, full_map));
     let mut elapsed = Duration::ZERO;
     for number in 0..u64::from(REPEATS) {
         let version = Version(map.version.0 + 1 + number);
@@ -73,9 +73,9 @@
             changes: vec![NumberedChange { version, change }],
         };
         // Requests in flight hold the state from before the change.
-        let shared = knowledge.clone();
+        let shared = proxy_state.clone();
         let began = std::time::Instant::now();
-        knowledge.take(Duration::ZERO, &view(2 + number, updates));
+        proxy_state.take(Duration::ZERO, &view(2 + number, updates));
         elapsed += began.elapsed();
         drop(shared);
     }
--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -22,7 +22,7 @@
     pub fn choose(
         &mut self,
         now: Duration,
-        knowledge: &ProxyState,
+        proxy_state: &ProxyState,
         own_zone: &Zone,
         route: &Route,
         key: Option<&str>,
@@ -30,7 +30,7 @@
     ) -> Result<Target, Failure> {
         self.choose_in_service(
             now,
-            knowledge,
+            proxy_state,
             own_zone,
             route,
             &route.service,
@@ -44,19 +44,29 @@
     pub fn choose_in_service(
         &mut self,
         now: Duration,
-        knowledge: &ProxyState,
+        proxy_state: &ProxyState,
         own_zone: &Zone,
         route: &Route,
         service_name: &ServiceName,
         key: Option<&str>,
         excluded: &[InstanceId],
     ) -> Result<Target, Failure> {
-        let service = knowledge.service(service_name).ok_or(Failure::NoInstance)?;
+        let service = proxy_state
+            .service(service_name)
+            .ok_or(Failure::NoInstance)?;
         if service.keyed {
-            return self.choose_owner(now, knowledge, route, service_name, service, key, excluded);
+            return self.choose_owner(
+                now,
+                proxy_state,
+                route,
+                service_name,
+                service,
+                key,
+                excluded,
+            );
         }
-        let own_region = knowledge.regions.get(own_zone);
-        let heartbeats = knowledge
+        let own_region = proxy_state.regions.get(own_zone);
+        let heartbeats = proxy_state
             .by_service
             .get(service_name)
             .ok_or(Failure::NoInstance)?;
@@ -64,12 +74,12 @@
         let mut fallback_tiers: DistanceTiers<'_> = Default::default();
         for heartbeat in heartbeats {
             if heartbeat.state == InstanceState::Draining
-                || knowledge.closed.contains(&heartbeat.zone)
+                || proxy_state.closed.contains(&heartbeat.zone)
                 || excluded.contains(&heartbeat.id)
             {
                 continue;
             }
-            let region = knowledge.regions.get(&heartbeat.zone);
+            let region = proxy_state.regions.get(&heartbeat.zone);
             if !route.allows_region(region) {
                 continue;
             }
@@ -78,7 +88,7 @@
                 (false, true) => 1,
                 (false, false) => 2,
             };
-            match self.is_presumed_alive(now, heartbeat, knowledge) {
+            match self.is_presumed_alive(now, heartbeat, proxy_state) {
                 true => tiers[tier].push(heartbeat),
                 false => fallback_tiers[tier].push(heartbeat),
             }
@@ -90,18 +100,18 @@
         // better than waiting far away.
         for load_limits in [TIER_LOAD_LIMITS, [f64::MAX; 3]] {
             if let Some(heartbeat) =
-                self.pick_in_tiers(now, &tiers, service, knowledge, load_limits)
+                self.pick_in_tiers(now, &tiers, service, proxy_state, load_limits)
             {
                 return Ok(target_of(heartbeat, None, None));
             }
         }
-        if knowledge.most_lack_heartbeats(service_name) {
+        if proxy_state.most_lack_heartbeats(service_name) {
             for tier in &mut fallback_tiers {
                 tier.retain(|heartbeat| self.is_fallback_candidate(heartbeat));
             }
             let any_load = [f64::MAX; 3];
             if let Some(heartbeat) =
-                self.pick_in_tiers(now, &fallback_tiers, service, knowledge, any_load)
+                self.pick_in_tiers(now, &fallback_tiers, service, proxy_state, any_load)
             {
                 return Ok(target_of(heartbeat, None, None));
             }
@@ -115,13 +125,13 @@
         now: Duration,
         tiers: &DistanceTiers<'heartbeats>,
         service: &Service,
-        knowledge: &ProxyState,
+        proxy_state: &ProxyState,
         load_limits: [f64; 3],
     ) -> Option<&'heartbeats Heartbeat> {
         tiers
             .iter()
             .zip(load_limits)
-            .find_map(|(tier, load_limit)| self.pick(now, tier, service, knowledge, load_limit))
+            .find_map(|(tier, load_limit)| self.pick(now, tier, service, proxy_state, load_limit))
     }
 
     /// Ends all ejections when more than half of the eligible instances are ejected.
@@ -149,16 +159,16 @@
         now: Duration,
         tier: &[&'heartbeats Heartbeat],
         service: &Service,
-        knowledge: &ProxyState,
+        proxy_state: &ProxyState,
         load_limit: f64,
     ) -> Option<&'heartbeats Heartbeat> {
-        let proxies = knowledge.proxies;
+        let proxies = proxy_state.proxies;
         // Instances in slow start come first when their rate admits a request: that is seldom the
         // case, and an instance that is never chosen never warms up.
-        let is_warming_up = |heartbeat: &Heartbeat| knowledge.is_warming_up(heartbeat, service);
+        let is_warming_up = |heartbeat: &Heartbeat| proxy_state.is_warming_up(heartbeat, service);
         for heartbeat in tier.iter().filter(|heartbeat| is_warming_up(heartbeat)) {
             if self.has_capacity(now, heartbeat, service, proxies)
-                && self.slow_start_admits(now, heartbeat, service, knowledge)
+                && self.slow_start_admits(now, heartbeat, service, proxy_state)
             {
                 return Some(heartbeat);
             }
@@ -197,7 +207,7 @@
     fn choose_owner(
         &mut self,
         now: Duration,
-        knowledge: &ProxyState,
+        proxy_state: &ProxyState,
         route: &Route,
         service_name: &ServiceName,
         service: &Service,
@@ -206,40 +216,40 @@
     ) -> Result<Target, Failure> {
         let key = key.ok_or(Failure::MissingKey)?;
         let key_range = service.key_range_of(key).ok_or(Failure::BadKey)?;
-        let owner = knowledge
+        let owner = proxy_state
             .maps
             .map(MapName::Ownership)
             .key_ranges(service_name)
             .and_then(|table| table.owners.get(key_range as usize)?.as_ref())
             .ok_or(Failure::NoOwner)?;
-        let heartbeat = knowledge
+        let heartbeat = proxy_state
             .instances
             .get(&owner.instance)
             .filter(|heartbeat| heartbeat.incarnation == owner.incarnation)
-            .filter(|heartbeat| knowledge.owner_serves(now, heartbeat))
-            .filter(|heartbeat| !knowledge.closed.contains(&heartbeat.zone))
-            .filter(|heartbeat| route.allows_region(knowledge.regions.get(&heartbeat.zone)))
+            .filter(|heartbeat| proxy_state.owner_serves(now, heartbeat))
+            .filter(|heartbeat| !proxy_state.closed.contains(&heartbeat.zone))
+            .filter(|heartbeat| route.allows_region(proxy_state.regions.get(&heartbeat.zone)))
             // An owner that stated that it does not hold the key range will not hold it a moment
             // later, so another attempt would be wasted.
             .filter(|heartbeat| !excluded.contains(&heartbeat.id))
             .ok_or(Failure::NoOwner)?;
         let key = steady_hash(key);
         // The limit per key keeps one hot key from taking the whole capacity of its owner.
-        self.key_share = f64::from(service.key_cap) / f64::from(knowledge.proxies.max(1));
+        self.key_share = f64::from(service.key_cap) / f64::from(proxy_state.proxies.max(1));
         let max_in_flight = (self.key_share as u32).max(1);
         let is_hot = self
             .keys
             .get(&key)
             .is_some_and(|stats| stats.in_flight >= max_in_flight || now < stats.paused_until);
-        let may_serve = self.is_presumed_alive(now, heartbeat, knowledge)
-            || (knowledge.most_lack_heartbeats(service_name)
+        let may_serve = self.is_presumed_alive(now, heartbeat, proxy_state)
+            || (proxy_state.most_lack_heartbeats(service_name)
                 && self.is_fallback_candidate(heartbeat));
         if !may_serve {
             return Err(Failure::NoOwner);
         }
         if (is_hot && !self.ignore_key_cap)
-            || !self.has_capacity(now, heartbeat, service, knowledge.proxies)
-            || !self.slow_start_admits(now, heartbeat, service, knowledge)
+            || !self.has_capacity(now, heartbeat, service, proxy_state.proxies)
+            || !self.slow_start_admits(now, heartbeat, service, proxy_state)
         {
             return Err(Failure::NoInstance);
         }
--- a/crates/caperworks/src/dispatch/passive_health.rs
+++ b/crates/caperworks/src/dispatch/passive_health.rs
@@ -33,13 +33,13 @@
         &mut self,
         now: Duration,
         heartbeat: &Heartbeat,
-        knowledge: &ProxyState,
+        proxy_state: &ProxyState,
     ) -> bool {
         if self.ignore_response_evidence {
-            return !knowledge.silent.contains(&heartbeat.id);
+            return !proxy_state.silent.contains(&heartbeat.id);
         }
         // Looked up last, since nearly always no instance is without heartbeats.
-        !knowledge.silent.contains(&heartbeat.id) || {
+        !proxy_state.silent.contains(&heartbeat.id) || {
             let stats = self.stats_for(heartbeat);
             let has_responded = stats.answered_at.is_some_and(|answered_at| {
                 now.saturating_sub(answered_at) < RECENT_RESPONSE_WINDOW
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -141,11 +141,11 @@
         now: Duration,
         heartbeat: &Heartbeat,
         service: &Service,
-        knowledge: &ProxyState,
+        proxy_state: &ProxyState,
     ) -> bool {
         // The rate is that of the instance and is shared by all proxies.
-        let rate = service.slow_start_rate() / f64::from(knowledge.proxies.max(1));
-        let is_warming_up = knowledge.is_warming_up(heartbeat, service);
+        let rate = service.slow_start_rate() / f64::from(proxy_state.proxies.max(1));
+        let is_warming_up = proxy_state.is_warming_up(heartbeat, service);
         // Buckets start with a random level: if all started empty they would all be full at the
         // same time, and the proxies together would send in one second what the instance can take
         // in several.
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -154,7 +154,7 @@
 }
 
 /// The state of a proxy that knows these instances.
-fn knowledge(heartbeats: &[Heartbeat]) -> ProxyState {
+fn proxy_state(heartbeats: &[Heartbeat]) -> ProxyState {
     let mut configuration = ReplicatedMap::empty();
     let zones = [("e1", "east"), ("e2", "east"), ("w1", "west")];
     let mut puts: Vec<Put> = zones
@@ -183,7 +183,7 @@
         guards: Vec::new(),
     };
     configuration.apply(&change);
-    let mut knowledge = ProxyState::default();
+    let mut proxy_state = ProxyState::default();
     let view = ProxyView {
         agent: NodeId(1),
         instances_offset: 1,
@@ -201,8 +201,8 @@
         configuration: Version(1),
         ownership: Version(0),
     };
-    knowledge.take(Duration::ZERO, &view);
-    knowledge
+    proxy_state.take(Duration::ZERO, &view);
+    proxy_state
 }
 
 fn heartbeat(name: &str, zone: &str, up: u64) -> Heartbeat {
@@ -225,7 +225,7 @@
 
 #[test]
 fn twelve_proxies_together_keep_the_slow_start_rate() {
-    let known = knowledge(&[heartbeat("cold", "e1", 0), heartbeat("warm", "e2", 60_000)]);
+    let known = proxy_state(&[heartbeat("cold", "e1", 0), heartbeat("warm", "e2", 60_000)]);
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
     let mut sent = 0;
@@ -250,7 +250,7 @@
     let near = heartbeat("near", "e1", 60_000);
     let same_region = heartbeat("region", "e2", 60_000);
     let far = heartbeat("far", "w1", 60_000);
-    let mut known = knowledge(&[near, same_region, far]);
+    let mut known = proxy_state(&[near, same_region, far]);
     known.proxies = 1;
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
@@ -281,7 +281,7 @@
     let heartbeats: Vec<Heartbeat> = (0..4)
         .map(|number| heartbeat(&format!("i{number}"), "e1", 60_000))
         .collect();
-    let known = knowledge(&heartbeats);
+    let known = proxy_state(&heartbeats);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     for step in 0..200 {
@@ -295,7 +295,7 @@
 
 #[test]
 fn check_before_sending_detects_changes_since_the_choice() {
-    let known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+    let known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
@@ -309,19 +309,19 @@
     assert_eq!(late, Err(Failure::Stale));
     let mut draining = heartbeat("one", "e1", 60_000);
     draining.state = InstanceState::Draining;
-    let known = knowledge(&[draining]);
+    let known = proxy_state(&[draining]);
     assert_eq!(
         known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
     );
     let mut restarted = heartbeat("one", "e1", 60_000);
     restarted.incarnation = Incarnation(2);
-    let known = knowledge(&[restarted]);
+    let known = proxy_state(&[restarted]);
     assert_eq!(
         known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
     );
-    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     known.closed.insert(own.clone());
     assert_eq!(
         known.check_before_send(millis(1), &own, &route(), &target),
@@ -330,8 +330,8 @@
 }
 
 /// The state of a proxy that knows a keyed service with one key range and one owner.
-fn keyed_knowledge() -> ProxyState {
-    let mut known = knowledge(&[heartbeat("owner", "e1", 60_000)]);
+fn keyed_proxy_state() -> ProxyState {
+    let mut known = proxy_state(&[heartbeat("owner", "e1", 60_000)]);
     let mut keyed = service();
     keyed.keyed = true;
     keyed.key_ranges = 1;
@@ -383,7 +383,7 @@
 
 #[test]
 fn hot_key_leaves_owner_capacity_for_other_keys() {
-    let mut known = keyed_knowledge();
+    let mut known = keyed_proxy_state();
     known.proxies = 1;
     let mut shard = ServiceShard::new(1);
     let own = Zone::new("e1");
@@ -405,7 +405,7 @@
 
 #[test]
 fn twelve_proxies_together_stay_near_the_key_cap() {
-    let known = keyed_knowledge();
+    let known = keyed_proxy_state();
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
     let mut in_flight: Vec<Option<(u64, Target)>> = vec![None; 12];
@@ -431,7 +431,7 @@
 
 #[test]
 fn ended_incarnation_gets_no_more_requests() {
-    let known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+    let known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
@@ -446,7 +446,7 @@
 
 #[test]
 fn overtaken_agent_response_is_ignored() {
-    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     let view = |number: u64, state: InstanceState| ProxyView {
         agent: NodeId(1),
         instances_offset: 1,
@@ -471,8 +471,8 @@
 }
 
 /// The state of a proxy that knows one owner of all keys, which serves at first.
-fn knowledge_with_owner(policy: ProxyPolicy) -> ProxyState {
-    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+fn proxy_state_with_owner(policy: ProxyPolicy) -> ProxyState {
+    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     known.policy = policy;
     let maps = [
         (
@@ -576,7 +576,7 @@
         ),
         (0, ProxyPolicy::default()),
     ] {
-        let mut known = knowledge_with_owner(policy);
+        let mut known = proxy_state_with_owner(policy);
         let own = Zone::new("e1");
         let target = ServiceShard::new(1)
             .choose(millis(60), &known, &own, &route(), Some("k"), &[])
@@ -624,7 +624,7 @@
 
 #[test]
 fn draining_instance_of_an_unkeyed_service_gets_nothing() {
-    let mut known = knowledge(&[heartbeat("one", "e1", 60_000)]);
+    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     known.policy.draining_owner = millis(4000);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -186,9 +186,9 @@
 #[test]
 fn all_of_thousands_of_routes_are_found_and_later_ones_too() {
     let mut map = map_of(6_000);
-    let mut knowledge = ProxyState::default();
+    let mut proxy_state = ProxyState::default();
     let first = view(1, 1, map.version, vec![full_map(&map)]);
-    knowledge.take(Duration::ZERO, &first);
+    proxy_state.take(Duration::ZERO, &first);
     for number in 6_000..6_050 {
         let path = format!("/route-{number}/");
         let added = change(number, vec![put(number, 1, Some(("h9.example", &path)))]);
@@ -200,8 +200,8 @@
                 change: added.reduced(),
             }],
         };
-        knowledge.take(Duration::ZERO, &view(number, 1, map.version, vec![updates]));
-        let route = knowledge.find(Duration::ZERO, "h9.example", &format!("{path}1"));
+        proxy_state.take(Duration::ZERO, &view(number, 1, map.version, vec![updates]));
+        let route = proxy_state.find(Duration::ZERO, "h9.example", &format!("{path}1"));
         assert_eq!(
             route.expect("the route is found").0.as_str(),
             format!("route-{number}")
@@ -209,7 +209,7 @@
     }
     for number in 0..6_000 {
         let host = format!("h{}.example", number % 7);
-        let route = knowledge.find(Duration::ZERO, &host, &format!("/route-{number}/1"));
+        let route = proxy_state.find(Duration::ZERO, &host, &format!("/route-{number}/1"));
         assert!(route.is_ok(), "{number}");
     }
 }
@@ -222,50 +222,50 @@
         2,
         vec![put(0, 2, None), put(3, 2, Some(("h0.example", "/new/")))],
     ));
-    let mut knowledge = ProxyState::default();
-    knowledge.take(
+    let mut proxy_state = ProxyState::default();
+    proxy_state.take(
         Duration::ZERO,
         &view(1, 1, newer.version, vec![full_map(&newer)]),
     );
-    knowledge.take(
+    proxy_state.take(
         Duration::ZERO,
         &view(2, 2, older.version, vec![full_map(&older)]),
     );
     assert_eq!(
-        knowledge.maps.map(MapName::Configuration).version,
+        proxy_state.maps.map(MapName::Configuration).version,
         newer.version
     );
     assert_eq!(
-        found(&knowledge.table, "h0.example", "/new/1"),
+        found(&proxy_state.table, "h0.example", "/new/1"),
         Some("route-3".to_string())
     );
-    assert_eq!(found(&knowledge.table, "h0.example", "/route-0/1"), None);
+    assert_eq!(found(&proxy_state.table, "h0.example", "/route-0/1"), None);
 }
 
 #[test]
 fn response_without_the_configuration_it_names_does_not_make_the_proxy_fresh() {
     let map = map_of(3);
-    let mut knowledge = ProxyState::default();
-    knowledge.take(
+    let mut proxy_state = ProxyState::default();
+    proxy_state.take(
         Duration::ZERO,
         &view(1, 1, map.version.next(), vec![full_map(&map)]),
     );
-    assert!(!knowledge.is_usable(Duration::ZERO));
-    let route = knowledge.find(Duration::ZERO, "h0.example", "/added-since/1");
+    assert!(!proxy_state.is_usable(Duration::ZERO));
+    let route = proxy_state.find(Duration::ZERO, "h0.example", "/added-since/1");
     assert_eq!(
         route.err(),
         Some(Failure::Stale),
         "the route may have been added since"
     );
-    knowledge.take(Duration::ZERO, &view(2, 1, map.version, Vec::new()));
-    assert!(knowledge.is_usable(Duration::ZERO));
+    proxy_state.take(Duration::ZERO, &view(2, 1, map.version, Vec::new()));
+    assert!(proxy_state.is_usable(Duration::ZERO));
 }
 
 #[test]
 fn changes_behind_a_gap_are_not_applied() {
     let mut map = map_of(3);
-    let mut knowledge = ProxyState::default();
-    knowledge.take(
+    let mut proxy_state = ProxyState::default();
+    proxy_state.take(
         Duration::ZERO,
         &view(1, 1, map.version, vec![full_map(&map)]),
     );
@@ -285,14 +285,14 @@
             .collect(),
     };
     let with_gap = updates(vec![(map.version, &added)]);
-    knowledge.take(Duration::ZERO, &view(2, 1, map.version, vec![with_gap]));
-    assert_eq!(knowledge.maps.map(MapName::Configuration).version, held);
-    assert_eq!(found(&knowledge.table, "h0.example", "/new/1"), None);
+    proxy_state.take(Duration::ZERO, &view(2, 1, map.version, vec![with_gap]));
+    assert_eq!(proxy_state.maps.map(MapName::Configuration).version, held);
+    assert_eq!(found(&proxy_state.table, "h0.example", "/new/1"), None);
     let all = updates(vec![(held.next(), &lost), (map.version, &added)]);
-    knowledge.take(Duration::ZERO, &view(3, 1, map.version, vec![all]));
-    let named = found(&knowledge.table, "h0.example", "/new/1");
+    proxy_state.take(Duration::ZERO, &view(3, 1, map.version, vec![all]));
+    let named = found(&proxy_state.table, "h0.example", "/new/1");
     assert_eq!(named, Some("route-3".to_string()));
-    assert_eq!(found(&knowledge.table, "h0.example", "/route-0/1"), None);
+    assert_eq!(found(&proxy_state.table, "h0.example", "/route-0/1"), None);
 }
 
 /// A map in the encoding of the time when its items were a plain map.
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -86,7 +86,7 @@
         // the instance was chosen.
         let now = self.clock.now();
         let checked =
-            self.knowledge()
+            self.proxy_state()
                 .check_before_send(now, &self.zone, upstream_request.route, &target);
         if let Err(failure) = checked {
             self.connections.release(key, connection);
@@ -137,7 +137,7 @@
             None => took >= SLOW_CONNECT,
         };
         if is_relevant && locked(&self.recent_connects).record(now, took) {
-            self.knowledge().link_monitor.record_congestion(now);
+            self.proxy_state().link_monitor.record_congestion(now);
         }
     }
 
@@ -145,7 +145,7 @@
     fn connect_failed(&self, mut guard: AttemptGuard) -> AttemptResponse {
         let now = self.clock.now();
         let target = &guard.target;
-        if let Some(heartbeat) = self.knowledge().instances.get(&target.instance) {
+        if let Some(heartbeat) = self.proxy_state().instances.get(&target.instance) {
             let shard = self.shard(&target.service);
             locked(&shard).not_opened(now, target, heartbeat.counter);
         }
@@ -245,7 +245,7 @@
                 return Err(Failure::DeadlineBeforeSending);
             }
             proxy
-                .knowledge()
+                .proxy_state()
                 .check_before_send(now, &proxy.zone, &route, &target)
         })
     }
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -48,11 +48,11 @@
                 continue;
             }
             number += 1;
-            let knowledge = request_handler.knowledge();
+            let proxy_state = request_handler.proxy_state();
             let pull = Pull {
                 number,
-                configuration: knowledge.maps.map(MapName::Configuration).version,
-                ownership: knowledge.maps.map(MapName::Ownership).version,
+                configuration: proxy_state.maps.map(MapName::Configuration).version,
+                ownership: proxy_state.maps.map(MapName::Ownership).version,
                 serving: request_handler.serving,
                 // Not the readiness itself: a stale proxy must be able to become fresh again, and
                 // the controllers judge staleness by the lease.
@@ -61,8 +61,8 @@
                 demand: request_handler.demand(),
                 incarnation,
                 usage: request_handler.usage.lines(),
-                agent: knowledge.agent,
-                instances_offset: knowledge.instances_offset,
+                agent: proxy_state.agent,
+                instances_offset: proxy_state.instances_offset,
             };
             locked(&poll_tracker).record_sent(request_handler.clock.now(), number);
             port.send(agent, Message::Pull { pull });
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -72,7 +72,7 @@
     pub injected_bug: InjectedBug,
     requests: AtomicU64,
     seed: u64,
-    knowledge: RwLock<Arc<ProxyState>>,
+    proxy_state: RwLock<Arc<ProxyState>>,
     shards: RwLock<HashMap<ServiceName, Arc<Mutex<ServiceShard>>>>,
     meter: DemandMeter,
 }
@@ -83,7 +83,7 @@
         node_settings: &NodeSettings,
         protocol_adapter: ProtocolAdapter,
     ) -> Self {
-        let knowledge = ProxyState {
+        let proxy_state = ProxyState {
             policy: node_settings.terms.proxy,
             ..ProxyState::default()
         };
@@ -103,14 +103,14 @@
             injected_bug: InjectedBug::Off,
             requests: AtomicU64::new(0),
             seed: fresh_seed(),
-            knowledge: RwLock::new(Arc::new(knowledge)),
+            proxy_state: RwLock::new(Arc::new(proxy_state)),
             shards: RwLock::default(),
             meter: DemandMeter::default(),
         }
     }
 
-    pub fn knowledge(&self) -> Arc<ProxyState> {
-        self.knowledge
+    pub fn proxy_state(&self) -> Arc<ProxyState> {
+        self.proxy_state
             .read()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
             .clone()
@@ -139,7 +139,7 @@
     /// Applies an update from the agent, and closes connections to instance incarnations that have
     /// ended.
     pub fn apply_view(&self, asked_at: Duration, view: &ProxyView) {
-        let mut next = (*self.knowledge()).clone();
+        let mut next = (*self.proxy_state()).clone();
         next.take(asked_at, view);
         self.connections.retain_current(&next.instances);
         let shards = self
@@ -151,16 +151,16 @@
         }
         drop(shards);
         *self
-            .knowledge
+            .proxy_state
             .write()
             .unwrap_or_else(std::sync::PoisonError::into_inner) = Arc::new(next);
     }
 
     pub fn is_ready(&self) -> bool {
-        let knowledge = self.knowledge();
+        let proxy_state = self.proxy_state();
         !self.stopping.load(Ordering::SeqCst)
-            && knowledge.is_usable(self.clock.now())
-            && (knowledge.policy.closed_zone_carries || !knowledge.closed.contains(&self.zone))
+            && proxy_state.is_usable(self.clock.now())
+            && (proxy_state.policy.closed_zone_carries || !proxy_state.closed.contains(&self.zone))
     }
 
     /// Returns the recently measured demand: requests per second by client group and route, and the
@@ -235,10 +235,10 @@
         }
         let (head, body) = request.into_parts();
         let host = validated_host(&head)?;
-        let knowledge = self.knowledge();
+        let proxy_state = self.proxy_state();
         let now = self.clock.now();
         let path = head.uri.path();
-        let (name, route) = knowledge.find(now, &host, path)?;
+        let (name, route) = proxy_state.find(now, &host, path)?;
         lifecycle.matched(now, &route);
         if self.protocol_adapter.clients_send_deadline {
             let reported = header_text(&head.headers, self.protocol_adapter.deadline.as_str());
@@ -250,10 +250,10 @@
         let usage_key = UsageKey::of(&name, &service);
         *usage_key_slot = Some(usage_key.clone());
         self.meter.record_request(now, &peer, &name);
-        knowledge.admits(now, &self.zone, &route)?;
+        proxy_state.admits(now, &self.zone, &route)?;
         // Keys apply to keyed services only: a route can split its requests between keyed services
         // and others.
-        let keyed = knowledge
+        let keyed = proxy_state
             .service(&service)
             .is_some_and(|service| service.keyed);
         let key = match route.key_header.as_ref().filter(|_| keyed) {
@@ -272,7 +272,7 @@
             .buffer_body(body, &route, &limit_exceeded, lifecycle, &usage_key)
             .await?;
         lifecycle.admitted(body.is_complete());
-        drop(knowledge);
+        drop(proxy_state);
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let client_request_id =
             header_text(&head.headers, self.protocol_adapter.request_id.as_str());
@@ -289,13 +289,13 @@
             if now >= lifecycle.deadline() {
                 return Err(Failure::DeadlineBeforeSending);
             }
-            let knowledge = self.knowledge();
-            knowledge.admits(now, &self.zone, &route)?;
+            let proxy_state = self.proxy_state();
+            proxy_state.admits(now, &self.zone, &route)?;
             let target = {
                 let mut shard = locked(&shard);
                 let target = shard.choose_in_service(
                     now,
-                    &knowledge,
+                    &proxy_state,
                     &self.zone,
                     &route,
                     &service,
