--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -31,8 +31,11 @@
     NotOpened,
     /// The instance stated that it ran nothing.
     RejectedByInstance,
+    /// The connection broke after bytes were sent.
     Lost,
+    /// The deadline passed after bytes were sent.
     DeadlineExceeded,
+    /// The response was malformed or belonged to another request.
     MalformedResponse,
     Answered,
 }
@@ -117,6 +120,8 @@
         self.deadline = self.deadline.min(client_deadline);
     }
 
+    /// Records that the proxy admitted the request; `replayable` tells whether the body can be sent
+    /// again.
     pub fn admitted(&mut self, replayable: bool) {
         self.state = RequestState::Admitted;
         self.replayable = replayable;
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -59,6 +59,7 @@
 pub struct InFlightGuard(pub Arc<RequestHandler>);
 
 impl InFlightGuard {
+    /// Counts a request as in flight.
     pub fn begin(proxy: &Arc<RequestHandler>) -> Self {
         proxy.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(proxy.clone())
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -109,6 +109,7 @@
         }
     }
 
+    /// Returns the current state received from the agent.
     pub fn proxy_state(&self) -> Arc<ProxyState> {
         self.proxy_state
             .read()
@@ -116,6 +117,7 @@
             .clone()
     }
 
+    /// Returns the shard of a service, and creates it on first use.
     pub fn shard(&self, service: &ServiceName) -> Arc<Mutex<ServiceShard>> {
         let shards = self
             .shards
@@ -156,6 +158,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner) = Arc::new(next);
     }
 
+    /// Returns whether new clients may be sent to this proxy.
     pub fn is_ready(&self) -> bool {
         let proxy_state = self.proxy_state();
         !self.stopping.load(Ordering::SeqCst)
