--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -1,12 +1,13 @@
-//! An order's way: matched, admitted, an instance chosen, attempt at, and answered.
+//! Handles requests: matches and admits them, chooses an instance, makes an attempt, and forwards
+//! the response.
 //!
-//! Given a number it takes that many orders, for counting instructions per order.
+//! Takes the number of requests as an argument, for counting instructions per request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::dispatch::{AttemptEnd, NextStep, ProxyKnowledge, RequestChart, ServiceShard};
+use caperworks::dispatch::{AttemptEnd, NextStep, ProxyState, RequestLifecycle, ServiceShard};
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
@@ -102,34 +103,36 @@
         configuration: Version(1),
         ownership: Version(0),
     };
-    let mut knowledge = ProxyKnowledge::default();
-    knowledge.take(Duration::ZERO, &view);
+    let mut proxy_state = ProxyState::default();
+    proxy_state.take(Duration::ZERO, &view);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let mut done = 0;
     for number in 0..requests {
         let now = Duration::from_millis(number);
-        let mut chart = RequestChart::received(true);
-        let found = knowledge.table.find("tallowgum.example", "/progress/7");
-        let (_, route) = found.expect("the rule");
-        chart.matched(now, route);
-        knowledge.admits(now, &own, route).expect("fresh and open");
-        chart.admitted(true);
+        let mut lifecycle = RequestLifecycle::received(true);
+        let found = proxy_state.table.find("tallowgum.example", "/progress/7");
+        let (_, route) = found.expect("the route exists");
+        lifecycle.matched(now, route);
+        proxy_state
+            .admits(now, &own, route)
+            .expect("the proxy is fresh and its zone is open");
+        lifecycle.admitted(true);
         shard.first_attempt(now);
         let target = shard
-            .choose(now, &knowledge, &own, route, None, &[])
-            .expect("an instance");
+            .choose(now, &proxy_state, &own, route, None, &[])
+            .expect("an instance has capacity");
         shard.begin(now, &target);
-        chart.chosen();
-        knowledge
-            .still_good(now, &own, route, &target)
+        lifecycle.chosen();
+        proxy_state
+            .check_before_send(now, &own, route, &target)
             .expect("nothing has changed");
-        chart.shooting();
-        chart.sent();
+        lifecycle.begin_attempt();
+        lifecycle.sent();
         shard.end(now, &target, true, Some(0));
-        let step = chart.attempt_ended(now, AttemptEnd::Answered, || false);
-        done += u64::from(step == NextStep::PassOn);
+        let step = lifecycle.attempt_ended(now, AttemptEnd::Answered, || false);
+        done += u64::from(step == NextStep::ForwardResponse);
     }
-    println!("{done} orders passed on");
+    println!("{done} responses forwarded");
     assert_eq!(done, requests);
 }
--- a/crates/caperworks/src/dispatch/failure.rs
+++ b/crates/caperworks/src/dispatch/failure.rs
@@ -1,30 +1,30 @@
-//! Why a request was refused or lost, and what its client is told.
+//! The reasons why a request is rejected or lost, and what its client is told.
 
 use std::time::Duration;
 
-/// Why a request was refused or lost; the answer's status follows from it.
+/// The reason why a request was rejected or lost; it determines the response status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     NoRoute,
     Stale,
     ZoneClosed,
-    OutsideHome,
+    OutsideHomeRegion,
     NoInstance,
     NoOwner,
     BodyTooLarge,
     BadFraming,
     MissingKey,
     BadKey,
-    LateBeforeSending,
+    DeadlineBeforeSending,
     NotOpened,
-    InstanceRefused,
+    InstanceRejected,
     Draining,
     LostAfterSending,
-    LateAfterSending,
-    Garbage,
+    DeadlineAfterSending,
+    MalformedResponse,
 }
 
-/// What the client is told of whether the request ran.
+/// What the client is told about whether the request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedOutcome {
     NotRun,
@@ -32,27 +32,29 @@
 }
 
 impl Failure {
+    /// Returns the outcome that the failure alone implies.
     pub fn reported_outcome(self) -> ReportedOutcome {
         match self {
-            Failure::LostAfterSending | Failure::LateAfterSending | Failure::Garbage => {
-                ReportedOutcome::Unknown
-            }
+            Failure::LostAfterSending
+            | Failure::DeadlineAfterSending
+            | Failure::MalformedResponse => ReportedOutcome::Unknown,
             _ => ReportedOutcome::NotRun,
         }
     }
 
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Failure::NoRoute => 404,
             Failure::BodyTooLarge => 413,
             Failure::BadFraming | Failure::MissingKey | Failure::BadKey => 400,
-            Failure::LateAfterSending => 504,
-            Failure::LostAfterSending | Failure::Garbage => 502,
+            Failure::DeadlineAfterSending => 504,
+            Failure::LostAfterSending | Failure::MalformedResponse => 502,
             _ => 503,
         }
     }
 
-    /// When to come back, for those that may be tried again with hope.
+    /// Returns the retry delay for failures that may be temporary.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Failure::NoRoute
@@ -67,25 +69,26 @@
         }
     }
 
+    /// Returns the reason in the body of the response.
     pub fn word(self) -> &'static str {
         match self {
             Failure::NoRoute => "no rule matches",
             Failure::Stale => "this proxy has lost touch with the core",
             Failure::ZoneClosed => "this zone is closed",
-            Failure::OutsideHome => "the rule is bound to another region",
+            Failure::OutsideHomeRegion => "the rule is bound to another region",
             Failure::NoInstance => "no instance is free",
             Failure::NoOwner => "no instance owns the key just now",
             Failure::BodyTooLarge => "the body is over the rule's limit",
             Failure::BadFraming => "the framing is malformed or ambiguous",
             Failure::MissingKey => "the header with the key is missing",
             Failure::BadKey => "the key is none of this service's",
-            Failure::LateBeforeSending => "the deadline passed before anything was sent",
+            Failure::DeadlineBeforeSending => "the deadline passed before anything was sent",
             Failure::NotOpened => "no connection to an instance could be opened",
-            Failure::InstanceRefused => "the instance refused and ran nothing",
+            Failure::InstanceRejected => "the instance refused and ran nothing",
             Failure::Draining => "this proxy is about to stop",
             Failure::LostAfterSending => "the connection was lost after sending",
-            Failure::LateAfterSending => "the deadline passed after sending",
-            Failure::Garbage => "the instance's answer was malformed",
+            Failure::DeadlineAfterSending => "the deadline passed after sending",
+            Failure::MalformedResponse => "the instance's answer was malformed",
         }
     }
 }
--- a/crates/caperworks/src/placement/problem.rs
+++ b/crates/caperworks/src/placement/problem.rs
@@ -113,7 +113,7 @@
 
     /// Returns whether proxies of a zone may accept requests on a route.
     fn may_use(&self, route: &Route, zone: &Zone) -> bool {
-        self.view.forwards_to_home || route.is_at_home(self.regions.get(zone))
+        self.view.forwards_to_home || route.allows_region(self.regions.get(zone))
     }
 
     /// Returns the routes that are placed, with their groups; only the first one of each host if
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::dispatch::ProxyKnowledge;
+use caperworks::dispatch::ProxyState;
 use caperworks::facts::{
     Heartbeat, InstanceState, Member, ReceivedHeartbeat, ReceivedMember, Role,
 };
@@ -319,7 +319,7 @@
 
 /// Returns the names and counters of the instances that a proxy knows; checks that both of its indexes
 /// agree.
-fn known(knowledge: &ProxyKnowledge) -> Vec<(String, u64)> {
+fn known(knowledge: &ProxyState) -> Vec<(String, u64)> {
     let pair = |heartbeat: &Heartbeat| (heartbeat.id.to_string(), heartbeat.counter);
     let by_name: Vec<(String, u64)> = knowledge.instances.values().map(pair).collect();
     let by_service = knowledge.by_service.values().flatten().map(pair);
@@ -331,7 +331,7 @@
 
 #[test]
 fn partial_proxy_view_keeps_unchanged_instances() {
-    let mut knowledge = ProxyKnowledge::default();
+    let mut knowledge = ProxyState::default();
     let named = |pairs: &[(&str, u64)]| -> Vec<(String, u64)> {
         let pairs = pairs.iter();
         pairs
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -7,8 +7,8 @@
 
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, Openings, ProxyKnowledge, ReportedOutcome, RequestChart,
-    RequestState, ServiceShard, SLOW_OPENING,
+    AttemptEnd, Failure, NextStep, ProxyState, RecentConnects, ReportedOutcome, RequestLifecycle,
+    RequestState, ServiceShard, SLOW_CONNECT,
 };
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
@@ -94,7 +94,7 @@
 /// A proxy in zone e1 and the state that its agent sends: e1 and e2 are in the east, w1 in the west, n1 in
 /// the north.
 struct Bench {
-    known: ProxyKnowledge,
+    known: ProxyState,
     /// How long the agent attributes missing responses of the controllers to a slow link.
     link_slow_for: Duration,
     configuration: ReplicatedMap,
@@ -118,9 +118,9 @@
         puts.push(put("rule/any", Value::Route { route: route() }));
         let mut configuration = ReplicatedMap::empty();
         configuration.apply(&change("first", puts));
-        let known = ProxyKnowledge {
+        let known = ProxyState {
             policy,
-            ..ProxyKnowledge::default()
+            ..ProxyState::default()
         };
         Self {
             known,
@@ -170,7 +170,7 @@
         let own = Zone::new("e1");
         for _ in 0..300 {
             if let Ok(target) = shard.choose(now, &self.known, &own, route, None, &[]) {
-                let checked = self.known.still_good(now, &own, route, &target);
+                let checked = self.known.check_before_send(now, &own, route, &target);
                 assert_eq!(checked, Ok(()));
                 // The request is not ended: instances at their limit leave the choice to all others.
                 shard.begin(now, &target);
@@ -246,7 +246,7 @@
         ..ProxyPolicy::default()
     });
     bench.send_view(Duration::ZERO, &one_in_each_zone());
-    bench.known.link_watch.record_full(millis(2000));
+    bench.known.link_monitor.record_congestion(millis(2000));
     // A valid lease takes precedence, and later views do not clear what the proxy itself has observed.
     assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
     assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
@@ -259,8 +259,8 @@
 
 #[test]
 fn majority_of_slow_connects_marks_the_link_as_full() {
-    let (slow, fast) = (SLOW_OPENING, millis(110));
-    let mut connects = Openings::default();
+    let (slow, fast) = (SLOW_CONNECT, millis(110));
+    let mut connects = RecentConnects::default();
     assert!(!connects.record(millis(100), slow), "one may be down");
     assert!(!connects.record(millis(200), slow), "two are too few");
     assert!(connects.record(millis(300), slow));
@@ -281,12 +281,12 @@
 
 #[test]
 fn serve_stale_proxy_without_any_state_rejects_as_stale() {
-    let known = ProxyKnowledge {
+    let known = ProxyState {
         policy: ProxyPolicy {
             serves_stale: true,
             ..ProxyPolicy::default()
         },
-        ..ProxyKnowledge::default()
+        ..ProxyState::default()
     };
     let admitted = known.admits(millis(10), &Zone::new("e1"), &route());
     assert_eq!(admitted, Err(Failure::Stale));
@@ -334,7 +334,9 @@
         .expect("it has capacity");
     bench.apply(vec![zone_put("e1", "east", true)]);
     bench.send_view(millis(100), &[heartbeat("in-e1", "e1")]);
-    let checked = bench.known.still_good(millis(101), &own, &route(), &target);
+    let checked = bench
+        .known
+        .check_before_send(millis(101), &own, &route(), &target);
     assert_eq!(checked, Err(Failure::NoInstance));
 }
 
@@ -362,7 +364,10 @@
                 "no other region"
             );
         } else {
-            assert_eq!(bench.admits(millis(1), &bound), Err(Failure::OutsideHome));
+            assert_eq!(
+                bench.admits(millis(1), &bound),
+                Err(Failure::OutsideHomeRegion)
+            );
         }
     }
 }
@@ -377,7 +382,10 @@
     let chosen = bench.chosen(millis(1), &bound);
     assert_eq!(chosen, names(&["in-e1", "in-e2", "in-n1"]));
     bound.homes = vec![Region::new("north"), Region::new("west")];
-    assert_eq!(bench.admits(millis(1), &bound), Err(Failure::OutsideHome));
+    assert_eq!(
+        bench.admits(millis(1), &bound),
+        Err(Failure::OutsideHomeRegion)
+    );
 }
 
 #[test]
@@ -422,8 +430,8 @@
 }
 
 /// Returns a request of this kind whose first attempt was sent.
-fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestChart {
-    let mut chart = RequestChart::received(reads);
+fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestLifecycle {
+    let mut chart = RequestLifecycle::received(reads);
     let route = Route {
         kind,
         most_attempts,
@@ -432,7 +440,7 @@
     chart.matched(millis(0), &route);
     chart.admitted(true);
     chart.chosen();
-    chart.shooting();
+    chart.begin_attempt();
     chart.sent();
     chart
 }
@@ -449,10 +457,10 @@
         (RequestKind::Upload, true, false),
         (RequestKind::Upload, false, false),
     ] {
-        for end in [AttemptEnd::Lost, AttemptEnd::Garbage] {
+        for end in [AttemptEnd::Lost, AttemptEnd::MalformedResponse] {
             let mut chart = sent(kind, reads, 0);
             let step = chart.attempt_ended(millis(10), end, || true);
-            let has_retry = step == NextStep::ShootAgain;
+            let has_retry = step == NextStep::Retry;
             assert_eq!(has_retry, is_retried, "{kind:?} reads {reads} {end:?}");
             if let NextStep::Respond(failure) = step {
                 assert_eq!(
@@ -464,18 +472,18 @@
         }
         // A request that certainly did not run is retried elsewhere, whatever its kind.
         let mut chart = sent(kind, reads, 0);
-        let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
-        assert_eq!(step, NextStep::ShootAgain, "{kind:?} reads {reads}");
+        let step = chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
+        assert_eq!(step, NextStep::Retry, "{kind:?} reads {reads}");
     }
 }
 
 #[test]
 fn once_request_lost_after_a_rejected_attempt_is_unknown() {
     let mut chart = sent(RequestKind::Once, true, 0);
-    let step = chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true);
-    assert_eq!(step, NextStep::ShootAgain);
+    let step = chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
+    assert_eq!(step, NextStep::Retry);
     chart.chosen();
-    chart.shooting();
+    chart.begin_attempt();
     let step = chart.attempt_ended(millis(20), AttemptEnd::Lost, || true);
     assert_eq!(step, NextStep::Respond(Failure::LostAfterSending));
     assert_eq!(
@@ -489,11 +497,11 @@
     for (limit, expected) in [(1, 1), (2, 2), (5, 5), (0, 3)] {
         let mut chart = sent(RequestKind::Repeatable, true, limit);
         let mut attempts = 1;
-        while chart.attempt_ended(millis(10), AttemptEnd::RefusedByInstance, || true)
-            == NextStep::ShootAgain
+        while chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true)
+            == NextStep::Retry
         {
             chart.chosen();
-            chart.shooting();
+            chart.begin_attempt();
             attempts += 1;
         }
         assert_eq!(attempts, expected, "limit {limit}");
@@ -505,21 +513,21 @@
 #[test]
 fn no_retry_after_the_client_deadline() {
     let mut chart = sent(RequestKind::Repeatable, true, 0);
-    chart.caller_waits(millis(300));
+    chart.limit_deadline(millis(300));
     assert_eq!(chart.deadline(), millis(300));
-    chart.caller_waits(millis(5000));
+    chart.limit_deadline(millis(5000));
     assert_eq!(
         chart.deadline(),
         millis(300),
         "a longer deadline has no effect"
     );
     let step = chart.attempt_ended(millis(299), AttemptEnd::NotOpened, || true);
-    assert_eq!(step, NextStep::ShootAgain);
-    chart.shooting();
+    assert_eq!(step, NextStep::Retry);
+    chart.begin_attempt();
     let step = chart.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
     let mut other = sent(RequestKind::Repeatable, true, 0);
-    other.caller_waits(millis(5000));
+    other.limit_deadline(millis(5000));
     assert_eq!(other.deadline(), millis(1000), "the route's own deadline");
 }
 
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::dispatch::{Failure, ProxyKnowledge, ServiceShard, Target, RESPONSE_SPAN};
+use caperworks::dispatch::{Failure, ProxyState, ServiceShard, Target, RECENT_RESPONSE_WINDOW};
 use caperworks::facts::{Heartbeat, InstanceState, ReceivedHeartbeat};
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
@@ -83,7 +83,7 @@
 
 /// One proxy with what it knows of some instances.
 struct Proxy {
-    knowledge: ProxyKnowledge,
+    knowledge: ProxyState,
     shard: ServiceShard,
     views: u64,
 }
@@ -91,7 +91,7 @@
 impl Proxy {
     fn new(names: &[&str]) -> Self {
         let mut proxy = Self {
-            knowledge: ProxyKnowledge::default(),
+            knowledge: ProxyState::default(),
             shard: ServiceShard::new(1),
             views: 0,
         };
@@ -177,7 +177,7 @@
     let mut proxy = Proxy::new(&["a", "b", "c"]);
     proxy.sends_to(millis(1000), "a", true);
     proxy.is_notified(&["a"], &["a"], false);
-    let late = millis(1000) + RESPONSE_SPAN;
+    let late = millis(1000) + RECENT_RESPONSE_WINDOW;
     assert_eq!(proxy.chosen(late), names(&["b", "c"]));
 }
 
@@ -231,7 +231,7 @@
 #[test]
 fn given_proxies_that_believe_silence_alone_when_most_are_silent_then_nothing_is_served() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.shard.without_passive_evidence = true;
+    proxy.shard.ignore_response_evidence = true;
     proxy.sends_to(millis(1000), "a", true);
     proxy.is_notified(&["a", "b", "c"], &["a", "b", "c"], false);
     assert_eq!(proxy.chosen(millis(1100)), names(&[]));
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,15 +1,16 @@
-//! `proxy`: the proxy.
+//! The `proxy` program.
 
 use std::sync::Arc;
 
 use bpaf::Parser;
 
-use proxy::dialect::Dialect;
+use proxy::protocol_adapter::ProtocolAdapter;
 use runtime::actor::{run_daemon, Reread};
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
-const HELP: &str = "The proxy: carries orders from callers to instances, as its agent tells it";
+const HELP: &str =
+    "The proxy: forwards client requests to instances, as configured through its agent";
 const NEEDS: [&str; 4] = ["control", "serving", "area", "agent"];
 
 fn main() -> anyhow::Result<()> {
@@ -19,6 +20,6 @@
     let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
         node_settings.terms.workers,
-        proxy::daemon::run(node_settings, reread, Dialect::own()),
+        proxy::daemon::run(node_settings, reread, ProtocolAdapter::own()),
     )
 }
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -1,4 +1,4 @@
-//! A real proxy on the loopback that knows of the hostile servers.
+//! A real proxy on the loopback interface in front of the hostile servers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-use crate::support::journal::PROMISES;
+use crate::support::journal::NOT_RUN_STATUSES;
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::facts::{Heartbeat, InstanceState};
 use caperworks::identifiers::{
@@ -21,80 +21,81 @@
 use caperworks::map_items::{Route, Service, Value, ZoneSettings};
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
-use proxy::carrier::{BrokenCarrier, Carrier};
-use proxy::dialect::Dialect;
+use proxy::protocol_adapter::ProtocolAdapter;
+use proxy::request_handler::{InjectedBug, RequestHandler};
 use runtime::clock::Clock;
 use runtime::http::{serve_http, REQUEST_HEADER};
 use runtime::options::{NodeSettings, Terms};
 
-/// How long a request may take; silence costs as much.
+/// The deadline of a request; a server that does not respond delays it by as much.
 const ROUTE_DEADLINE: Duration = Duration::from_millis(500);
-/// How long a proxy's knowledge counts as fresh.
+/// How long the state of the proxy counts as fresh.
 pub const LEASE: Duration = Duration::from_secs(3600);
 const BODY_LIMIT: u64 = 1_000_000;
 pub const SERVICE: &str = "records";
 
-fn reported_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
+fn reports_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
     status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key("nothing-ran")
 }
 
-/// A dialect in which clients name their requests, and successes bear a seal.
-pub fn strict_dialect() -> Dialect {
+/// A protocol in which clients send a request id, and successful responses carry a seal.
+pub fn strict_adapter() -> ProtocolAdapter {
     let name = HeaderName::from_static;
-    Dialect {
+    ProtocolAdapter {
         request_id: name("request-name"),
-        callers_name_requests: true,
+        clients_send_request_id: true,
         deadline: name("time-left"),
-        callers_tell_deadline: true,
+        clients_send_deadline: true,
         instance: name("meant-instance"),
         instance_header: Some(name("actual-instance")),
         incarnation: None,
         seal: Some(name("body-seal")),
         outcome: None,
-        promises: &PROMISES,
-        reported_not_run,
-        ..Dialect::own()
+        promises: &NOT_RUN_STATUSES,
+        reports_not_run,
+        ..ProtocolAdapter::own()
     }
 }
 
-/// How a proxy, its clients and its instances speak.
+/// The protocol between the proxy, its clients and its instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
-    /// Clients name their requests, successes bear a seal, and statuses promise.
+pub enum Protocol {
+    /// Clients send a request id, successful responses carry a seal, and the status says whether a
+    /// request ran.
     Strict,
-    /// The product's own: the proxy names requests, and a header promises.
+    /// The default: the proxy assigns request ids, and a header says whether a request ran.
     Own,
 }
 
-impl Manner {
-    pub fn dialect(self) -> Dialect {
+impl Protocol {
+    pub fn protocol_adapter(self) -> ProtocolAdapter {
         match self {
-            Manner::Strict => strict_dialect(),
-            Manner::Own => Dialect::own(),
+            Protocol::Strict => strict_adapter(),
+            Protocol::Own => ProtocolAdapter::own(),
         }
     }
 
-    /// The header that names a request, towards instances and back.
-    pub fn name_header(self) -> &'static str {
+    /// Returns the header with the request id, in requests to instances and in their responses.
+    pub fn request_id_header(self) -> &'static str {
         match self {
-            Manner::Strict => "request-name",
-            Manner::Own => REQUEST_HEADER,
+            Protocol::Strict => "request-name",
+            Protocol::Own => REQUEST_HEADER,
         }
     }
 
-    /// An instance's word that it ran nothing.
-    pub fn refusal(self) -> &'static str {
+    /// Returns the header by which an instance states that it ran nothing.
+    pub fn not_run_header(self) -> &'static str {
         match self {
-            Manner::Strict => "Nothing-Ran: full",
-            Manner::Own => "caperworks-outcome: not-run",
+            Protocol::Strict => "Nothing-Ran: full",
+            Protocol::Own => "caperworks-outcome: not-run",
         }
     }
 
-    /// Whether an answer promises that the request did not run.
-    pub fn promises(self, status: u16, outcome: Option<&str>) -> bool {
+    /// Returns whether a response states that the request did not run.
+    pub fn states_not_run(self, status: u16, outcome: Option<&str>) -> bool {
         match self {
-            Manner::Strict => PROMISES.contains(&status),
-            Manner::Own => outcome == Some("not-run"),
+            Protocol::Strict => NOT_RUN_STATUSES.contains(&status),
+            Protocol::Own => outcome == Some("not-run"),
         }
     }
 }
@@ -177,10 +178,10 @@
     }
 }
 
-/// A listener on a loopback address that this seed has for itself.
+/// Opens a listener on a loopback address that only this seed uses.
 ///
-/// Why not one address for all: a port that is free again would be taken by another schedule's
-/// server, and a request on its way to the first would reach the second.
+/// On a shared address a port that was released could be reused by the server of another schedule,
+/// and a request in flight to the first server would reach the second.
 pub async fn listen_for(seed: u64) -> TcpListener {
     let [.., high, middle, low] = seed.to_be_bytes();
     let address = SocketAddr::from(([127, high.saturating_add(1), middle, low], 0));
@@ -189,10 +190,10 @@
 }
 
 pub fn address_of(listener: &TcpListener) -> SocketAddr {
-    listener.local_addr().expect("it has an address")
+    listener.local_addr().expect("the listener has an address")
 }
 
-/// A view that tells of these instances, and of no others; its lease lives for [`LEASE`].
+/// Returns a view with exactly these instances; its lease is valid for [`LEASE`].
 pub fn view(number: u64, instances: Vec<Heartbeat>) -> ProxyView {
     ProxyView {
         agent: NodeId(1),
@@ -213,56 +214,66 @@
     }
 }
 
-/// A proxy that serves, and knows of instances at these addresses.
+/// A running proxy that knows instances at these addresses.
 pub struct ProxyFixture {
     pub address: SocketAddr,
-    pub carrier: Arc<Carrier>,
+    pub request_handler: Arc<RequestHandler>,
     tasks: JoinSet<()>,
 }
 
 impl ProxyFixture {
     pub async fn start(
         seed: u64,
-        dialect: Dialect,
-        broken: BrokenCarrier,
+        protocol_adapter: ProtocolAdapter,
+        injected_bug: InjectedBug,
         instances: &[SocketAddr],
     ) -> Self {
-        Self::start_by(Clock::start(), seed, dialect, broken, instances).await
+        Self::start_by(
+            Clock::start(),
+            seed,
+            protocol_adapter,
+            injected_bug,
+            instances,
+        )
+        .await
     }
 
-    /// The same by a clock that may be interrupted.
+    /// Starts it with a clock that may be interrupted.
     pub async fn start_by(
         clock: Clock,
         seed: u64,
-        dialect: Dialect,
-        broken: BrokenCarrier,
+        protocol_adapter: ProtocolAdapter,
+        injected_bug: InjectedBug,
         instances: &[SocketAddr],
     ) -> Self {
         let listener = listen_for(seed).await;
         let address = address_of(&listener);
-        let mut carrier = Carrier::new(clock, &node_settings(address), dialect);
-        carrier.broken = broken;
-        let carrier = Arc::new(carrier);
+        let mut request_handler =
+            RequestHandler::new(clock, &node_settings(address), protocol_adapter);
+        request_handler.injected_bug = injected_bug;
+        let request_handler = Arc::new(request_handler);
         let heartbeats = instances.iter().enumerate();
         let heartbeats = heartbeats.map(|(number, address)| instance(number, *address));
         let view = view(1, heartbeats.collect());
-        carrier.take(carrier.clock.now(), &view);
-        let carrying = carrier.clone();
+        request_handler.apply_view(request_handler.clock.now(), &view);
+        let handler = request_handler.clone();
         let stop = Arc::new(AtomicBool::new(false));
         let mut tasks = JoinSet::new();
-        tasks.spawn(serve_http(listener, stop, move |far_end, request| {
-            carrying.clone().carry(far_end, request)
+        tasks.spawn(serve_http(listener, stop, move |peer, request| {
+            handler.clone().handle(peer, request)
         }));
         Self {
             address,
-            carrier,
+            request_handler,
             tasks,
         }
     }
 
-    /// Takes no more connections, and closes the idle ones to instances.
+    /// Stops accepting connections, and closes the idle ones to instances.
     pub fn stop(mut self) {
         self.tasks.abort_all();
-        self.carrier.connections.keep_only(&BTreeMap::new());
+        self.request_handler
+            .connections
+            .retain_current(&BTreeMap::new());
     }
 }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -8,7 +8,7 @@
 use crate::actors::request::{Carried, ClientRequest, InstanceResponse, ProxyWish, Stage};
 use crate::observers::requests::CallerOutcome;
 use caperworks::dispatch::{
-    AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestChart, ServiceShard,
+    AttemptEnd, Failure, NextStep, ProxyState, ReportedOutcome, RequestLifecycle, ServiceShard,
 };
 use caperworks::facts::{Demand, InstanceState};
 use caperworks::identifiers::{stable_hash, RouteName, ServiceName, Version, Zone};
@@ -55,7 +55,7 @@
     pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
-    pub knowledge: ProxyKnowledge,
+    pub knowledge: ProxyState,
     pub shards: HashMap<ServiceName, ServiceShard>,
     pub carried: HashMap<u64, Carried>,
     pub broken: BrokenProxy,
@@ -90,7 +90,7 @@
             zone,
             serving,
             capacity,
-            knowledge: ProxyKnowledge::default(),
+            knowledge: ProxyState::default(),
             shards: HashMap::new(),
             carried: HashMap::new(),
             broken,
@@ -232,7 +232,7 @@
         locality: Duration,
     ) -> Vec<ProxyWish> {
         let mut chart =
-            RequestChart::received(!request.write || self.broken == BrokenProxy::RepeatsWrites);
+            RequestLifecycle::received(!request.write || self.broken == BrokenProxy::RepeatsWrites);
         let (name, route) = match self.knowledge.find(now, &request.host, &request.path) {
             Ok(found) => found,
             Err(failure) => return vec![self.answered(request, &mut chart, failure, true)],
@@ -249,8 +249,8 @@
         let seed = self.seed;
         self.shards.entry(route.service.clone()).or_insert_with(|| {
             let mut shard = ServiceShard::new(seed ^ stable_hash(route.service.as_str()));
-            shard.no_key_cap = self.broken == BrokenProxy::NoKeyCap;
-            shard.without_passive_evidence = self.broken == BrokenProxy::BelievesSilence;
+            shard.ignore_key_cap = self.broken == BrokenProxy::NoKeyCap;
+            shard.ignore_response_evidence = self.broken == BrokenProxy::BelievesSilence;
             shard
         });
         let number = request.number;
@@ -279,7 +279,7 @@
     fn answered(
         &self,
         request: ClientRequest,
-        chart: &mut RequestChart,
+        chart: &mut RequestLifecycle,
         failure: Failure,
         unsent: bool,
     ) -> ProxyWish {
@@ -315,7 +315,7 @@
             return Vec::new();
         };
         if now >= carried.chart.deadline() {
-            return self.finish(number, Failure::LateBeforeSending);
+            return self.finish(number, Failure::DeadlineBeforeSending);
         }
         let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
@@ -371,14 +371,14 @@
         }
         let good = self
             .knowledge
-            .still_good(now, &self.zone, &carried.route, &target);
+            .check_before_send(now, &self.zone, &carried.route, &target);
         if let Err(failure) = good {
             if let Some(shard) = self.shards.get_mut(&carried.route.service) {
                 shard.end(now, &target, true, None);
             }
             return self.finish(number, failure);
         }
-        carried.chart.shooting();
+        carried.chart.begin_attempt();
         carried.chart.sent();
         if carried.chart.attempts() == 1 {
             if let Some(shard) = self.shards.get_mut(&carried.route.service) {
@@ -406,9 +406,9 @@
         let (end, load, answered) = match response {
             Some(InstanceResponse::Ran { request, load }) => (end, Some(load), Some(request)),
             Some(InstanceResponse::NotRun | InstanceResponse::Misdirected) => {
-                (AttemptEnd::RefusedByInstance, None, None)
+                (AttemptEnd::RejectedByInstance, None, None)
             }
-            Some(InstanceResponse::Garbage) => (end, None, Some(number + 1_000_000_000)),
+            Some(InstanceResponse::MalformedResponse) => (end, None, Some(number + 1_000_000_000)),
             None => (end, None, None),
         };
         let Some(carried) = self.carried.get_mut(&number) else {
@@ -425,16 +425,16 @@
             && answered != Some(number)
             && self.broken != BrokenProxy::TakesAnyResponse
         {
-            end = AttemptEnd::Garbage;
+            end = AttemptEnd::MalformedResponse;
         }
-        let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
+        let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RejectedByInstance);
         let no_budget = self.broken == BrokenProxy::NoBudget;
         let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
         };
         shard.end(now, &target, good, load);
         if response == Some(InstanceResponse::Misdirected) {
-            shard.incarnation_is_over(&target);
+            shard.mark_incarnation_ended(&target);
         }
         if target.is_used_up(end) {
             carried.tried.push(target.instance);
@@ -443,7 +443,7 @@
             .chart
             .attempt_ended(now, end, || no_budget || shard.take_retry(now));
         match step {
-            NextStep::PassOn => match self.carried.remove(&number) {
+            NextStep::ForwardResponse => match self.carried.remove(&number) {
                 Some(carried) => vec![ProxyWish::Respond {
                     request: carried.request,
                     reported: CallerOutcome::Served,
@@ -453,7 +453,7 @@
                 }],
                 None => Vec::new(),
             },
-            NextStep::ShootAgain => self.choose(now, number),
+            NextStep::Retry => self.choose(now, number),
             NextStep::Respond(failure) => self.finish(number, failure),
         }
     }
@@ -466,14 +466,16 @@
         let late = now >= carried.chart.deadline();
         let (stage, attempt) = (carried.stage, carried.attempt);
         match stage {
-            Stage::Sent if late => self.ended(now, number, attempt, AttemptEnd::Late, None),
+            Stage::Sent if late => {
+                self.ended(now, number, attempt, AttemptEnd::DeadlineExceeded, None)
+            }
             Stage::Opening if late => {
                 if let Some(target) = carried.target.clone() {
                     if let Some(shard) = self.shards.get_mut(&carried.route.service.clone()) {
                         shard.end(now, &target, false, None);
                     }
                 }
-                self.finish(number, Failure::LateBeforeSending)
+                self.finish(number, Failure::DeadlineBeforeSending)
             }
             // Why compare: only the wake-up that belongs to this opening ends it.
             Stage::Opening if now >= at && carried.target.is_some() => {
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -122,7 +122,7 @@
             let ended = Happening::Ended {
                 request,
                 attempt,
-                end: AttemptEnd::RefusedByInstance,
+                end: AttemptEnd::RejectedByInstance,
                 response: Some(response),
             };
             return (self.nodes[proxy].incarnation == proxy_incarnation).then_some((proxy, ended));
@@ -233,7 +233,7 @@
     }
     if instance.sends_garbage > 0 {
         instance.sends_garbage -= 1;
-        return Some(InstanceResponse::Garbage);
+        return Some(InstanceResponse::MalformedResponse);
     }
     Some(InstanceResponse::Ran {
         request,
