--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -1,4 +1,5 @@
-//! A member's link to the core: finds it from the seeds, renews the lease, follows the feed.
+//! A member's link to the control plane: finds a controller from the seeds, renews the lease and follows the
+//! feed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,43 +25,47 @@
 use crate::replicated_map::MapName;
 use crate::rtt_estimator::CORE_TIMEOUT;
 
+/// The interval between lease renewals.
 pub const RENEW_PERIOD: Duration = Duration::from_millis(300);
-/// How soon a follower asks again that lacks what a grant named.
-const LACKING_PERIOD: Duration = Duration::from_millis(50);
-/// For how long a number of proxies that was told counts.
-const PROXIES_SPAN: Duration = Duration::from_secs(10);
-/// A controller that has not answered for this long is left for another, or later over a link on which
-/// answers are known to take longer.
-const TIMEOUT: Duration = Duration::from_millis(800);
-/// How soon after a request another controller is asked, if the one that was asked cannot be reached.
-const UNREACHABLE_PERIOD: Duration = Duration::from_millis(100);
-/// An answer that took longer came over a slow link.
+/// How soon a follower renews again when it is missing a version that the grant named.
+const MISSING_VERSION_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// For how long a reported number of proxies is taken into account.
+const PROXY_COUNT_WINDOW: Duration = Duration::from_secs(10);
+/// Switch to another controller when the current one has sent no useful response for this long, or for the
+/// measured timeout of the link if that is longer.
+const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(800);
+/// How soon after a request the next controller is asked if the current one cannot be reached.
+const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// A response that took at least this long came over a slow link.
 ///
-/// Why so long: regions lie some 0.1 s apart, and a link that is not full adds little to that.
+/// Regions are about 0.1 s apart, and a link that is not saturated adds little to that.
 pub const SLOW_RESPONSE: Duration = Duration::from_millis(400);
-/// How long after the last slow answer the core's silence counts as a slow link and not as a cut.
+/// For how long after the last slow response missing responses are taken for a slow link and not for a
+/// partition.
 ///
-/// Why twice a lease: behind a full link answers become slow before none comes at all for a while.
+/// It is twice the lease lifetime: over a saturated link responses first become slow, and then none arrives
+/// for some time.
 pub const SLOW_LINK_SPAN: Duration = Duration::from_millis(6000);
 
-/// What followed from an answer to a question for pieces.
+/// The outcome of a response to a request for chunks.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CatchUpStep {
-    /// The map that moved on.
+    /// The map that advanced.
     pub moved: Option<MapName>,
-    /// The next question.
+    /// The next request to send.
     pub request: Option<CatchUpRequest>,
+    /// The chunk, if it was rejected.
     pub refused: Option<RejectedChunk>,
 }
 
-/// A piece of which nothing was kept.
+/// A chunk that was rejected; nothing of it was kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RejectedChunk {
     pub map: MapName,
     pub why: ChunkError,
 }
 
-/// The controller that answered, and in which of its incarnations.
+/// The controller that sent a response, and its incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Responder {
     pub address: SocketAddr,
@@ -71,12 +76,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LinkState {
     Following,
-    /// The controller did not answer in time. Others are asked one after the other while the earlier requests
-    /// are still in flight, and the first of them that proves of use is followed.
+    /// The controller did not respond in time. The others are polled one after the other while the earlier
+    /// requests are still in flight, and the first one to send a useful response is followed.
     Searching,
 }
 
-/// Up to where the follower was told of instances and members, in one controller incarnation's numbering.
+/// Up to which offset the follower has received instances and members, in the numbering of one controller
+/// incarnation.
 #[derive(Debug, Clone, Copy)]
 struct FactOffsets {
     incarnation: NodeId,
@@ -84,59 +90,66 @@
     members: u64,
 }
 
+/// A member's link to the control plane.
 #[derive(Debug, Clone)]
 pub struct CoreLink {
-    /// The maps that this node follows; the others it need not hold.
-    wants: Vec<MapName>,
+    /// The maps that this node follows.
+    followed_maps: Vec<MapName>,
     form: FeedForm,
     pub seeds: Vec<SocketAddr>,
-    /// Since when controllers have answered with a majority behind them, without a gap.
-    assured_since: Option<Duration>,
+    /// Since when controllers with a quorum have responded without a gap.
+    quorum_since: Option<Duration>,
     controller: SocketAddr,
     state: LinkState,
-    /// Whether this link has been asked for its first renewal.
-    has_begun: bool,
-    /// When the controller was last asked, and whether it could not be reached since.
-    asked_at: Duration,
+    /// Whether [`due`](Self::due) has been called.
+    has_started: bool,
+    /// When the controller was last polled, and whether it has been unreachable since.
+    polled_at: Duration,
     is_unreachable: bool,
-    answered_at: Duration,
-    /// When the last answer of a controller with a majority came, or a part of one, if it was slow.
+    last_useful_response_at: Duration,
+    /// When the last response of a controller with a quorum, or a part of it, was received, if it was slow.
     slow_response_at: Option<Duration>,
     renew_at: Duration,
-    pace: PollPacer,
+    pacer: PollPacer,
     fact_offsets: FactOffsets,
-    /// A controller with a majority behind it had told all facts that it knew at this time.
+    /// The time as of which a controller with a quorum had sent all facts that it knew.
     facts_complete_at: Option<Duration>,
     pub envelope_clock: EnvelopeClock,
     pub feed_cache: FeedCache,
     pub lease: LeaseHolder,
     pub instances: Instances,
     pub members: Members,
-    /// Maps that are fetched in pieces, since they are too large for a grant.
+    /// Maps that are fetched in chunks because they are too large for a grant.
     catch_up: CatchUpReceiver,
-    /// How many proxies there were, as told of late.
-    proxies: VecDeque<(Duration, u32)>,
+    /// The numbers of proxies that were reported within `PROXY_COUNT_WINDOW`.
+    proxy_counts: VecDeque<(Duration, u32)>,
     reporter: LinkReporter,
 }
 
 impl CoreLink {
-    pub fn new(node: NodeId, wants: &[MapName], seeds: Vec<SocketAddr>, draw: u64) -> Self {
-        // Why by chance: the members of a whole fleet must not all lean on the first seed.
-        let first = seeds[(draw % seeds.len().max(1) as u64) as usize];
+    /// Creates a link that begins with a random one of the seeds.
+    pub fn new(
+        node: NodeId,
+        followed_maps: &[MapName],
+        seeds: Vec<SocketAddr>,
+        random: u64,
+    ) -> Self {
+        // A random seed, so that the members of a fleet do not all use the first one.
+        let first = seeds[(random % seeds.len().max(1) as u64) as usize];
         Self {
-            wants: wants.to_vec(),
+            followed_maps: followed_maps.to_vec(),
             form: FeedForm::Complete,
             seeds,
-            assured_since: None,
+            quorum_since: None,
             controller: first,
             state: LinkState::Following,
-            has_begun: false,
-            asked_at: Duration::ZERO,
+            has_started: false,
+            polled_at: Duration::ZERO,
             is_unreachable: false,
-            answered_at: Duration::ZERO,
+            last_useful_response_at: Duration::ZERO,
             slow_response_at: None,
             renew_at: Duration::ZERO,
-            pace: PollPacer::new(CORE_TIMEOUT),
+            pacer: PollPacer::new(CORE_TIMEOUT),
             fact_offsets: FactOffsets {
                 incarnation: NodeId(0),
                 instances: 0,
@@ -148,78 +161,83 @@
             lease: LeaseHolder::default(),
             instances: Instances::default(),
             members: Members::default(),
-            catch_up: CatchUpReceiver::new(draw, MOST_FOLLOWED_BYTES),
-            proxies: VecDeque::new(),
+            catch_up: CatchUpReceiver::new(random, MOST_FOLLOWED_BYTES),
+            proxy_counts: VecDeque::new(),
             reporter: LinkReporter::default(),
         }
     }
 
-    /// The same, for a node that only reads what it follows, or that may become a voter.
+    /// Returns the link with the form in which it follows maps: reduced for a node that only reads them,
+    /// complete for one that may become a voter.
     pub fn in_form(mut self, form: FeedForm) -> Self {
         self.form = form;
         self.catch_up = self.catch_up.in_form(form);
         self
     }
 
+    /// Returns the controller that is polled next.
     pub fn controller(&self) -> SocketAddr {
         self.controller
     }
 
+    /// Returns until when the lease keeps the followed maps fresh.
     pub fn fresh_until(&self) -> Duration {
         let follower = self.feed_cache.follower();
-        self.lease.fresh_until(follower, &self.wants)
+        self.lease.fresh_until(follower, &self.followed_maps)
     }
 
-    /// For how much longer silence of the core counts as a slow link and not as a cut.
+    /// Returns for how much longer missing responses are taken for a slow link and not for a partition.
     pub fn slow_for(&self, now: Duration) -> Duration {
         self.slow_response_at.map_or(Duration::ZERO, |slow_at| {
             (slow_at + SLOW_LINK_SPAN).saturating_sub(now)
         })
     }
 
-    /// What the log is to be told of the link: only while there is no lease, and now and then.
+    /// Returns the figures of the link to be logged, if they are due: only while there is no lease.
     pub fn report(&mut self, now: Duration) -> Option<LinkFigures> {
         let has_lease = now < self.fresh_until();
         self.reporter.report(now, has_lease)
     }
 
-    /// Bytes came of a message that began to come a while ago and is not whole yet.
+    /// Records that bytes arrived of a message that is still incomplete some time after its first byte.
     ///
-    /// Why that counts: until it is whole nothing else tells a slow link from a cut, and another
-    /// controller would be heard over the same link.
+    /// Until it is complete nothing else distinguishes a slow link from a partition, and responses of another
+    /// controller would come over the same link.
     pub fn partial_frame_received(&mut self, now: Duration) {
         self.slow_response_at = Some(now);
-        self.answered_at = now;
-        self.pace.partial_response_received(now);
-        // Why: until the rest is here, the silence of instances means nothing.
-        self.assured_since = None;
+        self.last_useful_response_at = now;
+        self.pacer.partial_response_received(now);
+        // Until the rest is here, missing heartbeats of instances are no evidence.
+        self.quorum_since = None;
     }
 
-    /// A connection to a controller was opened, for which the link took so long.
+    /// Records that a connection to a controller was opened, and how long that took.
     ///
-    /// Over a full link nothing else may come for a while, and a connection that opens late tells it from a
-    /// partition. One that opens fast tells nothing: the controller may itself be cut off from the others.
+    /// Over a saturated link nothing else may arrive for some time, and a connection that opens slowly
+    /// distinguishes it from a partition. One that opens fast is no evidence: the controller may itself be
+    /// partitioned from the others.
     pub fn connection_opened(&mut self, now: Duration, peer: SocketAddr, took: Duration) {
         if !self.candidates().contains(&peer) {
             return;
         }
-        self.reporter.figures.count_opening(took);
+        self.reporter.figures.record_opened_connection(took);
         if took >= SLOW_RESPONSE {
             self.slow_response_at = Some(now);
         }
     }
 
-    /// A controller could not be reached, or closed the connection: the next one is asked soon.
+    /// Records that a controller could not be reached or closed the connection: the next one is polled soon.
     pub fn controller_lost(&mut self, peer: SocketAddr) {
         self.reporter.figures.lost_connections += 1;
-        self.is_unreachable |= peer == self.controller && self.pace.is_awaiting();
+        self.is_unreachable |= peer == self.controller && self.pacer.is_awaiting();
     }
 
+    /// Returns the versions of all maps that are present here.
     pub fn versions(&self) -> Vec<Version> {
         self.feed_cache.follower().versions()
     }
 
-    /// Every controller that may answer: those of the membership, and the seeds.
+    /// Returns every controller that may respond: those of the membership, and the seeds.
     fn candidates(&self) -> Vec<SocketAddr> {
         let membership = self.feed_cache.follower().map(MapName::Membership);
         let mut candidates = membership.voter_addresses(true);
@@ -231,68 +249,70 @@
         candidates
     }
 
-    fn turn_to_another(&mut self, now: Duration) {
+    /// Polls the next controller at once.
+    fn switch_controller(&mut self, now: Duration) {
         let candidates = self.candidates();
         let index = candidates
             .iter()
             .position(|known| *known == self.controller);
         let next = index.map_or(0, |index| (index + 1) % candidates.len());
         self.controller = candidates[next];
-        self.reporter.figures.turns += 1;
+        self.reporter.figures.controller_switches += 1;
         self.state = LinkState::Searching;
         self.is_unreachable = false;
-        self.answered_at = now;
+        self.last_useful_response_at = now;
         self.renew_at = now;
-        self.pace.begin_anew();
-        // Why here: another one's patience begins anew, and would hide that there was a gap.
-        self.assured_since = None;
+        self.pacer.begin_anew();
+        // The timeout starts again for the next controller, which would hide that there was a gap.
+        self.quorum_since = None;
     }
 
-    /// Counts the instances that have not been heard of as silent, and names those that just became
-    /// so; none while no controller could tell of them.
+    /// Marks the instances whose heartbeats are missing as suspected, and returns those that just became so.
     ///
-    /// Why: while the core is out of reach nobody's silence means anything.
+    /// None is marked while no controller could have reported them: while the control plane is unreachable,
+    /// missing heartbeats are no evidence.
     pub fn count_silent_instances(&mut self, now: Duration) -> Vec<InstanceId> {
-        let span = self.instances.span;
-        if now.saturating_sub(self.answered_at) >= TIMEOUT {
-            self.assured_since = None;
+        let timeout = self.instances.span;
+        if now.saturating_sub(self.last_useful_response_at) >= CONTROLLER_TIMEOUT {
+            self.quorum_since = None;
         }
-        let heard_long = self
-            .assured_since
-            .is_some_and(|since| now.saturating_sub(since) >= span);
-        if heard_long {
+        let is_evidence_complete = self
+            .quorum_since
+            .is_some_and(|since| now.saturating_sub(since) >= timeout);
+        if is_evidence_complete {
             self.instances.count_silent(now)
         } else {
             Vec::new()
         }
     }
 
-    /// Whether a renewal is due; if the controller does not answer in time, or is of no use, to another one.
+    /// Returns whether a renewal is due. Switches to another controller if the current one does not respond in
+    /// time, cannot be reached or does not bring the follower up to date.
     pub fn due(&mut self, now: Duration) -> bool {
-        if !self.has_begun {
-            self.has_begun = true;
-            // Nothing is known of the link yet. Until the first answer says otherwise it counts as slow, so that
-            // a proxy that lived on beside an agent that restarted does not take the wait for a partition.
+        if !self.has_started {
+            self.has_started = true;
+            // Nothing is known of the link yet. It counts as slow until the first response, so that a proxy
+            // that kept running while its agent restarted does not take the wait for a partition.
             self.slow_response_at = Some(now);
         }
-        let useless_for = now.saturating_sub(self.answered_at);
-        let is_useless = useless_for >= TIMEOUT.max(self.pace.timeout());
+        let without_progress_for = now.saturating_sub(self.last_useful_response_at);
+        let has_no_progress = without_progress_for >= CONTROLLER_TIMEOUT.max(self.pacer.timeout());
         let is_unreachable =
-            self.is_unreachable && now.saturating_sub(self.asked_at) >= UNREACHABLE_PERIOD;
-        if is_useless || is_unreachable || self.pace.is_overdue(now) {
-            self.turn_to_another(now);
+            self.is_unreachable && now.saturating_sub(self.polled_at) >= UNREACHABLE_RETRY_DELAY;
+        if has_no_progress || is_unreachable || self.pacer.is_overdue(now) {
+            self.switch_controller(now);
         }
-        now >= self.renew_at && self.pace.may_ask(now)
+        now >= self.renew_at && self.pacer.may_ask(now)
     }
 
-    /// The next renewal, and to whom.
+    /// Returns the next renewal and the controller to send it to.
     pub fn renew(&mut self, now: Duration, member: Member) -> (SocketAddr, Message) {
         self.renew_at = now + RENEW_PERIOD;
-        self.asked_at = now;
+        self.polled_at = now;
         self.is_unreachable = false;
         self.reporter.figures.polls += 1;
         let number = self.lease.renew(now);
-        self.pace.asked(now, number);
+        self.pacer.asked(now, number);
         let facts_age = |complete_at| now.saturating_sub(complete_at);
         let renewal = Renewal {
             number,
@@ -300,7 +320,7 @@
             controller: self.fact_offsets.incarnation,
             instances_after: self.fact_offsets.instances,
             members_after: self.fact_offsets.members,
-            wants: self.wants.clone(),
+            wants: self.followed_maps.clone(),
             form: self.form,
             facts_age: self.facts_complete_at.map(facts_age),
             extent: match self.state {
@@ -311,21 +331,22 @@
         (self.controller, Message::Renew { renewal })
     }
 
-    /// Renews at once, so that the core soon hears what is held now.
+    /// Makes the next renewal due at once, so that the control plane soon receives the new state.
     pub fn renew_now(&mut self, now: Duration) {
         self.renew_at = now;
     }
 
-    /// How many proxies share what is shared.
+    /// Returns the number of proxies among which shared limits are divided: the highest one reported within
+    /// `PROXY_COUNT_WINDOW`.
     ///
-    /// Why the most of a while: what is shared may at once be shared among more, and only later
-    /// among fewer; a controller that has just begun has not heard of all.
+    /// A limit may be divided among more proxies at once, but among fewer only later: a controller that has
+    /// just started has not received heartbeats of all of them yet.
     pub fn proxies(&self) -> u32 {
-        let reported = self.proxies.iter().map(|(_, proxies)| *proxies);
-        reported.max().unwrap_or(0).max(1)
+        let counts = self.proxy_counts.iter().map(|(_, proxies)| *proxies);
+        counts.max().unwrap_or(0).max(1)
     }
 
-    /// Takes a controller's answer; says which maps moved on.
+    /// Applies a controller's response; returns the maps that advanced.
     pub fn granted(
         &mut self,
         now: Duration,
@@ -336,17 +357,17 @@
         let took = sent_at.map(|sent_at| now.saturating_sub(sent_at));
         let follower = self.feed_cache.follower();
         self.reporter.figures.count(granted, took, follower);
-        self.pace.answered(granted.number, took);
+        self.pacer.answered(granted.number, took);
         let moved: Vec<MapName> = granted
             .updates
             .iter()
             .filter_map(|updates| self.feed_cache.take(updates))
             .collect();
         if granted.assured {
-            self.take_lease(now, responder, granted, !moved.is_empty());
+            self.apply_lease(now, responder, granted, !moved.is_empty());
         }
         if let Some(sent_at) = sent_at {
-            self.take_facts(now, sent_at, responder, granted);
+            self.apply_facts(now, sent_at, responder, granted);
         }
         if granted.more && responder.address == self.controller {
             self.renew_at = now;
@@ -354,11 +375,11 @@
         moved
     }
 
-    /// Takes what an answer tells of instances and members.
+    /// Applies the instances and members that a response reports.
     ///
-    /// Ages are dated by our request: an answer that lay in a socket while this process was frozen, or took
-    /// long on its way, must not make anyone look alive; it cannot be older than what it answers.
-    fn take_facts(
+    /// Ages are counted from our request: a response that waited in a socket while this process was frozen, or
+    /// was delayed on its way, must not make anyone look alive. It cannot be older than its request.
+    fn apply_facts(
         &mut self,
         now: Duration,
         sent_at: Duration,
@@ -366,21 +387,23 @@
         granted: &Granted,
     ) {
         let took = now.saturating_sub(sent_at);
-        self.proxies.push_back((now, granted.proxies));
-        while self.proxies.len() > 1 && now.saturating_sub(self.proxies[0].0) >= PROXIES_SPAN {
-            self.proxies.pop_front();
+        self.proxy_counts.push_back((now, granted.proxies));
+        while self.proxy_counts.len() > 1
+            && now.saturating_sub(self.proxy_counts[0].0) >= PROXY_COUNT_WINDOW
+        {
+            self.proxy_counts.pop_front();
         }
-        for heard in &granted.instances {
-            self.instances.handle(now, &heard.clone().aged(took));
+        for fact in &granted.instances {
+            self.instances.handle(now, &fact.clone().aged(took));
         }
         for id in &granted.gone {
             self.instances.end(now, id);
         }
-        for heard in &granted.members {
-            self.members.handle(now, &heard.clone().aged(took));
+        for fact in &granted.members {
+            self.members.handle(now, &fact.clone().aged(took));
         }
-        // Another controller numbers its facts otherwise, and its late answer must not move our offsets at
-        // the one that is followed.
+        // Each controller numbers its facts by itself, and a late response of another one must not move our
+        // offsets at the one that is followed.
         if responder.address != self.controller {
             return;
         }
@@ -394,8 +417,9 @@
         }
     }
 
-    /// Takes the lease of a controller that has a majority behind it, and follows it if it is of use.
-    fn take_lease(
+    /// Applies the lease of a controller that has a quorum, and follows the controller if its response was
+    /// useful.
+    fn apply_lease(
         &mut self,
         now: Duration,
         responder: Responder,
@@ -403,7 +427,7 @@
         brings_changes: bool,
     ) {
         let sent_at = self.lease.sent_at(granted.number);
-        // The answer to a request that is not remembered took longer than any that is.
+        // A response to a request that is no longer remembered took longer than any that is.
         let is_slow = sent_at.is_none_or(|sent_at| now >= sent_at + SLOW_RESPONSE);
         self.lease.granted(
             granted.number,
@@ -411,37 +435,38 @@
             granted.versions.clone(),
         );
         let follower = self.feed_cache.follower();
-        let holds = self.lease.careless || follower.has_versions(&granted.versions, &self.wants);
-        // A follower that knows itself behind is in touch with the core, however fast it was told so.
-        self.slow_response_at = (is_slow || !holds).then_some(now);
-        // A controller that grants but cannot bring the changes that its grant names is of no use, and is left
-        // like a silent one, whatever other maps it moves on.
-        let is_of_use = holds || (granted.more && brings_changes);
-        if is_of_use {
+        let is_up_to_date =
+            self.lease.careless || follower.has_versions(&granted.versions, &self.followed_maps);
+        // A follower that knows that it is behind can reach the control plane, however fast the response was.
+        self.slow_response_at = (is_slow || !is_up_to_date).then_some(now);
+        // A controller that grants a lease but cannot send the changes that its grant names is of no use: it
+        // is abandoned like one that does not respond, whatever other maps it advances.
+        let is_useful = is_up_to_date || (granted.more && brings_changes);
+        if is_useful {
             self.follow(now, responder.address);
         }
-        if holds {
-            self.assured_since.get_or_insert(now);
+        if is_up_to_date {
+            self.quorum_since.get_or_insert(now);
         } else {
-            self.renew_at = self.renew_at.min(now + LACKING_PERIOD);
+            self.renew_at = self.renew_at.min(now + MISSING_VERSION_RETRY_INTERVAL);
         }
     }
 
-    /// A controller is of use: while several are asked, the first such one is followed.
+    /// Records a useful response: while several controllers are polled, the first to send one is followed.
     fn follow(&mut self, now: Duration, controller: SocketAddr) {
-        self.answered_at = now;
+        self.last_useful_response_at = now;
         if self.state == LinkState::Searching {
             self.state = LinkState::Following;
             self.is_unreachable = false;
             if controller != self.controller {
                 self.controller = controller;
-                // What was asked of the others is answered too late to matter.
-                self.pace.forget();
+                // Responses of the others to requests in flight come too late to matter.
+                self.pacer.forget();
             }
         }
     }
 
-    /// Begins to fetch the maps that a controller says are too large for its grant.
+    /// Starts to fetch the maps that a controller reports as too large for its grant.
     pub fn fetch_in_chunks(
         &mut self,
         now: Duration,
@@ -450,33 +475,32 @@
     ) -> Vec<CatchUpRequest> {
         let wanted = granted.in_chunks.iter();
         let wanted: Vec<MapName> = wanted
-            .filter(|map| self.wants.contains(map))
+            .filter(|map| self.followed_maps.contains(map))
             .copied()
             .collect();
         let requests: Vec<CatchUpRequest> = wanted
             .into_iter()
             .filter_map(|map| {
-                let held = self.held(map);
+                let local_version = self.local_version(map);
                 let reported = granted.versions.get(map.index()).copied();
-                let goal = reported.unwrap_or_default().max(held.next());
-                self.catch_up.behind(now, map, held, from, goal)
+                let goal = reported.unwrap_or_default().max(local_version.next());
+                self.catch_up.behind(now, map, local_version, from, goal)
             })
             .collect();
         if !requests.is_empty() {
-            // The first piece takes a round trip of its own, and until it comes this controller is of use as far
-            // as can be told.
+            // The first chunk takes another round trip; until it arrives this controller counts as useful.
             self.follow(now, from);
         }
         requests
     }
 
-    /// Asks other controllers for the pieces that the ones that were asked do not send.
+    /// Requests from other controllers the chunks that did not arrive in time.
     pub fn tick_catch_up(&mut self, now: Duration) -> Vec<CatchUpRequest> {
         let follower = self.feed_cache.follower();
         self.catch_up.tick(now, |map| follower.map(map).version)
     }
 
-    /// Takes an answer to a question for pieces; whatever else it is changes nothing.
+    /// Handles a response to a request for chunks; any other message changes nothing.
     pub fn handle_catch_up(
         &mut self,
         now: Duration,
@@ -490,11 +514,11 @@
                 if self.catch_up.is_receiving(*map) =>
             {
                 let moved = self.feed_cache.take(vote);
-                let held = self.held(*map);
-                let request = self
-                    .catch_up
-                    .handle_changes(now, *map, held, moved.is_some());
-                self.progressed(now, from, moved, request)
+                let local_version = self.local_version(*map);
+                let request =
+                    self.catch_up
+                        .handle_changes(now, *map, local_version, moved.is_some());
+                self.handle_progress(now, from, moved, request)
             }
             _ => CatchUpStep::default(),
         }
@@ -507,17 +531,17 @@
         chunk: SnapshotChunk,
     ) -> CatchUpStep {
         let map = chunk.map;
-        let held = self.held(map);
-        match self.catch_up.handle_chunk(now, from, held, chunk) {
-            ChunkOutcome::Next(request) => self.progressed(now, from, None, Some(request)),
+        let local_version = self.local_version(map);
+        match self.catch_up.handle_chunk(now, from, local_version, chunk) {
+            ChunkOutcome::Next(request) => self.handle_progress(now, from, None, Some(request)),
             ChunkOutcome::Snapshot(full_map) => {
                 let updates = ConsensusMessage::Snapshot { map, full_map };
                 let moved = self.feed_cache.take(&updates);
-                let held = self.held(map);
-                let request = self
-                    .catch_up
-                    .handle_changes(now, map, held, moved.is_some());
-                self.progressed(now, from, moved, request)
+                let local_version = self.local_version(map);
+                let request =
+                    self.catch_up
+                        .handle_changes(now, map, local_version, moved.is_some());
+                self.handle_progress(now, from, moved, request)
             }
             ChunkOutcome::Refused(why) => CatchUpStep {
                 refused: Some(RejectedChunk { map, why }),
@@ -526,18 +550,18 @@
         }
     }
 
-    /// A part of a map came.
-    fn progressed(
+    /// Records that a part of a map was received.
+    fn handle_progress(
         &mut self,
         now: Duration,
         from: SocketAddr,
         moved: Option<MapName>,
         request: Option<CatchUpRequest>,
     ) -> CatchUpStep {
-        // A controller that sends pieces is of use, though what its grant names is not held yet.
+        // A controller that sends chunks is useful, though the versions that its grant names are not here yet.
         self.follow(now, from);
         if moved.is_some() {
-            // Why at once: the grant that named the version may be over by now.
+            // The lease of the grant that named the version may have expired by now.
             self.renew_at = now;
         }
         CatchUpStep {
@@ -547,11 +571,11 @@
         }
     }
 
-    fn held(&self, map: MapName) -> Version {
+    fn local_version(&self, map: MapName) -> Version {
         self.feed_cache.follower().map(map).version
     }
 
-    /// Where the key ownership owner manager hears heartbeats, as far as the membership tells.
+    /// Returns the address to which heartbeats for the owner manager are sent, if the membership names one.
     pub fn owner_manager(&self) -> Option<SocketAddr> {
         let membership = self.feed_cache.follower().map(MapName::Membership);
         let holder = membership.leadership(OWNERSHIP)?.holder;
