--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -15,8 +15,8 @@
 use caperworks::messages::UsageLine;
 use caperworks::ownership::TimestampedResponse;
 use runtime::actor::{
-    asked_to_stop, follow_settings, fresh_seed, open_actor, stop_politely, Host, Inbox, ReadyUntil,
-    Reread, Tickets,
+    asked_to_stop, follow_settings, fresh_seed, open_actor, shut_down_gracefully, Host, Inbox,
+    ReadyUntil, Reread, Tickets,
 };
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
@@ -210,7 +210,7 @@
     asked_to_stop().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
-    stop_politely(&asked, AgentInput::Stop, &stopped).await;
+    shut_down_gracefully(&asked, AgentInput::Stop, &stopped).await;
     event(STOPPED, "");
     Ok(())
 }
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -20,7 +20,8 @@
 use caperworks::identifiers::NodeId;
 use caperworks::slots::DiskWrite;
 use runtime::actor::{
-    asked_to_stop, follow_settings, fresh_seed, open_actor, stop_politely, Host, Inbox, Reread,
+    asked_to_stop, follow_settings, fresh_seed, open_actor, shut_down_gracefully, Host, Inbox,
+    Reread,
 };
 use runtime::clock::Clock;
 use runtime::connections::{listen, ControlPort};
@@ -107,7 +108,7 @@
     asked_to_stop().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
-    stop_politely(&inbox, ControllerInput::Shutdown, &stopped).await;
+    shut_down_gracefully(&inbox, ControllerInput::Shutdown, &stopped).await;
     event(STOPPED, "");
     Ok(())
 }
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -174,7 +174,7 @@
     follow_settings(reread, move |seeds| locked(&recipient).follow_seeds(seeds));
     asked_to_stop().await;
     event(STOPPING, "");
-    locked(&machine).stop_politely();
+    locked(&machine).shut_down_gracefully();
     stopping.store(true, Ordering::Relaxed);
     // Why a moment: probes see that we are not ready, and answers under way leave.
     tokio::time::sleep(Duration::from_millis(500)).await;
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -147,7 +147,7 @@
         self.link.seeds = seeds;
     }
 
-    pub fn stop_politely(&mut self) {
+    pub fn shut_down_gracefully(&mut self) {
         self.ready = false;
     }
 
--- a/crates/runtime/src/actor/shutdown.rs
+++ b/crates/runtime/src/actor/shutdown.rs
@@ -11,7 +11,7 @@
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Tells the actor to stop, and waits until it reports that it has, or for the timeout.
-pub async fn stop_politely<Input: Send + 'static>(
+pub async fn shut_down_gracefully<Input: Send + 'static>(
     inbox: &Inbox<Input>,
     stop: Input,
     stopped: &Notify,
--- a/crates/simulator/src/world/lifecycle.rs
+++ b/crates/simulator/src/world/lifecycle.rs
@@ -101,7 +101,7 @@
                 return;
             }
             Some(Body::Directory(machine)) => {
-                machine.stop_politely();
+                machine.shut_down_gracefully();
                 Duration::from_millis(500)
             }
             Some(Body::Instance(instance)) => {
