--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -15,7 +15,7 @@
 use caperworks::messages::UsageLine;
 use caperworks::ownership::TimestampedResponse;
 use runtime::actor::{
-    asked_to_stop, follow_settings, fresh_seed, open_actor, shut_down_gracefully, Host, Inbox,
+    follow_settings, fresh_seed, open_actor, shut_down_gracefully, shutdown_signal, Host, Inbox,
     ReadyUntil, Reread, Tickets,
 };
 use runtime::clock::Clock;
@@ -207,7 +207,7 @@
     follow_settings(reread, move |seeds| {
         recipient.give(AgentInput::Seeds { seeds });
     });
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
     shut_down_gracefully(&asked, AgentInput::Stop, &stopped).await;
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -20,7 +20,7 @@
 use caperworks::identifiers::NodeId;
 use caperworks::slots::DiskWrite;
 use runtime::actor::{
-    asked_to_stop, follow_settings, fresh_seed, open_actor, shut_down_gracefully, Host, Inbox,
+    follow_settings, fresh_seed, open_actor, shut_down_gracefully, shutdown_signal, Host, Inbox,
     Reread,
 };
 use runtime::clock::Clock;
@@ -105,7 +105,7 @@
     follow_settings(reread, move |seeds| {
         settings.give(ControllerInput::SeedsChanged { seeds });
     });
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
     shut_down_gracefully(&inbox, ControllerInput::Shutdown, &stopped).await;
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -12,7 +12,9 @@
     DirectoryInput, DirectoryMachine, DirectoryOptions, DirectoryOutput, Nowhere,
 };
 use caperworks::link::RejectedChunk;
-use runtime::actor::{asked_to_stop, follow_settings, fresh_seed, open_actor, Host, Inbox, Reread};
+use runtime::actor::{
+    follow_settings, fresh_seed, open_actor, shutdown_signal, Host, Inbox, Reread,
+};
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
 use runtime::connections::{listen, ControlPort};
@@ -172,7 +174,7 @@
         async move { Ok(response) }
     }));
     follow_settings(reread, move |seeds| locked(&recipient).follow_seeds(seeds));
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     locked(&machine).shut_down_gracefully();
     stopping.store(true, Ordering::Relaxed);
--- a/crates/local-fleet/src/scale/run.rs
+++ b/crates/local-fleet/src/scale/run.rs
@@ -19,7 +19,7 @@
 use crate::scale::lost_zone::{lose_zone, ZoneSpans};
 use crate::scale::options::{ScaleOptions, MIB};
 use crate::scale::report::{Report, RoleFigures, Sample};
-use runtime::actor::asked_to_stop;
+use runtime::actor::shutdown_signal;
 use runtime::clock::Clock;
 use runtime::http::Fetch;
 use runtime::locks::locked;
@@ -289,7 +289,7 @@
     let outcome = runtime.block_on(async {
         tokio::select! {
             report = run_size(options, folder) => report,
-            () = asked_to_stop() => Err(anyhow!("interrupted: every process of the run was ended")),
+            () = shutdown_signal() => Err(anyhow!("interrupted: every process of the run was ended")),
         }
     });
     runtime.shutdown_timeout(Duration::from_secs(3));
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -15,7 +15,7 @@
 use caperworks::poll_pacer::PollPacer;
 use caperworks::replicated_map::MapName;
 use caperworks::rtt_estimator::LOCAL_TIMEOUT;
-use runtime::actor::{asked_to_stop, follow_settings, fresh_seed, Reread};
+use runtime::actor::{follow_settings, fresh_seed, shutdown_signal, Reread};
 use runtime::clock::Clock;
 use runtime::connections::{listen, ControlPort};
 use runtime::events::{event, NOT_READY, READY, STARTED, STOPPED, STOPPING};
@@ -166,7 +166,7 @@
             async move { Ok(response) }
         }));
     }
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     carrier.stopping.store(true, Ordering::SeqCst);
     stopping.store(true, Ordering::Relaxed);
--- a/crates/runtime/src/actor.rs
+++ b/crates/runtime/src/actor.rs
@@ -16,5 +16,5 @@
 pub use self::readiness::ReadyUntil;
 pub use self::seed::fresh_seed;
 pub use self::settings::{follow_settings, Reread};
-pub use self::shutdown::{asked_to_stop, shut_down_gracefully};
+pub use self::shutdown::{shut_down_gracefully, shutdown_signal};
 pub use self::tickets::Tickets;
--- a/crates/runtime/src/actor/shutdown.rs
+++ b/crates/runtime/src/actor/shutdown.rs
@@ -21,7 +21,7 @@
 }
 
 /// Completes when the platform asks for a shutdown, by `SIGTERM` or `SIGINT`.
-pub async fn asked_to_stop() {
+pub async fn shutdown_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -22,7 +22,7 @@
     mix, steady_hash, Epoch, Incarnation, InstanceId, ServiceName, Zone,
 };
 use caperworks::ownership::HeldLeases;
-use runtime::actor::asked_to_stop;
+use runtime::actor::shutdown_signal;
 use runtime::clock::Clock;
 use runtime::connections::listen;
 use runtime::events::{event, start_log, STARTED, STOPPED, STOPPING};
@@ -466,7 +466,7 @@
     tokio::spawn(serve_http(listener, stop.clone(), move |_, request| {
         answering.clone().respond(request)
     }));
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     test_instance.draining.store(true, Ordering::SeqCst);
     test_instance
