--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -25,7 +25,7 @@
 use proxy::dialect::Dialect;
 use runtime::clock::Clock;
 use runtime::http::{serve_http, REQUEST_HEADER};
-use runtime::options::{NodeSettings, Terms};
+use runtime::options::{NodeSettings, TuningOptions};
 
 /// How long a request may take; silence costs as much.
 const ROUTE_DEADLINE: Duration = Duration::from_millis(500);
@@ -173,7 +173,7 @@
         log_megabytes: 1,
         capacity: 100,
         agent: Some(nowhere),
-        terms: Terms::default(),
+        terms: TuningOptions::default(),
     }
 }
 
--- a/crates/runtime/src/options.rs
+++ b/crates/runtime/src/options.rs
@@ -9,4 +9,4 @@
 pub use self::fault::{end_over, read_json_file, OptionsFault};
 pub use self::flags::{node_flags, read_flags, NodeFlags};
 pub use self::node_settings::NodeSettings;
-pub use self::terms::Terms;
+pub use self::terms::TuningOptions;
--- a/crates/runtime/src/options/node_settings.rs
+++ b/crates/runtime/src/options/node_settings.rs
@@ -8,7 +8,7 @@
 use crate::options::fault::{end_over, OptionsFault};
 use crate::options::flags::NodeFlags;
 use crate::options::reader::OptionsReader;
-use crate::options::terms::Terms;
+use crate::options::terms::TuningOptions;
 
 /// The settings of one process, checked.
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
     /// The control address of a proxy's agent.
     pub agent: Option<SocketAddr>,
     /// How the process works where more than one way is sound.
-    pub terms: Terms,
+    pub terms: TuningOptions,
 }
 
 impl NodeSettings {
--- a/crates/runtime/src/options/reader.rs
+++ b/crates/runtime/src/options/reader.rs
@@ -6,7 +6,7 @@
 use jzon::JsonValue;
 
 use crate::options::fault::{read_json_file, OptionsFault};
-use crate::options::terms::Terms;
+use crate::options::terms::TuningOptions;
 
 /// All fields of an options file.
 const KNOWN_FIELDS: [&str; 14] = [
@@ -171,8 +171,8 @@
     }
 
     /// The settings of the core and of proxies that an options file can change.
-    pub(super) fn terms(&mut self) -> Terms {
-        let mut terms = Terms::default();
+    pub(super) fn terms(&mut self) -> TuningOptions {
+        let mut terms = TuningOptions::default();
         if self.is_given("synced_ledgers") {
             terms.core.synced_controllers = Some(self.number("synced_ledgers", 2, 9) as usize);
         }
--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/terms.rs
@@ -7,7 +7,7 @@
 
 /// How a process works where more than one way is sound.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct TuningOptions {
     /// The settings of controllers.
     pub core: CorePolicy,
     /// The settings of a proxy.
@@ -28,7 +28,7 @@
     pub readiness: Option<SocketAddr>,
 }
 
-impl Default for Terms {
+impl Default for TuningOptions {
     fn default() -> Self {
         Self {
             core: CorePolicy::default(),
@@ -45,7 +45,7 @@
     }
 }
 
-impl Terms {
+impl TuningOptions {
     /// What proxies do that are partitioned from the core: serve on with stale state, or refuse.
     pub fn serve_on(&mut self, serves_on: bool) {
         self.core.proxies_serve_on = serves_on;
