--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -15,7 +15,7 @@
 use caperworks::messages::UsageLine;
 use caperworks::ownership::TimestampedResponse;
 use runtime::actor::{
-    follow_settings, fresh_seed, open_actor, shut_down_gracefully, shutdown_signal, Host, Inbox,
+    follow_settings, fresh_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
     ReadyUntil, Reread, Tickets,
 };
 use runtime::clock::Clock;
@@ -185,7 +185,7 @@
         ready_until: ready_until.clone(),
         stopped: stopped.clone(),
     };
-    open_actor(worker, clock, receiver, node_settings.terms.tick);
+    spawn_actor(worker, clock, receiver, node_settings.terms.tick);
     if serves {
         let listener = listen(node_settings.serving).await?;
         let stop = Arc::new(AtomicBool::new(false));
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -20,7 +20,7 @@
 use caperworks::identifiers::NodeId;
 use caperworks::slots::DiskWrite;
 use runtime::actor::{
-    follow_settings, fresh_seed, open_actor, shut_down_gracefully, shutdown_signal, Host, Inbox,
+    follow_settings, fresh_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
     Reread,
 };
 use runtime::clock::Clock;
@@ -98,7 +98,7 @@
     host.act(outputs, &mut next);
     next.into_iter()
         .for_each(|input| host.take(clock.now(), input));
-    open_actor(host, clock, receiver, node_settings.terms.tick);
+    spawn_actor(host, clock, receiver, node_settings.terms.tick);
     let stopping = handle.stopping.clone();
     serve_calls(&node_settings, handle, interface).await?;
     let settings = inbox.clone();
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -13,7 +13,7 @@
 };
 use caperworks::link::RejectedChunk;
 use runtime::actor::{
-    follow_settings, fresh_seed, open_actor, shutdown_signal, Host, Inbox, Reread,
+    follow_settings, fresh_seed, shutdown_signal, spawn_actor, Host, Inbox, Reread,
 };
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
@@ -164,7 +164,7 @@
         machine: machine.clone(),
         port,
     };
-    open_actor(worker, clock, receiver, node_settings.terms.tick);
+    spawn_actor(worker, clock, receiver, node_settings.terms.tick);
     let listener = listen(node_settings.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
--- a/crates/runtime/src/actor.rs
+++ b/crates/runtime/src/actor.rs
@@ -12,7 +12,7 @@
 
 pub use self::daemon::run_daemon;
 pub use self::inbox::Inbox;
-pub use self::machine_actor::{open_actor, Given, Host, MachineActor};
+pub use self::machine_actor::{spawn_actor, Given, Host, MachineActor};
 pub use self::readiness::ReadyUntil;
 pub use self::seed::fresh_seed;
 pub use self::settings::{follow_settings, Reread};
--- a/crates/runtime/src/actor/machine_actor.rs
+++ b/crates/runtime/src/actor/machine_actor.rs
@@ -54,7 +54,7 @@
 /// Spawns the actor, its ticker, and the task that forwards the inbox to it.
 ///
 /// The actor ends only by a broken invariant, which must stop the process: the ticker ends it then.
-pub fn open_actor<Worker: Host>(
+pub fn spawn_actor<Worker: Host>(
     worker: Worker,
     clock: Clock,
     mut inbox: mpsc::Receiver<Worker::Input>,
