--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -16,7 +16,7 @@
 use caperworks::ownership::TimestampedResponse;
 use runtime::actor::{
     follow_settings, fresh_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
-    ReadyUntil, Reread, Tickets,
+    ReadyUntil, ReloadSettings, Tickets,
 };
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
@@ -130,7 +130,11 @@
 }
 
 /// Runs an agent until it is asked to stop; `serves` says whether it answers over HTTP.
-pub async fn run(node_settings: NodeSettings, reread: Reread, serves: bool) -> anyhow::Result<()> {
+pub async fn run(
+    node_settings: NodeSettings,
+    reread: ReloadSettings,
+    serves: bool,
+) -> anyhow::Result<()> {
     let clock = Clock::start();
     let options = AgentOptions {
         control: node_settings.advertise,
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -21,7 +21,7 @@
 use caperworks::slots::DiskWrite;
 use runtime::actor::{
     follow_settings, fresh_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
-    Reread,
+    ReloadSettings,
 };
 use runtime::clock::Clock;
 use runtime::connections::{listen, ControlPort};
@@ -74,7 +74,7 @@
 /// An error means that it never started: a port is taken, or the data folder is not usable.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: Reread,
+    reread: ReloadSettings,
     interface: Interface,
 ) -> Result<(), StartError> {
     let clock = Clock::start();
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -13,7 +13,7 @@
 };
 use caperworks::link::RejectedChunk;
 use runtime::actor::{
-    follow_settings, fresh_seed, shutdown_signal, spawn_actor, Host, Inbox, Reread,
+    follow_settings, fresh_seed, shutdown_signal, spawn_actor, Host, Inbox, ReloadSettings,
 };
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
@@ -119,7 +119,7 @@
 /// Runs a directory until it is asked to stop.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: Reread,
+    reread: ReloadSettings,
     interface: Interface,
 ) -> anyhow::Result<()> {
     let clock = Clock::start();
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Parser;
 
-use runtime::actor::{run_daemon, Reread};
+use runtime::actor::{run_daemon, ReloadSettings};
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
@@ -15,7 +15,7 @@
     let flags = read_flags(&node_flags().to_options().descr(HELP));
     let node_settings = NodeSettings::read_or_end(&flags, &NEEDS);
     start_log()?;
-    let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
+    let reread: ReloadSettings = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
         node_settings.terms.workers,
         directory::daemon::run(node_settings, reread, directory::daemon::own_interface()),
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -15,7 +15,7 @@
 use caperworks::poll_pacer::PollPacer;
 use caperworks::replicated_map::MapName;
 use caperworks::rtt_estimator::LOCAL_TIMEOUT;
-use runtime::actor::{follow_settings, fresh_seed, shutdown_signal, Reread};
+use runtime::actor::{follow_settings, fresh_seed, shutdown_signal, ReloadSettings};
 use runtime::clock::Clock;
 use runtime::connections::{listen, ControlPort};
 use runtime::events::{event, NOT_READY, READY, STARTED, STOPPED, STOPPING};
@@ -114,7 +114,7 @@
 /// Runs a proxy until it is asked to stop.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: Reread,
+    reread: ReloadSettings,
     dialect: Dialect,
 ) -> anyhow::Result<()> {
     // Why nothing is taken from them: the proxy knows nobody but its agent.
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -5,7 +5,7 @@
 use bpaf::Parser;
 
 use proxy::dialect::Dialect;
-use runtime::actor::{run_daemon, Reread};
+use runtime::actor::{run_daemon, ReloadSettings};
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
@@ -16,7 +16,7 @@
     let flags = read_flags(&node_flags().to_options().descr(HELP));
     let node_settings = NodeSettings::read_or_end(&flags, &NEEDS);
     start_log()?;
-    let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
+    let reread: ReloadSettings = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
         node_settings.terms.workers,
         proxy::daemon::run(node_settings, reread, Dialect::own()),
--- a/crates/runtime/src/actor.rs
+++ b/crates/runtime/src/actor.rs
@@ -15,6 +15,6 @@
 pub use self::machine_actor::{spawn_actor, Given, Host, MachineActor};
 pub use self::readiness::ReadyUntil;
 pub use self::seed::fresh_seed;
-pub use self::settings::{follow_settings, Reread};
+pub use self::settings::{follow_settings, ReloadSettings};
 pub use self::shutdown::{shut_down_gracefully, shutdown_signal};
 pub use self::tickets::Tickets;
