--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -213,7 +213,7 @@
     }
 
     /// Only for proving the observers: takes grants whose news has not arrived.
-    pub fn be_careless(&mut self) {
+    pub fn ignore_missing_versions(&mut self) {
         self.link.lease.careless = true;
     }
 
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -101,7 +101,7 @@
         let mut machine = AgentMachine::start(options, seed);
         machine.break_fallback(self.day.broken_fallback);
         if self.day.careless_agents {
-            machine.be_careless();
+            machine.ignore_missing_versions();
         }
         machine
     }
