--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -42,7 +42,7 @@
     /// In which form the maps are followed; an agent that may become a witness needs them complete.
     pub feed_form: FeedForm,
     /// The proxy goes on with what it last knew when the core is out of reach.
-    pub proxy_serves_on: bool,
+    pub proxy_serves_stale: bool,
     /// An instance that has not beaten for so long is gone.
     pub instance_span: Duration,
     /// How long a lease lives at most.
@@ -322,7 +322,7 @@
         self.request_chunks(requests, outputs);
         self.ask_agents(now, outputs);
         self.link.members.expire(now);
-        let gone = match self.options.proxy_serves_on {
+        let gone = match self.options.proxy_serves_stale {
             true => self.link.count_silent_instances(now),
             false => self.link.instances.count_silent(now),
         };
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -66,7 +66,7 @@
 const SPAN: Duration = Duration::from_millis(4000);
 
 impl Bench {
-    fn new(proxy_serves_on: bool) -> Self {
+    fn new(proxy_serves_stale: bool) -> Self {
         let options = AgentOptions {
             heartbeat_refresh: Duration::ZERO,
             demand_period: Duration::ZERO,
@@ -74,7 +74,7 @@
             zone: Zone::new("e1"),
             seeds: vec![address(6000), address(6001)],
             feed_form: FeedForm::Complete,
-            proxy_serves_on,
+            proxy_serves_stale,
             instance_span: SPAN,
             lease_span: LEASE_SPAN,
         };
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -89,7 +89,7 @@
     fn agent_of(&self, node: &Node, seed: u64) -> AgentMachine {
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
-            proxy_serves_on: self.day.policy.serves_on,
+            proxy_serves_stale: self.day.policy.serves_on,
             instance_span: INSTANCE_SPAN,
             lease_span: LEASE_SPAN,
             heartbeat_refresh: Duration::ZERO,
