--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -145,7 +145,7 @@
         instance_span: node_settings.terms.core.instance_span,
         lease_span: node_settings.terms.proxy.lease_span.unwrap_or(LEASE_SPAN),
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
-        demand_period: node_settings.terms.core.member_refresh,
+        demand_report_interval: node_settings.terms.core.member_refresh,
     };
     let machine = AgentMachine::start(options, fresh_seed());
     let (inbox, receiver) = Inbox::open();
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -50,7 +50,7 @@
     /// How long a heartbeat that says nothing new need not be told to the proxy.
     pub heartbeat_refresh: Duration,
     /// How long demand need not be told again.
-    pub demand_period: Duration,
+    pub demand_report_interval: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -231,7 +231,7 @@
         self.counter += 1;
         let tells_demand = now >= self.demand_at || self.link.controller() != self.demand_to;
         if tells_demand {
-            self.demand_at = now + self.options.demand_period;
+            self.demand_at = now + self.options.demand_report_interval;
             self.demand_to = self.link.controller();
         }
         let proxy = self
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -69,7 +69,7 @@
     fn new(proxy_serves_stale: bool) -> Self {
         let options = AgentOptions {
             heartbeat_refresh: Duration::ZERO,
-            demand_period: Duration::ZERO,
+            demand_report_interval: Duration::ZERO,
             control: address(6500),
             zone: Zone::new("e1"),
             seeds: vec![address(6000), address(6001)],
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -93,7 +93,7 @@
             instance_span: INSTANCE_SPAN,
             lease_span: LEASE_SPAN,
             heartbeat_refresh: Duration::ZERO,
-            demand_period: Duration::ZERO,
+            demand_report_interval: Duration::ZERO,
             control: node.address,
             zone: node.zone.clone(),
             seeds: self.seeds.clone(),
