--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -26,7 +26,7 @@
 use crate::rtt_estimator::CORE_TIMEOUT;
 
 /// The interval between lease renewals.
-pub const RENEW_PERIOD: Duration = Duration::from_millis(300);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(300);
 /// How soon a follower renews again when it is missing a version that the grant named.
 const MISSING_VERSION_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// For how long a reported number of proxies is taken into account.
@@ -307,7 +307,7 @@
 
     /// Returns the next renewal and the controller to send it to.
     pub fn renew(&mut self, now: Duration, member: Member) -> (SocketAddr, Message) {
-        self.renew_at = now + RENEW_PERIOD;
+        self.renew_at = now + RENEW_INTERVAL;
         self.polled_at = now;
         self.is_unreachable = false;
         self.reporter.figures.polls += 1;
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -19,7 +19,7 @@
 use caperworks::identifiers::{
     Incarnation, InstanceId, NodeId, RouteName, ServiceName, Version, Zone,
 };
-use caperworks::link::RENEW_PERIOD;
+use caperworks::link::RENEW_INTERVAL;
 use caperworks::messages::ResponseExtent;
 use caperworks::messages::{Envelope, Granted, Message, Renewal};
 use caperworks::ownership::HeldLeases;
@@ -270,7 +270,7 @@
     fn renew(&mut self) {
         let now = self.fleet.clock.now();
         if self.fleet.is_silent(self.number) {
-            self.renew_at = now + RENEW_PERIOD;
+            self.renew_at = now + RENEW_INTERVAL;
             return;
         }
         if now.saturating_sub(self.answered_at) >= CONTROLLER_TIMEOUT.max(self.pace.timeout()) {
@@ -282,7 +282,7 @@
             self.renew_at = now + BEHIND_PERIOD;
             return;
         }
-        self.renew_at = now + RENEW_PERIOD;
+        self.renew_at = now + RENEW_INTERVAL;
         let member = self.member();
         self.pace.asked(now, self.counter);
         let renewal = Renewal {
--- a/crates/local-fleet/src/scale/sweep.rs
+++ b/crates/local-fleet/src/scale/sweep.rs
@@ -8,7 +8,7 @@
 use crate::scale::options::ScaleOptions;
 use crate::scale::report::Report;
 use crate::scale::run::run_apart;
-use caperworks::link::RENEW_PERIOD;
+use caperworks::link::RENEW_INTERVAL;
 
 /// One dimension of a sweep, and the sizes that it takes while all others are held.
 pub(crate) fn dimensions(options: &ScaleOptions) -> Vec<(&'static str, Vec<(f64, ScaleOptions)>)> {
@@ -104,7 +104,7 @@
 /// instances alone make a straight line.
 pub(crate) fn facts_reported(options: &ScaleOptions) -> f64 {
     let members = f64::from(options.nodes + options.agents + options.directories);
-    let renewals = 1.0 / RENEW_PERIOD.as_secs_f64();
+    let renewals = 1.0 / RENEW_INTERVAL.as_secs_f64();
     members * (renewals * members + 2.0 * f64::from(options.instances))
 }
 
