--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -13,7 +13,7 @@
     steady_hash, ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
 };
 use caperworks::leases::LEASE_SPAN;
-use caperworks::link::SLOW_LINK_SPAN;
+use caperworks::link::SLOW_LINK_WINDOW;
 use caperworks::map_items::{Route, Value, VoterEntry, VoterSet};
 use caperworks::messages::{Envelope, Granted, Message, ProxyView, Pull};
 use caperworks::partition_fallback::FallbackRequest;
@@ -282,8 +282,8 @@
     );
     let view = bench.view(millis(9500));
     assert_eq!(view.left, Duration::ZERO);
-    assert_eq!(view.link_slow_for, SLOW_LINK_SPAN);
-    let cut_off = millis(9500) + SLOW_LINK_SPAN;
+    assert_eq!(view.link_slow_for, SLOW_LINK_WINDOW);
+    let cut_off = millis(9500) + SLOW_LINK_WINDOW;
     assert_eq!(bench.view(cut_off).link_slow_for, Duration::ZERO);
 }
 
@@ -297,7 +297,7 @@
             granted: late_grant(),
         },
     );
-    assert_eq!(bench.view(millis(6000)).link_slow_for, SLOW_LINK_SPAN);
+    assert_eq!(bench.view(millis(6000)).link_slow_for, SLOW_LINK_WINDOW);
     bench.runs(6000, 6500, Core::Responds, &[]);
     assert_eq!(bench.view(millis(6500)).link_slow_for, Duration::ZERO);
 }
@@ -568,7 +568,7 @@
     }
     let last_part = millis(11_800);
     let slow_for = bench.view(millis(12_000)).link_slow_for;
-    assert_eq!(slow_for, last_part + SLOW_LINK_SPAN - millis(12_000));
+    assert_eq!(slow_for, last_part + SLOW_LINK_WINDOW - millis(12_000));
     assert!(
         renewals <= 1,
         "it asked {renewals} times while an answer came"
--- a/crates/caperworks/src/dispatch/link_watch.rs
+++ b/crates/caperworks/src/dispatch/link_watch.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use crate::link::SLOW_LINK_SPAN;
+use crate::link::SLOW_LINK_WINDOW;
 
 /// A connection that took longer to open came over a full link, or did not come at all; regions lie
 /// some 0.1 s apart.
@@ -47,7 +47,7 @@
 impl LinkWatch {
     /// The link seems full at this moment.
     pub fn record_full(&self, now: Duration) {
-        let until = (now + SLOW_LINK_SPAN).as_micros() as u64;
+        let until = (now + SLOW_LINK_WINDOW).as_micros() as u64;
         self.full_until_micros.fetch_max(until, Ordering::Relaxed);
     }
 
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -45,7 +45,7 @@
 ///
 /// It is twice the lease lifetime: over a saturated link responses first become slow, and then none arrives
 /// for some time.
-pub const SLOW_LINK_SPAN: Duration = Duration::from_millis(6000);
+pub const SLOW_LINK_WINDOW: Duration = Duration::from_millis(6000);
 
 /// The outcome of a response to a request for chunks.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -189,7 +189,7 @@
     /// Returns for how much longer missing responses are taken for a slow link and not for a partition.
     pub fn slow_for(&self, now: Duration) -> Duration {
         self.slow_response_at.map_or(Duration::ZERO, |slow_at| {
-            (slow_at + SLOW_LINK_SPAN).saturating_sub(now)
+            (slow_at + SLOW_LINK_WINDOW).saturating_sub(now)
         })
     }
 
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -7,7 +7,7 @@
 use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState, Member, Role};
 use caperworks::identifiers::{Incarnation, InstanceId, NodeId, ServiceName, Version, Zone};
 use caperworks::instances::Instances;
-use caperworks::link::{CoreLink, Responder, SLOW_LINK_SPAN, SLOW_RESPONSE};
+use caperworks::link::{CoreLink, Responder, SLOW_LINK_WINDOW, SLOW_RESPONSE};
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 use caperworks::rtt_estimator::CORE_TIMEOUT;
@@ -241,14 +241,14 @@
     link.connection_opened(now, address(300), SLOW_RESPONSE);
     assert_eq!(link.slow_for(now), Duration::ZERO, "that is no controller");
     link.connection_opened(now, followed, SLOW_RESPONSE);
-    assert_eq!(link.slow_for(now), SLOW_LINK_SPAN);
+    assert_eq!(link.slow_for(now), SLOW_LINK_WINDOW);
 }
 
 #[test]
 fn a_link_that_has_not_been_answered_yet_counts_as_slow_until_it_is() {
     let mut link = link();
     let (now, to, renewal) = next_renewal(&mut link, Duration::ZERO);
-    assert_eq!(link.slow_for(now), SLOW_LINK_SPAN);
+    assert_eq!(link.slow_for(now), SLOW_LINK_WINDOW);
     link.granted(now + STEP, responder(to), &grant(renewal.number, 1));
     assert_eq!(link.slow_for(now + STEP), Duration::ZERO);
 }
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -15,7 +15,7 @@
     steady_hash, Chance, ChangeId, Epoch, Incarnation, InstanceId, NodeId, Region, ServiceName,
     Version, Zone,
 };
-use caperworks::link::SLOW_LINK_SPAN;
+use caperworks::link::SLOW_LINK_WINDOW;
 use caperworks::map_items::{
     KeyRangeOwner, KeyRangeTable, KeySpace, RequestKind, Route, Service, SplitTarget, Value,
     ZoneSettings,
@@ -251,7 +251,7 @@
     bench.reported_outcome(millis(3500), &one_everywhere());
     assert_eq!(bench.admits(millis(3600), &route()), Ok(()));
     assert_eq!(bench.admits(millis(6500), &route()), Err(Failure::Stale));
-    let over = millis(2000) + SLOW_LINK_SPAN;
+    let over = millis(2000) + SLOW_LINK_WINDOW;
     assert_eq!(bench.admits(over, &route()), Ok(()));
 }
 
