--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -39,7 +39,7 @@
             number: ask.number,
             versions: self.link.versions(),
             updates: updates.collect(),
-            fit_under: self.fallback_quorum.fit_under(),
+            qualified_under: self.fallback_quorum.qualified_under(),
             draining: self.link.instances.draining(now),
         };
         let message = Message::FallbackResponse { tell };
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -78,7 +78,7 @@
     }
 
     /// The version of the members under which this agent's answer counts in a majority, if it does.
-    pub fn fit_under(&self) -> Option<Version> {
+    pub fn qualified_under(&self) -> Option<Version> {
         self.is_qualified.then_some(self.fallback_members_version)
     }
 
@@ -151,7 +151,7 @@
         tell: &FallbackResponse,
         follower: &Follower,
     ) {
-        let counts = tell.fit_under == Some(self.fallback_members_version);
+        let counts = tell.qualified_under == Some(self.fallback_members_version);
         let mut requests = self.requests.iter_mut();
         let request = requests.find(|request| request.number == tell.number);
         if let Some(request) = request.filter(|_| counts) {
--- a/crates/caperworks/src/partition_fallback/messages.rs
+++ b/crates/caperworks/src/partition_fallback/messages.rs
@@ -29,7 +29,7 @@
         0 number: u64,
         1 versions: Vec<Version>,
         2 updates: Vec<ConsensusMessage>,
-        3 fit_under: Option<Version>,
+        3 qualified_under: Option<Version>,
         /// The instances that drain, as far as the sender has heard: whoever is kept fresh by other agents
         /// must know them like one that holds a lease of the core.
         #[cbor(default)]
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -755,7 +755,7 @@
                     number: 91,
                     versions: vec![Version(17)],
                     updates: vec![consensus_message()],
-                    fit_under: Some(Version(3)),
+                    qualified_under: Some(Version(3)),
                     draining: Vec::new(),
                 },
             },
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -322,7 +322,7 @@
                     number: ask.number,
                     versions: self.versions.clone(),
                     updates: Vec::new(),
-                    fit_under: None,
+                    qualified_under: None,
                     draining: Vec::new(),
                 };
                 self.send(envelope.reply_to, Message::FallbackResponse { tell });
