--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -29,7 +29,7 @@
     /// Counts as fresh whatever later versions the others have.
     NoPooling,
     /// Counts a majority of those that answer, and not of the members.
-    CountsTheLiving,
+    CountsOnlyResponders,
     /// Counts its own answer from the start, though it may have lost state.
     Forgetful,
 }
@@ -172,7 +172,7 @@
                 (is_qualified && *address == own) || request.responses.contains_key(address)
             };
             let enough = match broken {
-                BrokenFallback::CountsTheLiving => !request.responses.is_empty(),
+                BrokenFallback::CountsOnlyResponders => !request.responses.is_empty(),
                 _ => fallback_members.enough(heard, majority_of),
             };
             let is_up_to_date = request.responses.values().all(|versions| {
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -253,7 +253,7 @@
 #[test]
 fn given_an_island_of_those_that_answer_when_the_regions_are_cut_then_old_orders_are_seen() {
     is_caught("regions-cut", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::CountsTheLiving
+        day.broken_fallback = BrokenFallback::CountsOnlyResponders
     });
 }
 
