--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -31,7 +31,7 @@
     /// Counts a majority of those that answer, and not of the members.
     CountsOnlyResponders,
     /// Counts its own answer from the start, though it may have lost state.
-    Forgetful,
+    QualifiedFromStart,
 }
 
 /// A request in flight, with the answers so far.
@@ -107,7 +107,7 @@
         let is_proved = now < lease_until
             && lease_until >= self.fallback_members_since + SETTLE_SPAN + LEASE_SPAN
             && version > Version(0);
-        self.is_qualified |= is_proved || self.broken == BrokenFallback::Forgetful;
+        self.is_qualified |= is_proved || self.broken == BrokenFallback::QualifiedFromStart;
     }
 
     /// The members to ask, and the number of the request, if it is time.
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -260,7 +260,7 @@
 #[test]
 fn given_agents_that_forget_when_they_restart_on_an_island_then_old_orders_are_seen() {
     is_caught("island-after-yes", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::Forgetful
+        day.broken_fallback = BrokenFallback::QualifiedFromStart
     });
 }
 
