--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -63,7 +63,7 @@
         for heard in &tell.draining {
             self.link.instances.handle(now, &heard.clone().aged(lain));
         }
-        let pools = self.fallback_quorum.broken != BrokenFallback::NoPooling;
+        let pools = self.fallback_quorum.broken != BrokenFallback::IgnoresNewerVersions;
         let moved: Vec<MapName> = tell
             .updates
             .iter()
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -27,7 +27,7 @@
     /// Asks nobody.
     Silent,
     /// Counts as fresh whatever later versions the others have.
-    NoPooling,
+    IgnoresNewerVersions,
     /// Counts a majority of those that answer, and not of the members.
     CountsOnlyResponders,
     /// Counts its own answer from the start, though it may have lost state.
@@ -183,7 +183,7 @@
                         .is_none_or(|version| *version <= present)
                 })
             });
-            if enough && (is_up_to_date || broken == BrokenFallback::NoPooling) {
+            if enough && (is_up_to_date || broken == BrokenFallback::IgnoresNewerVersions) {
                 let until = request.sent_at + FALLBACK_SPAN - DRIFT_MARGIN;
                 self.fresh_until = self.fresh_until.max(until);
             }
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -246,7 +246,7 @@
 #[test]
 fn given_an_island_that_does_not_pool_when_the_core_is_cut_off_then_old_orders_are_seen() {
     is_caught("island-after-yes", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::NoPooling
+        day.broken_fallback = BrokenFallback::IgnoresNewerVersions
     });
 }
 
