--- a/crates/caperworks/src/partition_fallback.rs
+++ b/crates/caperworks/src/partition_fallback.rs
@@ -34,6 +34,6 @@
 }
 
 /// How many of so many agents must have a change so that every majority has one of them.
-pub fn yes_quorum(agents: usize) -> usize {
+pub fn confirmation_quorum(agents: usize) -> usize {
     agents + 1 - majority_of(agents)
 }
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -13,7 +13,7 @@
 use caperworks::configuration::Fault;
 use caperworks::facts::{Member, Role};
 use caperworks::identifiers::Version;
-use caperworks::partition_fallback::{majority_of, yes_quorum, FallbackMembers};
+use caperworks::partition_fallback::{confirmation_quorum, majority_of, FallbackMembers};
 use caperworks::replicated_map::{MapName, ALL_MAPS, FALLBACK_MEMBERS};
 
 /// How long an operator's answer waits for the agents after the change was agreed on.
@@ -45,7 +45,7 @@
         .map(MapName::Membership)
         .fallback_members()
         .is_none_or(|fallback_members| {
-            fallback_members.enough(|address| agents.contains_key(address), yes_quorum)
+            fallback_members.enough(|address| agents.contains_key(address), confirmation_quorum)
         })
 }
 
@@ -68,7 +68,7 @@
     let by_set = |set: &Vec<SocketAddr>| {
         let mut versions: Vec<Version> = set.iter().map(held).collect();
         versions.sort_by_key(|version| Reverse(*version));
-        versions.get(yes_quorum(set.len()) - 1).copied()
+        versions.get(confirmation_quorum(set.len()) - 1).copied()
     };
     let own = state.map(MapName::Configuration).version;
     [&fallback_members.members, &fallback_members.before]
@@ -140,7 +140,7 @@
             .get(address)
             .is_some_and(|member| member.versions[MapName::Membership.index()] >= version)
     };
-    fallback_members.enough(knows, yes_quorum)
+    fallback_members.enough(knows, confirmation_quorum)
 }
 
 /// The next roster, if it is due: agents join by themselves, one step after the other.
