--- a/crates/caperctl/src/main.rs
+++ b/crates/caperctl/src/main.rs
@@ -12,7 +12,7 @@
 use crate::usage::{read_hour, rows, write, Range};
 use runtime::actor::fresh_seed;
 use runtime::http::{Fetch, Fetched};
-use runtime::options::{end_over, read_flags, OptionsFault};
+use runtime::options::{exit_with_faults, read_flags, OptionsFault};
 
 const HELP: &str = "Drives a caperworks fleet: applies change sets, reads and watches resources, \
 closes and opens zones, and shows the state of the core";
@@ -252,14 +252,14 @@
     let read = |field: &str, text: Option<&str>, otherwise: u64| match text.map(read_hour) {
         None => otherwise,
         Some(Ok(hour)) => hour,
-        Some(Err(why)) => end_over(&[fault(field, why)]),
+        Some(Err(why)) => exit_with_faults(&[fault(field, why)]),
     };
     let range = Range {
         from: read("--from", from, 0),
         to: read("--to", to, u64::MAX),
     };
     if range.from >= range.to {
-        end_over(&[fault("--to", "must be later than --from".to_string())]);
+        exit_with_faults(&[fault("--to", "must be later than --from".to_string())]);
     }
     let mut responses = Vec::new();
     for agent in agents {
@@ -274,7 +274,7 @@
     let rows = rows(&responses, range);
     if let Err(failure) = write(file, &rows) {
         let remedy = format!("cannot be written ({failure}): give a path that can");
-        end_over(&[fault(&file.display().to_string(), remedy)]);
+        exit_with_faults(&[fault(&file.display().to_string(), remedy)]);
     }
     println!("{} rows", rows.len());
     Ok(0)
@@ -285,7 +285,7 @@
     let flags = read_flags(&flags());
     let controllers = &flags.controllers;
     if controllers.is_empty() && !matches!(flags.command, Command::Usage { .. }) {
-        end_over(&[OptionsFault {
+        exit_with_faults(&[OptionsFault {
             file: "the command line".to_string(),
             field: "--ledger".to_string(),
             remedy: "give at least one".to_string(),
@@ -294,7 +294,7 @@
     let code = match &flags.command {
         Command::Apply { file } => match std::fs::read_to_string(file) {
             Ok(text) => apply(controllers, text).await?,
-            Err(failure) => end_over(&[OptionsFault {
+            Err(failure) => exit_with_faults(&[OptionsFault {
                 file: file.display().to_string(),
                 field: "file".to_string(),
                 remedy: format!("cannot be read ({failure}): give a file that exists"),
--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -19,7 +19,7 @@
 use runtime::events::start_log;
 use runtime::http::{Fetch, OUTCOME_HEADER};
 use runtime::locks::locked;
-use runtime::options::{end_over, read_flags};
+use runtime::options::{exit_with_faults, read_flags};
 use runtime::scenario::{Scenario, Traffic};
 
 const HELP: &str =
@@ -245,7 +245,8 @@
 async fn main() -> anyhow::Result<()> {
     let flags = read_flags(&flags());
     start_log()?;
-    let scenario = Scenario::read(&flags.scenario).unwrap_or_else(|faults| end_over(&faults));
+    let scenario =
+        Scenario::read(&flags.scenario).unwrap_or_else(|faults| exit_with_faults(&faults));
     let traffic = scenario.traffic;
     let record = match &flags.record {
         None => None,
--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -27,7 +27,7 @@
 use crate::scale::scale;
 use runtime::events::start_log;
 use runtime::http::{Fetch, Fetched};
-use runtime::options::{end_over, read_flags, OptionsFault};
+use runtime::options::{exit_with_faults, read_flags, OptionsFault};
 use runtime::scenario::Scenario;
 
 const HELP: &str = "Starts a whole fleet on this machine from a scenario file, does it harm, and \
@@ -276,7 +276,7 @@
 }
 
 pub async fn up(run: &Path, scenario: &Path, base: u16, relayed: Relayed) -> anyhow::Result<()> {
-    let scenario = Scenario::read(scenario).unwrap_or_else(|faults| end_over(&faults));
+    let scenario = Scenario::read(scenario).unwrap_or_else(|faults| exit_with_faults(&faults));
     std::fs::create_dir_all(run)?;
     let run = run.canonicalize()?;
     if let Ok(old) = Fleet::load(&run) {
@@ -512,7 +512,7 @@
     for name in names {
         let found = fleet.named(name);
         if found.is_empty() {
-            end_over(&[OptionsFault {
+            exit_with_faults(&[OptionsFault {
                 file: "command line".to_string(),
                 field: name.clone(),
                 remedy: "is no process, program or zone of this fleet: see local fleet status"
@@ -541,7 +541,7 @@
         }
         Command::Drill { base, file } => {
             start_log()?;
-            let drill = Drill::read(file).unwrap_or_else(|faults| end_over(&faults));
+            let drill = Drill::read(file).unwrap_or_else(|faults| exit_with_faults(&faults));
             if !drill::run(&flags.run, &drill, *base).await? {
                 std::process::exit(1);
             }
@@ -575,7 +575,7 @@
         }
         _ => {}
     }
-    let mut fleet = Fleet::load(&flags.run).unwrap_or_else(|fault| end_over(&[fault]));
+    let mut fleet = Fleet::load(&flags.run).unwrap_or_else(|fault| exit_with_faults(&[fault]));
     match &flags.command {
         Command::Up { .. } | Command::Drill { .. } | Command::Relay { .. } | Command::Scale(_) => {}
         Command::Cut { one_way, names } => {
--- a/crates/local-fleet/src/scale.rs
+++ b/crates/local-fleet/src/scale.rs
@@ -6,7 +6,7 @@
 use crate::scale::options::{machine_limits, ScaleOptions};
 use crate::scale::run::run_apart;
 use crate::scale::sweep::sweep;
-use runtime::options::end_over;
+use runtime::options::exit_with_faults;
 
 pub(crate) mod growth_check;
 pub(crate) mod load;
@@ -21,7 +21,7 @@
     let (memory, files) = machine_limits()?;
     let faults = options.faults(memory, files);
     if !faults.is_empty() {
-        end_over(&faults);
+        exit_with_faults(&faults);
     }
     if options.check {
         return check(options, folder);
--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -13,7 +13,7 @@
 use runtime::actor::fresh_seed;
 use runtime::clock::Clock;
 use runtime::http::Fetch;
-use runtime::options::{end_over, read_flags, OptionsFault};
+use runtime::options::{exit_with_faults, read_flags, OptionsFault};
 
 const HELP: &str = "Runs a written runbook step by step: does what each step says, checks that it \
 came about, and stops with what to do next when it did not";
@@ -108,7 +108,7 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> anyhow::Result<()> {
     let flags = read_flags(&flags());
-    let runbook = Runbook::read(&flags.file).unwrap_or_else(|faults| end_over(&faults));
+    let runbook = Runbook::read(&flags.file).unwrap_or_else(|faults| exit_with_faults(&faults));
     let on_command_line = |field: &str, remedy: String| OptionsFault {
         file: "command line".to_string(),
         field: field.to_string(),
@@ -118,7 +118,7 @@
     for input in &flags.inputs {
         match input.split_once('=') {
             Some((name, value)) => inputs.insert(name.to_string(), value.to_string()),
-            None => end_over(&[on_command_line(
+            None => exit_with_faults(&[on_command_line(
                 "--set",
                 format!("{input}: give NAME=VALUE"),
             )]),
@@ -131,14 +131,14 @@
             .into_iter()
             .map(|remedy| on_command_line("--set", remedy))
             .collect();
-        end_over(&faults)
+        exit_with_faults(&faults)
     });
     if flags.dry {
         show_plan(&runner);
         return Ok(());
     }
     if flags.controllers.is_empty() {
-        end_over(&[on_command_line(
+        exit_with_faults(&[on_command_line(
             "--ledger",
             "is missing: name at least one".to_string(),
         )]);
--- a/crates/runtime/src/options.rs
+++ b/crates/runtime/src/options.rs
@@ -6,7 +6,7 @@
 mod reader;
 mod terms;
 
-pub use self::fault::{end_over, read_json_file, OptionsFault};
+pub use self::fault::{exit_with_faults, read_json_file, OptionsFault};
 pub use self::flags::{node_flags, read_flags, NodeFlags};
 pub use self::node_settings::NodeSettings;
 pub use self::terms::TuningOptions;
--- a/crates/runtime/src/options/fault.rs
+++ b/crates/runtime/src/options/fault.rs
@@ -21,7 +21,7 @@
 const EXIT_USAGE: i32 = 2;
 
 /// Prints the faults and ends the process with status 2.
-pub fn end_over(faults: &[OptionsFault]) -> ! {
+pub fn exit_with_faults(faults: &[OptionsFault]) -> ! {
     for fault in faults {
         eprintln!("{fault}");
     }
--- a/crates/runtime/src/options/node_settings.rs
+++ b/crates/runtime/src/options/node_settings.rs
@@ -5,7 +5,7 @@
 
 use caperworks::identifiers::Zone;
 
-use crate::options::fault::{end_over, OptionsFault};
+use crate::options::fault::{exit_with_faults, OptionsFault};
 use crate::options::flags::NodeFlags;
 use crate::options::reader::OptionsReader;
 use crate::options::terms::TuningOptions;
@@ -73,6 +73,6 @@
 
     /// The same; prints the faults and ends the process when there are any.
     pub fn read_or_end(flags: &NodeFlags, needs: &[&str]) -> Self {
-        Self::read(flags, needs).unwrap_or_else(|faults| end_over(&faults))
+        Self::read(flags, needs).unwrap_or_else(|faults| exit_with_faults(&faults))
     }
 }
