--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -13,7 +13,7 @@
 
 fn main() -> anyhow::Result<()> {
     let flags = read_flags(&node_flags().to_options().descr(HELP));
-    let node_settings = NodeSettings::read_or_end(&flags, &NEEDS);
+    let node_settings = NodeSettings::read_or_exit(&flags, &NEEDS);
     start_log()?;
     let reread: ReloadSettings = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
--- a/crates/runtime/src/options/node_settings.rs
+++ b/crates/runtime/src/options/node_settings.rs
@@ -72,7 +72,7 @@
     }
 
     /// The same; prints the faults and ends the process when there are any.
-    pub fn read_or_end(flags: &NodeFlags, needs: &[&str]) -> Self {
+    pub fn read_or_exit(flags: &NodeFlags, needs: &[&str]) -> Self {
         Self::read(flags, needs).unwrap_or_else(|faults| exit_with_faults(&faults))
     }
 }
