--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -156,7 +156,7 @@
     inbox: Inbox<ControllerInput>,
 ) -> mpsc::Sender<(u64, Vec<DiskWrite>)> {
     folder.start_writer(move |ticket, is_written| {
-        inbox.give_surely(if is_written {
+        inbox.push_blocking(if is_written {
             ControllerInput::WriteSynced { ticket }
         } else {
             ControllerInput::WriteFailed { ticket }
--- a/crates/runtime/src/actor/inbox.rs
+++ b/crates/runtime/src/actor/inbox.rs
@@ -55,7 +55,7 @@
 
     /// Queues an input that must not be lost, from a thread that may block. Once the actor has ended
     /// the process is about to end, and the input is dropped.
-    pub fn give_surely(&self, input: Input) {
+    pub fn push_blocking(&self, input: Input) {
         let _ = self.sender.blocking_send(input);
     }
 }
