--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -302,7 +302,7 @@
         if has_no_progress || is_unreachable || self.pacer.is_overdue(now) {
             self.switch_controller(now);
         }
-        now >= self.renew_at && self.pacer.may_ask(now)
+        now >= self.renew_at && self.pacer.may_poll(now)
     }
 
     /// Returns the next renewal and the controller to send it to.
--- a/crates/caperworks/src/poll_pacer.rs
+++ b/crates/caperworks/src/poll_pacer.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether no answer is awaited, or has been for longer than it may take.
-    pub fn may_ask(&self, now: Duration) -> bool {
+    pub fn may_poll(&self, now: Duration) -> bool {
         !self.is_awaiting() || self.is_overdue(now)
     }
 
--- a/crates/caperworks/tests/question_pace_stories.rs
+++ b/crates/caperworks/tests/question_pace_stories.rs
@@ -20,7 +20,7 @@
             let (number, at) = under_way.pop_front().expect("there is one");
             pace.answered(number, Some(now - at));
         }
-        if pace.may_ask(now) {
+        if pace.may_poll(now) {
             let number = asked.len() as u64;
             pace.asked(now, number);
             asked.push(now);
@@ -56,8 +56,8 @@
     }
     let now = millis(6000);
     pace.asked(now, 20);
-    assert!(!pace.may_ask(now + CORE_TIMEOUT.least - millis(1)));
-    assert!(pace.may_ask(now + CORE_TIMEOUT.least));
+    assert!(!pace.may_poll(now + CORE_TIMEOUT.least - millis(1)));
+    assert!(pace.may_poll(now + CORE_TIMEOUT.least));
 }
 
 #[test]
@@ -79,7 +79,7 @@
     for step in 1..50 {
         let now = millis(step * 200);
         pace.partial_response_received(now);
-        assert!(!pace.may_ask(now + millis(199)));
+        assert!(!pace.may_poll(now + millis(199)));
     }
-    assert!(pace.may_ask(millis(9800) + CORE_TIMEOUT.least));
+    assert!(pace.may_poll(millis(9800) + CORE_TIMEOUT.least));
 }
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -278,7 +278,7 @@
             self.answered_at = now;
             self.pace.begin_anew();
         }
-        if !self.pace.may_ask(now) {
+        if !self.pace.may_poll(now) {
             self.renew_at = now + BEHIND_PERIOD;
             return;
         }
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -44,7 +44,7 @@
                 was_ready = ready;
                 event(if ready { READY } else { NOT_READY }, "");
             }
-            if !locked(&asked).may_ask(carrier.clock.now()) {
+            if !locked(&asked).may_poll(carrier.clock.now()) {
                 continue;
             }
             number += 1;
@@ -87,8 +87,8 @@
         }
     }
 
-    fn may_ask(&self, now: Duration) -> bool {
-        self.pace.may_ask(now)
+    fn may_poll(&self, now: Duration) -> bool {
+        self.pace.may_poll(now)
     }
 
     fn asked(&mut self, now: Duration, number: u64) {
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -117,7 +117,7 @@
         if lingered && self.carried.is_empty() {
             return vec![ProxyWish::End];
         }
-        if now < self.next_pull || !self.pace.may_ask(now) {
+        if now < self.next_pull || !self.pace.may_poll(now) {
             return kept_back;
         }
         self.next_pull = now + Duration::from_millis(150);
