--- a/crates/caperworks/examples/feed.rs
+++ b/crates/caperworks/examples/feed.rs
@@ -1,7 +1,7 @@
 //! A follower that takes changes after a place, and a snapshot when it is too far behind.
 
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
-use caperworks::feed::{FeedCache, Follower, HISTORY_WEIGHT};
+use caperworks::feed::{FeedCache, Follower, MAX_HISTORY_WEIGHT};
 use caperworks::identifiers::{ChangeId, Version};
 use caperworks::replicated_map::{Change, MapName};
 
@@ -24,7 +24,7 @@
 
 fn main() {
     let mut feed_cache = FeedCache::default();
-    let last = HISTORY_WEIGHT as u64 + 100;
+    let last = MAX_HISTORY_WEIGHT as u64 + 100;
     for version in 1..=last {
         feed_cache.take(&updates(version, version));
     }
--- a/crates/caperworks/src/feed.rs
+++ b/crates/caperworks/src/feed.rs
@@ -7,4 +7,4 @@
 
 pub use self::cache::FeedCache;
 pub use self::follower::Follower;
-pub use self::history::{FirstChanges, History, HISTORY_WEIGHT};
+pub use self::history::{FirstChanges, History, MAX_HISTORY_WEIGHT};
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -11,7 +11,7 @@
 ///
 /// It is bounded by weight and not by count: one mapping of a fleet with very many routes is as large
 /// as the map, and a few hundred of them would be more than a small machine has.
-pub const HISTORY_WEIGHT: usize = 4096;
+pub const MAX_HISTORY_WEIGHT: usize = 4096;
 
 /// The first of the changes that a follower lacks.
 #[derive(Debug, Clone, PartialEq)]
@@ -40,7 +40,7 @@
     pub fn push(&mut self, numbered: NumberedChange) {
         self.weight += numbered.change.weight();
         self.changes.push_back(numbered);
-        while self.weight > HISTORY_WEIGHT {
+        while self.weight > MAX_HISTORY_WEIGHT {
             let Some(oldest) = self.changes.pop_front() else {
                 return;
             };
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -11,7 +11,7 @@
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::{Echo, Stamp};
 use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState};
-use caperworks::feed::{FeedCache, Follower, HISTORY_WEIGHT};
+use caperworks::feed::{FeedCache, Follower, MAX_HISTORY_WEIGHT};
 use caperworks::identifiers::{
     Chance, ChangeId, Incarnation, InstanceId, NodeId, Region, ServiceName, Version, Zone,
 };
@@ -555,7 +555,7 @@
         feed_cache.updates_after(MapName::Configuration, Version(3)),
         Some(ConsensusMessage::Updates { changes, .. }) if changes.len() == 1
     ));
-    for version in 5..HISTORY_WEIGHT as u64 {
+    for version in 5..MAX_HISTORY_WEIGHT as u64 {
         feed_cache.take(&updates(version, version));
     }
     assert!(matches!(
--- a/crates/controller/tests/catch_up_stories.rs
+++ b/crates/controller/tests/catch_up_stories.rs
@@ -9,7 +9,7 @@
 use crate::support::controllers::{address, lay, policy, STEP};
 use caperworks::catch_up::{ChunkError, SnapshotChunk, CHUNK_BYTES, SNAPSHOT_IDLE_SPAN};
 use caperworks::consensus::messages::{ConsensusMessage, ProposalNumber};
-use caperworks::feed::HISTORY_WEIGHT;
+use caperworks::feed::MAX_HISTORY_WEIGHT;
 use caperworks::identifiers::{ChangeId, ServiceName, Zone};
 use caperworks::leadership::{LEADERSHIPS, SOLVER};
 use caperworks::map_items::{Route, Value};
@@ -406,7 +406,7 @@
         let state = fleet.state(index);
         assert!(state.storage.log_length() <= LOG_CAPACITY);
         let history = state.voter.history(MapName::Configuration);
-        assert!(history.weight() <= HISTORY_WEIGHT);
+        assert!(history.weight() <= MAX_HISTORY_WEIGHT);
         let answered = state.map(MapName::Configuration).answered.len();
         assert!(answered <= REMEMBERED_CHANGES);
     }
