--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -19,13 +19,15 @@
         now: Duration,
         from: SocketAddr,
         ask: &FallbackRequest,
-        lain: Option<Duration>,
+        max_age: Option<Duration>,
         outputs: &mut Vec<AgentOutput>,
     ) {
         // Why only with a known age: as for all facts.
-        if let Some(lain) = lain {
+        if let Some(max_age) = max_age {
             for heard in &ask.heartbeats {
-                self.link.instances.handle(now, &heard.clone().aged(lain));
+                self.link
+                    .instances
+                    .handle(now, &heard.clone().aged(max_age));
             }
         }
         let (feed_cache, limit) = (&self.link.feed_cache, &mut self.agents_limit);
@@ -53,15 +55,17 @@
         now: Duration,
         from: SocketAddr,
         tell: &FallbackResponse,
-        lain: Option<Duration>,
+        max_age: Option<Duration>,
         outputs: &mut Vec<AgentOutput>,
     ) {
         // Without a known age they may be old, and then their senders count for nothing either.
-        let Some(lain) = lain else {
+        let Some(max_age) = max_age else {
             return;
         };
         for heard in &tell.draining {
-            self.link.instances.handle(now, &heard.clone().aged(lain));
+            self.link
+                .instances
+                .handle(now, &heard.clone().aged(max_age));
         }
         let pools = self.fallback_quorum.broken != BrokenFallback::IgnoresNewerVersions;
         let moved: Vec<MapName> = tell
--- a/crates/agent/src/heartbeats.rs
+++ b/crates/agent/src/heartbeats.rs
@@ -39,7 +39,7 @@
         }
         // Why not taken at its word: a heartbeat may have lain in a socket while we were frozen, and
         // what it says may be long over. With our stamp in hand the instance heartbeats again at once.
-        let Some(age) = echo.and_then(|echo| echo.lain(now, self.node)) else {
+        let Some(age) = echo.and_then(|echo| echo.max_age(now, self.node)) else {
             outputs.push(AgentOutput::RespondToHeartbeat {
                 ticket,
                 response: Some(TimestampedResponse {
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -357,7 +357,7 @@
     }
 
     fn handle(&mut self, now: Duration, envelope: Envelope, outputs: &mut Vec<AgentOutput>) {
-        let lain = self.link.envelope_clock.open(now, &envelope);
+        let max_age = self.link.envelope_clock.open(now, &envelope);
         let from = envelope.reply_to;
         let incarnation = envelope.sender_incarnation();
         match envelope.message {
@@ -369,10 +369,10 @@
                 self.handle_grant(now, responder, &granted, outputs);
             }
             Message::FallbackRequest { ask } => {
-                self.handle_fallback_request(now, from, &ask, lain, outputs)
+                self.handle_fallback_request(now, from, &ask, max_age, outputs)
             }
             Message::FallbackResponse { tell } => {
-                self.handle_fallback_response(now, from, &tell, lain, outputs)
+                self.handle_fallback_response(now, from, &tell, max_age, outputs)
             }
             Message::HeartbeatReply { ticket, response } => {
                 self.handle_heartbeat_reply(now, from, ticket, response, outputs);
--- a/crates/caperworks/src/envelope_clock.rs
+++ b/crates/caperworks/src/envelope_clock.rs
@@ -24,7 +24,7 @@
 
 impl Echo {
     /// How long what carries this may have lain, at most; none if the stamp is not of this life.
-    pub fn lain(&self, now: Duration, incarnation: NodeId) -> Option<Duration> {
+    pub fn max_age(&self, now: Duration, incarnation: NodeId) -> Option<Duration> {
         (self.stamp.incarnation == incarnation)
             .then(|| now.saturating_sub(self.stamp.at + self.held))
     }
@@ -96,7 +96,7 @@
                 self.held.insert(envelope.reply_to, (stamp, now));
             }
         }
-        envelope.echo?.lain(now, self.incarnation)
+        envelope.echo?.max_age(now, self.incarnation)
     }
 }
 
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -77,16 +77,16 @@
 
 impl HeardHeartbeat {
     /// The same, after it lay on its way for so long.
-    pub fn aged(mut self, lain: Duration) -> Self {
-        self.age += lain;
+    pub fn aged(mut self, max_age: Duration) -> Self {
+        self.age += max_age;
         self
     }
 }
 
 impl HeardMember {
     /// The same, after it lay on its way for so long.
-    pub fn aged(mut self, lain: Duration) -> Self {
-        self.age += lain;
+    pub fn aged(mut self, max_age: Duration) -> Self {
+        self.age += max_age;
         self
     }
 }
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -104,19 +104,19 @@
     instances: Vec<HeardHeartbeat>,
     members: Vec<HeardMember>,
     gone: Vec<InstanceId>,
-    lain: Option<Duration>,
+    max_age: Option<Duration>,
 ) {
     // Why nothing when its age cannot be told: every fact is soon told again.
-    let Some(lain) = lain else {
+    let Some(max_age) = max_age else {
         return;
     };
     for heard in instances {
-        state.instances.handle(state.now, &heard.aged(lain));
+        state.instances.handle(state.now, &heard.aged(max_age));
     }
     for id in gone {
         state.instances.end(state.now, &id);
     }
     for heard in members {
-        state.members.handle(state.now, &heard.aged(lain));
+        state.members.handle(state.now, &heard.aged(max_age));
     }
 }
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -86,7 +86,7 @@
     // Without stamps nothing dates a heartbeat: it counts as sent just now, and its counter keeps it from
     // overtaking later ones.
     let age = match state.options.core.stamped_heartbeats {
-        true => echo.and_then(|echo| echo.lain(state.now, state.incarnation)),
+        true => echo.and_then(|echo| echo.max_age(state.now, state.incarnation)),
         false => Some(Duration::ZERO),
     };
     let heard = HeardHeartbeat {
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -17,13 +17,13 @@
     state: &mut ControllerState,
     reply_to: SocketAddr,
     renewal: Renewal,
-    lain: Option<Duration>,
+    max_age: Option<Duration>,
 ) {
     let now = state.now;
     let member = &renewal.member;
     // Why answered all the same: the grant counts from when the member asked, and only whether it
     // is alive now hangs on the age of its question.
-    if let Some(age) = lain {
+    if let Some(age) = max_age {
         let heard = HeardMember {
             member: member.clone(),
             age,
--- a/crates/controller/tests/fleet_stories/restarts.rs
+++ b/crates/controller/tests/fleet_stories/restarts.rs
@@ -121,5 +121,5 @@
     let machine = fleet.nodes[restarted].machine.as_ref();
     let machine = machine.expect("it runs");
     let incarnation = machine.state.incarnation;
-    assert_eq!(echo.lain(fleet.now, incarnation), None);
+    assert_eq!(echo.max_age(fleet.now, incarnation), None);
 }
