--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -12,7 +12,7 @@
 pub struct CorePolicy {
     /// Proxies that are partitioned from the core serve stale state: confirmations to operators wait
     /// for no agents.
-    pub proxies_serve_on: bool,
+    pub proxies_serve_stale: bool,
     /// On how many controllers' disks a change must be synced before it is confirmed to operators.
     pub synced_controllers: Option<usize>,
     /// How many of the voters are controllers.
@@ -48,7 +48,7 @@
 impl Default for CorePolicy {
     fn default() -> Self {
         Self {
-            proxies_serve_on: false,
+            proxies_serve_stale: false,
             synced_controllers: None,
             controller_voters: 3,
             witness_voters: 2,
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -37,7 +37,7 @@
 /// Why before it is offered: what is refused here is surely not accepted, and can be sent again.
 pub fn could_say_yes(state: &ControllerState) -> bool {
     // Why: proxies that serve on ask no agents what may have been accepted.
-    if state.options.core.proxies_serve_on {
+    if state.options.core.proxies_serve_stale {
         return true;
     }
     let agents = in_touch(state);
@@ -85,7 +85,7 @@
     }
     let membership = state.map(MapName::Membership);
     let held = match membership.fallback_members() {
-        _ if state.options.core.proxies_serve_on => state.map(MapName::Configuration).version,
+        _ if state.options.core.proxies_serve_stale => state.map(MapName::Configuration).version,
         _ if state.injects(FaultInjection::ConfirmsWithoutAgents) => {
             state.map(MapName::Configuration).version
         }
@@ -146,7 +146,7 @@
 /// The next roster, if it is due: agents join by themselves, one step after the other.
 pub fn next_fallback_members(state: &ControllerState) -> Option<FallbackMembers> {
     // Why none: islands are for proxies that fall silent, and nobody else asks for the roster.
-    if state.options.core.proxies_serve_on {
+    if state.options.core.proxies_serve_stale {
         return None;
     }
     let agents = in_touch(state);
--- a/crates/controller/tests/support/controllers.rs
+++ b/crates/controller/tests/support/controllers.rs
@@ -16,7 +16,7 @@
 /// Three voters on disks of their own, of which two must have synced a change.
 pub fn policy() -> CorePolicy {
     CorePolicy {
-        proxies_serve_on: true,
+        proxies_serve_stale: true,
         synced_controllers: Some(2),
         controller_voters: 3,
         witness_voters: 0,
--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/terms.rs
@@ -48,7 +48,7 @@
 impl TuningOptions {
     /// What proxies do that are partitioned from the core: serve on with stale state, or refuse.
     pub fn serve_on(&mut self, serves_on: bool) {
-        self.core.proxies_serve_on = serves_on;
+        self.core.proxies_serve_stale = serves_on;
         self.proxy.serves_on = serves_on;
     }
 }
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -129,7 +129,7 @@
     pub fn core(self) -> CorePolicy {
         let usual = CorePolicy::default();
         CorePolicy {
-            proxies_serve_on: self.serves_on,
+            proxies_serve_stale: self.serves_on,
             synced_controllers: self.synced_controllers.or(usual.synced_controllers),
             witness_voters: self.witness_voters.unwrap_or(usual.witness_voters),
             ..usual
