--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -141,7 +141,7 @@
         zone: node_settings.zone.clone(),
         seeds: node_settings.seeds.clone(),
         feed_form: node_settings.terms.core.agents_feed_form(),
-        proxy_serves_stale: node_settings.terms.proxy.serves_on,
+        proxy_serves_stale: node_settings.terms.proxy.serves_stale,
         instance_span: node_settings.terms.core.instance_span,
         lease_span: node_settings.terms.proxy.lease_span.unwrap_or(LEASE_SPAN),
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -159,7 +159,7 @@
     pub fn is_usable(&self, now: Duration) -> bool {
         let known = self.maps.map(MapName::Configuration).version > Version(0);
         let cut_off = now >= self.link_slow_until && !self.link_watch.is_full(now);
-        now < self.fresh_until || (self.policy.serves_on && known && cut_off)
+        now < self.fresh_until || (self.policy.serves_stale && known && cut_off)
     }
 
     /// The route for a host and path.
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ProxyPolicy {
     /// Partitioned from the core, serve stale state instead of refusing requests.
-    pub serves_on: bool,
+    pub serves_stale: bool,
     /// The proxies of a closed zone go on forwarding requests to instances of other zones.
     pub closed_zone_carries: bool,
     /// A proxy outside a route's home regions accepts its requests and forwards them home.
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -199,9 +199,9 @@
 
 #[test]
 fn given_a_proxy_that_serves_on_when_the_core_is_gone_for_long_then_it_goes_on_as_it_last_knew() {
-    for serves_on in [true, false] {
+    for serves_stale in [true, false] {
         let mut bench = Bench::new(ProxyPolicy {
-            serves_on,
+            serves_stale,
             ..ProxyPolicy::default()
         });
         bench.reported_outcome(Duration::ZERO, &one_everywhere());
@@ -211,13 +211,13 @@
             found.is_ok(),
             "what it has a route for is no matter of time"
         );
-        let expected = if serves_on {
+        let expected = if serves_stale {
             Ok(())
         } else {
             Err(Failure::Stale)
         };
         assert_eq!(bench.admits(LONG_AFTER, &route()), expected);
-        if serves_on {
+        if serves_stale {
             assert!(bench.chosen(LONG_AFTER, &route()).contains("in-e1"));
         }
     }
@@ -226,7 +226,7 @@
 #[test]
 fn given_a_proxy_that_serves_on_when_its_link_is_only_slow_then_it_refuses_until_that_is_a_cut() {
     let mut bench = Bench::new(ProxyPolicy {
-        serves_on: true,
+        serves_stale: true,
         ..ProxyPolicy::default()
     });
     bench.link_slow_for = millis(4000);
@@ -240,7 +240,7 @@
 #[test]
 fn given_a_proxy_that_serves_on_when_its_own_link_is_full_then_it_refuses_until_that_is_over() {
     let mut bench = Bench::new(ProxyPolicy {
-        serves_on: true,
+        serves_stale: true,
         ..ProxyPolicy::default()
     });
     bench.reported_outcome(Duration::ZERO, &one_everywhere());
@@ -281,7 +281,7 @@
 fn given_a_proxy_that_serves_on_when_it_never_knew_anything_then_it_refuses_as_out_of_touch() {
     let known = ProxyKnowledge {
         policy: ProxyPolicy {
-            serves_on: true,
+            serves_stale: true,
             ..ProxyPolicy::default()
         },
         ..ProxyKnowledge::default()
--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/terms.rs
@@ -47,8 +47,8 @@
 
 impl TuningOptions {
     /// What proxies do that are partitioned from the core: serve on with stale state, or refuse.
-    pub fn serve_on(&mut self, serves_on: bool) {
-        self.core.proxies_serve_stale = serves_on;
-        self.proxy.serves_on = serves_on;
+    pub fn serve_on(&mut self, serves_stale: bool) {
+        self.core.proxies_serve_stale = serves_stale;
+        self.proxy.serves_stale = serves_stale;
     }
 }
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -119,7 +119,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DayPolicy {
     /// Proxies out of touch go on with what they last knew.
-    pub serves_on: bool,
+    pub serves_stale: bool,
     pub synced_controllers: Option<usize>,
     pub witness_voters: Option<usize>,
 }
@@ -129,7 +129,7 @@
     pub fn core(self) -> CorePolicy {
         let usual = CorePolicy::default();
         CorePolicy {
-            proxies_serve_stale: self.serves_on,
+            proxies_serve_stale: self.serves_stale,
             synced_controllers: self.synced_controllers.or(usual.synced_controllers),
             witness_voters: self.witness_voters.unwrap_or(usual.witness_voters),
             ..usual
@@ -415,7 +415,7 @@
             broken_proxy: BrokenProxy::Nothing,
             broken_fallback: BrokenFallback::Nothing,
             policy: DayPolicy {
-                serves_on: value["out_of_touch"] == "serve-on",
+                serves_stale: value["out_of_touch"] == "serve-on",
                 synced_controllers: value["synced_ledgers"].as_usize(),
                 witness_voters: value["witness_seats"].as_usize(),
             },
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -34,7 +34,7 @@
                 let broken = self.day.broken_proxy;
                 let zone = node.zone.clone();
                 let mut proxy = SimProxy::new(zone, node.address, *capacity, seed, broken);
-                proxy.knowledge.policy.serves_on = self.day.policy.serves_on;
+                proxy.knowledge.policy.serves_stale = self.day.policy.serves_stale;
                 Body::Proxy(Box::new(proxy))
             }
             Kind::Directory => Body::Directory(Box::new(self.directory_of(node, seed))),
@@ -89,7 +89,7 @@
     fn agent_of(&self, node: &Node, seed: u64) -> AgentMachine {
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
-            proxy_serves_stale: self.day.policy.serves_on,
+            proxy_serves_stale: self.day.policy.serves_stale,
             instance_span: INSTANCE_SPAN,
             lease_span: LEASE_SPAN,
             heartbeat_refresh: Duration::ZERO,
--- a/crates/simulator/src/world/touch.rs
+++ b/crates/simulator/src/world/touch.rs
@@ -13,7 +13,7 @@
 impl World {
     /// Whether this proxy has to follow the core within the bounds of the brief.
     pub(super) fn must_follow(&self, proxy: usize) -> bool {
-        if !self.day.policy.serves_on {
+        if !self.day.policy.serves_stale {
             return true;
         }
         let out_at = self.out_of_touch_at.get(&proxy);
@@ -22,7 +22,7 @@
 
     /// Notes the proxies that do not run, or that cannot reach the core both ways.
     pub(super) fn record_touch(&mut self) {
-        if !self.day.policy.serves_on {
+        if !self.day.policy.serves_stale {
             return;
         }
         let core = self.connected_controllers();
