--- a/crates/runtime/src/options/reader.rs
+++ b/crates/runtime/src/options/reader.rs
@@ -182,7 +182,7 @@
         }
         match self.value["out_of_touch"].as_str() {
             Some("silent") => {}
-            Some("serve-on") => terms.serve_on(true),
+            Some("serve-on") => terms.set_serves_stale(true),
             None if !self.is_given("out_of_touch") => {}
             _ => self.fault("out_of_touch", "must be silent or serve-on"),
         }
--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/terms.rs
@@ -47,7 +47,7 @@
 
 impl TuningOptions {
     /// What proxies do that are partitioned from the core: serve on with stale state, or refuse.
-    pub fn serve_on(&mut self, serves_stale: bool) {
+    pub fn set_serves_stale(&mut self, serves_stale: bool) {
         self.core.proxies_serve_stale = serves_stale;
         self.proxy.serves_stale = serves_stale;
     }
