--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -142,7 +142,7 @@
         seeds: node_settings.seeds.clone(),
         feed_form: node_settings.terms.core.agents_feed_form(),
         proxy_serves_stale: node_settings.terms.proxy.serves_stale,
-        instance_span: node_settings.terms.core.instance_span,
+        instance_timeout: node_settings.terms.core.instance_timeout,
         lease_span: node_settings.terms.proxy.lease_span.unwrap_or(LEASE_SPAN),
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
         demand_report_interval: node_settings.terms.core.member_refresh,
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -44,7 +44,7 @@
     /// The proxy goes on with what it last knew when the core is out of reach.
     pub proxy_serves_stale: bool,
     /// An instance that has not beaten for so long is gone.
-    pub instance_span: Duration,
+    pub instance_timeout: Duration,
     /// How long a lease lives at most.
     pub lease_span: Duration,
     /// How long a heartbeat that says nothing new need not be told to the proxy.
@@ -169,7 +169,7 @@
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
             .in_form(options.feed_form);
-        link.instances.span = options.instance_span;
+        link.instances.span = options.instance_timeout;
         link.lease.span = options.lease_span;
         link.instances.refresh = options.heartbeat_refresh;
         let fallback_quorum = FallbackQuorum::new(options.control);
--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent_stories.rs
@@ -75,7 +75,7 @@
             seeds: vec![address(6000), address(6001)],
             feed_form: FeedForm::Complete,
             proxy_serves_stale,
-            instance_span: SPAN,
+            instance_timeout: SPAN,
             lease_span: LEASE_SPAN,
         };
         Self {
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -24,7 +24,7 @@
     /// Whether instances can return a stamp that dates their heartbeats.
     pub stamped_heartbeats: bool,
     /// An instance without a heartbeat for so long is deregistered.
-    pub instance_span: Duration,
+    pub instance_timeout: Duration,
     /// The time bounds of key ownership.
     pub owner_manager: OwnerManagerSpans,
     /// How long a new leader collects heartbeats before it acts on them.
@@ -54,7 +54,7 @@
             witness_voters: 2,
             may_found: true,
             stamped_heartbeats: true,
-            instance_span: INSTANCE_SPAN,
+            instance_timeout: INSTANCE_SPAN,
             owner_manager: OwnerManagerSpans::default(),
             listen: Duration::from_millis(1200),
             requests_per_slot: 1,
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -169,7 +169,7 @@
             .collect();
         let leaderships = LEADERSHIPS.iter().map(|name| LeadershipWatch::new(name));
         let mut instances = Instances::default();
-        instances.span = options.core.instance_span;
+        instances.span = options.core.instance_timeout;
         instances.refresh = options.core.heartbeat_refresh;
         let mut members = Members::default();
         members.refresh = options.core.member_refresh;
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -90,7 +90,7 @@
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
             proxy_serves_stale: self.day.policy.serves_stale,
-            instance_span: INSTANCE_SPAN,
+            instance_timeout: INSTANCE_SPAN,
             lease_span: LEASE_SPAN,
             heartbeat_refresh: Duration::ZERO,
             demand_report_interval: Duration::ZERO,
