--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -110,7 +110,7 @@
     carrier
         .set(proxy.carrier.clone())
         .unwrap_or_else(|_| panic!("it is set once"));
-    interruption.strike_at(look);
+    interruption.trigger_at_read(look);
     let body = if upload { 900_000 } else { 5 };
     let head = format!(
         "POST /one HTTP/1.1\r\nHost: a.example\r\nRequest-Name: one\r\nContent-Length: {body}\r\n\r\n"
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -39,7 +39,7 @@
     }
 
     /// Lets it strike at the look of this number from now on; the next one is number one.
-    pub fn strike_at(&self, look: u32) {
+    pub fn trigger_at_read(&self, look: u32) {
         self.looks_until.store(look, Ordering::SeqCst);
     }
 
