--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -124,7 +124,7 @@
     Outcome {
         status,
         arrivals: journal.arrivals_with(Behaviour::Good),
-        undisturbed: interruption.is_to_come(),
+        undisturbed: interruption.is_pending(),
     }
 }
 
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether it is still to strike.
-    pub fn is_to_come(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         self.looks_until.load(Ordering::SeqCst) > 0
     }
 
