--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -100,7 +100,7 @@
         }
         (&Method::POST, "/beats") => {
             let heartbeat = match small_body(request.into_body(), 64 * 1024).await {
-                Ok(body) => heartbeats::read_dated(&String::from_utf8_lossy(&body))
+                Ok(body) => heartbeats::read_with_echo(&String::from_utf8_lossy(&body))
                     .map_err(|failure| failure.to_string()),
                 Err(_) => Err("the body is too large or broke off".to_string()),
             };
--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -202,7 +202,7 @@
     let body = small_body(request.into_body(), MOST_SMALL_BODY_BYTES)
         .await
         .map_err(|_| HeartbeatBodyError::Body)?;
-    heartbeats::read_dated(&String::from_utf8_lossy(&body)).map_err(HeartbeatBodyError::Form)
+    heartbeats::read_with_echo(&String::from_utf8_lossy(&body)).map_err(HeartbeatBodyError::Form)
 }
 
 /// A number in a query, if it is there and can be read.
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -168,7 +168,7 @@
 }
 
 /// Reads a heartbeat with the stamp that its instance returns, if it has one.
-pub fn read_dated(text: &str) -> Result<(Heartbeat, Option<Echo>), HeartbeatError> {
+pub fn read_with_echo(text: &str) -> Result<(Heartbeat, Option<Echo>), HeartbeatError> {
     let value = parse(text)?;
     Ok((read(&value)?, read_echo(&value["stamp"])?))
 }
--- a/crates/runtime/tests/heartbeat_json.rs
+++ b/crates/runtime/tests/heartbeat_json.rs
@@ -37,7 +37,7 @@
     let held = Duration::from_micros(498_000);
     let mut json = heartbeats::write(&heartbeat);
     json["stamp"] = heartbeats::write_echo(&Echo { stamp, held });
-    let read = heartbeats::read_dated(&json.dump()).expect("it reads");
+    let read = heartbeats::read_with_echo(&json.dump()).expect("it reads");
     assert_eq!(read, (heartbeat, Some(Echo { stamp, held })));
     let hold = KeyRangeLease {
         key_range: 4,
@@ -60,7 +60,7 @@
         let mut json = heartbeats::write(&read.0);
         json[field] = jzon::parse(garbled).expect("it is JSON");
         assert!(
-            heartbeats::read_dated(&json.dump()).is_err(),
+            heartbeats::read_with_echo(&json.dump()).is_err(),
             "{field} {garbled}"
         );
     }
