--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -118,7 +118,7 @@
                 return json_response(503, &jzon::object! { why: "this agent has too much to do" });
             }
             match response.await {
-                Ok(Some(response)) => json_response(200, &heartbeats::write_dated(&response)),
+                Ok(Some(response)) => json_response(200, &heartbeats::write_with_stamp(&response)),
                 _ => json_response(
                     503,
                     &jzon::object! { why: "no controller heard the heartbeat" },
--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -181,7 +181,7 @@
         match read_heartbeat(request).await {
             Err(error) => json_response(400, &jzon::object! { why: error.to_string() }),
             Ok((heartbeat, echo)) => match self.heartbeat(heartbeat, echo).await {
-                Some(response) => json_response(200, &heartbeats::write_dated(&response)),
+                Some(response) => json_response(200, &heartbeats::write_with_stamp(&response)),
                 None => not_current(),
             },
         }
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -206,7 +206,7 @@
 }
 
 /// Writes the answer to a heartbeat.
-pub fn write_dated(dated: &TimestampedResponse) -> JsonValue {
+pub fn write_with_stamp(dated: &TimestampedResponse) -> JsonValue {
     let mut json = write_response(&dated.response);
     json["stamp"] = write_stamp(&dated.stamp);
     json["again"] = dated.again.into();
--- a/crates/runtime/tests/heartbeat_json.rs
+++ b/crates/runtime/tests/heartbeat_json.rs
@@ -54,7 +54,7 @@
         stamp,
         again: true,
     };
-    let json = jzon::parse(&heartbeats::write_dated(&dated).dump()).expect("it is JSON");
+    let json = jzon::parse(&heartbeats::write_with_stamp(&dated).dump()).expect("it is JSON");
     assert_eq!(heartbeats::read_timestamped_response(&json), Some(dated));
     for (field, garbled) in [("stamp", "\"none\""), ("let_go", "[7]"), ("state", "4")] {
         let mut json = heartbeats::write(&read.0);
