--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -172,7 +172,7 @@
     stopping.store(true, Ordering::Relaxed);
     tokio::time::sleep(node_settings.terms.linger).await;
     carrier.closed.store(true, Ordering::SeqCst);
-    let until = Instant::now() + node_settings.terms.most_wait;
+    let until = Instant::now() + node_settings.terms.max_drain_wait;
     while carrier.under_way.load(Ordering::SeqCst) > 0 && Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/terms.rs
@@ -23,7 +23,7 @@
     /// For how long a proxy that was asked to stop still takes requests.
     pub linger: Duration,
     /// For how long it then waits for the requests in flight.
-    pub most_wait: Duration,
+    pub max_drain_wait: Duration,
     /// A second address at which readiness is answered.
     pub readiness: Option<SocketAddr>,
 }
@@ -39,7 +39,7 @@
             tick: Duration::from_millis(25),
             // Responses of directories that name a proxy are valid for two seconds.
             linger: Duration::from_millis(2600),
-            most_wait: Duration::from_secs(10),
+            max_drain_wait: Duration::from_secs(10),
             readiness: None,
         }
     }
