--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -59,7 +59,7 @@
     pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
-    pub(crate) held_body: u64,
+    pub(crate) max_buffered_body: u64,
     pub stopping: AtomicBool,
     /// Set when even new requests are refused, just before the end.
     pub closed: AtomicBool,
@@ -87,7 +87,7 @@
             zone: node_settings.zone.clone(),
             serving: node_settings.serving,
             capacity: node_settings.capacity,
-            held_body: node_settings.terms.held_body,
+            max_buffered_body: node_settings.terms.max_buffered_body,
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             under_way: AtomicU32::new(0),
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -42,7 +42,7 @@
     ) -> Result<RequestBody, Failure> {
         match body.size_hint().exact() {
             Some(length) if length > route.body_limit => Err(Failure::BodyTooLarge),
-            Some(length) if length <= self.held_body => {
+            Some(length) if length <= self.max_buffered_body => {
                 let left = chart.deadline().saturating_sub(self.clock.now());
                 match tokio::time::timeout(left, body.collect()).await {
                     Ok(Ok(collected)) => {
--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/terms.rs
@@ -17,7 +17,7 @@
     /// How often a proxy polls its agent for updates.
     pub pull: Duration,
     /// Bodies of requests up to this size are buffered completely, so that the request can be retried.
-    pub held_body: u64,
+    pub max_buffered_body: u64,
     /// The period of ticks of its state machine.
     pub tick: Duration,
     /// For how long a proxy that was asked to stop still takes requests.
@@ -35,7 +35,7 @@
             proxy: ProxyPolicy::default(),
             workers: 2,
             pull: Duration::from_millis(150),
-            held_body: 64 * 1024,
+            max_buffered_body: 64 * 1024,
             tick: Duration::from_millis(25),
             // Responses of directories that name a proxy are valid for two seconds.
             linger: Duration::from_millis(2600),
