--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The agent's process: its state machine in an actor, and its answers over HTTP.
+//! The agent's process: its state machine in an actor, and its HTTP interface.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -95,17 +95,17 @@
             inbox.give(AgentInput::Usage { ticket });
             match lines.await {
                 Ok(lines) => json_response(200, &usage_json(&zone, &lines)),
-                Err(_) => json_response(503, &jzon::object! { why: "this agent is about to stop" }),
+                Err(_) => json_response(503, &jzon::object! { why: "this agent is shutting down" }),
             }
         }
         (&Method::POST, "/beats") => {
             let heartbeat = match small_body(request.into_body(), 64 * 1024).await {
                 Ok(body) => heartbeats::read_with_echo(&String::from_utf8_lossy(&body))
                     .map_err(|failure| failure.to_string()),
-                Err(_) => Err("the body is too large or broke off".to_string()),
+                Err(_) => Err("the request body is too large or was truncated".to_string()),
             };
             let (heartbeat, echo) = match heartbeat {
-                Ok(dated) => dated,
+                Ok(heartbeat_and_echo) => heartbeat_and_echo,
                 Err(why) => return json_response(400, &jzon::object! { why: why }),
             };
             let (ticket, response) = tickets.draw();
@@ -115,21 +115,24 @@
                 echo,
             }) {
                 tickets.forget(ticket);
-                return json_response(503, &jzon::object! { why: "this agent has too much to do" });
+                return json_response(
+                    503,
+                    &jzon::object! { why: "this agent is overloaded: its inbox is full" },
+                );
             }
             match response.await {
                 Ok(Some(response)) => json_response(200, &heartbeats::write_with_stamp(&response)),
                 _ => json_response(
                     503,
-                    &jzon::object! { why: "no controller heard the heartbeat" },
+                    &jzon::object! { why: "no controller acknowledged the heartbeat" },
                 ),
             }
         }
-        _ => json_response(404, &jzon::object! { why: "there is no such resource" }),
+        _ => json_response(404, &jzon::object! { why: "unknown path or method" }),
     }
 }
 
-/// Runs an agent until it is asked to stop; `serves` says whether it answers over HTTP.
+/// Runs an agent until a shutdown is requested; `serves` says whether it serves HTTP.
 pub async fn run(
     node_settings: NodeSettings,
     reread: ReloadSettings,
@@ -180,7 +183,7 @@
     let ready_until = Arc::new(ReadyUntil::default());
     let stopped = Arc::new(Notify::new());
     let stopping = Arc::new(AtomicBool::new(false));
-    let asked = inbox.clone();
+    let worker_inbox = inbox.clone();
     let worker = Worker {
         machine,
         port,
@@ -196,7 +199,7 @@
         let draining = stopping.clone();
         tokio::spawn(serve_http(listener, stop, move |_, request| {
             let ready = ready_until.is_ready(clock.now()) && !draining.load(Ordering::SeqCst);
-            let answering = respond(
+            let response_future = respond(
                 inbox.clone(),
                 tickets.clone(),
                 usage.clone(),
@@ -204,17 +207,17 @@
                 ready,
                 request,
             );
-            async move { Ok(answering.await) }
+            async move { Ok(response_future.await) }
         }));
     }
-    let recipient = asked.clone();
+    let settings_inbox = worker_inbox.clone();
     follow_settings(reread, move |seeds| {
-        recipient.give(AgentInput::Seeds { seeds });
+        settings_inbox.give(AgentInput::Seeds { seeds });
     });
     shutdown_signal().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
-    shut_down_gracefully(&asked, AgentInput::Stop, &stopped).await;
+    shut_down_gracefully(&worker_inbox, AgentInput::Stop, &stopped).await;
     event(STOPPED, "");
     Ok(())
 }
--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -1,4 +1,4 @@
-//! Other agents: what they are asked and told while the core is out of reach.
+//! Requests to other agents, and their responses, while the control plane is unreachable.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use caperworks::replicated_map::MapName;
 
 impl AgentMachine {
-    /// Tells another agent what we hold, and what it lacks of it.
+    /// Responds to another agent with the versions here and the updates that it is missing.
     pub(crate) fn handle_fallback_request(
         &mut self,
         now: Duration,
@@ -22,15 +22,15 @@
         max_age: Option<Duration>,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        // Why only with a known age: as for all facts.
+        // Facts of unknown age may be old, and are ignored.
         if let Some(max_age) = max_age {
-            for heard in &ask.heartbeats {
+            for heartbeat in &ask.heartbeats {
                 self.link
                     .instances
-                    .handle(now, &heard.clone().aged(max_age));
+                    .handle(now, &heartbeat.clone().aged(max_age));
             }
         }
-        let (feed_cache, limit) = (&self.link.feed_cache, &mut self.agents_limit);
+        let (feed_cache, limit) = (&self.link.feed_cache, &mut self.agent_map_limit);
         let updates = FALLBACK_MAPS.iter().filter_map(|name| {
             let held = ask.versions.get(name.index()).copied();
             feed_cache
@@ -46,10 +46,10 @@
         };
         let message = Message::FallbackResponse { tell };
         outputs.push(AgentOutput::Send { to: from, message });
-        self.fetch_from(now, from, ask, outputs);
+        self.request_maps_from(now, from, ask, outputs);
     }
 
-    /// Takes another agent's answer.
+    /// Handles the response of another agent.
     pub(crate) fn handle_fallback_response(
         &mut self,
         now: Duration,
@@ -58,33 +58,33 @@
         max_age: Option<Duration>,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        // Without a known age they may be old, and then their senders count for nothing either.
+        // A response of unknown age may be old, and does not count for the fallback quorum either.
         let Some(max_age) = max_age else {
             return;
         };
-        for heard in &tell.draining {
+        for heartbeat in &tell.draining {
             self.link
                 .instances
-                .handle(now, &heard.clone().aged(max_age));
+                .handle(now, &heartbeat.clone().aged(max_age));
         }
-        let pools = self.fallback_quorum.broken != BrokenFallback::IgnoresNewerVersions;
-        let moved: Vec<MapName> = tell
+        let applies_updates = self.fallback_quorum.broken != BrokenFallback::IgnoresNewerVersions;
+        let advanced: Vec<MapName> = tell
             .updates
             .iter()
-            .filter(|_| pools)
+            .filter(|_| applies_updates)
             .filter_map(|updates| self.link.feed_cache.take(updates))
             .collect();
-        self.maps_moved(&moved, outputs);
-        // Why looked at first: news of another roster makes what was asked under this void.
+        self.handle_map_updates(&advanced, outputs);
+        // This comes first because an update to other fallback members makes the requests in flight void.
         let membership = self.link.feed_cache.follower().map(MapName::Membership);
         self.fallback_quorum
-            .look(now, membership, self.link.fresh_until());
+            .update_membership(now, membership, self.link.fresh_until());
         let follower = self.link.feed_cache.follower();
         self.fallback_quorum.handle_response(from, tell, follower);
     }
 
-    /// Asks an agent for the maps it has beyond ours, when the core cannot bring them.
-    fn fetch_from(
+    /// Requests the maps of an agent that is ahead, when the control plane cannot send them.
+    fn request_maps_from(
         &mut self,
         now: Duration,
         to: SocketAddr,
@@ -92,9 +92,13 @@
         outputs: &mut Vec<AgentOutput>,
     ) {
         let versions = self.link.versions();
-        let behind = versions[MapName::Membership.index()] == Version(0)
+        let is_behind = versions[MapName::Membership.index()] == Version(0)
             && ask.versions.get(MapName::Membership.index()) > Some(&Version(0));
-        if behind && self.fallback_quorum.fetches(now, self.link.fresh_until()) {
+        if is_behind
+            && self
+                .fallback_quorum
+                .should_request_maps(now, self.link.fresh_until())
+        {
             let ask = FallbackRequest {
                 number: 0,
                 versions,
@@ -105,14 +109,17 @@
         }
     }
 
-    /// Asks the other agents what they hold when the core has been silent for a while.
-    pub(crate) fn ask_agents(&mut self, now: Duration, outputs: &mut Vec<AgentOutput>) {
+    /// Polls the other agents for their versions when the lease is about to expire.
+    pub(crate) fn poll_agents(&mut self, now: Duration, outputs: &mut Vec<AgentOutput>) {
         let lease_until = self.link.fresh_until();
         let membership = self.link.feed_cache.follower().map(MapName::Membership);
-        let Some((number, others)) = self.fallback_quorum.ask(now, membership, lease_until) else {
+        let Some((number, others)) =
+            self.fallback_quorum
+                .next_request(now, membership, lease_until)
+        else {
             return;
         };
-        let heartbeats: Vec<HeardHeartbeat> = std::mem::take(&mut self.beaten)
+        let heartbeats: Vec<HeardHeartbeat> = std::mem::take(&mut self.unforwarded_heartbeats)
             .iter()
             .filter_map(|id| self.link.instances.heard(now, id))
             .collect();
--- a/crates/agent/src/heartbeats.rs
+++ b/crates/agent/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Instances' heartbeats: heard here, passed on to the core, and answered by what it says.
+//! Heartbeats of instances: received here, forwarded to the controllers, and answered with their response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,21 +9,23 @@
 use caperworks::messages::Message;
 use caperworks::ownership::{HeartbeatResponse, TimestampedResponse};
 
-/// How long a heartbeat waits for the owner manager's answer.
+/// How long a heartbeat waits for the owner manager's response.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A heartbeat that waits for the core's answer.
+/// A heartbeat that waits for the response of a controller.
 #[derive(Debug, Clone)]
-pub(crate) struct WaitingHeartbeat {
+pub(crate) struct PendingHeartbeat {
     pub(crate) ticket: u64,
     pub(crate) number: u64,
     pub(crate) until: Duration,
-    /// The answer of a controller that is not the owner manager: it heard the heartbeat, no more.
-    pub(crate) spread: Option<HeartbeatResponse>,
+    /// The response of a controller that is not the owner manager, which only confirms that it received the
+    /// heartbeat.
+    pub(crate) controller_response: Option<HeartbeatResponse>,
 }
 
 impl AgentMachine {
-    pub(crate) fn heartbeat(
+    /// Handles a heartbeat of an instance.
+    pub(crate) fn handle_heartbeat(
         &mut self,
         now: Duration,
         ticket: u64,
@@ -31,14 +33,14 @@
         echo: Option<Echo>,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        // Why at once: the instance is to find another agent before this one is gone.
+        // Rejected at once, so that the instance finds another agent before this one has stopped.
         if self.stopping_since.is_some() {
             let response = None;
             outputs.push(AgentOutput::RespondToHeartbeat { ticket, response });
             return;
         }
-        // Why not taken at its word: a heartbeat may have lain in a socket while we were frozen, and
-        // what it says may be long over. With our stamp in hand the instance heartbeats again at once.
+        // A heartbeat of unknown age may have waited in a socket while this process was frozen, and its
+        // contents may be outdated. With the stamp of this response the instance sends another one at once.
         let Some(age) = echo.and_then(|echo| echo.max_age(now, self.node)) else {
             outputs.push(AgentOutput::RespondToHeartbeat {
                 ticket,
@@ -52,17 +54,19 @@
         };
         let heard = HeardHeartbeat { heartbeat, age };
         self.link.instances.handle(now, &heard);
-        self.beaten.insert(heard.heartbeat.id.clone());
+        self.unforwarded_heartbeats
+            .insert(heard.heartbeat.id.clone());
         self.next_heartbeat += 1;
-        self.heartbeats.push(WaitingHeartbeat {
+        self.pending_heartbeats.push(PendingHeartbeat {
             ticket,
             number: self.next_heartbeat,
             until: now + HEARTBEAT_TIMEOUT,
-            spread: None,
+            controller_response: None,
         });
         let owner_manager = self.link.owner_manager();
         let controller = self.link.controller();
-        // Why both: only the owner manager renews holds, but the fact must spread while there is none.
+        // Sent to both: only the owner manager renews key range leases, but the fact must reach the other
+        // controllers while there is no owner manager.
         if let Some(to) = owner_manager {
             outputs.push(AgentOutput::Send {
                 to,
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Takes a controller's answer to a heartbeat that was passed on.
+    /// Handles a controller's response to a heartbeat that was forwarded.
     pub(crate) fn handle_heartbeat_reply(
         &mut self,
         now: Duration,
@@ -93,47 +97,48 @@
         outputs: &mut Vec<AgentOutput>,
     ) {
         let Some(index) = self
-            .heartbeats
+            .pending_heartbeats
             .iter()
             .position(|heartbeat| heartbeat.number == number)
         else {
             return;
         };
         let owner_manager = self.link.owner_manager();
-        // Why wait on: this controller heard the heartbeat, but only the owner manager renews holds.
+        // This controller received the heartbeat, but only the owner manager renews key range leases, so its
+        // response is still awaited.
         if owner_manager.is_some_and(|owner_manager| owner_manager != from) {
-            self.heartbeats[index].spread = Some(response);
+            self.pending_heartbeats[index].controller_response = Some(response);
             return;
         }
-        let waiting = self.heartbeats.swap_remove(index);
-        let response = Some(self.dated(now, response));
+        let waiting = self.pending_heartbeats.swap_remove(index);
+        let response = Some(self.with_stamp(now, response));
         let ticket = waiting.ticket;
         outputs.push(AgentOutput::RespondToHeartbeat { ticket, response });
     }
 
-    /// Answers the heartbeats whose time is over by what is known of them.
+    /// Responds to the heartbeats whose timeout has passed with what is known of them.
     pub(crate) fn respond_to_late_heartbeats(
         &mut self,
         now: Duration,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        // Why an answer all the same on an island: the heartbeat was heard, only no hold can be renewed.
-        let in_fallback = now < self.fallback_quorum.until();
-        let (over, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.heartbeats)
+        // During partition fallback the heartbeat was received here; only no key range lease can be renewed.
+        let in_fallback = now < self.fallback_quorum.fresh_until();
+        let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_heartbeats)
             .into_iter()
             .partition(|heartbeat| now >= heartbeat.until);
-        self.heartbeats = waiting;
-        for late in over {
-            let heard_here = in_fallback.then(HeartbeatResponse::default);
-            let response = late.spread.or(heard_here);
-            let response = response.map(|response| self.dated(now, response));
+        self.pending_heartbeats = waiting;
+        for late in expired {
+            let local_response = in_fallback.then(HeartbeatResponse::default);
+            let response = late.controller_response.or(local_response);
+            let response = response.map(|response| self.with_stamp(now, response));
             let ticket = late.ticket;
             outputs.push(AgentOutput::RespondToHeartbeat { ticket, response });
         }
     }
 
-    /// An answer with our stamp on it.
-    fn dated(&self, now: Duration, response: HeartbeatResponse) -> TimestampedResponse {
+    /// Returns the response with the stamp of this agent.
+    fn with_stamp(&self, now: Duration, response: HeartbeatResponse) -> TimestampedResponse {
         TimestampedResponse {
             response,
             stamp: self.link.envelope_clock.stamp(now),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,4 +1,4 @@
-//! The agent beside each proxy as a state machine.
+//! The agent that runs beside each proxy, as a state machine and as a process.
 
 pub mod daemon;
 mod fallback_calls;
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -1,10 +1,11 @@
-//! The agent's state machine: holds the link to the core, hears heartbeats, feeds its proxy.
+//! The agent's state machine: maintains the link to the control plane, receives heartbeats, and supplies its
+//! proxy with maps and instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::heartbeats::WaitingHeartbeat;
+use crate::heartbeats::PendingHeartbeat;
 use crate::proxy_calls::PROXY_MAP_PERIOD;
 use caperworks::catch_up::{CatchUpRequest, FullMapLimit, SnapshotSender};
 use caperworks::consensus::messages::ConsensusMessage;
@@ -21,47 +22,50 @@
 use caperworks::reduced_map::FeedForm;
 use caperworks::replicated_map::MapName;
 
-/// A proxy that has not asked for this long is down.
+/// A proxy that has not polled for this long is considered down.
 const PROXY_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The maps that an agent follows. A witness gets the placement when it is to vote on it.
-const FOLLOWED: [MapName; 3] = [
+/// The maps that an agent follows. A witness receives the placement when it has to vote on it.
+const FOLLOWED_MAPS: [MapName; 3] = [
     MapName::Configuration,
     MapName::Ownership,
     MapName::Membership,
 ];
-/// How long a polite stop waits for the witness voter to be given to another.
-const VOTER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long it waits for a proxy that stops as well.
-const STOP_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long a graceful shutdown waits for the witness voter to be moved to another node.
+const VOTER_HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a graceful shutdown waits for a proxy that is stopping as well.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(15);
 
+/// The settings of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentOptions {
     pub control: SocketAddr,
     pub zone: Zone,
     pub seeds: Vec<SocketAddr>,
-    /// In which form the maps are followed; an agent that may become a witness needs them complete.
+    /// The form in which the maps are followed; an agent that may become a witness needs them complete.
     pub feed_form: FeedForm,
-    /// The proxy goes on with what it last knew when the core is out of reach.
+    /// Whether the proxy serves stale state while the control plane is unreachable.
     pub proxy_serves_stale: bool,
-    /// An instance that has not beaten for so long is gone.
+    /// An instance without a heartbeat for this long is suspected.
     pub instance_timeout: Duration,
-    /// How long a lease lives at most.
+    /// The maximum lifetime of a lease.
     pub lease_span: Duration,
-    /// How long a heartbeat that says nothing new need not be told to the proxy.
+    /// The interval at which heartbeats that change nothing are still reported to the proxy.
     pub heartbeat_refresh: Duration,
-    /// How long demand need not be told again.
+    /// The interval between reports of demand.
     pub demand_report_interval: Duration,
 }
 
+/// The inputs of an agent's state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentInput {
     Tick,
+    /// A message was received.
     Heard {
         envelope: Envelope,
     },
-    /// Bytes of a message came that began to come a while ago and is not complete yet.
+    /// Bytes arrived of a message that is still incomplete some time after its first byte.
     PartialFrame,
-    /// A connection to a peer was opened, which took so long.
+    /// A connection to a peer was opened; `took` is how long that took.
     ConnectionOpened {
         peer: SocketAddr,
         took: Duration,
@@ -70,17 +74,17 @@
     ConnectionLost {
         peer: SocketAddr,
     },
-    /// The platform asks for a stop.
+    /// The platform requests a graceful shutdown.
     Stop,
-    /// The seeds that the settings name now.
+    /// The settings were reloaded, with these seeds.
     Seeds {
         seeds: Vec<SocketAddr>,
     },
-    /// An operator asks what was carried.
+    /// An operator requests the usage.
     Usage {
         ticket: u64,
     },
-    /// A heartbeat of an instance, with the last stamp that it had from us.
+    /// A heartbeat of an instance, with the last stamp that it received from this agent.
     Heartbeat {
         ticket: u64,
         heartbeat: Heartbeat,
@@ -88,13 +92,14 @@
     },
 }
 
+/// What the host of the state machine has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentOutput {
     Send {
         to: SocketAddr,
         message: Message,
     },
-    /// `None` when no controller heard the heartbeat: the instance must take it elsewhere.
+    /// `None` when no controller received the heartbeat: the instance must send it to another agent.
     RespondToHeartbeat {
         ticket: u64,
         response: Option<TimestampedResponse>,
@@ -106,15 +111,16 @@
         ticket: u64,
         lines: Vec<UsageLine>,
     },
-    /// The voter is handed on and nobody needs us: the process may end.
+    /// The voter has been moved to another node and nothing else needs this agent: the process may end.
     Stopped,
 }
 
+/// The events that an agent logs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentEvent {
     Fresh,
     Stale,
-    /// The core is out of reach, and the other agents' word keeps this one fresh.
+    /// The control plane is unreachable, and the responses of other agents keep this one fresh.
     PartitionFallbackEntered,
     PartitionFallbackLeft,
     MapUpdated {
@@ -124,50 +130,53 @@
     InstanceGone {
         id: InstanceId,
     },
-    /// There is no lease: what was asked and heard of late.
+    /// There is no lease; the figures show what was requested and received recently.
     ControlLinkSlow {
         figures: LinkFigures,
     },
-    /// A piece of a map was refused; nothing of it is kept.
+    /// A chunk of a map was rejected; nothing of it was kept.
     ChunkRejected {
         refused: RejectedChunk,
         from: SocketAddr,
     },
 }
 
+/// The state machine of an agent.
 pub struct AgentMachine {
     pub(crate) options: AgentOptions,
     pub(crate) node: NodeId,
     pub(crate) link: CoreLink,
     pub(crate) counter: u64,
-    /// When the demand is told again, and whom it was told last.
-    pub(crate) demand_at: Duration,
-    pub(crate) demand_to: SocketAddr,
+    /// When the demand is reported again, and to whom it was last reported.
+    pub(crate) next_demand_report_at: Duration,
+    pub(crate) last_demand_controller: SocketAddr,
+    /// The last poll of the proxy, and when it was received.
     pub(crate) proxy: Option<(Duration, Pull)>,
-    /// What the proxies' lives beside us carried, by life, hour and route.
+    /// The usage reported by the proxy's incarnations, by incarnation, hour, route and service.
     pub(crate) usage: BTreeMap<(u64, u64, RouteName, ServiceName), UsageLine>,
-    pub(crate) heartbeats: Vec<WaitingHeartbeat>,
+    pub(crate) pending_heartbeats: Vec<PendingHeartbeat>,
     pub(crate) next_heartbeat: u64,
     pub(crate) stopping_since: Option<Duration>,
     pub(crate) was_fresh: bool,
     pub(crate) was_in_fallback: bool,
     pub(crate) fallback_quorum: FallbackQuorum,
-    /// The instances that heartbeat here since we last told the other agents.
-    pub(crate) beaten: BTreeSet<InstanceId>,
-    /// Our voting part while the membership names us as a witness.
+    /// The instances whose heartbeats were received here since they were last forwarded to other agents.
+    pub(crate) unforwarded_heartbeats: BTreeSet<InstanceId>,
+    /// The voter of this agent while the membership names it as a witness.
     pub(crate) voter: Option<Voter>,
-    /// Maps of our voting part, encoded for controllers that are behind.
+    /// Encoded snapshots of the voter's maps, for controllers that are behind.
     pub(crate) snapshots: SnapshotSender,
-    /// How often other agents and the proxy are sent whole maps.
-    pub(crate) agents_limit: FullMapLimit,
-    pub(crate) proxy_limit: FullMapLimit,
+    /// How often other agents and the proxy are sent full maps.
+    pub(crate) agent_map_limit: FullMapLimit,
+    pub(crate) proxy_map_limit: FullMapLimit,
 }
 
 impl AgentMachine {
+    /// Starts an agent; `seed` is for its random choices.
     pub fn start(options: AgentOptions, seed: u64) -> Self {
         let mut chance = Chance::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
-        let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
+        let mut link = CoreLink::new(node, &FOLLOWED_MAPS, options.seeds.clone(), chance.draw())
             .in_form(options.feed_form);
         link.instances.span = options.instance_timeout;
         link.lease.span = options.lease_span;
@@ -179,21 +188,21 @@
             node,
             link,
             counter: 0,
-            demand_at: Duration::ZERO,
-            demand_to: first,
+            next_demand_report_at: Duration::ZERO,
+            last_demand_controller: first,
             proxy: None,
             usage: BTreeMap::new(),
-            heartbeats: Vec::new(),
+            pending_heartbeats: Vec::new(),
             next_heartbeat: 0,
             stopping_since: None,
             was_fresh: false,
             was_in_fallback: false,
             fallback_quorum,
-            beaten: BTreeSet::new(),
+            unforwarded_heartbeats: BTreeSet::new(),
             voter: None,
             snapshots: SnapshotSender::default(),
-            agents_limit: FullMapLimit::default(),
-            proxy_limit: FullMapLimit::once_in(PROXY_MAP_PERIOD),
+            agent_map_limit: FullMapLimit::default(),
+            proxy_map_limit: FullMapLimit::once_in(PROXY_MAP_PERIOD),
         }
     }
 
@@ -201,7 +210,7 @@
         self.node
     }
 
-    /// Makes a message ready to leave for another process.
+    /// Returns the envelope in which a message is sent to another process.
     pub fn seal(&self, now: Duration, to: SocketAddr, message: Message) -> Envelope {
         self.link
             .envelope_clock
@@ -212,32 +221,36 @@
         &self.link
     }
 
-    /// Only for proving the observers: takes grants whose news has not arrived.
+    /// Fault injection for testing the invariant checkers: accepts grants whose updates have not arrived.
     pub fn ignore_missing_versions(&mut self) {
         self.link.lease.careless = true;
     }
 
-    /// Only for proving the observers.
+    /// Fault injection for testing the invariant checkers: breaks the fallback quorum.
     pub fn break_fallback(&mut self, broken: BrokenFallback) {
         self.fallback_quorum.broken = broken;
     }
 
-    /// Until when this agent may vouch for what it holds: by the core, or by the other agents.
+    /// Returns until when the maps of this agent are known to be fresh: by a lease of the control plane, or by
+    /// the fallback quorum.
     pub fn fresh_until(&self) -> Duration {
-        self.link.fresh_until().max(self.fallback_quorum.until())
+        self.link
+            .fresh_until()
+            .max(self.fallback_quorum.fresh_until())
     }
 
     fn member(&mut self, now: Duration) -> Member {
         self.counter += 1;
-        let tells_demand = now >= self.demand_at || self.link.controller() != self.demand_to;
-        if tells_demand {
-            self.demand_at = now + self.options.demand_report_interval;
-            self.demand_to = self.link.controller();
+        let reports_demand = now >= self.next_demand_report_at
+            || self.link.controller() != self.last_demand_controller;
+        if reports_demand {
+            self.next_demand_report_at = now + self.options.demand_report_interval;
+            self.last_demand_controller = self.link.controller();
         }
         let proxy = self
             .proxy
             .as_ref()
-            .filter(|(asked, _)| now.saturating_sub(*asked) < PROXY_TIMEOUT)
+            .filter(|(polled_at, _)| now.saturating_sub(*polled_at) < PROXY_TIMEOUT)
             .map(|(_, pull)| pull);
         Member {
             node: self.node,
@@ -249,10 +262,10 @@
             ready: proxy.is_some_and(|pull| pull.ready),
             capacity: proxy.map_or(0, |pull| pull.capacity),
             demand: proxy
-                .filter(|_| tells_demand)
+                .filter(|_| reports_demand)
                 .map(|pull| pull.demand.clone())
                 .unwrap_or_default(),
-            same_demand: !tells_demand,
+            same_demand: !reports_demand,
             silent: false,
             versions: self.link.versions(),
             draining: self.stopping_since.is_some(),
@@ -260,6 +273,7 @@
         }
     }
 
+    /// Handles an input; returns what has to be carried out.
     pub fn input(&mut self, now: Duration, input: AgentInput) -> Vec<AgentOutput> {
         let mut outputs = Vec::new();
         match input {
@@ -283,11 +297,12 @@
                 ticket,
                 heartbeat,
                 echo,
-            } => self.heartbeat(now, ticket, heartbeat, echo, &mut outputs),
+            } => self.handle_heartbeat(now, ticket, heartbeat, echo, &mut outputs),
         }
         let lease_until = self.link.fresh_until();
         let membership = self.link.feed_cache.follower().map(MapName::Membership);
-        self.fallback_quorum.look(now, membership, lease_until);
+        self.fallback_quorum
+            .update_membership(now, membership, lease_until);
         let fresh = now < self.fresh_until();
         if fresh != self.was_fresh {
             self.was_fresh = fresh;
@@ -320,13 +335,13 @@
         }
         let requests = self.link.tick_catch_up(now);
         self.request_chunks(requests, outputs);
-        self.ask_agents(now, outputs);
+        self.poll_agents(now, outputs);
         self.link.members.expire(now);
-        let gone = match self.options.proxy_serves_stale {
+        let suspected = match self.options.proxy_serves_stale {
             true => self.link.count_silent_instances(now),
             false => self.link.instances.count_silent(now),
         };
-        for id in gone {
+        for id in suspected {
             let event = AgentEvent::InstanceGone { id };
             outputs.push(AgentOutput::LogEvent { event });
         }
@@ -338,20 +353,20 @@
         self.stop_when_done(now, outputs);
     }
 
-    /// Ends a polite stop once the witness voter is another's, no heartbeat waits for its answer, and the
-    /// proxy does not stop at the same time and need its news until it has.
+    /// Completes a graceful shutdown once the witness voter has moved to another node and no heartbeat waits
+    /// for its response. A proxy that is stopping at the same time needs updates until it has stopped, and
+    /// is waited for.
     fn stop_when_done(&self, now: Duration, outputs: &mut Vec<AgentOutput>) {
         let Some(since) = self.stopping_since else {
             return;
         };
         let waited = now.saturating_sub(since);
-        let proxy_ends = self
-            .proxy
-            .as_ref()
-            .is_some_and(|(asked, pull)| !pull.ready && now.saturating_sub(*asked) < PROXY_TIMEOUT);
-        let busy = self.voter.is_some() || !self.heartbeats.is_empty();
-        let done = !busy || waited >= VOTER_TIMEOUT;
-        if (done && !proxy_ends) || waited >= STOP_TIMEOUT {
+        let is_proxy_stopping = self.proxy.as_ref().is_some_and(|(polled_at, pull)| {
+            !pull.ready && now.saturating_sub(*polled_at) < PROXY_TIMEOUT
+        });
+        let is_busy = self.voter.is_some() || !self.pending_heartbeats.is_empty();
+        let is_done = !is_busy || waited >= VOTER_HANDOVER_TIMEOUT;
+        if (is_done && !is_proxy_stopping) || waited >= SHUTDOWN_TIMEOUT {
             outputs.push(AgentOutput::Stopped);
         }
     }
@@ -385,7 +400,7 @@
             Message::QuorumReadRequest { number } => {
                 self.handle_quorum_read_request(from, number, outputs)
             }
-            // Why nothing: all else is for controllers.
+            // All other messages are for controllers.
             _ => {}
         }
     }
@@ -397,17 +412,17 @@
         granted: &Granted,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        let moved = self.link.granted(now, responder, granted);
+        let advanced = self.link.granted(now, responder, granted);
         let requests = self.link.fetch_in_chunks(now, responder.address, granted);
         self.request_chunks(requests, outputs);
-        if moved.iter().any(|map| FALLBACK_MAPS.contains(map)) {
-            // Why at once: an operator waits for our word that we hold it.
+        if advanced.iter().any(|map| FALLBACK_MAPS.contains(map)) {
+            // An operator waits for the confirmation that this agent has the change.
             self.link.renew_now(now);
         }
-        self.maps_moved(&moved, outputs);
+        self.handle_map_updates(&advanced, outputs);
     }
 
-    /// Takes the answer to a question for pieces of a map.
+    /// Handles the response to a request for chunks of a map.
     fn handle_chunks(
         &mut self,
         now: Duration,
@@ -421,7 +436,7 @@
             let event = AgentEvent::ChunkRejected { refused, from };
             outputs.push(AgentOutput::LogEvent { event });
         }
-        self.maps_moved(step.moved.as_slice(), outputs);
+        self.handle_map_updates(step.moved.as_slice(), outputs);
     }
 
     pub(crate) fn request_chunks(
@@ -437,11 +452,15 @@
         }));
     }
 
-    pub(crate) fn maps_moved(&mut self, moved: &[MapName], outputs: &mut Vec<AgentOutput>) {
-        if moved.contains(&MapName::Membership) {
-            self.look_for_voter();
+    pub(crate) fn handle_map_updates(
+        &mut self,
+        advanced: &[MapName],
+        outputs: &mut Vec<AgentOutput>,
+    ) {
+        if advanced.contains(&MapName::Membership) {
+            self.update_voter();
         }
-        for map in moved {
+        for map in advanced {
             let map = *map;
             let version = self.link.feed_cache.follower().map(map).version;
             let event = AgentEvent::MapUpdated { map, version };
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `agent`: the agent beside a proxy.
+//! `agent`: the agent that runs beside a proxy.
 
 use std::sync::Arc;
 
@@ -8,8 +8,9 @@
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
-const HELP: &str = "The agent beside each proxy: holds the link to the core, hears instances' \
-heartbeats over HTTP, and feeds the proxy over loopback";
+const HELP: &str =
+    "The agent beside each proxy: maintains the link to the controllers, receives the \
+heartbeats of instances over HTTP, and supplies the proxy over loopback";
 const NEEDS: [&str; 4] = ["control", "serving", "area", "seeds"];
 
 fn main() -> anyhow::Result<()> {
--- a/crates/agent/src/proxy_calls.rs
+++ b/crates/agent/src/proxy_calls.rs
@@ -1,4 +1,4 @@
-//! The proxy beside this agent: what it is told, and what it says that it carried.
+//! Polls of the proxy beside this agent: the views that it receives, and the usage that it reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 use caperworks::messages::{Message, ProxyView, Pull, UsageLine};
 use caperworks::replicated_map::MapName;
 
-/// How soon the proxy is told a whole map again.
+/// The interval at which the proxy may be sent a full map again.
 ///
-/// Why sooner than other followers: it asks ten times a second on the same machine, and carries
-/// nothing before it has the map.
+/// It is shorter than for other followers: the proxy polls ten times a second on the same machine, and serves
+/// no requests before it has the map.
 pub(crate) const PROXY_MAP_PERIOD: Duration = Duration::from_millis(300);
-/// For how many hours usage is remembered.
+/// For how many hours usage is kept.
 const USAGE_HOURS: u64 = 48;
 
 impl AgentMachine {
-    /// Answers the proxy that asks what the world is like.
+    /// Responds to a poll of the proxy with a view.
     pub(crate) fn handle_pull(
         &mut self,
         now: Duration,
@@ -28,7 +28,7 @@
         outputs: &mut Vec<AgentOutput>,
     ) {
         let view = self.view(now, from, &pull);
-        self.count_usage(&pull);
+        self.record_usage(&pull);
         self.proxy = Some((now, pull));
         let message = Message::View { view };
         outputs.push(AgentOutput::Send { to: from, message });
@@ -38,9 +38,9 @@
         let is_same_incarnation =
             matches!(&self.proxy, Some((_, last)) if last.incarnation == pull.incarnation);
         if !is_same_incarnation {
-            self.proxy_limit.begin_anew(proxy);
+            self.proxy_map_limit.begin_anew(proxy);
         }
-        let (feed_cache, limit) = (&self.link.feed_cache, &mut self.proxy_limit);
+        let (feed_cache, limit) = (&self.link.feed_cache, &mut self.proxy_map_limit);
         let updates = [
             (MapName::Configuration, pull.configuration),
             (MapName::Ownership, pull.ownership),
@@ -55,7 +55,10 @@
             true => self.link.instances.iter().cloned().collect(),
             false => {
                 let changed = self.link.instances.after(now, pull.instances_offset);
-                changed.into_iter().map(|heard| heard.heartbeat).collect()
+                changed
+                    .into_iter()
+                    .map(|reported| reported.heartbeat)
+                    .collect()
             }
         };
         let silent = instances
@@ -64,15 +67,15 @@
             .filter(|id| self.link.instances.is_silent(id))
             .cloned()
             .collect();
-        let heard = self.link.proxies() as usize;
-        // Why the whole roster out of the core's reach: who of it still serves cannot be told, and
-        // what is shared among the proxies must not be shared among fewer than there are.
+        let reported = self.link.proxies() as usize;
+        // While the control plane is unreachable, all fallback members count: which of them still serve is
+        // unknown, and shared limits must not be divided among fewer proxies than there are.
         let fallback_members = follower.map(MapName::Membership).fallback_members();
-        let alone = now >= self.link.fresh_until();
-        let listed = fallback_members
-            .filter(|_| alone)
+        let is_partitioned = now >= self.link.fresh_until();
+        let listed_members = fallback_members
+            .filter(|_| is_partitioned)
             .map_or(0, |fallback_members| fallback_members.members.len());
-        let proxies = heard.max(listed) as u32;
+        let proxies = reported.max(listed_members) as u32;
         ProxyView {
             number: pull.number,
             left: self.fresh_until().saturating_sub(now),
@@ -89,10 +92,10 @@
         }
     }
 
-    /// Remembers what the proxy says it carried.
+    /// Records the usage that the proxy reports.
     ///
-    /// Why here: a proxy may die at any time, and its counts need not die with it.
-    fn count_usage(&mut self, pull: &Pull) {
+    /// It is kept by the agent so that it is not lost when the proxy's process ends unexpectedly.
+    fn record_usage(&mut self, pull: &Pull) {
         for line in &pull.usage {
             let key = (
                 pull.incarnation,
@@ -106,7 +109,7 @@
         self.usage.retain(|key, _| key.1 + USAGE_HOURS >= latest);
     }
 
-    /// What was carried beside this agent, by hour, route and service.
+    /// Returns the usage of the proxy beside this agent, by hour, route and service.
     pub fn usage(&self) -> Vec<UsageLine> {
         let mut sums: BTreeMap<(u64, &RouteName, &ServiceName), UsageLine> = BTreeMap::new();
         for line in self.usage.values() {
--- a/crates/agent/src/witness.rs
+++ b/crates/agent/src/witness.rs
@@ -1,4 +1,4 @@
-//! The witness: this agent's voting part, while the membership names it as a voter.
+//! The witness: the voter of this agent, while the membership names it as one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
 impl AgentMachine {
-    /// Hands a vote to our voter, if there is one.
+    /// Passes a consensus message to the voter of this agent, if it has one.
     pub(crate) fn handle_vote(
         &mut self,
         now: Duration,
@@ -32,21 +32,21 @@
             outputs.push(AgentOutput::Send { to: from, message });
             return;
         }
-        let asked = matches!(vote, ConsensusMessage::CatchUp { .. });
+        let is_catch_up = matches!(vote, ConsensusMessage::CatchUp { .. });
         let outcome = voter.handle(vote);
         let mut replies = outcome.replies;
-        // Why not unasked: a controller that is behind asks for pieces by itself.
-        replies.retain(|vote| asked || !matches!(vote, ConsensusMessage::Snapshot { .. }));
+        // Snapshots are sent on request only: a controller that is behind requests chunks by itself.
+        replies.retain(|vote| is_catch_up || !matches!(vote, ConsensusMessage::Snapshot { .. }));
         outputs.extend(replies.into_iter().map(|vote| AgentOutput::Send {
             to: from,
             message: Message::ConsensusMessage { vote },
         }));
         if outcome.moved.contains(&MapName::Membership) {
-            self.look_for_voter();
+            self.update_voter();
         }
     }
 
-    /// Tells a controller's round what our voter holds.
+    /// Responds to a controller's quorum read with the versions of the voter.
     pub(crate) fn handle_quorum_read_request(
         &self,
         from: SocketAddr,
@@ -59,18 +59,18 @@
         let message = Message::QuorumReadResponse {
             number,
             versions: voter.possible(),
-            // Why nothing: a witness has no disk.
+            // A witness has no disk.
             synced: None,
         };
         outputs.push(AgentOutput::Send { to: from, message });
     }
 
-    /// Takes a witness's voter up or lays it down, as the membership says.
+    /// Creates or removes the voter of this agent, as the membership says.
     ///
-    /// Why from the copies at hand: whoever made us a voter had settled every map before, and
-    /// what we lack of them we refuse to vote on until we have it. A reduced map lacks what votes are
-    /// weighed by, and counts as lacking whole.
-    pub(crate) fn look_for_voter(&mut self) {
+    /// It starts from the replicas present here: every map was recovered before this agent was made a voter,
+    /// and the voter rejects proposals for a map until it has all versions of it. A reduced map is without the
+    /// data that proposals are checked against, and counts as missing entirely.
+    pub(crate) fn update_voter(&mut self) {
         let follower = self.link.feed_cache.follower();
         let mut membership = follower.map(MapName::Membership);
         if let Some(voter) = &self.voter {
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -1,4 +1,5 @@
-//! One agent's part: when it asks the others, whose answers count, and until when it is fresh.
+//! One agent's side of the fallback quorum: when it polls the others, whose responses count, and until when it
+//! is fresh.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -9,14 +10,14 @@
 use crate::leases::{DRIFT_MARGIN, LEASE_SPAN};
 use crate::partition_fallback::messages::FallbackResponse;
 use crate::partition_fallback::{
-    majority_of, FALLBACK_LEAD, FALLBACK_MAPS, FALLBACK_SPAN, SETTLE_SPAN,
+    majority_of, FALLBACK_LIFETIME, FALLBACK_MAPS, FALLBACK_REQUEST_LEAD, MEMBERS_SETTLE_TIME,
 };
 use crate::replicated_map::{MapName, ReplicatedMap, FALLBACK_MEMBERS};
 
-/// The shortest time between two requests.
-const REQUEST_PERIOD: Duration = Duration::from_millis(300);
-/// The most requests whose answers are still counted.
-const MOST_IN_FLIGHT: usize = 8;
+/// The minimum interval between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+/// The maximum number of requests whose responses are still counted.
+const MAX_IN_FLIGHT: usize = 8;
 
 /// Fault injection, to prove the invariant checkers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -24,29 +25,29 @@
     /// No fault.
     #[default]
     Nothing,
-    /// Asks nobody.
+    /// Sends no requests.
     Silent,
-    /// Counts as fresh whatever later versions the others have.
+    /// Counts as fresh even if the others have later versions.
     IgnoresNewerVersions,
-    /// Counts a majority of those that answer, and not of the members.
+    /// Any response is enough, instead of those of a majority of the members.
     CountsOnlyResponders,
-    /// Counts its own answer from the start, though it may have lost state.
+    /// Counts its own response from the start, although it may have lost state.
     QualifiedFromStart,
 }
 
-/// A request in flight, with the answers so far.
+/// A request in flight, with the responses so far.
 struct PendingRequest {
     number: u64,
     sent_at: Duration,
     responses: BTreeMap<SocketAddr, Vec<Version>>,
 }
 
-/// One agent's part in the fallback quorum.
+/// One agent's side of the fallback quorum.
 pub struct FallbackQuorum {
     own: SocketAddr,
     fallback_members_version: Version,
     fallback_members_since: Duration,
-    /// Whether its own answer counts.
+    /// Whether its own response counts.
     is_qualified: bool,
     number: u64,
     requests: VecDeque<PendingRequest>,
@@ -57,7 +58,7 @@
 }
 
 impl FallbackQuorum {
-    /// The part of the agent at this address, before it knows any members.
+    /// Returns the state of the agent at this address, before it knows any members.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
@@ -72,31 +73,36 @@
         }
     }
 
-    /// Until when the answers of a majority keep this agent fresh.
-    pub fn until(&self) -> Duration {
+    /// Returns until when the responses of a majority keep this agent fresh.
+    pub fn fresh_until(&self) -> Duration {
         self.fresh_until
     }
 
-    /// The version of the members under which this agent's answer counts in a majority, if it does.
+    /// Returns the version of the members under which this agent's response counts for a majority, if it does.
     pub fn qualified_under(&self) -> Option<Version> {
         self.is_qualified.then_some(self.fallback_members_version)
     }
 
-    /// Whether to ask an agent that is ahead, without knowing the members.
-    pub fn fetches(&mut self, now: Duration, lease_until: Duration) -> bool {
+    /// Returns whether to request the maps of an agent that is ahead, while the members are unknown here.
+    pub fn should_request_maps(&mut self, now: Duration, lease_until: Duration) -> bool {
         let is_due = now >= lease_until && now >= self.next_request_at;
         if is_due {
-            self.next_request_at = now + REQUEST_PERIOD;
+            self.next_request_at = now + REQUEST_INTERVAL;
         }
         is_due
     }
 
-    /// Takes in the state of the core: the members, and until when its lease lives.
+    /// Applies the state of the control plane: the members, and until when its lease is valid.
     ///
-    /// The answer of this agent counts once a lease was granted long enough after it learned the
-    /// members: the lease began with a quorum read of the voters, and whatever was committed before that
-    /// read is present here now.
-    pub fn look(&mut self, now: Duration, membership: &ReplicatedMap, lease_until: Duration) {
+    /// The response of this agent counts once a lease was granted long enough after it learned the members:
+    /// the lease began with a quorum read of the voters, and whatever was committed before that read is
+    /// present here now.
+    pub fn update_membership(
+        &mut self,
+        now: Duration,
+        membership: &ReplicatedMap,
+        lease_until: Duration,
+    ) {
         let version = membership.present(FALLBACK_MEMBERS);
         if version != self.fallback_members_version {
             self.fallback_members_version = version;
@@ -104,17 +110,17 @@
             self.is_qualified = false;
             self.requests.clear();
         }
-        let is_proved = now < lease_until
-            && lease_until >= self.fallback_members_since + SETTLE_SPAN + LEASE_SPAN
+        let is_confirmed = now < lease_until
+            && lease_until >= self.fallback_members_since + MEMBERS_SETTLE_TIME + LEASE_SPAN
             && version > Version(0);
-        self.is_qualified |= is_proved || self.broken == BrokenFallback::QualifiedFromStart;
+        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::QualifiedFromStart;
     }
 
-    /// The members to ask, and the number of the request, if it is time.
+    /// Returns the number of the next request and the members to send it to, if it is due.
     ///
-    /// An agent whose own answer does not count asks as well: the answers of a majority of others make it
-    /// fresh like any other.
-    pub fn ask(
+    /// An agent whose own response does not count sends requests as well: the responses of a majority of
+    /// others make it fresh like any other.
+    pub fn next_request(
         &mut self,
         now: Duration,
         membership: &ReplicatedMap,
@@ -123,57 +129,57 @@
         let left = lease_until.saturating_sub(now);
         let fallback_members = membership.fallback_members()?;
         let mut others = fallback_members.everyone();
-        let silent = self.broken == BrokenFallback::Silent;
-        let early = left >= FALLBACK_LEAD || now < self.next_request_at;
-        if !others.remove(&self.own) || early || silent {
+        let is_disabled = self.broken == BrokenFallback::Silent;
+        let is_early = left >= FALLBACK_REQUEST_LEAD || now < self.next_request_at;
+        if !others.remove(&self.own) || is_early || is_disabled {
             return None;
         }
-        self.next_request_at = now + REQUEST_PERIOD;
+        self.next_request_at = now + REQUEST_INTERVAL;
         self.number += 1;
         self.requests.push_back(PendingRequest {
             number: self.number,
             sent_at: now,
             responses: BTreeMap::new(),
         });
-        if self.requests.len() > MOST_IN_FLIGHT {
+        if self.requests.len() > MAX_IN_FLIGHT {
             self.requests.pop_front();
         }
         Some((self.number, others))
     }
 
-    /// Handles an answer; the updates in it must have been applied before.
+    /// Handles a response; the updates in it must have been applied before.
     ///
-    /// It counts only under the very version of the members that is known here: an agent that is
-    /// qualified under an older one may lack a change that a controller confirmed by the newer.
+    /// It counts only under exactly the version of the members that is known here: an agent that is qualified
+    /// under an older one may be missing a change that a controller confirmed by the newer.
     pub fn handle_response(
         &mut self,
         from: SocketAddr,
         tell: &FallbackResponse,
         follower: &Follower,
     ) {
-        let counts = tell.qualified_under == Some(self.fallback_members_version);
+        let is_qualified = tell.qualified_under == Some(self.fallback_members_version);
         let mut requests = self.requests.iter_mut();
         let request = requests.find(|request| request.number == tell.number);
-        if let Some(request) = request.filter(|_| counts) {
+        if let Some(request) = request.filter(|_| is_qualified) {
             request.responses.insert(from, tell.versions.clone());
         }
-        self.update_freshness(follower);
+        self.extend_freshness(follower);
     }
 
-    /// Extends the freshness by each request that a majority has answered whose highest versions are
-    /// present here. It counts from the request, as each answer is about a time after it.
-    fn update_freshness(&mut self, follower: &Follower) {
+    /// Extends the freshness by each request that a majority has responded to, if the highest of their
+    /// versions are present here. It counts from the request, as each response describes a later time.
+    fn extend_freshness(&mut self, follower: &Follower) {
         let Some(fallback_members) = follower.map(MapName::Membership).fallback_members() else {
             return;
         };
         let (own, is_qualified, broken) = (self.own, self.is_qualified, self.broken);
         for request in &self.requests {
-            let heard = |address: &SocketAddr| {
+            let has_responded = |address: &SocketAddr| {
                 (is_qualified && *address == own) || request.responses.contains_key(address)
             };
-            let enough = match broken {
+            let has_quorum = match broken {
                 BrokenFallback::CountsOnlyResponders => !request.responses.is_empty(),
-                _ => fallback_members.enough(heard, majority_of),
+                _ => fallback_members.enough(has_responded, majority_of),
             };
             let is_up_to_date = request.responses.values().all(|versions| {
                 FALLBACK_MAPS.iter().all(|name| {
@@ -183,8 +189,8 @@
                         .is_none_or(|version| *version <= present)
                 })
             });
-            if enough && (is_up_to_date || broken == BrokenFallback::IgnoresNewerVersions) {
-                let until = request.sent_at + FALLBACK_SPAN - DRIFT_MARGIN;
+            if has_quorum && (is_up_to_date || broken == BrokenFallback::IgnoresNewerVersions) {
+                let until = request.sent_at + FALLBACK_LIFETIME - DRIFT_MARGIN;
                 self.fresh_until = self.fresh_until.max(until);
             }
         }
--- a/crates/caperworks/src/partition_fallback/messages.rs
+++ b/crates/caperworks/src/partition_fallback/messages.rs
@@ -8,38 +8,38 @@
 use crate::identifiers::Version;
 
 messages! {
-    /// The members of the fallback quorum, by address of the agent: those that count now, and those that
-    /// counted before the last change.
+    /// The members of the fallback quorum, by address of the agent: the current ones, and those before the
+    /// last change.
     #[derive(Eq)]
     struct FallbackMembers {
         0 members: Vec<SocketAddr>,
         1 before: Vec<SocketAddr>,
     }
 
-    /// One agent asks another for its versions, and forwards the heartbeats that it received itself.
+    /// Requests the versions of another agent, and forwards the heartbeats that the sender received.
     struct FallbackRequest {
         0 number: u64,
         1 versions: Vec<Version>,
         2 heartbeats: Vec<HeardHeartbeat>,
     }
 
-    /// The answer, with the updates that the asker lacks, and the version of the membership under which
-    /// this agent's answer counts.
+    /// The response, with the updates that the requester is missing, and the version of the membership under
+    /// which this agent's response counts.
     struct FallbackResponse {
         0 number: u64,
         1 versions: Vec<Version>,
         2 updates: Vec<ConsensusMessage>,
         3 qualified_under: Option<Version>,
-        /// The instances that drain, as far as the sender has heard: whoever is kept fresh by other agents
-        /// must know them like one that holds a lease of the core.
+        /// The draining instances that are known to the sender: an agent that is kept fresh by other agents
+        /// must know them as well as one that has a lease of the control plane.
         #[cbor(default)]
         4 draining: Vec<HeardHeartbeat>,
     }
 }
 
 impl FallbackMembers {
-    /// Whether enough of both sets are among these addresses; `required` gives how many of a set of so
-    /// many are enough.
+    /// Returns whether enough members of both sets are among these addresses; `required` returns how many
+    /// members of a set of a given size are enough.
     pub fn enough(
         &self,
         is_among: impl Fn(&SocketAddr) -> bool,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// All members, of both sets.
+    /// Returns all members, of both sets.
     pub fn everyone(&self) -> BTreeSet<SocketAddr> {
         self.members.iter().chain(&self.before).copied().collect()
     }
