--- a/crates/caperworks/src/envelope_clock.rs
+++ b/crates/caperworks/src/envelope_clock.rs
@@ -1,9 +1,9 @@
-//! Postmarks: how long a message may have lain on its way.
+//! Timestamps of messages: the maximum age of a message when it is received.
 //!
-//! A process that was frozen finds old input in its sockets when it wakes, and nothing in a socket
-//! tells its age. So each message carries the receiver's own time back to it: the last stamp that
-//! the sender had from there, and for how long it has held it. The message cannot have left before
-//! the stamp did, and the receiver measures by its own clock alone.
+//! A process that was frozen finds old input in its sockets when it resumes, and a socket does not record the
+//! age of its contents. Each message therefore carries the receiver's own time back to it: the last stamp
+//! that the sender received from there, and for how long it has held it. The message cannot have been sent
+//! before the stamp was, and the receiver measures by its own clock alone.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,49 +13,51 @@
 use crate::messages::{Envelope, Message};
 
 messages! {
-    /// The time of one life of a node, as it told it to another.
+    /// The time of one incarnation of a node, as sent to another node.
     #[derive(Copy, Eq)]
     struct Stamp { 0 incarnation: NodeId, 1 at: Duration }
 
-    /// A stamp on its way back, and for how long its holder had it before sending.
+    /// A stamp that is returned, and for how long the sender had held it.
     #[derive(Copy, Eq)]
     struct Echo { 0 stamp: Stamp, 1 held: Duration }
 }
 
 impl Echo {
-    /// How long what carries this may have lain, at most; none if the stamp is not of this life.
+    /// Returns the maximum age of the message that carries this, or `None` if the stamp is of another
+    /// incarnation.
     pub fn max_age(&self, now: Duration, incarnation: NodeId) -> Option<Duration> {
         (self.stamp.incarnation == incarnation)
             .then(|| now.saturating_sub(self.stamp.at + self.held))
     }
 }
 
-/// The stamps that a node holds of the others.
+/// Stamps outgoing messages, and keeps the stamps that were received from other nodes.
 #[derive(Debug, Clone)]
 pub struct EnvelopeClock {
     node: NodeId,
     incarnation: NodeId,
-    held: HashMap<SocketAddr, (Stamp, Duration)>,
+    held_stamps: HashMap<SocketAddr, (Stamp, Duration)>,
 }
 
 impl EnvelopeClock {
-    /// Of a node that draws its number anew for each life.
+    /// Returns the clock of a node that chooses a new node id for each incarnation.
     pub fn new(node: NodeId) -> Self {
         Self::of_incarnation(node, node)
     }
 
-    /// Of a node that keeps its number over restarts.
+    /// Returns the clock of a node that keeps its node id over restarts.
     ///
-    /// Why a life of its own: each process counts its time from its start, and a stamp of the life before
-    /// says nothing.
+    /// The incarnation is separate from the id because each process counts its time from its start, so that a
+    /// stamp of a previous incarnation means nothing.
     pub fn of_incarnation(node: NodeId, incarnation: NodeId) -> Self {
         Self {
             node,
             incarnation,
-            held: HashMap::new(),
+            held_stamps: HashMap::new(),
         }
     }
 
+    /// Returns the stamp for the current time.
     pub fn stamp(&self, now: Duration) -> Stamp {
         Stamp {
             incarnation: self.incarnation,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Makes a message ready to leave.
+    /// Returns the envelope in which a message is sent.
     pub fn seal(
         &self,
         now: Duration,
@@ -71,7 +73,7 @@
         to: SocketAddr,
         message: Message,
     ) -> Envelope {
-        let echo = self.held.get(&to).map(|(stamp, held_since)| Echo {
+        let echo = self.held_stamps.get(&to).map(|(stamp, held_since)| Echo {
             stamp: *stamp,
             held: now.saturating_sub(*held_since),
         });
@@ -85,15 +87,15 @@
         }
     }
 
-    /// Takes a message in; says how long it may have lain, or nothing if that cannot be told.
+    /// Records the stamp of a received message; returns its maximum age, or `None` if that is unknown.
     pub fn open(&mut self, now: Duration, envelope: &Envelope) -> Option<Duration> {
         if let Some(stamp) = envelope.stamp {
-            // Why only later ones: a stamp that was overtaken on its way tells less.
-            let known = self.held.get(&envelope.reply_to);
-            if known
-                .is_none_or(|(held, _)| held.incarnation != stamp.incarnation || held.at < stamp.at)
-            {
-                self.held.insert(envelope.reply_to, (stamp, now));
+            // Only later stamps are kept: an earlier one would give a higher maximum age.
+            let known = self.held_stamps.get(&envelope.reply_to);
+            if known.is_none_or(|(known_stamp, _)| {
+                known_stamp.incarnation != stamp.incarnation || known_stamp.at < stamp.at
+            }) {
+                self.held_stamps.insert(envelope.reply_to, (stamp, now));
             }
         }
         envelope.echo?.max_age(now, self.incarnation)
@@ -101,7 +103,8 @@
 }
 
 impl Envelope {
-    /// The life of the sender: what it numbers by itself, and keeps in memory only, is of this life.
+    /// Returns the incarnation of the sender, to which the numbers belong that it assigns and keeps in memory
+    /// only.
     pub fn sender_incarnation(&self) -> NodeId {
         self.stamp.map_or(self.from, |stamp| stamp.incarnation)
     }
--- a/crates/caperworks/src/feed.rs
+++ b/crates/caperworks/src/feed.rs
@@ -1,5 +1,5 @@
 //! The feed of committed changes: followers advance from the version that they have, by changes or by
-//! a snapshot, and never go back.
+//! a snapshot, and never move to an earlier version.
 
 mod cache;
 mod follower;
--- a/crates/caperworks/src/feed/cache.rs
+++ b/crates/caperworks/src/feed/cache.rs
@@ -1,4 +1,4 @@
-//! What a node needs that answers followers without being a voter: the maps and their recent changes.
+//! The maps and their recent changes, for a node that serves followers without being a voter.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 }
 
 impl FeedCache {
-    /// The replica.
+    /// Returns the replica.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
@@ -40,8 +40,8 @@
         Some(moved)
     }
 
-    /// What a follower at version `after` needs: changes, or a full snapshot. Nothing when it is not
-    /// behind.
+    /// Returns the updates for a follower at version `after`: changes, or a full snapshot. Returns `None` if
+    /// the follower is not behind.
     pub fn updates_after(&self, name: MapName, after: Version) -> Option<ConsensusMessage> {
         let map = self.follower.map(name);
         match self.histories.get(&name) {
--- a/crates/caperworks/src/feed/follower.rs
+++ b/crates/caperworks/src/feed/follower.rs
@@ -1,4 +1,5 @@
-//! The replica of a follower: it advances by single changes or to a snapshot, and never goes back.
+//! The replica of a follower: it advances by single changes or to a snapshot, and never moves to an earlier
+//! version.
 
 use crate::consensus::messages::{ConsensusMessage, FollowerChanges};
 use crate::identifiers::Version;
@@ -20,17 +21,17 @@
 }
 
 impl Follower {
-    /// One map at the version that is known here.
+    /// Returns one map at the version that is known here.
     pub fn map(&self, name: MapName) -> &ReplicatedMap {
         &self.maps[name.index()]
     }
 
-    /// The versions of all maps, in the order of [`ALL_MAPS`].
+    /// Returns the versions of all maps, in the order of [`ALL_MAPS`].
     pub fn versions(&self) -> Vec<Version> {
         self.maps.iter().map(|map| map.version).collect()
     }
 
-    /// Whether this replica has at least these versions of the maps in `wants`.
+    /// Returns whether this replica has at least these versions of the maps in `wants`.
     pub fn has_versions(&self, versions: &[Version], wants: &[MapName]) -> bool {
         wants.iter().all(|name| {
             let wanted = versions.get(name.index()).copied().unwrap_or_default();
@@ -38,8 +39,8 @@
         })
     }
 
-    /// Applies changes or a snapshot; returns the map if it advanced. All other messages, and what is
-    /// not newer, change nothing.
+    /// Applies changes or a snapshot; returns the map if it advanced. Other messages, and updates that are not
+    /// newer, change nothing.
     pub fn take(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
         if let ConsensusMessage::Snapshot { map, full_map } = updates {
             return self.install_snapshot(*map, full_map);
@@ -57,7 +58,7 @@
     }
 
     /// Applies the changes that follow on the version here. A gap means that a message was lost: the
-    /// next request asks from the version that is present.
+    /// next request continues from the version that is present.
     fn apply_changes(&mut self, message: FollowerChanges<'_>) -> Option<MapName> {
         let map = &mut self.maps[message.map.index()];
         let before = map.version;
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -1,4 +1,4 @@
-//! The recent changes of one map, for replicas that are a little behind.
+//! The recent changes of one map, for replicas that are only slightly behind.
 
 use std::collections::VecDeque;
 
@@ -7,28 +7,28 @@
 use crate::reduced_map::FeedForm;
 use crate::replicated_map::{MapName, ReplicatedMap};
 
-/// How much a history keeps, by [`Change::weight`](crate::replicated_map::Change::weight).
+/// The maximum weight of a history, by [`Change::weight`](crate::replicated_map::Change::weight).
 ///
 /// It is bounded by weight and not by count: one mapping of a fleet with very many routes is as large
-/// as the map, and a few hundred of them would be more than a small machine has.
+/// as the map, and a few hundred of them would exceed the memory of a small machine.
 pub const MAX_HISTORY_WEIGHT: usize = 4096;
 
-/// The first of the changes that a follower lacks.
+/// The first of the changes that a follower is missing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FirstChanges {
     /// The changes, lowest version first.
     pub changes: Vec<NumberedChange>,
-    /// Whether there are more after them.
+    /// Whether more changes follow them.
     pub more: bool,
 }
 
-/// The length of a change in a message, in bytes.
+/// Returns the length of a change in a message, in bytes.
 fn encoded_length(numbered: &NumberedChange) -> usize {
     // Encoding into memory cannot fail for these types.
     minicbor::to_vec(numbered).expect("a change encodes").len()
 }
 
-/// The recent changes of one map, consecutive versions, at most [`HISTORY_WEIGHT`] of them.
+/// The recent changes of one map, consecutive versions, at most [`MAX_HISTORY_WEIGHT`] of them.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     changes: VecDeque<NumberedChange>,
@@ -36,7 +36,7 @@
 }
 
 impl History {
-    /// Adds the next change, and drops the oldest ones beyond [`HISTORY_WEIGHT`].
+    /// Adds the next change, and drops the oldest ones beyond [`MAX_HISTORY_WEIGHT`].
     pub fn push(&mut self, numbered: NumberedChange) {
         self.weight += numbered.change.weight();
         self.changes.push_back(numbered);
@@ -54,7 +54,7 @@
         self.weight = 0;
     }
 
-    /// All changes after a version; nothing if the history does not reach back so far.
+    /// Returns all changes after a version, or `None` if the history does not reach back that far.
     pub fn changes_after(&self, after: Version) -> Option<Vec<NumberedChange>> {
         let first = self.changes.front()?;
         let is_later = |numbered: &&NumberedChange| numbered.version > after;
@@ -62,8 +62,8 @@
         reaches_back.then(|| self.changes.iter().filter(is_later).cloned().collect())
     }
 
-    /// The first of the changes after a version, as many as fit into `most_bytes` and one at least;
-    /// nothing if the history does not reach back so far.
+    /// Returns the first changes after a version: as many as fit into the given number of bytes, and at least one. Returns
+    /// `None` if the history does not reach back that far.
     pub fn first_changes_after(
         &self,
         after: Version,
@@ -89,13 +89,13 @@
         Some(FirstChanges { changes, more })
     }
 
-    /// The weight of all changes, by [`Change::weight`](crate::replicated_map::Change::weight).
+    /// Returns the weight of all changes, by [`Change::weight`](crate::replicated_map::Change::weight).
     pub fn weight(&self) -> usize {
         self.weight
     }
 
-    /// What a replica at version `after` needs to reach `map`: changes, or a full snapshot. Nothing
-    /// when it is not behind.
+    /// Returns the updates by which a replica at version `after` reaches `map`: changes, or a full snapshot.
+    /// Returns `None` if the replica is not behind.
     pub fn updates_after(
         &self,
         name: MapName,
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -1,4 +1,4 @@
-//! What our processes say to each other.
+//! The messages between our own processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::replicated_map::MapName;
 
 messages! {
-    /// Every message travels with its sender and where the sender hears answers.
+    /// A message with its sender, and the address at which the sender receives responses.
     struct Envelope {
         0 from: NodeId,
         1 reply_to: SocketAddr,
@@ -26,12 +26,14 @@
         5 reads_here: bool,
     }
 
+    /// The proposal of a set of voters by which a new membership is founded.
     #[derive(Eq)]
     struct Founding {
         0 attempt: u64,
         1 voters: VoterSet,
     }
 
+    /// The request of a member for a lease, and for the facts and updates that it is missing.
     struct Renewal {
         0 number: u64,
         1 member: Member,
@@ -39,25 +41,26 @@
         4 instances_after: u64,
         5 members_after: u64,
         6 wants: Vec<MapName>,
-        /// In which form it wants them.
+        /// The form in which it follows them.
         #[cbor(default)]
         7 form: FeedForm,
-        /// How long ago a controller had told the member all facts that it knew; for a controller of which
-        /// the member has no offset. Without it such a controller tells all that it knows.
+        /// How long ago the member had received all facts that a controller knew; for a controller at which
+        /// the member has no offset. Without this value such a controller sends all facts that it knows.
         8 facts_age: Option<Duration>,
         #[cbor(default)]
         9 extent: ResponseExtent,
     }
 
-    /// How much the answer to a renewal may hold.
+    /// How much the response to a renewal may contain.
     #[derive(Copy, Eq, Default)]
     enum ResponseExtent {
         #[default]
         0 Full,
-        /// Little: the member asks several controllers at once, and follows the first that answers.
+        /// A small part: the member polls several controllers at once, and follows the first that responds.
         1 Brief,
     }
 
+    /// The response to a renewal: a lease, with facts and updates that the member is missing.
     struct Granted {
         0 number: u64,
         1 quorum_read_age: Duration,
@@ -68,18 +71,19 @@
         6 members_offset: u64,
         7 updates: Vec<ConsensusMessage>,
         8 assured: bool,
-        /// Instances that ended, as they said themselves.
+        /// Instances that have deregistered.
         9 gone: Vec<InstanceId>,
-        /// How many proxies are ready, or were when that was last written down.
+        /// How many proxies are ready, or were when that was last recorded.
         10 proxies: u32,
-        /// Maps that are too large for this message: the follower is to fetch them in pieces.
+        /// Maps that are too large for this message: the follower has to fetch them in chunks.
         11 in_chunks: Vec<MapName>,
-        /// This message does not hold all that the follower lacks: it is to ask again at once.
+        /// This message does not contain everything that the follower is missing: it has to renew again at
+        /// once.
         #[cbor(default)]
         12 more: bool,
     }
 
-    /// What one proxy carried in one hour for one rule.
+    /// The usage of one proxy in one hour for one route.
     #[derive(Eq, Default)]
     struct UsageLine {
         0 hour: u64,
@@ -93,6 +97,7 @@
         8 bytes_out: u64,
     }
 
+    /// A proxy's poll of its agent.
     struct Pull {
         0 number: u64,
         1 configuration: Version,
@@ -103,11 +108,12 @@
         6 demand: Vec<Demand>,
         7 incarnation: u64,
         8 usage: Vec<UsageLine>,
-        /// Up to which place of which agent the instances are held.
+        /// The agent from which the instances were received, and up to which offset.
         9 agent: NodeId,
         10 instances_offset: u64,
     }
 
+    /// An agent's response to a poll of its proxy.
     struct ProxyView {
         0 number: u64,
         1 left: Duration,
@@ -118,18 +124,20 @@
         6 ownership: Version,
         7 agent: NodeId,
         8 instances_offset: u64,
-        /// Whether the instances are all there are, and not only those that changed.
+        /// Whether the list of instances is complete, and does not only contain those that changed.
         9 all_instances: bool,
-        /// For how much longer an agent without a lease takes the core's silence for a slow link.
+        /// For how much longer an agent without a lease takes missing responses of the control plane for a
+        /// slow link.
         10 link_slow_for: Duration,
-        /// Those of the instances told here whose heartbeats have stayed away for their span.
+        /// Those of the instances in this message that are suspected because of missing heartbeats.
         11 silent: Vec<InstanceId>,
     }
 
+    /// A message between two of our own processes.
     enum Message {
         0 ConsensusMessage { 0 vote: ConsensusMessage },
         1 QuorumReadRequest { 0 number: u64 },
-        /// What is held in memory, which counts for reads and leases, and what of it is synced.
+        /// The versions in memory, which count for reads and leases, and the versions that are synced to disk.
         2 QuorumReadResponse { 0 number: u64, 1 versions: Vec<Version>, 2 synced: Option<Vec<Version>> },
         3 SeedRequest { 0 zone: Zone, 1 founded: bool },
         4 SeedResponse { 0 zone: Zone, 1 founded: bool },
@@ -144,7 +152,7 @@
         13 View { 0 view: ProxyView },
         14 FallbackRequest { 0 ask: FallbackRequest },
         15 FallbackResponse { 0 tell: FallbackResponse },
-        /// A drain or an end that is acknowledged once a majority of the voters holds it.
+        /// A drain or a deregistration, acknowledged once a majority of the voters has it.
         16 ConfirmFact { 0 number: u64, 1 heartbeat: Option<HeardHeartbeat>, 2 ended: Option<InstanceId> },
         17 FactConfirmed { 0 number: u64 },
     }
--- a/crates/caperworks/src/poll_pacer.rs
+++ b/crates/caperworks/src/poll_pacer.rs
@@ -1,94 +1,94 @@
-//! When a follower asks again: one question is under way at a time.
+//! Paces the polls of a follower: one poll is in flight at a time.
 //!
-//! Why: each answer holds all that the follower lacked when it asked. Questions that do not wait for the
-//! answer before bring the same over and over, and keep a slow link full with it.
+//! Each response contains everything that the follower was missing at the time of the poll. Polls that do not
+//! wait for the previous response transfer the same data repeatedly, and keep a slow link saturated.
 
 use std::time::Duration;
 
 use crate::rtt_estimator::{RttEstimator, TimeoutBounds};
 
-/// A question that waits for its answer.
+/// A poll without a response so far.
 #[derive(Debug, Clone, Copy)]
-struct Unanswered {
+struct PendingPoll {
     number: u64,
-    /// Since it was asked, or since a part of an answer came.
+    /// When it was sent, or when a part of a response was last received.
     waits_since: Duration,
 }
 
-/// The pace of numbered questions to one peer.
+/// Paces numbered polls to one peer.
 #[derive(Debug, Clone)]
 pub struct PollPacer {
-    unanswered: Option<Unanswered>,
-    timer: RttEstimator,
+    pending: Option<PendingPoll>,
+    rtt: RttEstimator,
 }
 
 impl PollPacer {
+    /// Returns a pacer whose timeout stays within these bounds.
     pub fn new(bounds: TimeoutBounds) -> Self {
         Self {
-            unanswered: None,
-            timer: RttEstimator::new(bounds),
+            pending: None,
+            rtt: RttEstimator::new(bounds),
         }
     }
 
-    /// How long an answer may take before its question is asked again.
+    /// Returns how long a response may take before the poll is repeated.
     pub fn timeout(&self) -> Duration {
-        self.timer.timeout()
+        self.rtt.timeout()
     }
 
-    /// Whether no answer is awaited, or has been for longer than it may take.
+    /// Returns whether no response is awaited, or it is overdue.
     pub fn may_poll(&self, now: Duration) -> bool {
         !self.is_awaiting() || self.is_overdue(now)
     }
 
-    /// Whether an answer is awaited.
+    /// Returns whether a response is awaited.
     pub fn is_awaiting(&self) -> bool {
-        self.unanswered.is_some()
+        self.pending.is_some()
     }
 
-    /// Whether an answer has been awaited for longer than it may take.
+    /// Returns whether a response has been awaited for longer than the timeout.
     pub fn is_overdue(&self, now: Duration) -> bool {
-        self.unanswered.is_some_and(|unanswered| {
-            now.saturating_sub(unanswered.waits_since) >= self.timer.timeout()
-        })
+        self.pending
+            .is_some_and(|pending| now.saturating_sub(pending.waits_since) >= self.rtt.timeout())
     }
 
-    /// The answer that is awaited is not needed any more.
+    /// Stops waiting for the response to the poll in flight.
     pub fn forget(&mut self) {
-        self.unanswered = None;
+        self.pending = None;
     }
 
-    /// A question is asked; one that still waits for its answer counts as lost.
+    /// Records that a poll was sent; an earlier one without a response counts as lost.
     pub fn asked(&mut self, now: Duration, number: u64) {
         let waits_since = now;
-        let lost = self.unanswered.replace(Unanswered {
+        let lost = self.pending.replace(PendingPoll {
             number,
             waits_since,
         });
         if lost.is_some() {
-            self.timer.timed_out();
+            self.rtt.record_timeout();
         }
     }
 
-    /// An answer came; `took` is for how long its question had waited, if that is still known.
+    /// Records a response; `took` is the time since its poll, if that is still known.
     pub fn answered(&mut self, number: u64, took: Option<Duration>) {
         if let Some(took) = took {
-            self.timer.answered_after(took);
+            self.rtt.record_response(took);
         }
-        self.unanswered
-            .take_if(|unanswered| unanswered.number == number);
+        self.pending.take_if(|pending| pending.number == number);
     }
 
-    /// A part of an answer came: the rest is on its way, and another answer would wait behind it.
+    /// Records that a part of a response was received: the rest is on its way, and the response to another
+    /// poll would be queued behind it.
     pub fn partial_response_received(&mut self, now: Duration) {
-        if let Some(unanswered) = &mut self.unanswered {
-            unanswered.waits_since = now;
+        if let Some(pending) = &mut self.pending {
+            pending.waits_since = now;
         }
     }
 
-    /// The peer is left for another, which has not been asked anything.
+    /// Starts again with another peer, to which no poll has been sent.
     pub fn begin_anew(&mut self) {
-        if self.unanswered.take().is_some() {
-            self.timer.timed_out();
+        if self.pending.take().is_some() {
+            self.rtt.record_timeout();
         }
     }
 }
--- a/crates/caperworks/src/reduced_map.rs
+++ b/crates/caperworks/src/reduced_map.rs
@@ -1,8 +1,8 @@
 //! The reduced form of maps and changes, for followers that only read them.
 //!
 //! Most bytes of the configuration are the operators' own text, the ids of committed changes, and the
-//! histories of the operators' versions. Only voters need those: they decide about changes, and read
-//! items back to operators. A reduced map records that it is one, and no voter installs it.
+//! histories of the operators' versions. Only voters need those: they decide about changes, and return items
+//! to operators. A reduced map records that it is reduced, and no voter installs it.
 
 use std::collections::BTreeMap;
 
@@ -14,16 +14,16 @@
     /// The form of a map or of changes, as a follower wants them.
     #[derive(Copy, Eq, PartialOrd, Ord, Default)]
     enum FeedForm {
-        /// With all that voters need. Whoever may become a voter follows in this form.
+        /// With everything that voters need. A node that may become a voter follows in this form.
         #[default]
         0 Complete,
-        /// Without what only voters need.
+        /// Without the data that only voters need.
         1 Reduced,
     }
 }
 
 impl Written {
-    /// Its version, which still decides which put wins, without the text.
+    /// Returns the version, which still decides which put wins, without the text.
     fn reduced(&self) -> Self {
         Self {
             version: self.version,
@@ -33,7 +33,7 @@
 }
 
 impl Change {
-    /// The change without its id, its guards and the operators' text: what is needed to apply it once
+    /// Returns the change without its id, its guards and the operators' text: what is needed to apply it once
     /// it is committed.
     pub fn reduced(&self) -> Self {
         let put = |put: &Put| Put {
@@ -51,7 +51,7 @@
 }
 
 impl NumberedChange {
-    /// The change as a follower wants it.
+    /// Returns the change in this form.
     pub fn in_form(&self, form: FeedForm) -> Self {
         match form {
             FeedForm::Complete => self.clone(),
@@ -64,7 +64,7 @@
 }
 
 impl ReplicatedMap {
-    /// The map without what only voters need.
+    /// Returns the map without the data that only voters need.
     pub fn reduced(&self) -> Self {
         let item = |item: &Item| Item {
             version: item.version,
@@ -85,9 +85,9 @@
 
     /// Applies a reduced change; the map is a reduced one from then on.
     ///
-    /// This gives the same items as the complete form: histories only tell apart calls under one
-    /// operators' version, which voters did before the change was committed. A follower only has to
-    /// decide whether a higher version is present, and each item has its own.
+    /// This gives the same items as the complete form: histories are only used to distinguish requests with
+    /// the same operator's version, which voters did before the change was committed. A follower only has to
+    /// decide whether a higher version is present, and each item has its own version.
     pub fn apply_reduced(&mut self, change: &Change) {
         self.apply(change);
         self.answered.clear();
@@ -96,7 +96,7 @@
     }
 }
 
-/// Encodes the form of a map as a flag, which is true for a reduced one: the stored format.
+/// Encodes the form of a map as a flag, which is true for a reduced map: the stored format.
 pub(crate) mod form_as_flag {
     use minicbor::decode::{Decoder, Error as DecodeError};
     use minicbor::encode::{Encoder, Error as EncodeError, Write};
--- a/crates/caperworks/src/rtt_estimator.rs
+++ b/crates/caperworks/src/rtt_estimator.rs
@@ -1,96 +1,101 @@
-//! How long a question may go unanswered before it is asked again, after RFC 6298: by how long answers
-//! took of late and by how much that varied.
+//! Estimates how long to wait for a response before a request is repeated, as in RFC 6298: from the smoothed
+//! response time and its variation.
 //!
-//! Why measured: a question that is asked again while its answer is under way over a slow link brings the
-//! same answer twice, and makes the link slower still.
+//! A request that is repeated while its response is on its way over a slow link transfers the same response
+//! twice, and makes the link even slower.
 
 use std::time::Duration;
 
-/// Between which spans the patience stays, whatever was measured.
+/// The bounds of the timeout, whatever was measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeoutBounds {
-    /// A question over a fast link that is lost is asked again as soon.
-    pub least: Duration,
-    pub most: Duration,
-    /// The most while nothing is answered: silence may be a cut, and after its end a follower is to ask
-    /// again soon.
-    pub longest_unanswered: Duration,
+    /// The minimum timeout: how soon a request that was lost over a fast link is repeated.
+    pub min_timeout: Duration,
+    /// The maximum timeout.
+    pub max_timeout: Duration,
+    /// The maximum timeout while no responses are received: the cause may be a partition, and after its end a
+    /// follower has to send a request soon.
+    pub max_unanswered_timeout: Duration,
 }
 
-/// For questions to the core, whose answers may come from another region and over a full link.
+/// For requests to the control plane, whose responses may come from another region and over a saturated link.
 ///
-/// A controller that does not answer for so long is not left, but others are asked beside it. The most is above
-/// the round trip of a link whose queue is full, so that a follower behind one asks one controller at a time. In
-/// silence it asks often, each time another one, so that it soon comes to one that can answer.
+/// A controller that exceeds the timeout is not abandoned, but others are polled in addition. The maximum is
+/// above the round trip of a link whose queue is full, so that a follower behind such a link polls one
+/// controller at a time. Without any responses it polls often, each time another controller, so that it soon
+/// reaches one that can respond.
 pub const CORE_TIMEOUT: TimeoutBounds = TimeoutBounds {
-    least: Duration::from_millis(300),
-    most: Duration::from_millis(2000),
-    longest_unanswered: Duration::from_millis(300),
+    min_timeout: Duration::from_millis(300),
+    max_timeout: Duration::from_millis(2000),
+    max_unanswered_timeout: Duration::from_millis(300),
 };
 
-/// For questions to a process on the same machine, which takes a silence of 1.2 s for an end.
+/// For requests to a process on the same machine, which considers a peer without requests for 1.2 s down.
 pub const LOCAL_TIMEOUT: TimeoutBounds = TimeoutBounds {
-    least: Duration::from_millis(300),
-    most: Duration::from_millis(600),
-    longest_unanswered: Duration::from_millis(300),
+    min_timeout: Duration::from_millis(300),
+    max_timeout: Duration::from_millis(600),
+    max_unanswered_timeout: Duration::from_millis(300),
 };
 
-/// Weighs a new measurement against the smoothed ones before it, as one part in so many.
-const SMOOTHING: u32 = 8;
+/// The weight of a new measurement in the smoothed response time is one part in this many.
+const RTT_SMOOTHING: u32 = 8;
+/// The weight of a new measurement in the variation is one part in this many.
 const VARIATION_SMOOTHING: u32 = 4;
 
-/// Measures how long answers take.
+/// Estimates the timeout from measured response times.
 #[derive(Debug, Clone)]
 pub struct RttEstimator {
     bounds: TimeoutBounds,
     smoothed: Option<Duration>,
     variation: Duration,
-    /// How many questions in a row were not answered in time.
-    unanswered: u32,
+    /// The number of consecutive requests without a response in time.
+    timeouts_in_a_row: u32,
 }
 
 impl RttEstimator {
+    /// Returns an estimator without measurements, whose timeout stays within these bounds.
     pub fn new(bounds: TimeoutBounds) -> Self {
         Self {
             bounds,
             smoothed: None,
             variation: Duration::ZERO,
-            unanswered: 0,
+            timeouts_in_a_row: 0,
         }
     }
 
-    /// An answer came after so long.
-    pub fn answered_after(&mut self, took: Duration) {
-        self.unanswered = 0;
+    /// Records the time that a response took.
+    pub fn record_response(&mut self, response_time: Duration) {
+        self.timeouts_in_a_row = 0;
         let Some(smoothed) = self.smoothed else {
-            self.smoothed = Some(took);
-            self.variation = took / 2;
+            self.smoothed = Some(response_time);
+            self.variation = response_time / 2;
             return;
         };
-        let off = smoothed.abs_diff(took);
-        self.variation = (self.variation * (VARIATION_SMOOTHING - 1) + off) / VARIATION_SMOOTHING;
-        self.smoothed = Some((smoothed * (SMOOTHING - 1) + took) / SMOOTHING);
+        let deviation = smoothed.abs_diff(response_time);
+        self.variation =
+            (self.variation * (VARIATION_SMOOTHING - 1) + deviation) / VARIATION_SMOOTHING;
+        self.smoothed = Some((smoothed * (RTT_SMOOTHING - 1) + response_time) / RTT_SMOOTHING);
     }
 
-    /// A question was not answered in time.
-    pub fn timed_out(&mut self) {
-        self.unanswered += 1;
+    /// Records that a request got no response in time.
+    pub fn record_timeout(&mut self) {
+        self.timeouts_in_a_row += 1;
     }
 
-    /// How long to wait for the answer to a question that is asked now.
+    /// Returns how long to wait for the response to a request that is sent now.
     pub fn timeout(&self) -> Duration {
         let measured = self.smoothed.unwrap_or_default() + self.variation * 4;
-        let measured = measured.clamp(self.bounds.least, self.bounds.most);
-        if self.unanswered > 0 {
-            return self.unanswered_timeout();
+        let measured = measured.clamp(self.bounds.min_timeout, self.bounds.max_timeout);
+        if self.timeouts_in_a_row > 0 {
+            return self.backed_off_timeout();
         }
         measured
     }
 
-    /// How long to wait for an answer after others did not come in time.
-    fn unanswered_timeout(&self) -> Duration {
-        let doublings = self.unanswered.min(u32::BITS / 2);
-        let backed_off = self.bounds.least * 2u32.pow(doublings);
-        backed_off.min(self.bounds.longest_unanswered)
+    /// Returns the timeout after requests without a response, with exponential backoff.
+    fn backed_off_timeout(&self) -> Duration {
+        let doublings = self.timeouts_in_a_row.min(u32::BITS / 2);
+        let backed_off = self.bounds.min_timeout * 2u32.pow(doublings);
+        backed_off.min(self.bounds.max_unanswered_timeout)
     }
 }
--- a/crates/caperworks/src/shared_items.rs
+++ b/crates/caperworks/src/shared_items.rs
@@ -1,8 +1,8 @@
-//! The items of a map, in a tree that copies share.
+//! The items of a map, in a persistent tree with structural sharing.
 //!
-//! A copy costs nothing, a change of one item costs the path to it, and two copies can be compared by what
-//! they do not share. Proxies copy their maps for each piece of news, and a configuration may have many
-//! thousand items. The bytes are those of a plain map, sorted by key.
+//! Cloning takes constant time, a change of one item copies only the path to it, and two clones are compared
+//! by the parts that they do not share. Proxies clone their maps for each update, and a configuration may
+//! have many thousand items. The encoding is that of a plain map, sorted by key.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 /// The items of a map by key.
 pub type Items = imbl::OrdMap<String, Item>;
 
-/// Writes items as a map, sorted by key.
+/// Encodes items as a map, sorted by key.
 pub fn encode<Context, Output: minicbor::encode::Write>(
     items: &Items,
     encoder: &mut minicbor::Encoder<Output>,
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-/// Reads items from a map, as [`encode`] writes it.
+/// Decodes items from a map, as [`encode`] writes it.
 pub fn decode<Context>(
     decoder: &mut minicbor::Decoder<'_>,
     context: &mut Context,
@@ -36,14 +36,14 @@
     Ok(items.into_iter().collect())
 }
 
-/// The items whose keys begin with a kind and a slash, with their names.
+/// Returns the items whose keys begin with a kind and a slash, with their names.
 pub fn items_of_kind<'items>(
     items: &'items Items,
     kind: &'static str,
 ) -> impl Iterator<Item = (&'items str, &'items Item)> {
     let first = format!("{kind}/");
     let prefix_length = first.len();
-    // '0' is the sign after '/': all keys of the kind come before it.
+    // '0' is the character after '/': all keys of the kind come before it.
     items
         .range::<_, String>(first..format!("{kind}0"))
         .map(move |(key, item)| (&key[prefix_length..], item))
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -228,7 +228,7 @@
     link.controller_lost(to);
     let (next_at, next, _) = next_renewal(&mut link, asked_at);
     assert_ne!(next, unreachable);
-    assert!(next_at - asked_at < CORE_TIMEOUT.least);
+    assert!(next_at - asked_at < CORE_TIMEOUT.min_timeout);
 }
 
 #[test]
--- a/crates/caperworks/tests/question_pace_stories.rs
+++ b/crates/caperworks/tests/question_pace_stories.rs
@@ -56,8 +56,8 @@
     }
     let now = millis(6000);
     pace.asked(now, 20);
-    assert!(!pace.may_poll(now + CORE_TIMEOUT.least - millis(1)));
-    assert!(pace.may_poll(now + CORE_TIMEOUT.least));
+    assert!(!pace.may_poll(now + CORE_TIMEOUT.min_timeout - millis(1)));
+    assert!(pace.may_poll(now + CORE_TIMEOUT.min_timeout));
 }
 
 #[test]
@@ -67,8 +67,8 @@
         let never = Duration::MAX / 2;
         let asked = asked_at(&mut pace, never, millis(20_000));
         let gaps: Vec<Duration> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
-        assert_eq!(gaps.first(), Some(&bounds.least));
-        assert_eq!(gaps.iter().max(), Some(&bounds.longest_unanswered));
+        assert_eq!(gaps.first(), Some(&bounds.min_timeout));
+        assert_eq!(gaps.iter().max(), Some(&bounds.max_unanswered_timeout));
     }
 }
 
@@ -81,5 +81,5 @@
         pace.partial_response_received(now);
         assert!(!pace.may_poll(now + millis(199)));
     }
-    assert!(pace.may_poll(millis(9800) + CORE_TIMEOUT.least));
+    assert!(pace.may_poll(millis(9800) + CORE_TIMEOUT.min_timeout));
 }
