--- a/crates/runtime/src/actor.rs
+++ b/crates/runtime/src/actor.rs
@@ -1,9 +1,10 @@
-//! What a daemon needs round its state machine: the actor with its inbox, the callers that wait for its
-//! answers, readiness, settings that change, and shutdown.
+//! The environment of a daemon's state machine: the actor with its inbox, the callers that wait for its
+//! responses, readiness, reloading of settings, and shutdown.
 
 mod daemon;
+mod host;
 mod inbox;
-mod machine_actor;
+
 mod readiness;
 mod seed;
 mod settings;
@@ -11,8 +12,8 @@
 mod tickets;
 
 pub use self::daemon::run_daemon;
+pub use self::host::{spawn_actor, Host, HostActor, InputMessage};
 pub use self::inbox::Inbox;
-pub use self::machine_actor::{spawn_actor, Given, Host, MachineActor};
 pub use self::readiness::ReadyUntil;
 pub use self::seed::fresh_seed;
 pub use self::settings::{follow_settings, ReloadSettings};
--- a/crates/runtime/src/actor/daemon.rs
+++ b/crates/runtime/src/actor/daemon.rs
@@ -2,8 +2,8 @@
 
 use std::future::Future;
 
-/// Runs a daemon on this many threads; one that is given a single core runs on the calling thread, as
-/// passing work between threads would only cost.
+/// Runs a daemon on this many threads. With a single one it runs on the calling thread, as passing work
+/// between threads would only add cost.
 pub fn run_daemon(
     workers: usize,
     daemon: impl Future<Output = anyhow::Result<()>>,
--- a/crates/runtime/src/actor/machine_actor.rs
+++ b/crates/runtime/src/actor/host.rs
@@ -1,4 +1,4 @@
-//! The actor: inputs one at a time, and ticks.
+//! The actor that runs a state machine: it handles inputs one at a time, and ticks.
 
 use std::time::Duration;
 
@@ -10,27 +10,27 @@
 /// The exit status after an internal fault, as in `sysexits.h`.
 const EXIT_SOFTWARE: i32 = 70;
 
-/// What an actor runs: it takes inputs one at a time and carries out what follows from them.
+/// The state of an actor: it handles inputs one at a time and carries out their effects.
 pub trait Host: Send + 'static {
-    /// The inputs.
+    /// The type of the inputs.
     type Input: Send + 'static;
 
-    /// The input that says that time has passed.
+    /// Returns the input for a tick of the timer.
     fn tick() -> Self::Input;
     /// Handles an input that arrived at `now`.
     fn take(&mut self, now: Duration, input: Self::Input);
 }
 
-/// The actor round a [`Host`].
-pub struct MachineActor<Worker: Host> {
+/// The actor that runs a [`Host`].
+pub struct HostActor<Worker: Host> {
     worker: Worker,
     clock: Clock,
 }
 
 /// The message that carries one input to an actor.
-pub struct Given<Input>(pub Input);
+pub struct InputMessage<Input>(pub Input);
 
-impl<Worker: Host> kameo::Actor for MachineActor<Worker> {
+impl<Worker: Host> kameo::Actor for HostActor<Worker> {
     type Args = Self;
     type Error = std::convert::Infallible;
 
@@ -39,43 +39,48 @@
     }
 }
 
-impl<Worker: Host> kameo::message::Message<Given<Worker::Input>> for MachineActor<Worker> {
+impl<Worker: Host> kameo::message::Message<InputMessage<Worker::Input>> for HostActor<Worker> {
     type Reply = ();
 
     async fn handle(
         &mut self,
-        given: Given<Worker::Input>,
+        message: InputMessage<Worker::Input>,
         _context: &mut kameo::message::Context<Self, Self::Reply>,
     ) {
-        self.worker.take(self.clock.now(), given.0);
+        self.worker.take(self.clock.now(), message.0);
     }
 }
 
-/// Spawns the actor, its ticker, and the task that forwards the inbox to it.
+/// Spawns the actor, its timer, and the task that forwards the inbox to it.
 ///
-/// The actor ends only by a broken invariant, which must stop the process: the ticker ends it then.
+/// The actor ends only by a panic on a broken invariant. The timer task then exits the process.
 pub fn spawn_actor<Worker: Host>(
     worker: Worker,
     clock: Clock,
     mut inbox: mpsc::Receiver<Worker::Input>,
-    period: Duration,
+    tick_interval: Duration,
 ) {
-    let handle = MachineActor::spawn(MachineActor { worker, clock });
-    let ticking = handle.clone();
+    let handle = HostActor::spawn(HostActor { worker, clock });
+    let timer_handle = handle.clone();
     tokio::spawn(async move {
-        let mut ticks = tokio::time::interval(period);
+        let mut ticks = tokio::time::interval(tick_interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            if ticking.tell(Given(Worker::tick())).send().await.is_err() {
-                log::error!("the desk has ended");
+            if timer_handle
+                .tell(InputMessage(Worker::tick()))
+                .send()
+                .await
+                .is_err()
+            {
+                log::error!("the actor has ended unexpectedly; exiting");
                 std::process::exit(EXIT_SOFTWARE);
             }
         }
     });
     tokio::spawn(async move {
         while let Some(input) = inbox.recv().await {
-            if handle.tell(Given(input)).send().await.is_err() {
+            if handle.tell(InputMessage(input)).send().await.is_err() {
                 break;
             }
         }
--- a/crates/runtime/src/actor/seed.rs
+++ b/crates/runtime/src/actor/seed.rs
@@ -1,8 +1,8 @@
-//! Randomness from outside, for the seeds of state machines.
+//! Random seeds for state machines.
 
 use std::hash::{BuildHasher, Hasher};
 
-/// A seed for chance that differs from one process to the next.
+/// Returns a random seed, which differs between processes.
 pub fn fresh_seed() -> u64 {
     let state = std::collections::hash_map::RandomState::new();
     let mut hasher = state.build_hasher();
--- a/crates/runtime/src/actor/settings.rs
+++ b/crates/runtime/src/actor/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are read again while the process runs.
+//! Settings that are reloaded while the process runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,14 +8,13 @@
 use crate::events::{event, SETTINGS_FAULTY, SETTINGS_READ};
 use crate::options::NodeSettings;
 
-/// Reads a process's settings again; nothing when they cannot be read now, and the process goes on with
-/// those that it has.
+/// Reads a process's settings again. Returns `None` if they are invalid or cannot be read; the process then
+/// keeps its current ones.
 pub type ReloadSettings = Arc<dyn Fn() -> Option<NodeSettings> + Send + Sync>;
 
-/// Passes on the seeds each time that the platform says, by `SIGHUP`, that the settings changed.
+/// Calls `take` with the seeds each time that the platform reports by `SIGHUP` that the settings have changed.
 ///
-/// The signal is awaited from now on and not only in the task: one that nobody waits for ends the
-/// process.
+/// The signal handler is installed before the task starts: a signal without a handler ends the process.
 pub fn follow_settings(reread: ReloadSettings, take: impl Fn(Vec<SocketAddr>) + Send + 'static) {
     let Ok(mut changed) = signal(SignalKind::hangup()) else {
         return;
@@ -23,9 +22,9 @@
     tokio::spawn(async move {
         while changed.recv().await.is_some() {
             match reread() {
-                Some(index) => {
+                Some(settings) => {
                     event(SETTINGS_READ, "");
-                    take(index.seeds);
+                    take(settings.seeds);
                 }
                 None => event(SETTINGS_FAULTY, ""),
             }
--- a/crates/runtime/src/actor/shutdown.rs
+++ b/crates/runtime/src/actor/shutdown.rs
@@ -7,10 +7,10 @@
 
 use crate::actor::inbox::Inbox;
 
-/// How long a graceful shutdown may take before the process ends all the same.
+/// How long a graceful shutdown may take before the process ends in any case.
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Tells the actor to stop, and waits until it reports that it has, or for the timeout.
+/// Sends the actor the input `stop`, and waits until it reports that it has stopped, or for the timeout.
 pub async fn shut_down_gracefully<Input: Send + 'static>(
     inbox: &Inbox<Input>,
     stop: Input,
@@ -20,7 +20,7 @@
     let _ = tokio::time::timeout(STOP_TIMEOUT, stopped.notified()).await;
 }
 
-/// Completes when the platform asks for a shutdown, by `SIGTERM` or `SIGINT`.
+/// Completes when the platform requests a shutdown by `SIGTERM` or `SIGINT`.
 pub async fn shutdown_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
--- a/crates/runtime/src/actor/tickets.rs
+++ b/crates/runtime/src/actor/tickets.rs
@@ -1,4 +1,4 @@
-//! Answers that an actor gives later.
+//! Callers that wait for a response of an actor.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -7,13 +7,13 @@
 
 use crate::locks::locked;
 
-/// The last ticket that was drawn, and where the answers go.
+/// The last ticket that was issued, and the channels of the callers.
 struct Waiting<Respond> {
     last_ticket: u64,
     senders: HashMap<u64, oneshot::Sender<Respond>>,
 }
 
-/// The callers that wait for an answer of a machine, by ticket.
+/// The callers that wait for a response of a state machine, by ticket.
 pub struct Tickets<Respond> {
     waiting: Mutex<Waiting<Respond>>,
 }
@@ -30,7 +30,7 @@
 }
 
 impl<Respond> Tickets<Respond> {
-    /// A new ticket, and the receiver of its answer.
+    /// Issues a ticket; returns it with the receiver of its response.
     pub fn draw(&self) -> (u64, oneshot::Receiver<Respond>) {
         let (sender, receiver) = oneshot::channel();
         let mut waiting = locked(&self.waiting);
@@ -40,12 +40,13 @@
         (ticket, receiver)
     }
 
-    /// The caller no longer waits, or nobody will answer.
+    /// Removes a ticket whose caller no longer waits, or to which there will be no response.
     pub fn forget(&self, ticket: u64) {
         locked(&self.waiting).senders.remove(&ticket);
     }
 
-    /// Answers a ticket. A caller that has gone away, and an unknown ticket, are ignored.
+    /// Sends the response to the caller with this ticket. An unknown ticket, and a caller that no longer waits,
+    /// are ignored.
     pub fn respond(&self, ticket: u64, response: Respond) {
         if let Some(sender) = locked(&self.waiting).senders.remove(&ticket) {
             let _ = sender.send(response);
--- a/crates/runtime/src/connection_opening.rs
+++ b/crates/runtime/src/connection_opening.rs
@@ -1,8 +1,8 @@
-//! Opens a connection to a peer that may be behind a slow link, or without power for a moment.
+//! Opens a connection to a peer that may be behind a slow link, or temporarily without power.
 //!
-//! An opening packet that is lost is repeated by the kernel only after seconds. A connection that is opened
-//! with a fresh attempt every half a second is there soon after its peer is, and the first attempt still
-//! succeeds behind a link whose queue holds more than that.
+//! The kernel repeats a lost SYN packet only after seconds. With a new attempt every half a second the
+//! connection is established soon after the peer is up, and the first attempt still succeeds over a link whose
+//! queuing delay exceeds that interval.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// How long a peer may take to answer an opening packet: longer than the queue of a full link.
-pub const OPENING_TIMEOUT: Duration = Duration::from_secs(5);
-/// How soon a further attempt joins those that wait.
-pub const ATTEMPT_PERIOD: Duration = Duration::from_millis(500);
+/// How long a peer may take to answer a SYN packet: longer than the queuing delay of a saturated link.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// The interval at which further attempts are started beside those in progress.
+pub const ATTEMPT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A connection, and how long the attempt that opened it took: a round trip through the link's queue.
+/// A connection, and how long the successful attempt took: a round trip including the queuing delay.
 #[derive(Debug)]
 pub struct OpenedConnection {
     pub stream: TcpStream,
@@ -25,18 +25,18 @@
 }
 
 async fn attempt(to: SocketAddr) -> io::Result<OpenedConnection> {
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let stream = TcpStream::connect(to).await?;
-    let took = began_at.elapsed();
+    let took = started_at.elapsed();
     Ok(OpenedConnection { stream, took })
 }
 
-/// Opens a connection, by the first of several attempts that succeeds.
+/// Opens a connection; the first of several attempts that succeeds is used.
 ///
 /// Fails with the error of an attempt that the peer rejected (its process is down), or with
-/// [`io::ErrorKind::TimedOut`] when nothing was heard for [`OPENING_TIMEOUT`].
+/// [`io::ErrorKind::TimedOut`] if the peer did not respond within [`CONNECT_TIMEOUT`].
 pub async fn open_connection(to: SocketAddr) -> io::Result<OpenedConnection> {
-    let deadline = Instant::now() + OPENING_TIMEOUT;
+    let deadline = Instant::now() + CONNECT_TIMEOUT;
     let mut next_attempt_at = Instant::now();
     let mut attempts = JoinSet::new();
     loop {
@@ -45,7 +45,7 @@
             return Err(io::ErrorKind::TimedOut.into());
         }
         if now >= next_attempt_at {
-            next_attempt_at = now + ATTEMPT_PERIOD;
+            next_attempt_at = now + ATTEMPT_INTERVAL;
             attempts.spawn(attempt(to));
         }
         tokio::select! {
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -1,8 +1,8 @@
 //! The control port of a process: connections between our own processes.
 //!
-//! Messages may be lost, as the state machines expect; they are never changed or doubled. A connection
-//! carries messages both ways: what answers a message goes back on the connection on which it came, so that
-//! behind a slow link an answer needs no opening of its own.
+//! Messages may be lost, which the state machines tolerate; they are never altered or duplicated. A connection
+//! carries messages both ways: a response is sent on the connection on which its request arrived, so that over
+//! a slow link it needs no connection of its own.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,55 +22,58 @@
 use crate::outgoing_queue::{Frame, OutgoingQueue};
 use crate::response_watch::ResponseWatch;
 
-/// A connection on which nothing is sent for so long is closed.
-const IDLE_SPAN: Duration = Duration::from_secs(30);
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-const BACKLOG: u32 = 1024;
+/// A connection on which nothing is sent for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long to wait after a connection could not be accepted.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// What happens at a control port.
+/// An event at a control port.
 #[derive(Debug)]
 pub enum PortEvent {
     Received(Box<Envelope>),
-    /// Bytes came of a message that began to come a while ago and is not complete yet: its sender is there,
-    /// and the link is slow.
+    /// Bytes arrived of a message that is still incomplete some time after its first byte: the sender is
+    /// alive, and the link is slow.
     Partial,
-    /// A connection to a peer was opened, which took so long.
+    /// A connection to a peer was opened; `took` is how long that took.
     Opened {
         peer: SocketAddr,
         took: Duration,
     },
-    /// A connection to a peer was reset, closed or could not be opened; what was sent on it last may be lost.
+    /// A connection to a peer was reset, was closed or could not be opened; the last messages sent on it may be
+    /// lost.
     Lost {
         peer: SocketAddr,
     },
 }
 
+/// Handles the events of a control port.
 type EventHandler = Arc<dyn Fn(PortEvent) + Send + Sync>;
 
-/// The way to one peer.
+/// The connection on which messages are sent to one peer.
 #[derive(Clone)]
 struct PeerConnection {
     queue: Arc<OutgoingQueue>,
-    /// For a connection that this process opened.
+    /// Set for a connection that this process opened.
     watch: Option<Arc<ResponseWatch>>,
 }
 
 impl PeerConnection {
-    fn opened_here() -> Self {
+    fn outgoing() -> Self {
         Self {
             queue: Arc::default(),
             watch: Some(Arc::default()),
         }
     }
 
-    /// Whether this process opened the connection, and the peer has answered on it.
-    fn responds_here(&self) -> bool {
+    /// Returns whether this process opened the connection and the peer has responded on it.
+    fn has_responded(&self) -> bool {
         self.watch
             .as_ref()
-            .is_some_and(|watch| watch.responds_here())
+            .is_some_and(|watch| watch.has_responded())
     }
 
-    fn accepted() -> Self {
+    fn incoming() -> Self {
         Self {
             queue: Arc::default(),
             watch: None,
@@ -78,20 +81,22 @@
     }
 }
 
+/// The control port of a process.
 #[derive(Clone)]
 pub struct ControlPort {
     node: NodeId,
-    own: SocketAddr,
+    advertised: SocketAddr,
     peers: Arc<Mutex<HashMap<SocketAddr, PeerConnection>>>,
     handler: EventHandler,
 }
 
 impl ControlPort {
-    /// Listens on the address and hands every envelope received to `on_envelope`; others answer to `own`.
+    /// Listens on the address and calls `on_envelope` with every envelope received; peers send responses to the
+    /// advertised address.
     pub async fn open(
         node: NodeId,
         listening: SocketAddr,
-        own: SocketAddr,
+        advertised: SocketAddr,
         on_envelope: impl Fn(Envelope) + Send + Sync + 'static,
     ) -> anyhow::Result<Self> {
         let handler = move |event| {
@@ -99,20 +104,20 @@
                 on_envelope(*envelope);
             }
         };
-        Self::open_with_events(node, listening, own, handler).await
+        Self::open_with_events(node, listening, advertised, handler).await
     }
 
-    /// The same, for a process that also learns from its connections what the links to its peers are like.
+    /// Like [`open`](Self::open), for a process that also handles the events of its connections.
     pub async fn open_with_events(
         node: NodeId,
         listening: SocketAddr,
-        own: SocketAddr,
+        advertised: SocketAddr,
         handler: impl Fn(PortEvent) + Send + Sync + 'static,
     ) -> anyhow::Result<Self> {
         let listener = listen(listening).await?;
         let port = Self {
             node,
-            own,
+            advertised,
             peers: Arc::default(),
             handler: Arc::new(handler),
         };
@@ -124,25 +129,26 @@
         loop {
             match listener.accept().await {
                 Ok((stream, from)) => {
-                    tokio::spawn(self.clone().serve_accepted(stream, from));
+                    tokio::spawn(self.clone().serve_incoming(stream, from));
                 }
                 Err(failure) => {
                     event(PORT_FAILURE, failure);
-                    tokio::time::sleep(ACCEPT_RETRY).await;
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
+    /// Returns the advertised address of this port.
     pub fn own(&self) -> SocketAddr {
-        self.own
+        self.advertised
     }
 
-    /// Sends a message that needs no dating.
+    /// Sends a message without a stamp.
     pub fn send(&self, to: SocketAddr, message: Message) {
         let envelope = Envelope {
             from: self.node,
-            reply_to: self.own,
+            reply_to: self.advertised,
             message,
             stamp: None,
             echo: None,
@@ -151,7 +157,7 @@
         self.forward(to, &envelope);
     }
 
-    /// Sends an envelope as it is, without waiting; what cannot be sent is dropped.
+    /// Sends an envelope unchanged and without waiting; it is dropped if it cannot be sent.
     pub fn forward(&self, to: SocketAddr, envelope: &Envelope) {
         let Ok(mut bytes) = minicbor::to_vec(envelope) else {
             return;
@@ -163,14 +169,14 @@
                 Err(unsent) => bytes = unsent,
             }
         }
-        let peer = PeerConnection::opened_here();
-        // Nobody can have closed a queue that is new.
+        let peer = PeerConnection::outgoing();
+        // A new queue cannot be closed.
         let _ = peer.queue.push(&envelope.message, bytes);
         peers.insert(to, peer.clone());
-        tokio::spawn(self.clone().serve_opened(to, peer));
+        tokio::spawn(self.clone().serve_outgoing(to, peer));
     }
 
-    /// Opens a fresh connection beside one that is not answered, which replaces it once it is open.
+    /// Opens a new connection if the current one gets no responses; once it is open it replaces the current one.
     fn replace_if_dead(&self, to: SocketAddr, peer: &PeerConnection) {
         let Some(watch) = &peer.watch else {
             return;
@@ -182,29 +188,29 @@
 
     async fn replace(self, to: SocketAddr, watch: Arc<ResponseWatch>) {
         let Ok(opened) = open_connection(to).await else {
-            watch.replacing_failed();
+            watch.replacement_failed();
             return;
         };
-        let peer = PeerConnection::opened_here();
+        let peer = PeerConnection::outgoing();
         if let Some(replaced) = locked(&self.peers).insert(to, peer.clone()) {
-            peer.queue.take_over_unanswered(&replaced.queue);
+            peer.queue.drain_unresponsive(&replaced.queue);
         }
-        self.carry(to, peer, opened).await;
+        self.run_connection(to, peer, opened).await;
     }
 
-    /// Makes this the connection on which the peer is sent to, in place of the one before.
+    /// Makes this the connection on which messages are sent to the peer, and closes the previous one.
     fn install(&self, to: SocketAddr, peer: PeerConnection) {
         let mut peers = locked(&self.peers);
         if let Some(replaced) = peers.insert(to, peer.clone()) {
-            peer.queue.take_over(&replaced.queue);
+            peer.queue.drain(&replaced.queue);
         }
     }
 
-    /// Opens a connection for messages that wait, and carries messages until it ends.
-    async fn serve_opened(self, to: SocketAddr, peer: PeerConnection) {
+    /// Opens a connection for queued messages, and serves it until it ends.
+    async fn serve_outgoing(self, to: SocketAddr, peer: PeerConnection) {
         let opening = tokio::select! {
             opening = open_connection(to) => opening,
-            // The peer has opened a connection meanwhile, which takes over what waits here.
+            // The peer has opened a connection meanwhile, to which the queued messages were moved.
             () = peer.queue.closed() => return,
         };
         let Ok(opened) = opening else {
@@ -212,11 +218,11 @@
             (self.handler)(PortEvent::Lost { peer: to });
             return;
         };
-        self.carry(to, peer, opened).await;
+        self.run_connection(to, peer, opened).await;
     }
 
-    /// Carries messages both ways on a connection that this process opened.
-    async fn carry(&self, to: SocketAddr, peer: PeerConnection, opened: OpenedConnection) {
+    /// Sends and receives messages on a connection that this process opened, until it ends.
+    async fn run_connection(&self, to: SocketAddr, peer: PeerConnection, opened: OpenedConnection) {
         let OpenedConnection { stream, took } = opened;
         (self.handler)(PortEvent::Opened { peer: to, took });
         let _ = stream.set_nodelay(true);
@@ -232,28 +238,28 @@
         if let Err(failure) = read_frames(reader, received).await {
             event(PROTOCOL_ERROR, format!("from {to}: {failure}"));
         }
-        let unanswered = peer.queue.abandon();
-        // A connection that was replaced may end as it likes.
+        let unanswered_request = peer.queue.abandon();
+        // The end of a connection that was replaced is not reported.
         if !self.is_current(to, &peer) {
             return;
         }
         (self.handler)(PortEvent::Lost { peer: to });
-        // A peer that lost power and returned resets the connections from before. What was asked on one is asked
-        // again at once, on a connection that the peer knows; only once, as it may be down for good.
-        if let Some(request) = unanswered.filter(|_| peer.responds_here()) {
-            self.ask_again(to, request);
+        // A peer that restarted after a power loss resets the old connections. A request that was in flight is
+        // repeated at once on a new connection; only once, since the peer may be down permanently.
+        if let Some(request) = unanswered_request.filter(|_| peer.has_responded()) {
+            self.repeat_request(to, request);
         }
     }
 
-    fn ask_again(&self, to: SocketAddr, request: Frame) {
-        let peer = PeerConnection::opened_here();
+    fn repeat_request(&self, to: SocketAddr, request: Frame) {
+        let peer = PeerConnection::outgoing();
         let mut peers = locked(&self.peers);
         let is_replaced = peers.get(&to).is_some_and(|peer| !peer.queue.is_closed());
         if is_replaced || peer.queue.add(request).is_err() {
             return;
         }
         peers.insert(to, peer.clone());
-        tokio::spawn(self.clone().serve_opened(to, peer));
+        tokio::spawn(self.clone().serve_outgoing(to, peer));
     }
 
     fn is_current(&self, to: SocketAddr, peer: &PeerConnection) -> bool {
@@ -263,17 +269,18 @@
             .is_some_and(|current| Arc::ptr_eq(&current.queue, &peer.queue))
     }
 
-    /// Reads what a peer sends on a connection that it opened, and answers it there if it reads there.
-    async fn serve_accepted(self, stream: TcpStream, from: SocketAddr) {
+    /// Receives messages on a connection that a peer opened, and responds on it if the peer reads from it.
+    async fn serve_incoming(self, stream: TcpStream, from: SocketAddr) {
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         let mut writer = Some(writer);
-        let mut answering: Option<PeerConnection> = None;
+        let mut response_connection: Option<PeerConnection> = None;
         let received = |frame| {
             if let FrameRead::Envelope(envelope) = &frame {
                 if envelope.reads_here {
                     if let Some(writer) = writer.take() {
-                        answering = Some(self.adopt(envelope.reply_to, writer));
+                        response_connection =
+                            Some(self.respond_on_connection(envelope.reply_to, writer));
                     }
                 }
             }
@@ -282,14 +289,18 @@
         if let Err(failure) = read_frames(reader, received).await {
             event(PROTOCOL_ERROR, format!("from {from}: {failure}"));
         }
-        if let Some(peer) = answering {
+        if let Some(peer) = response_connection {
             peer.queue.abandon();
         }
     }
 
-    /// From now on, what goes to this peer is written to the connection that it opened.
-    fn adopt(&self, peer_address: SocketAddr, writer: OwnedWriteHalf) -> PeerConnection {
-        let peer = PeerConnection::accepted();
+    /// Makes the connection that this peer opened the one on which messages are sent to it.
+    fn respond_on_connection(
+        &self,
+        peer_address: SocketAddr,
+        writer: OwnedWriteHalf,
+    ) -> PeerConnection {
+        let peer = PeerConnection::incoming();
         self.install(peer_address, peer.clone());
         tokio::spawn(write_queue(writer, peer.queue.clone()));
         peer
@@ -303,11 +314,11 @@
     }
 }
 
-/// Writes what waits in a queue until the connection fails, falls idle or is replaced; the next message then
-/// opens another.
+/// Writes the messages of a queue until the connection fails, becomes idle or is replaced; the next message
+/// then opens another one.
 async fn write_queue(mut writer: OwnedWriteHalf, queue: Arc<OutgoingQueue>) {
     loop {
-        let next = tokio::time::timeout(IDLE_SPAN, queue.next());
+        let next = tokio::time::timeout(IDLE_TIMEOUT, queue.next());
         let bytes = tokio::select! {
             next = next => next,
             () = queue.closed() => return,
@@ -322,7 +333,7 @@
     queue.abandon();
 }
 
-/// Listens with the address free to be taken over at once after a restart.
+/// Listens on an address, with `SO_REUSEADDR` so that it can be bound again at once after a restart.
 pub async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -330,8 +341,8 @@
         TcpSocket::new_v6()?
     };
     socket.set_reuseaddr(true)?;
-    socket
-        .bind(address)
-        .with_context(|| format!("cannot listen on {address}: is another process there?"))?;
-    Ok(socket.listen(BACKLOG)?)
+    socket.bind(address).with_context(|| {
+        format!("cannot listen on {address}: it may be in use by another process")
+    })?;
+    Ok(socket.listen(LISTEN_BACKLOG)?)
 }
--- a/crates/runtime/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder: slot and log files of a fixed size, written and synced on a thread of its own.
+//! The data folder: slot and log files of a fixed size, written and synced on a separate thread.
 
 use std::fs::File;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use caperworks::slots::{DiskFile, DiskImage};
 use tokio::signal::unix::{signal, SignalKind};
 
-use crate::disk::files::{lay_out, read_if_present, read_without_tail};
+use crate::disk::files::{allocate_file, read_if_present, read_without_tail};
 
 mod error;
 mod files;
@@ -14,11 +14,10 @@
 
 pub use self::error::DataFolderError;
 
-/// Turns the signal that a write beyond a file size limit brings into that write's error.
+/// Makes a write beyond a file size limit fail with an error instead of raising a fatal signal.
 ///
-/// The signal ends the process otherwise, and a disk that refuses must only end this controller's
-/// voting. Once a handler was installed, the signal no longer ends the process, also after the handler
-/// is dropped.
+/// Otherwise `SIGXFSZ` ends the process, while a failing disk must only stop this controller from voting. Once a
+/// handler was installed, the signal no longer ends the process, even after the handler is dropped.
 pub fn raise_file_limits() -> std::io::Result<()> {
     drop(signal(SignalKind::from_raw(libc::SIGXFSZ))?);
     Ok(())
@@ -28,14 +27,14 @@
 pub struct DataFolder {
     slots: [File; 2],
     log: File,
-    /// Locked for as long as the process lives, so that no second one writes here.
+    /// Locked for as long as the process runs, so that no second one writes here.
     _lock: File,
 }
 
 impl DataFolder {
-    /// Opens a data folder, and creates what is missing. The sizes are in bytes.
+    /// Opens a data folder, and creates missing files. The sizes are in bytes.
     ///
-    /// Fails if another process uses it, or a later release wrote it; then nothing is written.
+    /// Fails if another process uses the folder, or a later release wrote it; then nothing is written.
     pub fn open(
         folder: &Path,
         slot_capacity: u64,
@@ -51,24 +50,24 @@
                 folder: folder.to_path_buf(),
             });
         }
-        refuse_unknown_format(folder)?;
+        reject_unknown_format(folder)?;
         let opened = Self {
             slots: [
-                lay_out(&folder.join(DiskFile::FirstSlot.file_name()), slot_capacity)?,
-                lay_out(
+                allocate_file(&folder.join(DiskFile::FirstSlot.file_name()), slot_capacity)?,
+                allocate_file(
                     &folder.join(DiskFile::SecondSlot.file_name()),
                     slot_capacity,
                 )?,
             ],
-            log: lay_out(&folder.join(DiskFile::Log.file_name()), log_capacity)?,
+            log: allocate_file(&folder.join(DiskFile::Log.file_name()), log_capacity)?,
             _lock: lock,
         };
-        // The names of new files are durable only once the folder is synced too.
+        // The names of new files are durable only once the folder is synced as well.
         File::open(folder)?.sync_all()?;
         Ok(opened)
     }
 
-    /// The bytes of all files, for recovery.
+    /// Returns the contents of all files, for recovery.
     pub fn image(&self) -> std::io::Result<DiskImage> {
         Ok(DiskImage {
             slots: [
@@ -80,8 +79,8 @@
     }
 }
 
-/// Fails if a later release wrote a file here. Called before anything is written.
-fn refuse_unknown_format(folder: &Path) -> Result<(), DataFolderError> {
+/// Fails if a later release wrote a file in the folder. Called before anything is written.
+fn reject_unknown_format(folder: &Path) -> Result<(), DataFolderError> {
     let read = |part: DiskFile| read_if_present(&folder.join(part.file_name()));
     let image = DiskImage {
         slots: [read(DiskFile::FirstSlot)?, read(DiskFile::SecondSlot)?],
--- a/crates/runtime/src/disk/error.rs
+++ b/crates/runtime/src/disk/error.rs
@@ -1,16 +1,16 @@
-//! Why a data folder cannot be used.
+//! The errors of a data folder.
 
 use std::path::PathBuf;
 
 use caperworks::disk_frame::DISK_FORMAT;
 use thiserror::Error;
 
-/// Why a data folder cannot be opened or read. The process must not start; nothing that was stored has
-/// been changed, except that missing files may have been laid out.
+/// A data folder cannot be opened or read. The process must not start; no stored data has been changed, except
+/// that missing files may have been allocated.
 #[derive(Debug, Error)]
 pub enum DataFolderError {
     /// The folder cannot be created.
-    #[error("cannot make the data folder {}", folder.display())]
+    #[error("cannot create the data folder {}", folder.display())]
     CannotCreate {
         /// The folder.
         folder: PathBuf,
@@ -31,9 +31,9 @@
         /// The reason.
         source: std::io::Error,
     },
-    /// The file's space cannot be allocated; mostly the disk is full.
-    #[error("cannot lay out {}", file.display())]
-    CannotLayOut {
+    /// The file's space cannot be allocated; usually because the disk is full.
+    #[error("cannot allocate the space of {}", file.display())]
+    CannotAllocate {
         /// The file.
         file: PathBuf,
         /// The reason.
@@ -42,8 +42,8 @@
     /// A later release wrote the file.
     #[error(
         "{} is of disk format {format}, and this program knows formats up to {DISK_FORMAT}: start the \
-         program that wrote it, or a later one. To give up what this controller holds, empty the \
-         data folder; it then joins anew and copies the maps from the others. Nothing was written.",
+         program that wrote it, or a later one. To discard the state of this controller, empty the \
+         data folder; it then joins again and copies the maps from the others. Nothing was written.",
         file.display()
     )]
     UnknownFormat {
--- a/crates/runtime/src/disk/files.rs
+++ b/crates/runtime/src/disk/files.rs
@@ -1,4 +1,4 @@
-//! The files of the data folder: laid out at a fixed size, and read without the zeros at their end.
+//! The files of the data folder: allocated at a fixed size, and read without the zeros at their end.
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -8,15 +8,15 @@
 
 /// How many bytes are read at once.
 const READ_BYTES: usize = 64 * 1024;
-/// How many bytes are written at once when a file is laid out.
-const LAY_OUT_BYTES: usize = 256 * 1024;
-/// More zeros than any state or record ends in.
-const ZERO_TAIL: usize = 64 * 1024;
+/// How many bytes are written at once when a file is allocated.
+const ZERO_FILL_BYTES: usize = 256 * 1024;
+/// How many zeros at the end are kept: more than any state or record ends in.
+const ZERO_TAIL_BYTES: usize = 64 * 1024;
 
 /// Opens a file, and fills it with zeros up to `size`.
 ///
-/// The zeros are written, because a hole takes no space and the disk could be full when it is needed.
-pub(super) fn lay_out(path: &Path, size: u64) -> Result<File, DataFolderError> {
+/// The zeros are written because a hole takes no space, and the disk could be full when it is needed.
+pub(super) fn allocate_file(path: &Path, size: u64) -> Result<File, DataFolderError> {
     let file = OpenOptions::new()
         .read(true)
         .write(true)
@@ -29,9 +29,11 @@
         })?;
     let present = file.metadata()?.len();
     if present < size {
-        fill_with_zeros(&file, present, size).map_err(|source| DataFolderError::CannotLayOut {
-            file: path.to_path_buf(),
-            source,
+        fill_with_zeros(&file, present, size).map_err(|source| {
+            DataFolderError::CannotAllocate {
+                file: path.to_path_buf(),
+                source,
+            }
         })?;
         file.sync_all()?;
     }
@@ -39,7 +41,7 @@
 }
 
 fn fill_with_zeros(file: &File, from: u64, to: u64) -> std::io::Result<()> {
-    let zeros = vec![0_u8; LAY_OUT_BYTES];
+    let zeros = vec![0_u8; ZERO_FILL_BYTES];
     let mut offset = from;
     while offset < to {
         let count = (to - offset).min(zeros.len() as u64) as usize;
@@ -49,10 +51,10 @@
     Ok(())
 }
 
-/// Reads a file without the zeros at its end, but for a few.
+/// Reads a file without most of the zeros at its end.
 ///
-/// Most of the space is never written, and a small machine should not hold it in memory. Some zeros
-/// are kept because a payload may end in them.
+/// Most of the space is never used, and should not take up memory on a small machine. Some zeros are kept
+/// because a payload may end in them.
 pub(super) fn read_without_tail(file: &File) -> std::io::Result<Vec<u8>> {
     let length = file.metadata()?.len();
     let mut bytes = Vec::new();
@@ -67,12 +69,12 @@
         }
         offset += count as u64;
     }
-    let length_with_tail = (bytes.len() + ZERO_TAIL).min(length as usize);
+    let length_with_tail = (bytes.len() + ZERO_TAIL_BYTES).min(length as usize);
     bytes.resize(length_with_tail, 0);
     Ok(bytes)
 }
 
-/// Reads a file that need not exist.
+/// Reads a file; returns no bytes if it does not exist.
 pub(super) fn read_if_present(path: &Path) -> Result<Vec<u8>, DataFolderError> {
     match File::open(path) {
         Ok(file) => Ok(read_without_tail(&file)?),
--- a/crates/runtime/src/disk/writer.rs
+++ b/crates/runtime/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes and syncs.
+//! The thread that writes and syncs the files of a data folder.
 
 use std::os::unix::fs::FileExt;
 
@@ -6,19 +6,18 @@
 
 use crate::disk::DataFolder;
 
-/// The most tickets that are synced together.
-const BATCH: usize = 64;
+/// The maximum number of tickets that are synced together.
+const MAX_BATCH_TICKETS: usize = 64;
 
 /// The writes of one ticket, in order.
 type TicketWrites = (u64, Vec<DiskWrite>);
 
 impl DataFolder {
-    /// Starts the thread that carries out writes in order; several are synced together when they come
-    /// close together. It ends when the sender is dropped.
+    /// Starts the thread that carries out writes in order; writes that arrive close together are synced
+    /// together. It ends when the sender is dropped.
     ///
-    /// `done` is called for each ticket, in order: `true` once all its writes are synced, `false` if
-    /// the disk refused any write up to it in the same batch, after which nothing of the rest of the
-    /// batch was written.
+    /// `done` is called for each ticket, in order: with `true` once all writes of its batch are synced, with
+    /// `false` if any of them failed, after which the rest of the batch was not written.
     pub fn start_writer(
         self,
         done: impl Fn(u64, bool) + Send + 'static,
@@ -26,7 +25,7 @@
         let (sender, receiver) = std::sync::mpsc::channel::<TicketWrites>();
         std::thread::spawn(move || {
             while let Ok(first) = receiver.recv() {
-                let rest = receiver.try_iter().take(BATCH - 1);
+                let rest = receiver.try_iter().take(MAX_BATCH_TICKETS - 1);
                 let batch: Vec<TicketWrites> = std::iter::once(first).chain(rest).collect();
                 let is_synced = self.write_batch(&batch);
                 for (ticket, _) in &batch {
@@ -37,8 +36,8 @@
         sender
     }
 
-    /// Writes and syncs a batch; stops at the first refusal, since later writes rely on earlier ones.
-    /// Returns whether all of it is synced.
+    /// Writes and syncs a batch; stops at the first failed write, since later writes depend on earlier ones.
+    /// Returns whether the whole batch is synced.
     fn write_batch(&self, batch: &[TicketWrites]) -> bool {
         let mut is_log_unsynced = false;
         let mut writes = batch.iter().flat_map(|(_, writes)| writes);
--- a/crates/runtime/src/frames.rs
+++ b/crates/runtime/src/frames.rs
@@ -10,44 +10,46 @@
 
 use crate::progress_watch::ProgressWatch;
 
-const MOST_FRAME_BYTES: usize = 24 * 1024 * 1024;
+/// The maximum length of a frame.
+const MAX_FRAME_BYTES: usize = 24 * 1024 * 1024;
 const LENGTH_BYTES: usize = 4;
-/// A peer that takes not one byte of a frame for so long is given up.
+/// A connection is closed if the peer accepts no byte of a frame for this long.
 const WRITE_PROGRESS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a connection is closed by its reader.
+/// Invalid data on a connection, which its reader then closes.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    #[error("a frame of {0} bytes")]
+    #[error("invalid frame length of {0} bytes")]
     Length(usize),
     #[error("{0}")]
     Encoding(#[from] minicbor::decode::Error),
-    #[error("bytes left over in a frame")]
-    LeftOver,
+    #[error("trailing bytes after the message in a frame")]
+    TrailingBytes,
 }
 
-/// What was read of a connection.
+/// What was read from a connection.
 pub enum FrameRead {
     Envelope(Box<Envelope>),
-    /// Bytes of a frame that began to come a while ago and is not complete yet.
+    /// Bytes of a frame that is still incomplete some time after its first byte.
     Partial,
 }
 
 /// Reads the frames of one connection until the peer closes or resets it.
 ///
-/// Fails on bytes that are no frame; the connection must then be closed, as nothing behind them can be read.
+/// Fails on bytes that are not a valid frame; the connection must then be closed, as nothing after them can be
+/// read.
 pub async fn read_frames(
     stream: OwnedReadHalf,
     mut take: impl FnMut(FrameRead),
 ) -> Result<(), FrameError> {
     let mut reader = BufReader::new(stream);
     loop {
-        // A peer may close or end between frames, which is no error.
+        // A peer may close the connection or exit between frames, which is not an error.
         let Ok(length) = reader.read_u32().await else {
             return Ok(());
         };
         let length = length as usize;
-        if length == 0 || length > MOST_FRAME_BYTES {
+        if length == 0 || length > MAX_FRAME_BYTES {
             return Err(FrameError::Length(length));
         }
         let mut bytes = vec![0; length];
@@ -62,12 +64,12 @@
     let mut decoder = minicbor::Decoder::new(bytes);
     let envelope: Envelope = decoder.decode()?;
     if decoder.position() != bytes.len() {
-        return Err(FrameError::LeftOver);
+        return Err(FrameError::TrailingBytes);
     }
     Ok(envelope)
 }
 
-/// Reads until the buffer is full; says whether it is.
+/// Reads until the buffer is full; returns whether it is.
 async fn fill(
     reader: &mut BufReader<OwnedReadHalf>,
     bytes: &mut [u8],
@@ -80,15 +82,15 @@
             Ok(0) | Err(_) => return false,
             Ok(count) => filled += count,
         }
-        if filled < bytes.len() && watch.bytes_came(Instant::now()) {
+        if filled < bytes.len() && watch.bytes_received(Instant::now()) {
             take(FrameRead::Partial);
         }
     }
     true
 }
 
-/// Writes one frame; fails when the connection does, or when the peer takes nothing for
-/// [`WRITE_PROGRESS_TIMEOUT`].
+/// Writes one frame. Fails if the connection fails, or if the peer accepts nothing within
+/// `WRITE_PROGRESS_TIMEOUT`.
 pub async fn write_frame(stream: &mut OwnedWriteHalf, envelope: &[u8]) -> io::Result<()> {
     let mut frame = Vec::with_capacity(LENGTH_BYTES + envelope.len());
     frame.extend_from_slice(&(envelope.len() as u32).to_be_bytes());
--- a/crates/runtime/src/freeze_guard.rs
+++ b/crates/runtime/src/freeze_guard.rs
@@ -1,49 +1,46 @@
-//! Notices that the process stood still, so that input which lay in a socket meanwhile is not taken
-//! for new.
+//! Detects that the process was frozen, so that input which waited in a socket meanwhile is not taken for new.
 //!
-//! Nothing in a socket tells its age. But a process that runs looks at the clock many times a
-//! second; when it finds a gap between two looks, whatever it reads in the moments after the gap may
-//! be as old as the gap is long.
+//! A socket does not record the age of its contents. But a running process reads the clock many times a
+//! second; after a gap between two reads, input may be as old as the gap is long.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A gap between two looks at the clock from which on input may be too old.
+/// A gap between two clock reads from which on input may be too old.
 ///
-/// Callers give a call up after a second of silence, so what lay for less is still wanted.
-const GAP_LIMIT: Duration = Duration::from_millis(700);
-/// How long after a gap the sockets may still hold input from before its end.
-const DOUBT_SPAN: Duration = Duration::from_millis(1000);
+/// Callers abandon a request after a second without a response, so input that waited for less is still wanted.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(700);
+/// For how long after a gap the sockets may still contain input from before its end.
+const STALE_INPUT_WINDOW: Duration = Duration::from_millis(1000);
 
-/// Shared by everything of one process that reads input.
+/// Detects freezes of a process; shared by all its tasks that read input.
 #[derive(Debug, Default)]
 pub struct FreezeGuard {
-    looked_at_micros: AtomicU64,
-    in_doubt_until_micros: AtomicU64,
+    checked_at_micros: AtomicU64,
+    stale_until_micros: AtomicU64,
 }
 
 impl FreezeGuard {
-    /// A guard of a process that is about to run.
+    /// Returns the guard of a process that starts now.
     pub fn start(now: Duration) -> Self {
         let guard = Self::default();
         guard
-            .looked_at_micros
+            .checked_at_micros
             .store(micros_of(now), Ordering::Relaxed);
         guard
     }
 
-    /// Looks at the clock; says whether what is read now may be as old as a freeze that just ended.
+    /// Records a clock read; returns whether input that is read now may be from before the end of a freeze.
     pub fn look(&self, now: Duration) -> bool {
         let now_micros = micros_of(now);
         let before = self
-            .looked_at_micros
+            .checked_at_micros
             .fetch_max(now_micros, Ordering::AcqRel);
-        if now_micros.saturating_sub(before) >= micros_of(GAP_LIMIT) {
-            let until = now_micros + micros_of(DOUBT_SPAN);
-            self.in_doubt_until_micros
-                .fetch_max(until, Ordering::AcqRel);
+        if now_micros.saturating_sub(before) >= micros_of(FREEZE_THRESHOLD) {
+            let until = now_micros + micros_of(STALE_INPUT_WINDOW);
+            self.stale_until_micros.fetch_max(until, Ordering::AcqRel);
         }
-        now_micros < self.in_doubt_until_micros.load(Ordering::Acquire)
+        now_micros < self.stale_until_micros.load(Ordering::Acquire)
     }
 }
 
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 for clients, instances and operators.
 //!
-//! The concerns are: `server` and `client`; `body` and `response`; `headers`, the names of our own
-//! headers; `heartbeats`, the JSON of heartbeats; `ambiguous_framing`, which marks requests to refuse;
-//! and `round_trip`, the kernel's measure of a connection.
+//! The modules are: `server` and `client`; `body` and `response`; `headers`, the names of our own headers;
+//! `heartbeats`, the JSON of heartbeats; `ambiguous_framing`, which marks requests to reject; and
+//! `round_trip`, the kernel's round-trip time of a connection.
 
 mod ambiguous_framing;
 mod body;
--- a/crates/runtime/src/http/ambiguous_framing.rs
+++ b/crates/runtime/src/http/ambiguous_framing.rs
@@ -1,4 +1,4 @@
-//! Requests whose head gives the length of the body in two ways are marked, so that they are refused.
+//! Marks requests whose head specifies the length of the body in two ways, so that they are rejected.
 
 use std::sync::{Arc, Mutex};
 
@@ -8,23 +8,23 @@
 
 use crate::locks::locked;
 
-/// A request extension: the head gave the length of the body in two ways.
+/// A request extension: the head specified the length of the body in two ways.
 ///
-/// The end of such a request can be read in two ways (request smuggling), so it must be refused.
+/// The end of such a request is ambiguous (request smuggling), so it must be rejected.
 #[derive(Debug, Clone, Copy)]
 pub struct AmbiguousFraming;
 
-/// The most bytes that are recorded of a head; the library refuses a longer one.
+/// The maximum number of bytes that are recorded of a head; the HTTP library rejects a longer one.
 const RECORDED_HEAD_BYTES: usize = 64 * 1024;
 
-/// The bytes that a connection read since a request's head is expected.
+/// The bytes that were read from a connection since the head of a request is expected.
 pub(super) struct HeadRecord {
     is_expected: bool,
     bytes: Vec<u8>,
 }
 
 impl HeadRecord {
-    /// The record of a new connection, shared by its stream and its requests.
+    /// Returns the record of a new connection, shared by its stream and its requests.
     pub(super) fn shared() -> Arc<Mutex<Self>> {
         Arc::new(Mutex::new(Self {
             is_expected: true,
@@ -32,8 +32,7 @@
         }))
     }
 
-    /// The head of a request has been read: marks the request if its framing is ambiguous, and stops
-    /// recording.
+    /// Marks a request whose head has been read if its framing is ambiguous, and stops recording.
     pub(super) fn check(&mut self, request: &mut Request<Incoming>) {
         if has_two_lengths(&self.bytes, request) {
             request.extensions_mut().insert(AmbiguousFraming);
@@ -42,9 +41,9 @@
         self.is_expected = false;
     }
 
-    /// The response is ready: the body has been read or is given up, so a head comes next.
+    /// Starts recording when a response is ready: the body has been read or abandoned, so a head comes next.
     ///
-    /// One that came sooner was not recorded, and is refused if it names a transfer coding.
+    /// A head that arrived earlier was not recorded; its request is rejected if it names a transfer coding.
     pub(super) fn expect_next(&mut self) {
         self.is_expected = true;
     }
@@ -52,7 +51,7 @@
 
 /// A stream that records what it reads while a request's head is expected.
 ///
-/// The library silently drops one of two conflicting lengths, so the head has to be looked at again.
+/// The HTTP library silently drops one of two conflicting lengths, so the head has to be checked separately.
 pub(super) struct RecordingStream {
     pub(super) inner: TcpStream,
     pub(super) record: Arc<Mutex<HeadRecord>>,
@@ -111,11 +110,11 @@
     }
 }
 
-/// Whether the head that was read last names both a length and a transfer coding.
+/// Returns whether the head that was read last names both a length and a transfer coding.
 ///
-/// Without a transfer coding there is no second length. Where the record does not begin with the head,
-/// because the rest of an earlier body stands before it, nobody can say which part is the head, and a
-/// body may contain the same line: then every place that could be the head is checked.
+/// Without a transfer coding there is no second length. If the record does not begin with the head because the
+/// rest of an earlier body precedes it, the start of the head is unknown, since a body may contain the same
+/// line: then every position that could be the head is checked.
 fn has_two_lengths(read: &[u8], request: &Request<Incoming>) -> bool {
     if !request.headers().contains_key("transfer-encoding") {
         return false;
@@ -130,7 +129,7 @@
     heads.peek().is_none() || heads.any(|(start, _)| head_names_length(&text[start..]))
 }
 
-/// Whether the head that a text begins with names a length.
+/// Returns whether the head at the start of a text names a length.
 fn head_names_length(text: &str) -> bool {
     text.lines()
         .skip(1)
--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -1,5 +1,4 @@
-//! The HTTP client for calls between our own processes and tools: one request on a connection of its
-//! own.
+//! The HTTP client for requests between our own processes and tools, with a new connection for each request.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -13,14 +12,14 @@
 use thiserror::Error;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// How long a request may take unless another timeout is set.
+/// The timeout of a request unless another one is set.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a request got no response.
+/// A request got no response.
 #[derive(Debug, Error)]
 pub enum FetchError {
     /// No complete response arrived in time. The request may have run.
-    #[error("no answer within {0:?}")]
+    #[error("no response within {0:?}")]
     TimedOut(Duration),
     /// The connection could not be opened. The request has not run, and may be retried.
     #[error(transparent)]
@@ -45,24 +44,24 @@
 }
 
 impl Fetched {
-    /// The body as JSON; null if it is none.
+    /// Returns the body as JSON, or null if it is invalid.
     pub fn json(&self) -> JsonValue {
         let text = String::from_utf8_lossy(&self.body);
         jzon::parse(&text).unwrap_or(JsonValue::Null)
     }
 
-    /// The value of a header, if it is present and text.
+    /// Returns the value of a header, if it is present and text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A request, with everything that shapes it.
+/// A request with its options.
 #[derive(Debug, Clone)]
 pub struct Fetch {
     /// The server.
     pub to: SocketAddr,
-    /// The local address to connect from; any if none.
+    /// The local address to connect from; any if not set.
     pub from: Option<IpAddr>,
     /// The method.
     pub method: Method,
@@ -77,7 +76,7 @@
 }
 
 impl Fetch {
-    /// A `GET` request.
+    /// Returns a `GET` request.
     pub fn get(to: SocketAddr, path: impl Into<String>) -> Self {
         Self {
             to,
@@ -90,7 +89,7 @@
         }
     }
 
-    /// A `POST` request.
+    /// Returns a `POST` request.
     pub fn post(to: SocketAddr, path: impl Into<String>, body: impl Into<Bytes>) -> Self {
         let mut fetch = Self::get(to, path);
         fetch.method = Method::POST;
@@ -98,19 +97,19 @@
         fetch
     }
 
-    /// The same request with one more header.
+    /// Adds a header.
     pub fn header(mut self, name: &str, value: impl Into<String>) -> Self {
         self.headers.push((name.to_string(), value.into()));
         self
     }
 
-    /// The same request with another timeout.
+    /// Sets the timeout.
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// The same request from a local address.
+    /// Sets the local address to connect from.
     pub fn from(mut self, from: IpAddr) -> Self {
         self.from = Some(from);
         self
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The JSON of heartbeats and of their answers. Field names are fixed by the operators' pages.
+//! The JSON of heartbeats and of the responses to them. The field names are part of the public interface.
 
 use std::time::Duration;
 
@@ -30,12 +30,12 @@
         let_go: heartbeat
             .let_go
             .iter()
-            .map(|given| {
-                let mut json = jzon::object! { slice: given.key_range };
-                if let Some(epoch) = given.epoch {
+            .map(|released| {
+                let mut json = jzon::object! { slice: released.key_range };
+                if let Some(epoch) = released.epoch {
                     json["epoch"] = epoch.0.into();
                 }
-                if let Some(handover) = &given.handover {
+                if let Some(handover) = &released.handover {
                     json["handover"] = handover.as_str().into();
                 }
                 json
@@ -44,13 +44,13 @@
     }
 }
 
-/// Why the JSON of a heartbeat was refused. A retry of the same heartbeat does not help.
+/// The JSON of a heartbeat is invalid. A retry of the same heartbeat does not help.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HeartbeatError {
-    /// It is no JSON.
-    #[error("is no JSON: {0}")]
+    /// It is not valid JSON.
+    #[error("is not valid JSON: {0}")]
     NotJson(String),
-    /// A field is missing or has the wrong form.
+    /// A field is missing or invalid.
     #[error("{field} must be {expected}")]
     Field {
         /// The field.
@@ -58,7 +58,7 @@
         /// What it must be.
         expected: &'static str,
     },
-    /// A list has an entry of the wrong form.
+    /// A list has an invalid entry.
     #[error("{field} must list {expected}")]
     Entry {
         /// The field.
@@ -114,7 +114,7 @@
 }
 
 fn read_held_key_ranges(value: &JsonValue) -> Result<Vec<u32>, HeartbeatError> {
-    let no_number = HeartbeatError::Entry {
+    let not_numbers = HeartbeatError::Entry {
         field: "holding",
         expected: "key range numbers",
     };
@@ -122,7 +122,7 @@
         JsonValue::Null => Ok(Vec::new()),
         JsonValue::Array(list) => {
             let numbers = list.iter().map(JsonValue::as_u32);
-            numbers.collect::<Option<_>>().ok_or(no_number)
+            numbers.collect::<Option<_>>().ok_or(not_numbers)
         }
         _ => Err(HeartbeatError::field("holding", "a list")),
     }
@@ -143,7 +143,7 @@
     })
 }
 
-/// The fields are read in this order, so the first wrong one is the one that is named.
+/// Reads a heartbeat. The fields are read in this order, so the first invalid one is named in the error.
 fn read(value: &JsonValue) -> Result<Heartbeat, HeartbeatError> {
     let state = read_state(value)?;
     let held_key_ranges = read_held_key_ranges(value)?;
@@ -156,7 +156,7 @@
         zone: Zone::new(read_text(value, "area")?),
         address: read_text(value, "address")?
             .parse()
-            .map_err(|_| HeartbeatError::field("address", "an IP number and port"))?,
+            .map_err(|_| HeartbeatError::field("address", "an IP address and port"))?,
         capacity: read_small_number(value, "capacity")?,
         state,
         load: read_small_number(value, "load")?,
@@ -178,7 +178,7 @@
         return Ok(None);
     }
     let stamp =
-        read_stamp(value).ok_or_else(|| HeartbeatError::field("stamp", "given back as it came"))?;
+        read_stamp(value).ok_or_else(|| HeartbeatError::field("stamp", "returned unchanged"))?;
     let held = value["held_us"]
         .as_u64()
         .ok_or_else(|| HeartbeatError::field("stamp.held_us", "a whole number"))?;
@@ -186,7 +186,7 @@
     Ok(Some(Echo { stamp, held }))
 }
 
-/// Writes the stamp that an instance returns, with how long it had it.
+/// Writes the stamp that an instance returns, with how long the instance held it.
 pub fn write_echo(echo: &Echo) -> JsonValue {
     let mut json = write_stamp(&echo.stamp);
     json["held_us"] = (echo.held.as_micros() as u64).into();
@@ -194,7 +194,7 @@
 }
 
 fn write_stamp(stamp: &Stamp) -> JsonValue {
-    // The node number is text, since it has more digits than JSON numbers keep.
+    // The node id is text, since it has more digits than JSON numbers can represent.
     jzon::object! { node: stamp.incarnation.to_string(), at_us: stamp.at.as_micros() as u64 }
 }
 
@@ -205,7 +205,7 @@
     })
 }
 
-/// Writes the answer to a heartbeat.
+/// Writes the response to a heartbeat.
 pub fn write_with_stamp(dated: &TimestampedResponse) -> JsonValue {
     let mut json = write_response(&dated.response);
     json["stamp"] = write_stamp(&dated.stamp);
@@ -213,7 +213,7 @@
     json
 }
 
-/// Reads the answer to a heartbeat; nothing without a stamp.
+/// Reads the response to a heartbeat; returns `None` if it has no stamp.
 pub fn read_timestamped_response(value: &JsonValue) -> Option<TimestampedResponse> {
     Some(TimestampedResponse {
         response: read_response(value),
--- a/crates/runtime/src/http/response.rs
+++ b/crates/runtime/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses of ours, and their JSON.
+//! Responses of our own processes, and their JSON.
 
 use std::future::Future;
 
@@ -13,7 +13,7 @@
 /// A response that is still being produced.
 pub type BoxedResponse = std::pin::Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// A response with a JSON body. One with status 503 asks the caller to retry after a second.
+/// Returns a response with a JSON body. With status 503 it asks the caller to retry after a second.
 pub fn json_response(status: u16, value: &JsonValue) -> Response<Body> {
     let mut response = Response::new(full_body(value.dump()));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -28,7 +28,7 @@
     response
 }
 
-/// The usage that one agent counted, as operators read it.
+/// Returns the usage that one agent recorded, as JSON for operators.
 pub fn usage_json(zone: &Zone, lines: &[UsageLine]) -> JsonValue {
     let lines: Vec<JsonValue> = lines
         .iter()
@@ -49,7 +49,7 @@
     jzon::object! { area: zone.as_str(), lines: lines }
 }
 
-/// The response to a readiness check.
+/// Returns the response to a readiness check.
 pub fn ready_response(ready: bool) -> Response<Body> {
     let status = if ready { 200 } else { 503 };
     json_response(status, &jzon::object! { ready: ready })
--- a/crates/runtime/src/http/round_trip.rs
+++ b/crates/runtime/src/http/round_trip.rs
@@ -1,4 +1,4 @@
-//! The round-trip time of a connection, by the kernel's own measure. The only unsafe code of the HTTP
+//! The round-trip time of a connection, as measured by the kernel. This is the only unsafe code of the HTTP
 //! modules.
 
 use std::os::fd::AsRawFd;
@@ -6,7 +6,7 @@
 
 use tokio::net::TcpStream;
 
-/// The kernel's smoothed round-trip time of a connection; zero when it has none.
+/// Returns the kernel's smoothed round-trip time of a connection, or zero if it has none.
 pub(super) fn round_trip(stream: &TcpStream) -> Duration {
     // SAFETY: `tcp_info` has only integer fields, for which zero is a valid value.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -20,25 +20,25 @@
 
 /// How long to wait after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How long a client may take over the head of a request.
+/// How long a client may take to send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// The most bytes of a head.
-const MOST_HEAD_BYTES: usize = 64 * 1024;
+/// The maximum length of a head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Who is at the other end of a connection, and how far away by the kernel's own measure.
+/// The peer of a connection, and the round-trip time to it.
 #[derive(Debug, Clone, Copy)]
 pub struct FarEnd {
     /// The address that the connection came from.
     pub address: SocketAddr,
-    /// The round-trip time; zero when the kernel has none.
+    /// The round-trip time as measured by the kernel; zero if it has none.
     pub round_trip: Duration,
 }
 
 /// Serves HTTP on a listener until the process ends.
 ///
 /// `handler` is called for each request, with the peer. While `stop` is set, each response closes its
-/// connection: a process that is about to stop takes no further request on it. An error of the handler
-/// breaks the connection.
+/// connection: a process that is shutting down accepts no further requests on it. An error of the handler
+/// aborts the connection.
 pub async fn serve_http<Handler, Answering>(
     listener: TcpListener,
     stop: Arc<AtomicBool>,
@@ -104,7 +104,7 @@
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(MOST_HEAD_BYTES)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the caperworks daemons share: connections between them, HTTP, disk, options, events.
+//! The common parts of the caperworks daemons: connections between them, HTTP, disk, options and events.
 
 pub mod actor;
 pub mod clock;
--- a/crates/runtime/src/locks.rs
+++ b/crates/runtime/src/locks.rs
@@ -1,10 +1,10 @@
-//! Locks of which no holder leaves a state half changed.
+//! Locks whose data stays consistent when a holder panics.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Takes a lock whose holder cannot have left things half done.
+/// Locks a mutex whose holders never leave its data in an inconsistent state.
 ///
-/// A panic elsewhere does not matter: a broken invariant stops the process by itself.
+/// A poisoned mutex is therefore usable: a broken invariant stops the process in another way.
 pub fn locked<Inner>(mutex: &Mutex<Inner>) -> MutexGuard<'_, Inner> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/runtime/src/options/fault.rs
+++ b/crates/runtime/src/options/fault.rs
@@ -1,4 +1,4 @@
-//! Faults in what the operator gave us.
+//! Faults in the operator's options.
 
 use std::path::Path;
 
@@ -11,16 +11,16 @@
 pub struct OptionsFault {
     /// The file, or `flags`.
     pub file: String,
-    /// The field, or `file` when it is about the file itself.
+    /// The field, or `file` if the fault concerns the file itself.
     pub field: String,
-    /// What is wrong and what to do about it.
+    /// What is wrong and how to correct it.
     pub remedy: String,
 }
 
-/// The exit status after faulty options.
+/// The exit status for faulty options.
 const EXIT_USAGE: i32 = 2;
 
-/// Prints the faults and ends the process with status 2.
+/// Prints the faults and exits the process with status 2.
 pub fn exit_with_faults(faults: &[OptionsFault]) -> ! {
     for fault in faults {
         eprintln!("{fault}");
@@ -28,7 +28,7 @@
     std::process::exit(EXIT_USAGE);
 }
 
-/// Reads a JSON file of the operator's.
+/// Reads a JSON file of the operator.
 pub fn read_json_file(path: &Path) -> Result<JsonValue, OptionsFault> {
     let fault = |remedy: String| OptionsFault {
         file: path.display().to_string(),
@@ -37,8 +37,9 @@
     };
     let text = std::fs::read_to_string(path).map_err(|failure| {
         fault(format!(
-            "cannot be read ({failure}): give a file that exists"
+            "cannot be read ({failure}): specify an existing, readable file"
         ))
     })?;
-    jzon::parse(&text).map_err(|failure| fault(format!("is no JSON ({failure}): correct it")))
+    jzon::parse(&text)
+        .map_err(|failure| fault(format!("is not valid JSON ({failure}): correct it")))
 }
--- a/crates/runtime/src/options/flags.rs
+++ b/crates/runtime/src/options/flags.rs
@@ -4,7 +4,7 @@
 
 use bpaf::{construct, long, OptionParser, Parser};
 
-/// Reads the command line; ends the process with status 2 when it is wrong and with 0 after help.
+/// Reads the command line; exits the process with status 2 if it is invalid, and with 0 after printing help.
 pub fn read_flags<Flags>(parser: &OptionParser<Flags>) -> Flags {
     match parser.run_inner(bpaf::Args::current_args()) {
         Ok(flags) => flags,
@@ -16,7 +16,7 @@
     }
 }
 
-/// The flags that stand in for fields of the options file, see [`NodeSettings`](super::NodeSettings).
+/// The flags that replace fields of the options file, see [`NodeSettings`](super::NodeSettings).
 #[derive(Debug, Clone, Default)]
 pub struct NodeFlags {
     /// The options file.
@@ -37,18 +37,18 @@
     pub capacity: Option<u32>,
 }
 
-/// The parser of [`NodeFlags`], which all daemons share.
+/// Returns the parser of [`NodeFlags`], which all daemons share.
 pub fn node_flags() -> impl Parser<NodeFlags> {
     let file = long("options")
-        .help("Options file in JSON; flags go before it")
+        .help("Options file in JSON; flags take precedence over it")
         .argument::<PathBuf>("FILE")
         .optional();
     let control = long("control")
-        .help("Address for our own processes, IP:PORT")
+        .help("Address for connections between caperworks processes, IP:PORT")
         .argument::<String>("ADDRESS")
         .optional();
     let advertise = long("advertise")
-        .help("Address that others reach the control address at, when it is another")
+        .help("Address at which others reach the control address, if it differs")
         .argument::<String>("ADDRESS")
         .optional();
     let serving = long("serving")
@@ -56,19 +56,19 @@
         .argument::<String>("ADDRESS")
         .optional();
     let zone = long("area")
-        .help("The zone (zone) that this machine stands in")
+        .help("The zone that this machine is located in")
         .argument::<String>("NAME")
         .optional();
     let seeds = long("seed")
-        .help("Control address of a seed; give it three times")
+        .help("Control address of a seed; specify it three times")
         .argument::<String>("ADDRESS")
         .many();
     let data = long("data")
-        .help("Data folder, for processes that keep state on disk")
+        .help("Data folder, for processes that store state on disk")
         .argument::<PathBuf>("FOLDER")
         .optional();
     let capacity = long("capacity")
-        .help("Orders a second that this proxy is meant to carry")
+        .help("Requests per second that this proxy is intended to serve")
         .argument::<u32>("NUMBER")
         .optional();
     construct!(NodeFlags {
--- a/crates/runtime/src/options/reader.rs
+++ b/crates/runtime/src/options/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of an options file, with the flags that stand in for them, and collects all faults.
+//! Reads the fields of an options file, with the flags that replace them, and collects all faults.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use jzon::JsonValue;
 
 use crate::options::fault::{read_json_file, OptionsFault};
-use crate::options::terms::TuningOptions;
+use crate::options::tuning::TuningOptions;
 
 /// All fields of an options file.
 const KNOWN_FIELDS: [&str; 14] = [
@@ -30,8 +30,8 @@
 pub(super) struct OptionsReader<'needs> {
     source: String,
     value: JsonValue,
-    /// The fields that the program cannot do without.
-    needs: &'needs [&'needs str],
+    /// The fields that the program requires.
+    required_fields: &'needs [&'needs str],
     faults: Vec<OptionsFault>,
 }
 
@@ -39,12 +39,12 @@
     /// Reads the file; without one, all fields come from flags.
     pub(super) fn open(
         file: Option<&Path>,
-        needs: &'needs [&'needs str],
+        required_fields: &'needs [&'needs str],
     ) -> Result<Self, OptionsFault> {
         let mut reader = Self {
             source: "flags".to_string(),
             value: JsonValue::new_object(),
-            needs,
+            required_fields,
             faults: Vec::new(),
         };
         if let Some(path) = file {
@@ -57,17 +57,20 @@
 
     fn check_fields(&mut self) {
         if !self.value.is_object() {
-            self.fault("file", "must hold one JSON object");
+            self.fault("file", "must contain one JSON object");
         }
         let names = self.value.entries().map(|(name, _)| name.to_string());
         let unknown = names.filter(|name| !KNOWN_FIELDS.contains(&name.as_str()));
         for name in unknown.collect::<Vec<String>>() {
-            let remedy = format!("is not known: use {}", KNOWN_FIELDS.join(", "));
+            let remedy = format!(
+                "is not a known field: use one of {}",
+                KNOWN_FIELDS.join(", ")
+            );
             self.fault(&name, &remedy);
         }
     }
 
-    /// The faults found, if any.
+    /// Returns the faults found, if any.
     pub(super) fn finish(self) -> Result<(), Vec<OptionsFault>> {
         if self.faults.is_empty() {
             Ok(())
@@ -84,115 +87,121 @@
         });
     }
 
-    fn is_needed(&self, name: &str) -> bool {
-        self.needs.contains(&name)
+    fn is_required(&self, name: &str) -> bool {
+        self.required_fields.contains(&name)
     }
 
-    fn is_given(&self, name: &str) -> bool {
+    fn is_present(&self, name: &str) -> bool {
         !self.value[name].is_null()
     }
 
-    /// An address, from the flag or else from the file.
+    /// Returns an address, from the flag or else from the file.
     pub(super) fn address(&mut self, name: &str, flag: Option<&str>) -> Option<SocketAddr> {
-        let in_file = || self.value[name].as_str().unwrap_or("?").to_string();
-        let given = flag
+        let from_file = || self.value[name].as_str().unwrap_or("?").to_string();
+        let specified = flag
             .map(str::to_string)
-            .or_else(|| self.is_given(name).then(in_file));
-        match given.map(|text| text.parse::<SocketAddr>()) {
+            .or_else(|| self.is_present(name).then(from_file));
+        match specified.map(|text| text.parse::<SocketAddr>()) {
             Some(Ok(address)) => return Some(address),
             Some(Err(_)) => {
-                self.fault(name, "must be an IP number and port, such as 10.0.0.1:7000");
+                self.fault(
+                    name,
+                    "must be an IP address and port, such as 10.0.0.1:7000",
+                );
             }
-            None if self.is_needed(name) => {
-                self.fault(name, "is missing: give an IP number and port");
+            None if self.is_required(name) => {
+                self.fault(name, "is missing: specify an IP address and port");
             }
             None => {}
         }
         None
     }
 
-    /// The name of the zone.
+    /// Returns the name of the zone.
     pub(super) fn zone(&mut self, flag: Option<&str>) -> String {
-        let given = flag.or_else(|| self.value["area"].as_str());
-        let zone = given.unwrap_or_default().to_string();
-        if zone.is_empty() && self.is_needed("area") {
-            self.fault("area", "is missing: name the zone this machine stands in");
+        let specified = flag.or_else(|| self.value["area"].as_str());
+        let zone = specified.unwrap_or_default().to_string();
+        if zone.is_empty() && self.is_required("area") {
+            self.fault(
+                "area",
+                "is missing: specify the zone that this machine is located in",
+            );
         }
         zone
     }
 
-    /// The control addresses of the seeds.
+    /// Returns the control addresses of the seeds.
     pub(super) fn seeds(&mut self, flags: &[String]) -> Vec<SocketAddr> {
-        let mut given = flags.to_vec();
-        if given.is_empty() {
+        let mut specified = flags.to_vec();
+        if specified.is_empty() {
             match &self.value["seeds"] {
                 JsonValue::Null => {}
                 JsonValue::Array(list) => {
                     let texts = list.iter().map(|seed| seed.as_str().unwrap_or("?"));
-                    given.extend(texts.map(str::to_string));
+                    specified.extend(texts.map(str::to_string));
                 }
                 _ => self.fault("seeds", "must be a list of addresses"),
             }
         }
         let mut seeds = Vec::new();
-        for seed in &given {
+        for seed in &specified {
             match seed.parse() {
                 Ok(seed) => seeds.push(seed),
-                Err(_) => self.fault("seeds", &format!("{seed} is no IP number and port")),
+                Err(_) => self.fault("seeds", &format!("{seed} is not an IP address and port")),
             }
         }
-        if seeds.is_empty() && self.is_needed("seeds") {
-            let remedy = "are missing: give the control addresses of three controllers";
+        if seeds.is_empty() && self.is_required("seeds") {
+            let remedy = "are missing: specify the control addresses of three controllers";
             self.fault("seeds", remedy);
         }
         seeds
     }
 
-    /// The data folder.
+    /// Returns the data folder.
     pub(super) fn data(&mut self, flag: Option<&PathBuf>) -> PathBuf {
-        let in_file = || self.value["data"].as_str().map(PathBuf::from);
-        let data = flag.cloned().or_else(in_file).unwrap_or_default();
-        if data.as_os_str().is_empty() && self.is_needed("data") {
-            self.fault("data", "is missing: name the data folder");
+        let from_file = || self.value["data"].as_str().map(PathBuf::from);
+        let data = flag.cloned().or_else(from_file).unwrap_or_default();
+        if data.as_os_str().is_empty() && self.is_required("data") {
+            self.fault("data", "is missing: specify the data folder");
         }
         data
     }
 
-    /// A whole number from 1 to `most`; `otherwise` when none is given.
-    pub(super) fn number(&mut self, name: &str, otherwise: u64, most: u64) -> u64 {
+    /// Returns a whole number from 1 to `limit`, or `default_value` if the field is not present.
+    pub(super) fn number(&mut self, name: &str, default_value: u64, limit: u64) -> u64 {
         match self.value[name].as_u64() {
-            Some(number) if (1..=most).contains(&number) => number,
-            None if !self.is_given(name) => otherwise,
+            Some(number) if (1..=limit).contains(&number) => number,
+            None if !self.is_present(name) => default_value,
             _ => {
-                self.fault(name, &format!("must be a whole number from 1 to {most}"));
-                otherwise
+                self.fault(name, &format!("must be a whole number from 1 to {limit}"));
+                default_value
             }
         }
     }
 
-    /// The settings of the core and of proxies that an options file can change.
-    pub(super) fn terms(&mut self) -> TuningOptions {
-        let mut terms = TuningOptions::default();
-        if self.is_given("synced_ledgers") {
-            terms.core.synced_controllers = Some(self.number("synced_ledgers", 2, 9) as usize);
+    /// Returns the tuning options, with those that an options file can change.
+    pub(super) fn tuning(&mut self) -> TuningOptions {
+        let mut tuning = TuningOptions::default();
+        if self.is_present("synced_ledgers") {
+            tuning.core.synced_controllers = Some(self.number("synced_ledgers", 2, 9) as usize);
         }
-        terms.core.controller_voters = self.number("ledger_seats", 3, 9) as usize;
+        tuning.core.controller_voters = self.number("ledger_seats", 3, 9) as usize;
         if let Some(voters) = self.witness_voters() {
-            terms.core.witness_voters = voters;
+            tuning.core.witness_voters = voters;
         }
         match self.value["out_of_touch"].as_str() {
             Some("silent") => {}
-            Some("serve-on") => terms.set_serves_stale(true),
-            None if !self.is_given("out_of_touch") => {}
+            Some("serve-on") => tuning.set_serves_stale(true),
+            None if !self.is_present("out_of_touch") => {}
             _ => self.fault("out_of_touch", "must be silent or serve-on"),
         }
-        terms
+        tuning
     }
 
-    /// The number of witnesses, which may be zero: where disks may be wiped while all machines lose
-    /// power, voters without disks are lost with them, and a majority must not depend on any.
+    /// Returns the number of witnesses, which may be zero: where disks may be wiped while all machines lose
+    /// power, voters without disks lose their state as well, and a majority must not depend on any of them.
     fn witness_voters(&mut self) -> Option<usize> {
-        if !self.is_given("witness_seats") {
+        if !self.is_present("witness_seats") {
             return None;
         }
         let voters = self.value["witness_seats"].as_usize();
--- a/crates/runtime/src/options/terms.rs
+++ b/crates/runtime/src/options/tuning.rs
@@ -1,30 +1,30 @@
-//! Settings where more than one way is sound.
+//! Settings that have defaults, and may be tuned.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use caperworks::policy::{CorePolicy, ProxyPolicy};
 
-/// How a process works where more than one way is sound.
+/// Settings of a process that have defaults, and may be tuned.
 #[derive(Debug, Clone)]
 pub struct TuningOptions {
     /// The settings of controllers.
     pub core: CorePolicy,
     /// The settings of a proxy.
     pub proxy: ProxyPolicy,
-    /// How many threads it runs on.
+    /// The number of worker threads.
     pub workers: usize,
-    /// How often a proxy polls its agent for updates.
+    /// The interval at which a proxy polls its agent for updates.
     pub pull: Duration,
-    /// Bodies of requests up to this size are buffered completely, so that the request can be retried.
+    /// Request bodies up to this size in bytes are buffered completely, so that the request can be retried.
     pub max_buffered_body: u64,
-    /// The period of ticks of its state machine.
+    /// The interval between ticks of the state machine.
     pub tick: Duration,
-    /// For how long a proxy that was asked to stop still takes requests.
+    /// For how long a proxy that is shutting down still accepts requests.
     pub linger: Duration,
     /// For how long it then waits for the requests in flight.
     pub max_drain_wait: Duration,
-    /// A second address at which readiness is answered.
+    /// A second address for readiness checks.
     pub readiness: Option<SocketAddr>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl TuningOptions {
-    /// What proxies do that are partitioned from the core: serve on with stale state, or refuse.
+    /// Sets whether proxies that are partitioned from the control plane serve stale state or reject requests.
     pub fn set_serves_stale(&mut self, serves_stale: bool) {
         self.core.proxies_serve_stale = serves_stale;
         self.proxy.serves_stale = serves_stale;
--- a/crates/runtime/src/outgoing_queue.rs
+++ b/crates/runtime/src/outgoing_queue.rs
@@ -1,7 +1,7 @@
-//! The messages that wait to be written to one peer.
+//! The queue of messages to be written to one peer.
 //!
-//! Of messages that hold all that their receiver lacks, only the latest is of use. Behind a slow link the
-//! ones before it would be written first, each with what the one after it repeats.
+//! Of messages that contain everything that their receiver is missing, only the latest is useful. Over a slow
+//! link the earlier ones would be written first, each with data that the next one repeats.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,13 +13,13 @@
 
 use crate::locks::locked;
 
-/// How many messages wait for one peer at most.
-const MOST_WAITING: usize = 512;
-/// A message that has waited for longer is dropped, as its sender has given it up by now. The latest of a
-/// superseding kind is written all the same.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// The maximum number of messages that wait for one peer.
+const MAX_WAITING_FRAMES: usize = 512;
+/// A message that has waited for longer is dropped, since its sender no longer waits for a response. The latest
+/// of a superseding kind is written in any case.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// A kind of message of which the latest makes those needless that were not written yet.
+/// A kind of message of which the latest supersedes those that were not written yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Superseding {
     Renewal,
@@ -39,7 +39,7 @@
 }
 
 impl Superseding {
-    /// Whether the message asks for an answer, and may be asked again.
+    /// Returns whether the message is a request, which may be repeated.
     fn is_request(self) -> bool {
         matches!(self, Superseding::Renewal | Superseding::Pull)
     }
@@ -58,16 +58,16 @@
         self.superseding.is_some_and(Superseding::is_request)
     }
 
-    fn is_of_use(&self, now: Instant) -> bool {
-        self.superseding.is_some() || now.duration_since(self.queued_at) < LONGEST_WAIT
+    fn is_useful(&self, now: Instant) -> bool {
+        self.superseding.is_some() || now.duration_since(self.queued_at) < MAX_WAIT
     }
 }
 
-/// A queue between those who send and the task that writes to one connection.
+/// The queue between the senders and the task that writes to one connection.
 #[derive(Default)]
 pub struct OutgoingQueue {
     frames: Mutex<VecDeque<Frame>>,
-    /// The request that was written last, until something is heard on the connection.
+    /// The request that was written last, until something is received on the connection.
     unanswered: Mutex<Option<Frame>>,
     filled: Notify,
     closing: Notify,
@@ -75,8 +75,8 @@
 }
 
 impl OutgoingQueue {
-    /// Adds an encoded message, in the place of an earlier one that it makes needless; one that finds the
-    /// queue full is dropped. Gives it back if the queue is closed.
+    /// Adds an encoded message, in the place of an earlier one that it supersedes. It is dropped if the queue is
+    /// full, and returned as the error if the queue is closed.
     pub fn push(&self, message: &Message, bytes: Vec<u8>) -> Result<(), Vec<u8>> {
         let frame = Frame {
             superseding: superseding(message),
@@ -86,19 +86,19 @@
         self.add(frame).map_err(|frame| frame.bytes)
     }
 
-    /// Adds a message that was taken from another queue; gives it back if this one is closed.
+    /// Adds a message that was taken from another queue; returns it as the error if this queue is closed.
     pub(crate) fn add(&self, frame: Frame) -> Result<(), Frame> {
         let mut frames = locked(&self.frames);
-        // Checked under the lock, so that whoever closes the queue finds every frame that was added.
+        // Checked under the lock, so that closing the queue returns every frame that was added.
         if self.is_closed() {
             return Err(frame);
         }
-        let makes_needless = |waiting: &Frame| {
+        let is_superseded = |waiting: &Frame| {
             waiting.superseding.is_some() && waiting.superseding == frame.superseding
         };
-        match frames.iter().position(makes_needless) {
+        match frames.iter().position(is_superseded) {
             Some(position) => frames[position] = frame,
-            None if frames.len() < MOST_WAITING => frames.push_back(frame),
+            None if frames.len() < MAX_WAITING_FRAMES => frames.push_back(frame),
             None => {}
         }
         drop(frames);
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// The next message to write, once there is one.
+    /// Waits for the next message to write.
     pub async fn next(&self) -> Vec<u8> {
         loop {
             if let Some(bytes) = self.take_next() {
@@ -120,7 +120,7 @@
         let now = Instant::now();
         let mut frames = locked(&self.frames);
         while let Some(frame) = frames.pop_front() {
-            if frame.is_of_use(now) {
+            if frame.is_useful(now) {
                 if frame.is_request() {
                     *locked(&self.unanswered) = Some(frame.clone());
                 }
@@ -130,53 +130,55 @@
         None
     }
 
-    /// Takes what waits in a queue that another connection replaces, and closes that queue.
-    pub fn take_over(&self, replaced: &OutgoingQueue) {
-        for frame in replaced.end() {
-            // A queue that is closed meanwhile has nobody to write to, and drops the rest as well.
+    /// Moves the messages of a queue whose connection was replaced to this one, and closes that queue.
+    pub fn drain(&self, replaced: &OutgoingQueue) {
+        for frame in replaced.close_and_drain() {
+            // If this queue has been closed meanwhile, the messages are dropped.
             let _ = self.add(frame);
         }
     }
 
-    /// The same for a connection that seems dead: what was asked on it and not answered is asked again.
-    pub fn take_over_unanswered(&self, replaced: &OutgoingQueue) {
+    /// Like [`drain`](Self::drain), for a connection that seems dead: the request on it that got no response is
+    /// repeated.
+    pub fn drain_unresponsive(&self, replaced: &OutgoingQueue) {
         let unanswered = locked(&replaced.unanswered).take();
         if let Some(request) = unanswered {
             let _ = self.add(request);
         }
-        self.take_over(replaced);
+        self.drain(replaced);
     }
 
-    /// Ends the queue: nothing is added any more, and its writer stops. Gives what was not written.
-    fn end(&self) -> VecDeque<Frame> {
+    /// Closes the queue and stops its writer; returns the messages that were not written.
+    fn close_and_drain(&self) -> VecDeque<Frame> {
         let mut frames = locked(&self.frames);
         self.closed.store(true, Ordering::SeqCst);
         self.closing.notify_one();
         std::mem::take(&mut *frames)
     }
 
-    /// Something was heard on the connection: it works, and what was asked on it is answered or will be.
+    /// Records that something was received: the connection works, and its requests are or will be answered.
     pub fn received(&self) {
         *locked(&self.unanswered) = None;
     }
 
-    /// Nobody writes any more: nothing is added from now on, and what waits is dropped.
+    /// Closes the queue; the messages in it are dropped.
     pub fn close(&self) {
-        self.end();
+        self.close_and_drain();
     }
 
-    /// Ends the queue when its connection is lost. Gives the request that was not answered, if there is one.
+    /// Closes the queue when its connection is lost. Returns the request that got no response, if there is one.
     pub(crate) fn abandon(&self) -> Option<Frame> {
-        let waiting = self.end();
+        let waiting = self.close_and_drain();
         let newer = waiting.into_iter().find(Frame::is_request);
         newer.or_else(|| locked(&self.unanswered).take())
     }
 
+    /// Returns whether the queue is closed.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Waits until the queue is closed; for the one task that writes.
+    /// Waits until the queue is closed; for the single task that writes.
     pub async fn closed(&self) {
         while !self.is_closed() {
             self.closing.notified().await;
--- a/crates/runtime/src/response_watch.rs
+++ b/crates/runtime/src/response_watch.rs
@@ -1,18 +1,18 @@
-//! Tells when a connection seems dead: what was sent on it is not answered on it.
+//! Detects connections that seem dead: messages are sent on them, but no responses are received.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use crate::locks::locked;
 
-/// A connection that is not answered for so long after a message may be dead: its peer may have lost power
-/// and returned, and then nothing but a further message of ours tells.
-pub const UNANSWERED_SPAN: Duration = Duration::from_secs(1);
+/// A connection without a response for this long after a message may be dead: its peer may have restarted after
+/// a power loss, which only a further message of ours reveals.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
 struct WatchState {
-    /// Whether the peer answers on this connection at all; earlier releases do not.
-    responds_here: bool,
+    /// Whether the peer responds on this connection at all; earlier releases do not.
+    has_responded: bool,
     unanswered_since: Option<Instant>,
     is_replacing: bool,
 }
@@ -24,31 +24,31 @@
 }
 
 impl ResponseWatch {
-    /// Something was heard on the connection.
+    /// Records that something was received on the connection.
     pub fn received(&self) {
         let mut state = locked(&self.state);
-        state.responds_here = true;
+        state.has_responded = true;
         state.unanswered_since = None;
     }
 
-    /// Whether the peer has answered on this connection.
-    pub fn responds_here(&self) -> bool {
-        locked(&self.state).responds_here
+    /// Returns whether the peer has responded on this connection.
+    pub fn has_responded(&self) -> bool {
+        locked(&self.state).has_responded
     }
 
-    /// A message leaves; says whether a fresh connection is to be opened to replace this one, which it says
-    /// once until [`ResponseWatch::replacing_failed`].
+    /// Records that a message was sent; returns whether to open a new connection to replace this one. That is
+    /// returned once, until [`ResponseWatch::replacement_failed`].
     pub fn sent(&self, now: Instant) -> bool {
         let mut state = locked(&self.state);
         let since = *state.unanswered_since.get_or_insert(now);
-        let seems_dead = state.responds_here && now.duration_since(since) >= UNANSWERED_SPAN;
-        let begins = seems_dead && !state.is_replacing;
-        state.is_replacing |= begins;
-        begins
+        let seems_dead = state.has_responded && now.duration_since(since) >= RESPONSE_TIMEOUT;
+        let starts_replacing = seems_dead && !state.is_replacing;
+        state.is_replacing |= starts_replacing;
+        starts_replacing
     }
 
-    /// The fresh connection did not open.
-    pub fn replacing_failed(&self) {
+    /// Records that the new connection could not be opened.
+    pub fn replacement_failed(&self) {
         locked(&self.state).is_replacing = false;
     }
 }
--- a/crates/runtime/src/scenario.rs
+++ b/crates/runtime/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario file: what a fleet of the test tools consists of.
+//! A scenario file: describes a fleet of the test tools and its traffic.
 
 mod reader;
 
@@ -15,9 +15,9 @@
     pub name: String,
     /// How many instances it has.
     pub instances: u32,
-    /// Requests that an instance works on at once.
+    /// The number of requests that an instance processes concurrently.
     pub capacity: u32,
-    /// How long an instance works on a request, in milliseconds.
+    /// How long an instance takes for a request, in milliseconds.
     pub work_ms: u64,
     /// The service as it is put into the configuration.
     pub service: JsonValue,
@@ -32,7 +32,7 @@
     pub path: String,
     /// The method.
     pub method: Method,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: u64,
     /// The length of a body.
     pub body_bytes: usize,
@@ -40,7 +40,7 @@
     pub keys: u64,
 }
 
-/// A fleet and the traffic that it gets.
+/// A fleet and the traffic that it receives.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     /// The scenario file.
@@ -53,7 +53,7 @@
     pub controllers: Vec<String>,
     /// How many proxies each zone has.
     pub proxies_per_zone: u32,
-    /// Requests a second that a proxy is meant to carry.
+    /// Requests per second that a proxy is intended to serve.
     pub proxy_capacity: u32,
     /// The zones of the directories, one for each.
     pub directories: Vec<String>,
@@ -68,11 +68,11 @@
 }
 
 impl Scenario {
-    /// The change set that gives the fleet its configuration.
+    /// Returns the change set with the configuration of the fleet.
     pub fn configuration(&self) -> JsonValue {
         let mut puts = JsonValue::new_array();
         let mut add = |put: JsonValue| {
-            // This cannot fail, since it is an array.
+            // This cannot fail, since `puts` is an array.
             let _ = puts.push(put);
         };
         for (name, region) in &self.zones {
--- a/crates/runtime/src/scenario/reader.rs
+++ b/crates/runtime/src/scenario/reader.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The zones, each with its region.
+    /// Returns the zones, each with its region.
     fn zones(&mut self) -> Vec<(String, String)> {
         let read = |zone: &JsonValue| (text(zone, "name"), text(zone, "region"));
         let zones: Vec<(String, String)> = self.value["areas"].members().map(read).collect();
@@ -94,14 +94,19 @@
         zones
     }
 
-    /// A list of at least so many names of zones.
-    fn zone_names(&mut self, field: &str, least: usize, zones: &[(String, String)]) -> Vec<String> {
+    /// Returns a list of zone names, which must have at least this many entries.
+    fn zone_names(
+        &mut self,
+        field: &str,
+        required: usize,
+        zones: &[(String, String)],
+    ) -> Vec<String> {
         let names: Vec<String> = self.value[field]
             .members()
             .map(|name| name.as_str().unwrap_or_default().to_string())
             .collect();
-        if names.len() < least {
-            self.fault(field, format!("list at least {least} zone names"));
+        if names.len() < required {
+            self.fault(field, format!("list at least {required} zone names"));
         }
         for name in &names {
             if !zones.iter().any(|(zone, _)| zone == name) {
@@ -124,7 +129,7 @@
             if service.name.is_empty() || service.instances == 0 {
                 self.fault(
                     format!("pools[{index}]"),
-                    "give a name and at least one instance",
+                    "specify a name and at least one instance",
                 );
             }
         }
@@ -145,12 +150,12 @@
                 Some(kind) => traffic.push(kind),
                 None => self.fault(
                     format!("traffic[{index}]"),
-                    "give host, path, method and per_second",
+                    "specify host, path, method and per_second",
                 ),
             }
         }
         if traffic.is_empty() {
-            self.fault("traffic", "list at least one kind of order");
+            self.fault("traffic", "list at least one kind of request");
         }
         traffic
     }
@@ -171,6 +176,6 @@
     item[name].as_str().unwrap_or_default().to_string()
 }
 
-fn number(item: &JsonValue, name: &str, otherwise: u32) -> u32 {
-    item[name].as_u32().unwrap_or(otherwise)
+fn number(item: &JsonValue, name: &str, default_value: u32) -> u32 {
+    item[name].as_u32().unwrap_or(default_value)
 }
--- a/crates/runtime/tests/part_watch.rs
+++ b/crates/runtime/tests/part_watch.rs
@@ -10,7 +10,7 @@
     let mut watch = ProgressWatch::begin(began_at);
     let reported: Vec<u64> = (0..1000)
         .step_by(50)
-        .filter(|millis| watch.bytes_came(began_at + Duration::from_millis(*millis)))
+        .filter(|millis| watch.bytes_received(began_at + Duration::from_millis(*millis)))
         .collect();
     assert_eq!(reported, [400, 600, 800]);
 }
@@ -19,7 +19,7 @@
 fn given_a_message_that_comes_at_once_when_it_comes_in_many_parts_then_nothing_is_told() {
     let began_at = Instant::now();
     let mut watch = ProgressWatch::begin(began_at);
-    let tells = |millis| watch.bytes_came(began_at + Duration::from_millis(millis));
+    let tells = |millis| watch.bytes_received(began_at + Duration::from_millis(millis));
     assert_eq!(
         (0..400)
             .filter(|millis| *millis % 10 == 0)
