--- a/crates/agent/tests/agent_stories.rs
+++ b/crates/agent/tests/agent.rs
@@ -1,4 +1,4 @@
-//! Tests of agents whose proxies serve on, and of instances that said they are gone.
+//! Tests of the agent: when instances expire, when the link counts as slow, and which maps it sends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -46,26 +46,26 @@
     }
 }
 
-/// What the controllers do that the agent asks.
+/// How the controllers respond to the agent.
 #[derive(Clone, Copy, PartialEq)]
-enum Core {
-    Responds,
-    /// It answers, and no majority is behind it.
-    Alone,
-    Silent,
+enum Controllers {
+    Responding,
+    /// They respond, but without a quorum.
+    WithoutQuorum,
+    Unresponsive,
 }
 
-/// An agent, and a controller that is played by hand.
-struct Bench {
+/// An agent, and a controller that the test simulates.
+struct AgentFixture {
     machine: AgentMachine,
-    heard: BTreeMap<String, (Duration, u64)>,
-    ended: Vec<InstanceId>,
-    gone: Vec<(Duration, String)>,
+    last_heartbeats: BTreeMap<String, (Duration, u64)>,
+    deregistered: Vec<InstanceId>,
+    expired: Vec<(Duration, String)>,
 }
 
-const SPAN: Duration = Duration::from_millis(4000);
+const INSTANCE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-impl Bench {
+impl AgentFixture {
     fn new(proxy_serves_stale: bool) -> Self {
         let options = AgentOptions {
             heartbeat_refresh: Duration::ZERO,
@@ -75,18 +75,18 @@
             seeds: vec![address(6000), address(6001)],
             feed_form: FeedForm::Complete,
             proxy_serves_stale,
-            instance_timeout: SPAN,
+            instance_timeout: INSTANCE_TIMEOUT,
             lease_span: LEASE_SPAN,
         };
         Self {
             machine: AgentMachine::start(options, 1),
-            heard: BTreeMap::new(),
-            ended: Vec::new(),
-            gone: Vec::new(),
+            last_heartbeats: BTreeMap::new(),
+            deregistered: Vec::new(),
+            expired: Vec::new(),
         }
     }
 
-    fn says(&mut self, now: Duration, message: Message) -> Vec<AgentOutput> {
+    fn receive(&mut self, now: Duration, message: Message) -> Vec<AgentOutput> {
         let envelope = Envelope {
             from: NodeId(1),
             reply_to: address(6000),
@@ -98,7 +98,7 @@
         self.machine.input(now, AgentInput::Heard { envelope })
     }
 
-    fn ticks(&mut self, now: Duration, core: Core) {
+    fn tick(&mut self, now: Duration, controllers: Controllers) {
         let mut outputs = self.machine.input(now, AgentInput::Tick);
         let renewals: Vec<u64> = outputs
             .iter()
@@ -110,11 +110,17 @@
                 _ => None,
             })
             .collect();
-        for number in renewals.into_iter().filter(|_| core != Core::Silent) {
-            let instances = self.heard.iter().map(|(id, (at, counter))| HeardHeartbeat {
-                heartbeat: heartbeat(id, *counter),
-                age: now.saturating_sub(*at),
-            });
+        for number in renewals
+            .into_iter()
+            .filter(|_| controllers != Controllers::Unresponsive)
+        {
+            let instances = self
+                .last_heartbeats
+                .iter()
+                .map(|(id, (at, counter))| HeardHeartbeat {
+                    heartbeat: heartbeat(id, *counter),
+                    age: now.saturating_sub(*at),
+                });
             let granted = Granted {
                 proxies: 1,
                 number,
@@ -125,47 +131,50 @@
                 members: Vec::new(),
                 members_offset: 0,
                 updates: Vec::new(),
-                assured: core == Core::Responds,
-                gone: self.ended.clone(),
+                assured: controllers == Controllers::Responding,
+                gone: self.deregistered.clone(),
                 in_chunks: Vec::new(),
                 more: false,
             };
-            outputs.extend(self.says(now, Message::Grant { granted }));
+            outputs.extend(self.receive(now, Message::Grant { granted }));
         }
         for output in outputs {
             if let AgentOutput::LogEvent {
                 event: AgentEvent::InstanceGone { id },
             } = output
             {
-                self.gone.push((now, id.to_string()));
+                self.expired.push((now, id.to_string()));
             }
         }
     }
 
-    /// The core hears these heartbeat twice a second while time passes.
-    fn runs(&mut self, from: u64, to: u64, core: Core, beating: &[&str]) {
-        for step in (from..to).step_by(25) {
-            if step % 500 == 0 {
-                for name in beating {
-                    self.heard.insert((*name).to_string(), (millis(step), step));
+    /// Lets time pass while the controllers receive heartbeats of these instances twice a second.
+    fn run(&mut self, from: u64, to: u64, controllers: Controllers, heartbeating: &[&str]) {
+        for at_ms in (from..to).step_by(25) {
+            if at_ms % 500 == 0 {
+                for name in heartbeating {
+                    self.last_heartbeats
+                        .insert((*name).to_string(), (millis(at_ms), at_ms));
                 }
             }
-            self.ticks(millis(step), core);
+            self.tick(millis(at_ms), controllers);
         }
     }
 
-    fn known(&mut self, now: Duration) -> Vec<String> {
+    fn known_instances(&mut self, now: Duration) -> Vec<String> {
         let view = self.view(now);
-        let known = view.instances.iter();
-        known.map(|heartbeat| heartbeat.id.to_string()).collect()
+        let known_instances = view.instances.iter();
+        known_instances
+            .map(|heartbeat| heartbeat.id.to_string())
+            .collect()
     }
 
-    /// What a proxy that asks is told.
+    /// Returns the view that a polling proxy receives.
     fn view(&mut self, now: Duration) -> ProxyView {
         self.view_for_incarnation(now, 1)
     }
 
-    /// What a proxy that asks is told in one of its lives.
+    /// Returns the view that an incarnation of a polling proxy receives.
     fn view_for_incarnation(&mut self, now: Duration, incarnation: u64) -> ProxyView {
         let pull = Pull {
             agent: NodeId(0),
@@ -180,7 +189,7 @@
             incarnation,
             usage: Vec::new(),
         };
-        let outputs = self.says(now, Message::Pull { pull });
+        let outputs = self.receive(now, Message::Pull { pull });
         let view = outputs.into_iter().find_map(|output| match output {
             AgentOutput::Send {
                 message: Message::View { view },
@@ -188,69 +197,82 @@
             } => Some(view),
             _ => None,
         });
-        view.expect("a proxy that asks is told")
+        view.expect("a polling proxy receives a view")
     }
 }
 
 #[test]
-fn given_a_core_out_of_reach_when_the_proxy_serves_on_then_no_instance_expires_however_long() {
-    for core in [Core::Silent, Core::Alone] {
-        let mut bench = Bench::new(true);
-        bench.runs(0, 6000, Core::Responds, &["one", "two"]);
-        assert_eq!(bench.known(millis(6000)), ["one", "two"]);
-        bench.runs(6000, 120_000, core, &[]);
-        assert_eq!(bench.gone, []);
-        assert_eq!(bench.known(millis(120_000)), ["one", "two"]);
+fn no_instance_expires_while_controllers_are_unreachable_and_the_proxy_serves_stale() {
+    for controllers in [Controllers::Unresponsive, Controllers::WithoutQuorum] {
+        let mut fixture = AgentFixture::new(true);
+        fixture.run(0, 6000, Controllers::Responding, &["one", "two"]);
+        assert_eq!(fixture.known_instances(millis(6000)), ["one", "two"]);
+        fixture.run(6000, 120_000, controllers, &[]);
+        assert_eq!(fixture.expired, []);
+        assert_eq!(fixture.known_instances(millis(120_000)), ["one", "two"]);
     }
 }
 
 #[test]
-fn given_a_core_out_of_reach_when_the_proxy_falls_silent_then_instances_expire_after_their_span() {
-    let mut bench = Bench::new(false);
-    bench.runs(0, 6000, Core::Responds, &["one"]);
-    bench.runs(6000, 20_000, Core::Silent, &[]);
-    let (at, _) = bench.gone[0];
-    assert!(at >= millis(5500) + SPAN && at <= millis(5500) + SPAN + millis(100));
+fn instances_expire_while_controllers_are_unreachable_if_the_proxy_does_not_serve_stale() {
+    let mut fixture = AgentFixture::new(false);
+    fixture.run(0, 6000, Controllers::Responding, &["one"]);
+    fixture.run(6000, 20_000, Controllers::Unresponsive, &[]);
+    let (at, _) = fixture.expired[0];
+    assert!(
+        at >= millis(5500) + INSTANCE_TIMEOUT
+            && at <= millis(5500) + INSTANCE_TIMEOUT + millis(100)
+    );
 }
 
 #[test]
-fn given_a_core_that_is_back_when_a_whole_span_has_passed_then_the_silent_expire_and_no_sooner() {
-    let mut bench = Bench::new(true);
-    bench.runs(0, 6000, Core::Responds, &["one", "two"]);
-    bench.runs(6000, 40_000, Core::Silent, &[]);
-    bench.runs(40_000, 60_000, Core::Responds, &["two"]);
-    let names: Vec<&str> = bench.gone.iter().map(|(_, name)| name.as_str()).collect();
+fn instances_expire_a_full_timeout_after_controllers_are_reachable_again() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 6000, Controllers::Responding, &["one", "two"]);
+    fixture.run(6000, 40_000, Controllers::Unresponsive, &[]);
+    fixture.run(40_000, 60_000, Controllers::Responding, &["two"]);
+    let names: Vec<&str> = fixture
+        .expired
+        .iter()
+        .map(|(_, name)| name.as_str())
+        .collect();
     assert_eq!(names, ["one"]);
-    let (at, _) = bench.gone[0];
-    assert!(at >= millis(40_000) + SPAN, "gone already at {at:?}");
-    assert!(at <= millis(40_000) + SPAN + millis(1000), "gone at {at:?}");
+    let (at, _) = fixture.expired[0];
+    assert!(
+        at >= millis(40_000) + INSTANCE_TIMEOUT,
+        "it expired too early, at {at:?}"
+    );
+    assert!(
+        at <= millis(40_000) + INSTANCE_TIMEOUT + millis(1000),
+        "it expired at {at:?}"
+    );
 }
 
 #[test]
-fn given_a_core_that_comes_and_goes_when_it_never_answers_for_a_whole_span_then_nobody_expires() {
-    let mut bench = Bench::new(true);
-    bench.runs(0, 6000, Core::Responds, &["one"]);
-    for round in 0..20 {
-        let start = 6000 + round * 5000;
-        bench.runs(start, start + 2000, Core::Silent, &[]);
-        bench.runs(start + 2000, start + 5000, Core::Responds, &[]);
+fn no_instance_expires_while_controllers_are_reachable_only_briefly() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 6000, Controllers::Responding, &["one"]);
+    for cycle in 0..20 {
+        let start = 6000 + cycle * 5000;
+        fixture.run(start, start + 2000, Controllers::Unresponsive, &[]);
+        fixture.run(start + 2000, start + 5000, Controllers::Responding, &[]);
     }
-    assert_eq!(bench.gone, []);
+    assert_eq!(fixture.expired, []);
 }
 
 #[test]
-fn given_prompt_answers_when_the_core_falls_silent_then_the_link_does_not_count_as_slow() {
-    let mut bench = Bench::new(true);
-    bench.runs(0, 6000, Core::Responds, &["one"]);
-    assert_eq!(bench.view(millis(6000)).link_slow_for, Duration::ZERO);
-    bench.runs(6000, 9000, Core::Silent, &[]);
-    let stale = bench.view(millis(9000));
+fn link_with_prompt_responses_is_not_slow_when_controllers_stop_responding() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 6000, Controllers::Responding, &["one"]);
+    assert_eq!(fixture.view(millis(6000)).link_slow_for, Duration::ZERO);
+    fixture.run(6000, 9000, Controllers::Unresponsive, &[]);
+    let stale = fixture.view(millis(9000));
     assert_eq!(stale.left, Duration::ZERO);
     assert_eq!(stale.link_slow_for, Duration::ZERO);
 }
 
-/// An answer of a controller with a majority to a renewal of long ago.
-fn late_grant() -> Granted {
+/// Returns the response of a controller with a quorum to a renewal that was sent long ago.
+fn grant_for_an_old_renewal() -> Granted {
     Granted {
         proxies: 1,
         number: 1,
@@ -269,66 +291,68 @@
 }
 
 #[test]
-fn given_an_answer_that_comes_too_late_for_its_lease_when_a_proxy_asks_then_the_link_counts_as_slow(
-) {
-    let mut bench = Bench::new(true);
-    bench.runs(0, 6000, Core::Responds, &["one"]);
-    bench.runs(6000, 9500, Core::Silent, &[]);
-    bench.says(
+fn response_too_late_for_its_lease_marks_the_link_as_slow() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 6000, Controllers::Responding, &["one"]);
+    fixture.run(6000, 9500, Controllers::Unresponsive, &[]);
+    fixture.receive(
         millis(9500),
         Message::Grant {
-            granted: late_grant(),
+            granted: grant_for_an_old_renewal(),
         },
     );
-    let view = bench.view(millis(9500));
+    let view = fixture.view(millis(9500));
     assert_eq!(view.left, Duration::ZERO);
     assert_eq!(view.link_slow_for, SLOW_LINK_WINDOW);
-    let cut_off = millis(9500) + SLOW_LINK_WINDOW;
-    assert_eq!(bench.view(cut_off).link_slow_for, Duration::ZERO);
+    let partitioned_at = millis(9500) + SLOW_LINK_WINDOW;
+    assert_eq!(fixture.view(partitioned_at).link_slow_for, Duration::ZERO);
 }
 
 #[test]
-fn given_a_slow_answer_when_the_next_one_is_prompt_then_the_link_is_no_longer_slow() {
-    let mut bench = Bench::new(true);
-    bench.runs(0, 6000, Core::Responds, &["one"]);
-    bench.says(
+fn prompt_response_marks_the_link_as_no_longer_slow() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 6000, Controllers::Responding, &["one"]);
+    fixture.receive(
         millis(6000),
         Message::Grant {
-            granted: late_grant(),
+            granted: grant_for_an_old_renewal(),
         },
     );
-    assert_eq!(bench.view(millis(6000)).link_slow_for, SLOW_LINK_WINDOW);
-    bench.runs(6000, 6500, Core::Responds, &[]);
-    assert_eq!(bench.view(millis(6500)).link_slow_for, Duration::ZERO);
+    assert_eq!(fixture.view(millis(6000)).link_slow_for, SLOW_LINK_WINDOW);
+    fixture.run(6000, 6500, Controllers::Responding, &[]);
+    assert_eq!(fixture.view(millis(6500)).link_slow_for, Duration::ZERO);
 }
 
 #[test]
-fn given_a_core_in_touch_when_an_instance_is_silent_then_it_expires_after_its_span() {
-    let mut bench = Bench::new(true);
-    bench.runs(0, 6000, Core::Responds, &["one", "two"]);
-    bench.runs(6000, 12_000, Core::Responds, &["two"]);
-    let (at, name) = bench.gone[0].clone();
-    assert_eq!((name.as_str(), bench.gone.len()), ("one", 1));
-    assert!(at >= millis(5500) + SPAN && at <= millis(5500) + SPAN + millis(500));
+fn instance_without_heartbeats_expires_while_controllers_are_reachable() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 6000, Controllers::Responding, &["one", "two"]);
+    fixture.run(6000, 12_000, Controllers::Responding, &["two"]);
+    let (at, name) = fixture.expired[0].clone();
+    assert_eq!((name.as_str(), fixture.expired.len()), ("one", 1));
+    assert!(
+        at >= millis(5500) + INSTANCE_TIMEOUT
+            && at <= millis(5500) + INSTANCE_TIMEOUT + millis(500)
+    );
 }
 
 #[test]
-fn given_an_end_heard_by_a_grant_when_late_heartbeats_come_to_the_agent_then_it_is_not_revived() {
-    let mut bench = Bench::new(true);
-    bench.runs(0, 2000, Core::Responds, &["one", "two"]);
-    bench.ended.push(InstanceId::new("one"));
-    bench.runs(2000, 3000, Core::Responds, &["two"]);
-    assert_eq!(bench.known(millis(3000)), ["two"]);
-    // Straight to the agent, with a stamp of its own: still not.
-    let send = |bench: &mut Bench, now: u64, echo: Option<Echo>| {
+fn late_heartbeats_do_not_revive_a_deregistered_instance() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 2000, Controllers::Responding, &["one", "two"]);
+    fixture.deregistered.push(InstanceId::new("one"));
+    fixture.run(2000, 3000, Controllers::Responding, &["two"]);
+    assert_eq!(fixture.known_instances(millis(3000)), ["two"]);
+    // A heartbeat that is sent directly to the agent, with a valid stamp, does not revive it either.
+    let send = |fixture: &mut AgentFixture, now: u64, echo: Option<Echo>| {
         let input = AgentInput::Heartbeat {
             ticket: now,
             heartbeat: heartbeat("one", 90_000 + now),
             echo,
         };
-        bench.machine.input(millis(now), input)
+        fixture.machine.input(millis(now), input)
     };
-    let outputs = send(&mut bench, 3000, None);
+    let outputs = send(&mut fixture, 3000, None);
     let stamp = outputs.iter().find_map(|output| match output {
         AgentOutput::RespondToHeartbeat {
             response: Some(dated),
@@ -338,19 +362,19 @@
     });
     let held = Duration::ZERO;
     let echo = stamp.map(|stamp| Echo { stamp, held });
-    assert!(echo.is_some(), "it is asked to heartbeat again");
-    send(&mut bench, 3010, echo);
-    assert_eq!(bench.known(millis(3020)), ["two"]);
-    bench.ended.clear();
-    bench.runs(3025, 9000, Core::Responds, &["one", "two"]);
+    assert!(echo.is_some(), "another heartbeat is requested");
+    send(&mut fixture, 3010, echo);
+    assert_eq!(fixture.known_instances(millis(3020)), ["two"]);
+    fixture.deregistered.clear();
+    fixture.run(3025, 9000, Controllers::Responding, &["one", "two"]);
     assert_eq!(
-        bench.known(millis(9000)),
+        fixture.known_instances(millis(9000)),
         ["two"],
-        "nor by a controller's word"
+        "a heartbeat reported by a controller does not revive it"
     );
 }
 
-/// A map of routes that takes many pieces.
+/// Returns a map of routes that takes many chunks.
 fn large_map() -> ReplicatedMap {
     let mut map = ReplicatedMap::empty();
     let puts = (0..3000).map(|number| Put {
@@ -373,7 +397,7 @@
     map
 }
 
-/// A membership in which an agent votes.
+/// Returns a membership in which this agent is a voter.
 fn membership_with(agent: NodeId) -> ReplicatedMap {
     let holder = VoterEntry {
         node: agent,
@@ -398,9 +422,9 @@
     map
 }
 
-/// What the agent answers to a vote.
-fn votes_back(bench: &mut Bench, vote: ConsensusMessage) -> Vec<ConsensusMessage> {
-    let outputs = bench.says(millis(100), Message::ConsensusMessage { vote });
+/// Returns the agent's responses to a consensus message.
+fn voter_responses(fixture: &mut AgentFixture, vote: ConsensusMessage) -> Vec<ConsensusMessage> {
+    let outputs = fixture.receive(millis(100), Message::ConsensusMessage { vote });
     let votes = outputs.into_iter().filter_map(|output| match output {
         AgentOutput::Send {
             message: Message::ConsensusMessage { vote },
@@ -411,8 +435,8 @@
     votes.collect()
 }
 
-/// Lets the core bring the agent these maps.
-fn bring(bench: &mut Bench, updates: Vec<ConsensusMessage>) {
+/// Sends the agent a grant with these updates.
+fn apply_updates(fixture: &mut AgentFixture, updates: Vec<ConsensusMessage>) {
     let granted = Granted {
         proxies: 1,
         number: 0,
@@ -428,14 +452,14 @@
         in_chunks: Vec::new(),
         more: false,
     };
-    bench.says(millis(50), Message::Grant { granted });
+    fixture.receive(millis(50), Message::Grant { granted });
 }
 
 fn full_map(map: MapName, full_map: ReplicatedMap) -> ConsensusMessage {
     ConsensusMessage::Snapshot { map, full_map }
 }
 
-/// How many maps there are in these news.
+/// Returns the number of full maps in these updates.
 fn full_maps(updates: &[ConsensusMessage]) -> usize {
     let is_complete =
         |updates: &&ConsensusMessage| matches!(updates, ConsensusMessage::Snapshot { .. });
@@ -443,27 +467,27 @@
 }
 
 #[test]
-fn given_a_proxy_that_asks_all_the_time_when_a_map_is_due_then_it_is_told_whole_now_and_then() {
-    let mut bench = Bench::new(true);
-    bring(
-        &mut bench,
+fn polling_proxy_gets_a_full_map_at_limited_intervals() {
+    let mut fixture = AgentFixture::new(true);
+    apply_updates(
+        &mut fixture,
         vec![full_map(MapName::Configuration, large_map())],
     );
-    let reported = |bench: &mut Bench, step: u64| {
-        let view = bench.view(millis(1000 + step * 50));
+    let reported = |fixture: &mut AgentFixture, step: u64| {
+        let view = fixture.view(millis(1000 + step * 50));
         full_maps(&view.updates)
     };
-    let sent: usize = (0..60).map(|step| reported(&mut bench, step)).sum();
+    let sent: usize = (0..60).map(|step| reported(&mut fixture, step)).sum();
     assert_eq!(sent, 10, "once in 300 ms over three seconds");
-    let view = bench.view_for_incarnation(millis(3960), 2);
-    assert_eq!(full_maps(&view.updates), 1, "a new life at once");
+    let view = fixture.view_for_incarnation(millis(3960), 2);
+    assert_eq!(full_maps(&view.updates), 1, "a new incarnation at once");
 }
 
 #[test]
-fn given_an_agent_that_asks_all_the_time_when_a_map_is_due_then_it_is_told_whole_once_a_second() {
-    let mut bench = Bench::new(true);
-    bring(
-        &mut bench,
+fn polling_agent_gets_a_full_map_once_a_second() {
+    let mut fixture = AgentFixture::new(true);
+    apply_updates(
+        &mut fixture,
         vec![full_map(MapName::Configuration, large_map())],
     );
     let mut sent = 0;
@@ -473,7 +497,7 @@
             versions: vec![Version(0); ALL_MAPS.len()],
             heartbeats: Vec::new(),
         };
-        let outputs = bench.says(millis(1000 + step * 100), Message::FallbackRequest { ask });
+        let outputs = fixture.receive(millis(1000 + step * 100), Message::FallbackRequest { ask });
         for output in outputs {
             if let AgentOutput::Send {
                 message: Message::FallbackResponse { tell },
@@ -488,14 +512,14 @@
 }
 
 #[test]
-fn given_an_agent_that_votes_when_a_controller_is_behind_then_it_sends_pieces_and_no_whole_map() {
-    let mut bench = Bench::new(true);
-    let node = bench.machine.node();
+fn witness_sends_chunks_and_no_snapshot_to_a_controller_that_is_behind() {
+    let mut fixture = AgentFixture::new(true);
+    let node = fixture.machine.node();
     let updates = vec![
         full_map(MapName::Membership, membership_with(node)),
         full_map(MapName::Configuration, large_map()),
     ];
-    bring(&mut bench, updates);
+    apply_updates(&mut fixture, updates);
     let map = MapName::Configuration;
     let mut offset = 0;
     let mut total = u64::MAX;
@@ -511,7 +535,7 @@
             after: Version(0),
             position: Some(position),
         };
-        let responses = votes_back(&mut bench, poll);
+        let responses = voter_responses(&mut fixture, poll);
         let [ConsensusMessage::Chunk { chunk }] = responses.as_slice() else {
             panic!("{responses:?}");
         };
@@ -520,14 +544,14 @@
         total = chunk.total;
     }
     assert!(total > 2 * CHUNK_BYTES as u64, "{total} bytes");
-    // A vote that it refuses brings its refusal, and no map that nobody asked for.
+    // It responds to a rejected proposal with the rejection, and with no snapshot that was not requested.
     let refused = ConsensusMessage::Prepare {
         map,
         membership: Version(1),
         version: Version(1),
         proposal_number: ProposalNumber { round: 1, node },
     };
-    let responses = votes_back(&mut bench, refused);
+    let responses = voter_responses(&mut fixture, refused);
     assert!(
         matches!(responses.as_slice(), [ConsensusMessage::Reject { .. }]),
         "{responses:?}"
@@ -535,46 +559,47 @@
 }
 
 #[test]
-fn given_an_agent_with_reduced_maps_when_it_is_named_a_voter_then_it_counts_them_as_lacking() {
-    let mut bench = Bench::new(true);
-    let node = bench.machine.node();
+fn witness_with_reduced_maps_counts_them_as_missing() {
+    let mut fixture = AgentFixture::new(true);
+    let node = fixture.machine.node();
     let updates = vec![
         full_map(MapName::Membership, membership_with(node)),
         full_map(MapName::Configuration, large_map().reduced()),
     ];
-    bring(&mut bench, updates);
+    apply_updates(&mut fixture, updates);
     let map = MapName::Configuration;
     let poll = ConsensusMessage::CatchUp {
         map,
         after: Version(0),
         position: Some(TransferPosition::default()),
     };
-    let responses = votes_back(&mut bench, poll);
+    let responses = voter_responses(&mut fixture, poll);
     let nothing = ConsensusMessage::updates(FeedForm::Complete, map, Vec::new());
     assert_eq!(responses, [nothing]);
 }
 
 #[test]
-fn given_parts_of_a_slow_answer_when_the_lease_is_over_then_the_link_counts_as_slow_until_they_end()
-{
-    let mut bench = Bench::new(true);
-    bench.runs(0, 3000, Core::Responds, &["one"]);
-    // An answer begins to come, and its rest trickles in for longer than a lease lives.
+fn partial_response_marks_the_link_as_slow_until_the_parts_stop() {
+    let mut fixture = AgentFixture::new(true);
+    fixture.run(0, 3000, Controllers::Responding, &["one"]);
+    // A response starts to arrive, and the rest of it takes longer than the lifetime of a lease.
     let mut renewals = 0;
-    for step in (3000..12_000).step_by(200) {
-        bench.machine.input(millis(step), AgentInput::PartialFrame);
-        let outputs = bench.machine.input(millis(step), AgentInput::Tick);
+    for at_ms in (3000..12_000).step_by(200) {
+        fixture
+            .machine
+            .input(millis(at_ms), AgentInput::PartialFrame);
+        let outputs = fixture.machine.input(millis(at_ms), AgentInput::Tick);
         renewals += outputs.iter().filter(|output| is_renewal(output)).count();
     }
     let last_part = millis(11_800);
-    let slow_for = bench.view(millis(12_000)).link_slow_for;
+    let slow_for = fixture.view(millis(12_000)).link_slow_for;
     assert_eq!(slow_for, last_part + SLOW_LINK_WINDOW - millis(12_000));
     assert!(
         renewals <= 1,
-        "it asked {renewals} times while an answer came"
+        "it sent {renewals} renewals while a response was arriving"
     );
-    // Then nothing comes any more: that is a cut.
-    assert_eq!(bench.view(millis(18_000)).link_slow_for, Duration::ZERO);
+    // Then nothing more arrives, which is a partition.
+    assert_eq!(fixture.view(millis(18_000)).link_slow_for, Duration::ZERO);
 }
 
 fn is_renewal(output: &AgentOutput) -> bool {
--- a/crates/caperworks/examples/feed.rs
+++ b/crates/caperworks/examples/feed.rs
@@ -1,4 +1,4 @@
-//! A follower that takes changes after a place, and a snapshot when it is too far behind.
+//! A follower that receives the changes after its version, or a snapshot if it is too far behind.
 
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::feed::{FeedCache, Follower, MAX_HISTORY_WEIGHT};
@@ -30,11 +30,13 @@
     }
     let mut near = Follower::default();
     near.take(&updates(1, last - 2));
-    let (map, held) = (
+    let (map, present) = (
         MapName::Configuration,
         near.map(MapName::Configuration).version,
     );
-    let response = feed_cache.updates_after(map, held).expect("it is behind");
+    let response = feed_cache
+        .updates_after(map, present)
+        .expect("it is behind");
     assert!(matches!(response, ConsensusMessage::Updates { .. }));
     near.take(&response);
 
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -1,5 +1,5 @@
-//! Tests of a follower whose controller does not answer in time: which others it asks, which one it follows,
-//! and what it is told again.
+//! Tests of a follower whose controller does not respond in time: which other controllers it polls, which one it
+//! follows, and which facts it receives again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     }
 }
 
-fn link() -> CoreLink {
+fn new_link() -> CoreLink {
     let seeds = (0..CONTROLLERS).map(address).collect();
     CoreLink::new(NodeId(9), &[MapName::Configuration], seeds, 0)
 }
@@ -55,7 +55,7 @@
     }
 }
 
-fn heard(id: &str, counter: u64) -> HeardHeartbeat {
+fn received_heartbeat(id: &str, counter: u64) -> HeardHeartbeat {
     let heartbeat = Heartbeat {
         id: InstanceId::new(id),
         incarnation: Incarnation(0),
@@ -75,7 +75,7 @@
     HeardHeartbeat { heartbeat, age }
 }
 
-/// An answer of a controller that has a majority behind it and holds what the follower holds.
+/// Returns the response of a controller with a quorum whose maps have the follower's versions.
 fn grant(number: u64, offset: u64) -> Granted {
     Granted {
         number,
@@ -94,28 +94,28 @@
     }
 }
 
-/// The next renewal that is due after a moment, when and to whom.
+/// Returns the next renewal that is due after a time, with its time and its controller.
 fn next_renewal(link: &mut CoreLink, after: Duration) -> (Duration, SocketAddr, Renewal) {
     let mut now = after;
     loop {
         now += STEP;
-        assert!(now < after + millis(5000), "nothing is asked any more");
+        assert!(now < after + millis(5000), "no renewal is due any more");
         if link.due(now) {
             let (to, message) = link.renew(now, member());
             let Message::Renew { renewal } = message else {
-                panic!("{message:?} is no renewal");
+                panic!("{message:?} is not a renewal");
             };
             return (now, to, renewal);
         }
     }
 }
 
-/// A link that follows a controller which answers fast; gives the moment and that controller.
-fn following(link: &mut CoreLink) -> (Duration, SocketAddr) {
+/// Lets the link follow a controller that responds fast; returns the time and that controller.
+fn follow_controller(link: &mut CoreLink) -> (Duration, SocketAddr) {
     let mut now = Duration::ZERO;
     for offset in 1..10 {
-        let (asked_at, to, renewal) = next_renewal(link, now);
-        now = asked_at + STEP;
+        let (polled_at, to, renewal) = next_renewal(link, now);
+        now = polled_at + STEP;
         link.granted(now, responder(to), &grant(renewal.number, offset));
     }
     (now, link.controller())
@@ -123,41 +123,41 @@
 
 #[test]
 fn every_controller_is_asked_soon_and_briefly_while_none_responds() {
-    let mut link = link();
-    let (began_at, silent) = following(&mut link);
-    let mut now = began_at;
-    let mut asked = Vec::new();
+    let mut link = new_link();
+    let (started_at, unresponsive) = follow_controller(&mut link);
+    let mut now = started_at;
+    let mut polled = Vec::new();
     for _ in 0..CONTROLLERS + 1 {
-        let (asked_at, to, renewal) = next_renewal(&mut link, now);
-        now = asked_at;
-        asked.push((to, renewal.extent));
+        let (polled_at, to, renewal) = next_renewal(&mut link, now);
+        now = polled_at;
+        polled.push((to, renewal.extent));
     }
-    assert_eq!(asked[0], (silent, ResponseExtent::Full));
-    for (number, (to, extent)) in asked.iter().enumerate().skip(1) {
+    assert_eq!(polled[0], (unresponsive, ResponseExtent::Full));
+    for (number, (to, extent)) in polled.iter().enumerate().skip(1) {
         assert_eq!(*extent, ResponseExtent::Brief, "request {number}");
         assert!(
-            asked[..number].iter().all(|(earlier, _)| earlier != to)
+            polled[..number].iter().all(|(earlier, _)| earlier != to)
                 || number == usize::from(CONTROLLERS),
-            "request {number} goes to {to} again before all were asked"
+            "request {number} goes to {to} again before all controllers were polled"
         );
     }
     assert!(
-        now - began_at <= millis(2500),
+        now - started_at <= millis(2500),
         "it took {:?}",
-        now - began_at
+        now - started_at
     );
 }
 
 #[test]
 fn the_first_controller_that_responds_is_followed_however_late_it_was_asked() {
-    let mut link = link();
-    let (began_at, silent) = following(&mut link);
-    let (_, _, _) = next_renewal(&mut link, began_at);
-    let (second_at, second, second_renewal) = next_renewal(&mut link, began_at);
+    let mut link = new_link();
+    let (started_at, unresponsive) = follow_controller(&mut link);
+    let (_, _, _) = next_renewal(&mut link, started_at);
+    let (second_at, second, second_renewal) = next_renewal(&mut link, started_at);
     let (third_at, third, _) = next_renewal(&mut link, second_at);
     let (fourth_at, fourth, _) = next_renewal(&mut link, third_at);
-    assert!(![second, third, fourth].contains(&silent));
-    // The link is full: the answer to the second request comes after two others were asked.
+    assert!(![second, third, fourth].contains(&unresponsive));
+    // The link is saturated: the response to the second request arrives after two others were polled.
     let now = fourth_at + millis(100);
     link.granted(now, responder(second), &grant(second_renewal.number, 70));
     assert_eq!(link.controller(), second);
@@ -170,21 +170,21 @@
 
 #[test]
 fn a_late_response_of_a_controller_that_was_left_does_not_move_offsets_at_the_one_followed() {
-    let mut link = link();
-    let (began_at, left) = following(&mut link);
-    let (_, _, late) = next_renewal(&mut link, began_at);
-    let (asked_at, other, renewal) = next_renewal(&mut link, began_at);
+    let mut link = new_link();
+    let (started_at, left) = follow_controller(&mut link);
+    let (_, _, late) = next_renewal(&mut link, started_at);
+    let (polled_at, other, renewal) = next_renewal(&mut link, started_at);
     assert_ne!(other, left);
-    let now = asked_at + STEP;
+    let now = polled_at + STEP;
     link.granted(now, responder(other), &grant(renewal.number, 55));
     let reported = Granted {
-        instances: vec![heard("one", 1)],
+        instances: vec![received_heartbeat("one", 1)],
         ..grant(late.number, 1234)
     };
     link.granted(now + STEP, responder(left), &reported);
     assert_eq!(link.controller(), other);
     let known: Vec<&Heartbeat> = link.instances.iter().collect();
-    assert_eq!(known.len(), 1, "what it tells is taken all the same");
+    assert_eq!(known.len(), 1, "the facts in it are applied nevertheless");
     let (_, to, renewal) = next_renewal(&mut link, now);
     assert_eq!(to, other);
     assert_eq!(renewal.controller, responder(other).incarnation);
@@ -193,60 +193,60 @@
 
 #[test]
 fn another_controller_learns_how_long_ago_the_follower_had_all_facts() {
-    let mut link = link();
+    let mut link = new_link();
     let (_, _, first) = next_renewal(&mut link, Duration::ZERO);
-    assert_eq!(first.facts_age, None, "nobody has told it anything");
-    let mut link = self::link();
-    let (began_at, _) = following(&mut link);
-    let (_, _, _) = next_renewal(&mut link, began_at);
-    let (asked_at, _, renewal) = next_renewal(&mut link, began_at);
-    let age = renewal.facts_age.expect("it was told everything once");
-    // The last answer came one step after its request, and tells what was known when it was asked.
-    assert_eq!(age, asked_at - began_at + STEP);
+    assert_eq!(first.facts_age, None, "it has received no facts yet");
+    let mut link = self::new_link();
+    let (started_at, _) = follow_controller(&mut link);
+    let (_, _, _) = next_renewal(&mut link, started_at);
+    let (polled_at, _, renewal) = next_renewal(&mut link, started_at);
+    let age = renewal.facts_age.expect("it has received all facts once");
+    // The last response came one step after its request, and contains what was known at the time of the request.
+    assert_eq!(age, polled_at - started_at + STEP);
 }
 
 #[test]
 fn a_response_without_all_facts_does_not_count_as_complete() {
-    let mut link = link();
-    let (began_at, followed) = following(&mut link);
-    let (asked_at, _, renewal) = next_renewal(&mut link, began_at);
+    let mut link = new_link();
+    let (started_at, followed) = follow_controller(&mut link);
+    let (polled_at, _, renewal) = next_renewal(&mut link, started_at);
     let part = Granted {
         more: true,
         ..grant(renewal.number, 40)
     };
-    link.granted(asked_at + STEP, responder(followed), &part);
-    let (next_at, _, renewal) = next_renewal(&mut link, asked_at + STEP);
-    assert_eq!(renewal.facts_age, Some(next_at - began_at + STEP));
+    link.granted(polled_at + STEP, responder(followed), &part);
+    let (next_at, _, renewal) = next_renewal(&mut link, polled_at + STEP);
+    assert_eq!(renewal.facts_age, Some(next_at - started_at + STEP));
 }
 
 #[test]
 fn a_controller_that_cannot_be_reached_is_left_before_its_response_is_overdue() {
-    let mut link = link();
-    let (began_at, unreachable) = following(&mut link);
-    let (asked_at, to, _) = next_renewal(&mut link, began_at);
+    let mut link = new_link();
+    let (started_at, unreachable) = follow_controller(&mut link);
+    let (polled_at, to, _) = next_renewal(&mut link, started_at);
     assert_eq!(to, unreachable);
     link.controller_lost(to);
-    let (next_at, next, _) = next_renewal(&mut link, asked_at);
+    let (next_at, next, _) = next_renewal(&mut link, polled_at);
     assert_ne!(next, unreachable);
-    assert!(next_at - asked_at < CORE_TIMEOUT.min_timeout);
+    assert!(next_at - polled_at < CORE_TIMEOUT.min_timeout);
 }
 
 #[test]
 fn a_connection_to_a_controller_that_opens_late_tells_a_full_link_from_a_partition() {
-    let mut link = link();
-    let (now, followed) = following(&mut link);
+    let mut link = new_link();
+    let (now, followed) = follow_controller(&mut link);
     assert_eq!(link.slow_for(now), Duration::ZERO);
     link.connection_opened(now, followed, SLOW_RESPONSE - millis(1));
     assert_eq!(link.slow_for(now), Duration::ZERO, "it opened fast");
     link.connection_opened(now, address(300), SLOW_RESPONSE);
-    assert_eq!(link.slow_for(now), Duration::ZERO, "that is no controller");
+    assert_eq!(link.slow_for(now), Duration::ZERO, "it is not a controller");
     link.connection_opened(now, followed, SLOW_RESPONSE);
     assert_eq!(link.slow_for(now), SLOW_LINK_WINDOW);
 }
 
 #[test]
 fn a_link_that_has_not_been_answered_yet_counts_as_slow_until_it_is() {
-    let mut link = link();
+    let mut link = new_link();
     let (now, to, renewal) = next_renewal(&mut link, Duration::ZERO);
     assert_eq!(link.slow_for(now), SLOW_LINK_WINDOW);
     link.granted(now + STEP, responder(to), &grant(renewal.number, 1));
@@ -256,8 +256,8 @@
 #[test]
 fn the_offset_before_a_moment_covers_instances_that_said_they_ended() {
     let mut instances = Instances::default();
-    instances.handle(millis(1000), &heard("one", 1));
-    instances.handle(millis(2000), &heard("two", 2));
+    instances.handle(millis(1000), &received_heartbeat("one", 1));
+    instances.handle(millis(2000), &received_heartbeat("two", 2));
     instances.end(millis(3000), &InstanceId::new("one"));
     let notified_after = |moment: u64| {
         let offset = instances.offset_before(millis(moment));
@@ -275,14 +275,17 @@
 fn every_draining_instance_comes_with_the_first_facts_however_few_these_are() {
     let mut instances = Instances::default();
     for number in 1..40 {
-        instances.handle(millis(1000), &heard(&format!("instance-{number}"), number));
+        instances.handle(
+            millis(1000),
+            &received_heartbeat(&format!("instance-{number}"), number),
+        );
     }
-    let mut draining = heard("draining", 50);
+    let mut draining = received_heartbeat("draining", 50);
     draining.heartbeat.state = InstanceState::Draining;
     instances.handle(millis(1000), &draining);
     let reported = |offset: u64| {
         let first = instances.first_after(millis(1100), offset, 16);
-        let drains = |heard: &&HeardHeartbeat| heard.heartbeat.state == InstanceState::Draining;
+        let drains = |fact: &&HeardHeartbeat| fact.heartbeat.state == InstanceState::Draining;
         let draining = first.heard.iter().filter(drains).count();
         (first.heard.len(), draining, first.offset, first.more)
     };
--- a/crates/caperworks/tests/reduced_map_stories.rs
+++ b/crates/caperworks/tests/reduced_map.rs
@@ -1,4 +1,4 @@
-//! Stories of maps and changes in the reduced form, which followers get that only read them.
+//! Tests of maps and changes in the reduced form, which followers receive that only read them.
 
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::consensus::voter::{Voter, VoterOutcome};
@@ -12,8 +12,8 @@
 const MAP: MapName = MapName::Configuration;
 const KEYS_PUT: u64 = 6;
 
-/// A put of a route: under a version of the operators' own or without one, set or dropped.
-fn drawn_put(chance: &mut Chance) -> Put {
+/// Returns a random put of a route: with an operator's version or without one, set or dropped.
+fn random_put(chance: &mut Chance) -> Put {
     let key = chance.below(KEYS_PUT);
     let version = chance.below(12);
     let is_set = chance.below(4) > 0;
@@ -34,18 +34,22 @@
     }
 }
 
-fn drawn_change(chance: &mut Chance, number: u64) -> Change {
+fn random_change(chance: &mut Chance, number: u64) -> Change {
     let puts = 1 + chance.below(3);
     Change {
         id: ChangeId::new(format!("change-{number}")),
-        puts: (0..puts).map(|_| drawn_put(chance)).collect(),
+        puts: (0..puts).map(|_| random_put(chance)).collect(),
         guards: Vec::new(),
     }
 }
 
-/// The changes that voters agree on: they refuse what does not fit.
-fn agreed(map: &mut ReplicatedMap, chance: &mut Chance, number: u64) -> Option<NumberedChange> {
-    let change = drawn_change(chance, number);
+/// Applies a random change and returns it, unless voters would reject it.
+fn commit_random_change(
+    map: &mut ReplicatedMap,
+    chance: &mut Chance,
+    number: u64,
+) -> Option<NumberedChange> {
+    let change = random_change(chance, number);
     if map.weigh(&change) != Standpoint::Fits {
         return None;
     }
@@ -62,38 +66,45 @@
 }
 
 #[test]
-fn given_any_changes_when_followed_in_the_reduced_form_then_the_items_are_those_of_the_voters() {
-    let mut agreed_on = 0;
+fn reduced_follower_has_the_same_items_as_the_voters() {
+    let mut committed_count = 0;
     for seed in 0..400 {
         let mut chance = Chance::seeded(seed);
         let mut held = ReplicatedMap::empty();
         let mut follower = Follower::default();
-        // One that begins with a map and one that begins with nothing see the same.
-        let mut late = Follower::default();
-        let begins = chance.below(30);
+        // A follower that starts from a snapshot ends with the same items as one that starts without state.
+        let mut late_follower = Follower::default();
+        let starts_at = chance.below(30);
         for number in 0..60 {
-            if number == begins {
+            if number == starts_at {
                 let full_map = held.reduced();
-                late.take(&ConsensusMessage::Snapshot { map: MAP, full_map });
+                late_follower.take(&ConsensusMessage::Snapshot { map: MAP, full_map });
             }
-            let Some(change) = agreed(&mut held, &mut chance, number) else {
+            let Some(change) = commit_random_change(&mut held, &mut chance, number) else {
                 continue;
             };
-            agreed_on += 1;
+            committed_count += 1;
             let updates = reduced_updates(&[change]);
             follower.take(&updates);
-            if number >= begins {
-                late.take(&updates);
+            if number >= starts_at {
+                late_follower.take(&updates);
             }
             assert_eq!(follower.map(MAP), &held.reduced(), "seed {seed}, {number}");
         }
-        assert_eq!(late.map(MAP).items, follower.map(MAP).items, "seed {seed}");
+        assert_eq!(
+            late_follower.map(MAP).items,
+            follower.map(MAP).items,
+            "seed {seed}"
+        );
     }
-    assert!(agreed_on > 8000, "only {agreed_on} changes were agreed on");
+    assert!(
+        committed_count > 8000,
+        "only {committed_count} changes were committed"
+    );
 }
 
 #[test]
-fn given_operators_text_when_reduced_then_a_map_and_its_changes_are_much_smaller() {
+fn reduced_maps_and_changes_are_much_smaller() {
     let text = "x".repeat(400);
     let put = |number: u64| Put {
         key: format!("rule/{number}"),
@@ -120,11 +131,11 @@
 }
 
 #[test]
-fn given_a_voter_when_reduced_news_or_a_reduced_map_comes_then_it_takes_nothing_of_it() {
+fn voter_ignores_reduced_updates_and_maps() {
     let mut chance = Chance::seeded(1);
     let mut held = ReplicatedMap::empty();
     let changes: Vec<NumberedChange> = (0..20)
-        .filter_map(|number| agreed(&mut held, &mut chance, number))
+        .filter_map(|number| commit_random_change(&mut held, &mut chance, number))
         .collect();
     let full_map = held.reduced();
     for updates in [
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -1,4 +1,5 @@
-//! Stories of instances whose heartbeats stay away: those that answer requests go on serving.
+//! Tests of instances that are suspected because of missing heartbeats: those that respond to requests keep
+//! serving.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,7 +24,7 @@
 }
 
 fn heartbeat(name: &str, counter: u64) -> Heartbeat {
-    // Why a port of its own: an address has one instance at a time.
+    // Each instance has its own port, since an address belongs to one instance at a time.
     let port = 7000 + u16::from(name.as_bytes()[0]);
     Heartbeat {
         id: InstanceId::new(name),
@@ -42,7 +43,7 @@
     }
 }
 
-fn heard(name: &str, counter: u64) -> HeardHeartbeat {
+fn received_heartbeat(name: &str, counter: u64) -> HeardHeartbeat {
     HeardHeartbeat {
         heartbeat: heartbeat(name, counter),
         age: Duration::ZERO,
@@ -81,7 +82,7 @@
     configuration
 }
 
-/// One proxy with what it knows of some instances.
+/// A proxy with its knowledge of some instances.
 struct Proxy {
     knowledge: ProxyKnowledge,
     shard: ServiceShard,
@@ -95,12 +96,12 @@
             shard: ServiceShard::new(1),
             views: 0,
         };
-        proxy.is_notified(names, &[], true);
+        proxy.receive_view(names, &[], true);
         proxy
     }
 
-    /// Takes a view that tells these instances, and which of them are silent.
-    fn is_notified(&mut self, names: &[&str], silent: &[&str], all: bool) {
+    /// Applies a view with these instances, of which some are suspected.
+    fn receive_view(&mut self, names: &[&str], suspected: &[&str], all: bool) {
         self.views += 1;
         let updates = ConsensusMessage::Snapshot {
             map: MapName::Configuration,
@@ -118,12 +119,15 @@
             instances_offset: self.views,
             all_instances: all,
             link_slow_for: Duration::ZERO,
-            silent: silent.iter().map(|name| InstanceId::new(*name)).collect(),
+            silent: suspected
+                .iter()
+                .map(|name| InstanceId::new(*name))
+                .collect(),
         };
         self.knowledge.take(Duration::ZERO, &view);
     }
 
-    fn chooses(&mut self, now: Duration) -> Result<Target, Failure> {
+    fn choose_target(&mut self, now: Duration) -> Result<Target, Failure> {
         let route = Route {
             service: ServiceName::new(SERVICE),
             ..Route::default()
@@ -133,14 +137,14 @@
             .choose(now, &self.knowledge, &zone, &route, None, &[])
     }
 
-    /// Sends one request, which this instance answers well or not.
-    fn sends_to(&mut self, now: Duration, name: &str, good: bool) {
+    /// Sends one request to this instance, which succeeds or fails.
+    fn send_request(&mut self, now: Duration, name: &str, succeeds: bool) {
         for _ in 0..1000 {
-            let target = self.chooses(now).expect("some instance is chosen");
+            let target = self.choose_target(now).expect("an instance is chosen");
             self.shard.begin(now, &target);
-            let is_wanted = target.instance.as_str() == name;
-            if is_wanted {
-                self.shard.end(now, &target, good, None);
+            let is_intended = target.instance.as_str() == name;
+            if is_intended {
+                self.shard.end(now, &target, succeeds, None);
                 return;
             }
             self.shard.abandon(now, &target);
@@ -148,11 +152,11 @@
         panic!("{name} was never chosen");
     }
 
-    /// Which instances a hundred requests go to; nothing is said of how they end.
-    fn chosen(&mut self, now: Duration) -> BTreeSet<String> {
+    /// Returns the instances that are chosen for a hundred requests, without reporting their outcomes.
+    fn chosen_instances(&mut self, now: Duration) -> BTreeSet<String> {
         let mut chosen = BTreeSet::new();
         for _ in 0..100 {
-            if let Ok(target) = self.chooses(now) {
+            if let Ok(target) = self.choose_target(now) {
                 chosen.insert(target.instance.to_string());
             }
         }
@@ -165,117 +169,128 @@
 }
 
 #[test]
-fn given_a_silent_instance_when_it_answered_just_now_then_it_goes_on_serving() {
+fn suspected_instance_that_responded_recently_keeps_serving() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.sends_to(millis(1000), "a", true);
-    proxy.is_notified(&["a"], &["a"], false);
-    assert_eq!(proxy.chosen(millis(1500)), names(&["a", "b", "c"]));
+    proxy.send_request(millis(1000), "a", true);
+    proxy.receive_view(&["a"], &["a"], false);
+    assert_eq!(
+        proxy.chosen_instances(millis(1500)),
+        names(&["a", "b", "c"])
+    );
 }
 
 #[test]
-fn given_a_silent_instance_when_it_has_not_answered_of_late_then_it_gets_nothing() {
+fn suspected_instance_without_recent_responses_gets_no_requests() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.sends_to(millis(1000), "a", true);
-    proxy.is_notified(&["a"], &["a"], false);
+    proxy.send_request(millis(1000), "a", true);
+    proxy.receive_view(&["a"], &["a"], false);
     let late = millis(1000) + RESPONSE_SPAN;
-    assert_eq!(proxy.chosen(late), names(&["b", "c"]));
+    assert_eq!(proxy.chosen_instances(late), names(&["b", "c"]));
 }
 
 #[test]
-fn given_a_silent_instance_when_a_request_to_it_fails_then_it_gets_nothing_more() {
+fn failed_request_excludes_a_suspected_instance() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.sends_to(millis(1000), "a", true);
-    proxy.is_notified(&["a"], &["a"], false);
-    proxy.sends_to(millis(1100), "a", false);
-    assert_eq!(proxy.chosen(millis(1200)), names(&["b", "c"]));
+    proxy.send_request(millis(1000), "a", true);
+    proxy.receive_view(&["a"], &["a"], false);
+    proxy.send_request(millis(1100), "a", false);
+    assert_eq!(proxy.chosen_instances(millis(1200)), names(&["b", "c"]));
 }
 
 #[test]
-fn given_a_silent_instance_when_its_heartbeats_come_again_then_it_serves_like_any_other() {
+fn instance_serves_again_once_its_heartbeats_resume() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.is_notified(&["a"], &["a"], false);
-    assert_eq!(proxy.chosen(millis(1200)), names(&["b", "c"]));
-    proxy.is_notified(&["a"], &[], false);
-    assert_eq!(proxy.chosen(millis(1300)), names(&["a", "b", "c"]));
+    proxy.receive_view(&["a"], &["a"], false);
+    assert_eq!(proxy.chosen_instances(millis(1200)), names(&["b", "c"]));
+    proxy.receive_view(&["a"], &[], false);
+    assert_eq!(
+        proxy.chosen_instances(millis(1300)),
+        names(&["a", "b", "c"])
+    );
 }
 
 #[test]
-fn given_most_instances_silent_at_once_when_no_other_has_room_then_they_are_still_used() {
+fn mass_suspicion_keeps_using_instances_when_no_other_has_capacity() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.is_notified(&["a", "b", "c"], &["a", "b", "c"], false);
-    assert_eq!(proxy.chosen(millis(1000)), names(&["a", "b", "c"]));
+    proxy.receive_view(&["a", "b", "c"], &["a", "b", "c"], false);
+    assert_eq!(
+        proxy.chosen_instances(millis(1000)),
+        names(&["a", "b", "c"])
+    );
 }
 
 #[test]
-fn given_most_instances_silent_at_once_when_another_has_room_then_it_is_preferred() {
+fn mass_suspicion_prefers_an_instance_that_is_not_suspected() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.is_notified(&["a", "b"], &["a", "b"], false);
-    assert_eq!(proxy.chosen(millis(1000)), names(&["c"]));
+    proxy.receive_view(&["a", "b"], &["a", "b"], false);
+    assert_eq!(proxy.chosen_instances(millis(1000)), names(&["c"]));
 }
 
 #[test]
-fn given_most_instances_silent_at_once_when_one_fails_then_it_is_left_alone() {
+fn mass_suspicion_excludes_an_instance_after_a_failed_request() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
-    proxy.is_notified(&["a", "b", "c"], &["a", "b", "c"], false);
-    proxy.sends_to(millis(1000), "b", false);
-    assert_eq!(proxy.chosen(millis(1100)), names(&["a", "c"]));
+    proxy.receive_view(&["a", "b", "c"], &["a", "b", "c"], false);
+    proxy.send_request(millis(1000), "b", false);
+    assert_eq!(proxy.chosen_instances(millis(1100)), names(&["a", "c"]));
 }
 
 #[test]
-fn given_half_of_the_instances_silent_when_none_answers_then_they_get_nothing() {
+fn suspicion_of_half_of_the_instances_excludes_them() {
     let mut proxy = Proxy::new(&["a", "b"]);
-    proxy.is_notified(&["a"], &["a"], false);
-    assert_eq!(proxy.chosen(millis(1000)), names(&["b"]));
+    proxy.receive_view(&["a"], &["a"], false);
+    assert_eq!(proxy.chosen_instances(millis(1000)), names(&["b"]));
 }
 
 #[test]
-fn given_proxies_that_believe_silence_alone_when_most_are_silent_then_nothing_is_served() {
+fn mass_suspicion_without_passive_evidence_rejects_all_requests() {
     let mut proxy = Proxy::new(&["a", "b", "c"]);
     proxy.shard.without_passive_evidence = true;
-    proxy.sends_to(millis(1000), "a", true);
-    proxy.is_notified(&["a", "b", "c"], &["a", "b", "c"], false);
-    assert_eq!(proxy.chosen(millis(1100)), names(&[]));
+    proxy.send_request(millis(1000), "a", true);
+    proxy.receive_view(&["a", "b", "c"], &["a", "b", "c"], false);
+    assert_eq!(proxy.chosen_instances(millis(1100)), names(&[]));
 }
 
 #[test]
-fn given_heartbeats_that_stay_away_when_the_span_is_over_then_the_instance_is_silent_and_then_forgotten(
-) {
+fn missing_heartbeats_suspect_an_instance_and_then_remove_it() {
     let mut instances = Instances::default();
     let id = InstanceId::new("a");
-    instances.handle(millis(1000), &heard("a", 1));
+    instances.handle(millis(1000), &received_heartbeat("a", 1));
     let offset = instances.learned();
-    let silent_at = millis(1000) + INSTANCE_SPAN;
-    assert_eq!(instances.count_silent(silent_at - millis(1)), []);
-    assert_eq!(instances.count_silent(silent_at), vec![id.clone()]);
+    let suspected_at = millis(1000) + INSTANCE_SPAN;
+    assert_eq!(instances.count_silent(suspected_at - millis(1)), []);
+    assert_eq!(instances.count_silent(suspected_at), vec![id.clone()]);
     assert!(instances.is_silent(&id));
-    let reported = instances.after(silent_at, offset);
-    assert_eq!(reported.len(), 1, "followers are told of it");
-    assert_eq!(instances.count_silent(silent_at + millis(10)), [], "once");
-    let forgotten_at = silent_at + SILENT_SPAN;
+    let reported = instances.after(suspected_at, offset);
+    assert_eq!(reported.len(), 1, "followers are notified");
+    assert_eq!(
+        instances.count_silent(suspected_at + millis(10)),
+        [],
+        "once"
+    );
+    let forgotten_at = suspected_at + SILENT_SPAN;
     instances.count_silent(forgotten_at);
     assert!(instances.get(&id).is_none());
     assert!(!instances.is_silent(&id));
 }
 
 #[test]
-fn given_a_silent_instance_when_it_is_heard_again_then_followers_are_told_even_if_nothing_else_changed(
-) {
+fn resumed_heartbeats_are_reported_to_followers_without_other_changes() {
     let mut instances = Instances::default();
     instances.refresh = millis(60_000);
-    instances.handle(millis(1000), &heard("a", 1));
+    instances.handle(millis(1000), &received_heartbeat("a", 1));
     instances.count_silent(millis(1000) + INSTANCE_SPAN);
     let offset = instances.learned();
-    let back = millis(5000);
-    assert!(instances.handle(back, &heard("a", 2)));
+    let resumed_at = millis(5000);
+    assert!(instances.handle(resumed_at, &received_heartbeat("a", 2)));
     assert!(!instances.is_silent(&InstanceId::new("a")));
-    assert_eq!(instances.after(back, offset).len(), 1);
+    assert_eq!(instances.after(resumed_at, offset).len(), 1);
 }
 
 #[test]
-fn given_a_silent_instance_when_it_is_told_to_have_ended_then_it_is_gone_at_once() {
+fn deregistration_removes_a_suspected_instance_at_once() {
     let mut instances = Instances::default();
     let id = InstanceId::new("a");
-    instances.handle(millis(1000), &heard("a", 1));
+    instances.handle(millis(1000), &received_heartbeat("a", 1));
     instances.count_silent(millis(1000) + INSTANCE_SPAN);
     instances.end(millis(4500), &id);
     assert!(instances.get(&id).is_none());
@@ -283,11 +298,11 @@
 }
 
 #[test]
-fn given_a_silent_instance_when_another_takes_its_address_then_it_is_gone_at_once() {
+fn instance_at_the_same_address_replaces_a_suspected_one_at_once() {
     let mut instances = Instances::default();
-    instances.handle(millis(1000), &heard("a", 1));
+    instances.handle(millis(1000), &received_heartbeat("a", 1));
     instances.count_silent(millis(1000) + INSTANCE_SPAN);
-    let mut successor = heard("b", 1);
+    let mut successor = received_heartbeat("b", 1);
     successor.heartbeat.address = heartbeat("a", 1).address;
     assert!(instances.handle(millis(4500), &successor));
     assert!(instances.get(&InstanceId::new("a")).is_none());
@@ -295,15 +310,15 @@
 }
 
 #[test]
-fn given_a_silent_instance_when_its_next_life_has_a_lower_incarnation_then_that_one_is_taken() {
+fn restart_with_a_lower_incarnation_is_accepted_once_the_old_one_is_suspected() {
     let mut instances = Instances::default();
-    let mut former = heard("a", 9);
+    let mut former = received_heartbeat("a", 9);
     former.heartbeat.incarnation = Incarnation(1000);
     instances.handle(millis(1000), &former);
-    let next = heard("a", 1);
+    let next = received_heartbeat("a", 1);
     assert!(
         !instances.handle(millis(2000), &next),
-        "not while it is heard"
+        "not while heartbeats of the old incarnation are received"
     );
     instances.count_silent(millis(1000) + INSTANCE_SPAN);
     assert!(instances.handle(millis(4100), &next));
@@ -314,16 +329,15 @@
 }
 
 #[test]
-fn given_an_instance_unheard_for_long_when_silence_counts_again_then_it_is_silent_before_it_is_gone(
-) {
+fn instance_unseen_for_long_is_suspected_before_it_is_removed() {
     let mut instances = Instances::default();
-    instances.handle(millis(1000), &heard("a", 1));
-    let back = millis(1000) + INSTANCE_SPAN + SILENT_SPAN * 2;
+    instances.handle(millis(1000), &received_heartbeat("a", 1));
+    let resumed_at = millis(1000) + INSTANCE_SPAN + SILENT_SPAN * 2;
     let id = InstanceId::new("a");
-    assert_eq!(instances.count_silent(back), vec![id.clone()]);
+    assert_eq!(instances.count_silent(resumed_at), vec![id.clone()]);
     assert!(instances.is_silent(&id));
-    instances.count_silent(back + SILENT_SPAN - millis(1));
+    instances.count_silent(resumed_at + SILENT_SPAN - millis(1));
     assert!(instances.get(&id).is_some());
-    instances.count_silent(back + SILENT_SPAN);
+    instances.count_silent(resumed_at + SILENT_SPAN);
     assert!(instances.get(&id).is_none());
 }
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -1,4 +1,4 @@
-//! Tests of control connections over real sockets on loopback: answers on the connection of the question,
+//! Tests of control connections over real sockets on loopback: responses on the connection of the request,
 //! connections that are dead, and connections that are reset.
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,12 +15,12 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Far longer than anything here takes.
-const AT_MOST: Duration = Duration::from_secs(20);
-/// How often a follower asks in these tests.
-const REQUEST_PERIOD: Duration = Duration::from_millis(100);
-/// Nobody listens here.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
+/// Far longer than any step of these tests takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// The interval between a follower's requests in these tests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// An address on which no process listens.
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
 fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
@@ -37,8 +37,8 @@
         counter: number,
         role: Role::Proxy,
         zone: Zone::new("east-1"),
-        control: NOWHERE,
-        serving: NOWHERE,
+        control: UNUSED_ADDRESS,
+        serving: UNUSED_ADDRESS,
         ready: true,
         capacity: 1,
         demand: Vec::new(),
@@ -84,7 +84,7 @@
 fn envelope(message: Message) -> Envelope {
     Envelope {
         from: NodeId(1),
-        reply_to: NOWHERE,
+        reply_to: UNUSED_ADDRESS,
         message,
         stamp: None,
         echo: None,
@@ -105,47 +105,48 @@
 }
 
 async fn read_message(stream: &mut TcpStream) -> Message {
-    let length = stream.read_u32().await.expect("a frame comes");
+    let length = stream.read_u32().await.expect("a frame arrives");
     let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).await.expect("it is complete");
     let envelope: Envelope = minicbor::decode(&bytes).expect("it decodes");
     envelope.message
 }
 
-/// A port of a follower, and what happens at it.
+/// Returns the port of a follower, and its events.
 async fn follower() -> (ControlPort, mpsc::UnboundedReceiver<PortEvent>) {
     let (sender, events) = mpsc::unbounded_channel();
-    // Nothing can be opened to the address at which it says that it hears answers.
-    let port = ControlPort::open_with_events(NodeId(7), free_address(), NOWHERE, move |event| {
-        let _ = sender.send(event);
-    })
-    .await
-    .expect("the port opens");
+    // No connection can be opened to the address that it advertises.
+    let port =
+        ControlPort::open_with_events(NodeId(7), free_address(), UNUSED_ADDRESS, move |event| {
+            let _ = sender.send(event);
+        })
+        .await
+        .expect("the port opens");
     (port, events)
 }
 
 async fn next_message(events: &mut mpsc::UnboundedReceiver<PortEvent>) -> Message {
     loop {
-        let event = timeout(AT_MOST, events.recv()).await;
-        match event.expect("something happens in time") {
+        let event = timeout(TEST_TIMEOUT, events.recv()).await;
+        match event.expect("an event occurs in time") {
             Some(PortEvent::Received(envelope)) => return envelope.message,
             Some(_) => {}
-            None => panic!("the port is gone"),
+            None => panic!("the port has closed"),
         }
     }
 }
 
 async fn accept(listener: &TcpListener) -> TcpStream {
-    let accepted = timeout(AT_MOST, listener.accept()).await;
+    let accepted = timeout(TEST_TIMEOUT, listener.accept()).await;
     accepted
-        .expect("a connection comes in time")
+        .expect("a connection is opened in time")
         .expect("it is accepted")
         .0
 }
 
 #[tokio::test]
 async fn a_response_comes_back_on_the_connection_of_the_request() {
-    let (sender, mut asked) = mpsc::unbounded_channel();
+    let (sender, mut requests) = mpsc::unbounded_channel();
     let address = free_address();
     let controller = ControlPort::open(NodeId(1), address, address, move |envelope| {
         let _ = sender.send(envelope);
@@ -155,8 +156,10 @@
     let (follower, mut events) = follower().await;
     for number in 1..4 {
         follower.send(address, renewal(number));
-        let poll = timeout(AT_MOST, asked.recv()).await;
-        let poll = poll.expect("it is asked").expect("the port is there");
+        let poll = timeout(TEST_TIMEOUT, requests.recv()).await;
+        let poll = poll
+            .expect("a request arrives in time")
+            .expect("the port is open");
         assert_eq!(poll.message, renewal(number));
         controller.send(poll.reply_to, grant(number));
         assert_eq!(next_message(&mut events).await, grant(number));
@@ -165,7 +168,7 @@
 
 #[tokio::test]
 async fn an_earlier_release_that_does_not_read_there_is_answered_at_its_own_address() {
-    let (sender, mut asked) = mpsc::unbounded_channel();
+    let (sender, mut requests) = mpsc::unbounded_channel();
     let address = free_address();
     let controller = ControlPort::open(NodeId(1), address, address, move |envelope| {
         let _ = sender.send(envelope);
@@ -183,8 +186,10 @@
     let bytes = minicbor::to_vec(poll).expect("it encodes");
     stream.write_u32(bytes.len() as u32).await.expect("written");
     stream.write_all(&bytes).await.expect("written");
-    let poll = timeout(AT_MOST, asked.recv()).await;
-    let poll = poll.expect("it is asked").expect("the port is there");
+    let poll = timeout(TEST_TIMEOUT, requests.recv()).await;
+    let poll = poll
+        .expect("a request arrives in time")
+        .expect("the port is open");
     controller.send(poll.reply_to, grant(1));
     let mut responses = accept(&listener).await;
     assert_eq!(read_message(&mut responses).await, grant(1));
@@ -196,23 +201,23 @@
     let controller = listener.local_addr().expect("it is bound");
     let (follower, mut events) = follower().await;
     follower.send(controller, renewal(1));
-    let mut before = accept(&listener).await;
-    assert_eq!(read_message(&mut before).await, renewal(1));
-    write_message(&mut before, grant(1)).await;
+    let mut old_connection = accept(&listener).await;
+    assert_eq!(read_message(&mut old_connection).await, renewal(1));
+    write_message(&mut old_connection, grant(1)).await;
     assert_eq!(next_message(&mut events).await, grant(1));
-    // The peer loses power: nothing that is sent on the connection is answered any more, nor is it reset.
+    // The peer loses power: it sends no more responses on the connection, and does not reset it.
     let mut number = 1;
-    let mut fresh = loop {
+    let mut new_connection = loop {
         number += 1;
-        assert!(number < 100, "it goes on sending into the dead connection");
+        assert!(number < 100, "it keeps sending on the dead connection");
         follower.send(controller, renewal(number));
-        if let Ok(accepted) = timeout(REQUEST_PERIOD, listener.accept()).await {
+        if let Ok(accepted) = timeout(REQUEST_INTERVAL, listener.accept()).await {
             break accepted.expect("it is accepted").0;
         }
     };
     follower.send(controller, renewal(1000));
-    while read_message(&mut fresh).await != renewal(1000) {}
-    write_message(&mut fresh, grant(1000)).await;
+    while read_message(&mut new_connection).await != renewal(1000) {}
+    write_message(&mut new_connection, grant(1000)).await;
     assert_eq!(next_message(&mut events).await, grant(1000));
 }
 
@@ -222,33 +227,37 @@
     let controller = listener.local_addr().expect("it is bound");
     let (follower, mut events) = follower().await;
     follower.send(controller, renewal(1));
-    let mut before = accept(&listener).await;
-    assert_eq!(read_message(&mut before).await, renewal(1));
-    write_message(&mut before, grant(1)).await;
+    let mut old_connection = accept(&listener).await;
+    assert_eq!(read_message(&mut old_connection).await, renewal(1));
+    write_message(&mut old_connection, grant(1)).await;
     assert_eq!(next_message(&mut events).await, grant(1));
     follower.send(controller, renewal(2));
-    assert_eq!(read_message(&mut before).await, renewal(2));
-    drop(before);
-    let mut fresh = accept(&listener).await;
-    assert_eq!(read_message(&mut fresh).await, renewal(2));
-    // A peer that resets the fresh connection as well is not asked again by the port: its process may be down.
-    drop(fresh);
+    assert_eq!(read_message(&mut old_connection).await, renewal(2));
+    drop(old_connection);
+    let mut new_connection = accept(&listener).await;
+    assert_eq!(read_message(&mut new_connection).await, renewal(2));
+    // If the peer resets the new connection as well, the port does not repeat the request: its process may be down.
+    drop(new_connection);
     let mut lost = 0;
     while lost < 2 {
-        let event = timeout(AT_MOST, events.recv()).await;
-        let event = event.expect("it is told").expect("the port is there");
+        let event = timeout(TEST_TIMEOUT, events.recv()).await;
+        let event = event
+            .expect("an event occurs in time")
+            .expect("the port is open");
         lost += u32::from(matches!(event, PortEvent::Lost { peer } if peer == controller));
     }
-    let once_more = timeout(REQUEST_PERIOD, listener.accept()).await;
-    assert!(once_more.is_err(), "it is asked again and again");
+    let another_connection = timeout(REQUEST_INTERVAL, listener.accept()).await;
+    assert!(another_connection.is_err(), "the request is repeated again");
 }
 
 #[tokio::test]
 async fn a_peer_that_rejects_connections_is_reported_as_lost_at_once() {
     let (follower, mut events) = follower().await;
-    let nobody = free_address();
-    follower.send(nobody, renewal(1));
-    let event = timeout(AT_MOST, events.recv()).await;
-    let event = event.expect("it is told").expect("the port is there");
-    assert!(matches!(event, PortEvent::Lost { peer } if peer == nobody));
+    let closed_address = free_address();
+    follower.send(closed_address, renewal(1));
+    let event = timeout(TEST_TIMEOUT, events.recv()).await;
+    let event = event
+        .expect("an event occurs in time")
+        .expect("the port is open");
+    assert!(matches!(event, PortEvent::Lost { peer } if peer == closed_address));
 }
--- a/crates/runtime/tests/disk_stories.rs
+++ b/crates/runtime/tests/data_folder.rs
@@ -1,4 +1,4 @@
-//! Stories of the data folder on a real disk.
+//! Tests of the data folder on a real disk.
 
 use std::path::PathBuf;
 
@@ -8,10 +8,10 @@
 
 const DISK_CAPACITY: u64 = 64 * 1024;
 
-/// A folder of its own for one story, removed at its end.
-struct StoryFolder(PathBuf);
+/// A folder of one test, removed at its end.
+struct TestFolder(PathBuf);
 
-impl StoryFolder {
+impl TestFolder {
     fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("disk-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -29,34 +29,34 @@
     }
 }
 
-impl Drop for StoryFolder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Lays a folder out and writes a state and a line into it.
-fn written(story: &StoryFolder) {
-    let folder = DataFolder::open(&story.0, DISK_CAPACITY, DISK_CAPACITY).expect("it opens");
+/// Creates a data folder and writes a state and a line into it.
+fn write_state_and_line(test_folder: &TestFolder) {
+    let folder = DataFolder::open(&test_folder.0, DISK_CAPACITY, DISK_CAPACITY).expect("it opens");
     let mut disk = SlotDisk::new(DISK_CAPACITY, DISK_CAPACITY);
     let mut writes = disk.rewrite(b"a state").to_vec();
     writes.extend(disk.append(&[b"a line".to_vec()]));
     let (sender, done) = std::sync::mpsc::channel();
-    let writer = folder.start_writer(move |ticket, well| {
-        let _ = sender.send((ticket, well));
+    let writer = folder.start_writer(move |ticket, is_synced| {
+        let _ = sender.send((ticket, is_synced));
     });
-    writer.send((1, writes)).expect("the writer lives");
+    writer.send((1, writes)).expect("the writer is running");
     assert_eq!(done.recv(), Ok((1, true)));
     drop(writer);
-    // Why waited for: the writer holds the folder's lock until its thread ends.
+    // The writer's thread holds the folder's lock until it ends.
     assert!(done.recv().is_err());
 }
 
 #[test]
-fn given_a_written_folder_when_opened_again_then_the_state_and_its_line_are_there() {
-    let story = StoryFolder::new("again");
-    written(&story);
-    let folder = DataFolder::open(&story.0, DISK_CAPACITY, DISK_CAPACITY).expect("it opens");
+fn reopened_data_folder_returns_state_and_log() {
+    let test_folder = TestFolder::new("again");
+    write_state_and_line(&test_folder);
+    let folder = DataFolder::open(&test_folder.0, DISK_CAPACITY, DISK_CAPACITY).expect("it opens");
     let image = folder.image().expect("it reads");
     let expected = Recovery::Found {
         state: b"a state".to_vec(),
@@ -69,23 +69,22 @@
 }
 
 #[test]
-fn given_a_file_of_an_unknown_format_when_opened_then_file_number_and_remedy_are_told_and_nothing_is_written(
-) {
+fn unknown_disk_format_is_reported_and_nothing_is_written() {
     for part in [DiskFile::FirstSlot, DiskFile::Log] {
-        let story = StoryFolder::new(part.file_name());
-        written(&story);
-        let mut bytes = story.read(part);
+        let test_folder = TestFolder::new(part.file_name());
+        write_state_and_line(&test_folder);
+        let mut bytes = test_folder.read(part);
         let format = DISK_FORMAT + 1;
         bytes[4..6].copy_from_slice(&format.to_le_bytes());
         bytes[6..8].copy_from_slice(&(!format).to_le_bytes());
-        std::fs::write(story.0.join(part.file_name()), &bytes).expect("it writes");
-        let before = story.all();
-        // Even more room is not laid out.
-        let failure = DataFolder::open(&story.0, 2 * DISK_CAPACITY, 2 * DISK_CAPACITY).err();
-        let reported = failure.expect("it is refused").to_string();
+        std::fs::write(test_folder.0.join(part.file_name()), &bytes).expect("it writes");
+        let before = test_folder.all();
+        // Files are not extended to a larger capacity either.
+        let failure = DataFolder::open(&test_folder.0, 2 * DISK_CAPACITY, 2 * DISK_CAPACITY).err();
+        let message = failure.expect("it is rejected").to_string();
         for word in [part.file_name(), "format 3", "start the program", "Nothing"] {
-            assert!(reported.contains(word), "{reported}");
+            assert!(message.contains(word), "{message}");
         }
-        assert_eq!(story.all(), before);
+        assert_eq!(test_folder.all(), before);
     }
 }
--- a/crates/runtime/tests/freeze_guard.rs
+++ b/crates/runtime/tests/freeze_guard.rs
@@ -1,4 +1,4 @@
-//! Tests of the guard against input from before a freeze.
+//! Tests of the detection of input from before a freeze.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn given_a_process_that_looks_often_when_it_reads_then_nothing_is_in_doubt() {
+fn frequent_clock_reads_never_mark_input_as_stale() {
     let guard = FreezeGuard::start(millis(0));
     for step in 1..200 {
         assert!(!guard.look(millis(step * 25)), "step {step}");
@@ -17,10 +17,13 @@
 }
 
 #[test]
-fn given_a_freeze_when_the_process_wakes_then_input_is_in_doubt_for_a_moment() {
+fn input_shortly_after_a_freeze_is_marked_as_stale() {
     let guard = FreezeGuard::start(millis(0));
     assert!(!guard.look(millis(25)));
-    assert!(guard.look(millis(3_000)), "the first look after the gap");
+    assert!(
+        guard.look(millis(3_000)),
+        "the first clock read after the gap"
+    );
     assert!(
         guard.look(millis(3_500)),
         "sockets may still hold old input"
@@ -29,17 +32,17 @@
 }
 
 #[test]
-fn given_a_gap_that_callers_wait_out_when_the_process_goes_on_then_input_is_taken() {
+fn gap_below_the_threshold_is_not_a_freeze() {
     let guard = FreezeGuard::start(millis(0));
     assert!(!guard.look(millis(699)));
     assert!(guard.look(millis(699 + 700)));
 }
 
 #[test]
-fn given_two_readers_when_one_looks_late_then_the_other_still_sees_the_doubt() {
+fn late_reader_does_not_hide_a_freeze_from_others() {
     let guard = FreezeGuard::start(millis(0));
     assert!(guard.look(millis(2_000)));
-    // A reader whose time was taken before another one's.
+    // A reader that read the clock before another one did.
     assert!(guard.look(millis(1_999)));
     assert!(guard.look(millis(2_100)));
 }
--- a/crates/runtime/tests/heartbeat_json.rs
+++ b/crates/runtime/tests/heartbeat_json.rs
@@ -1,4 +1,4 @@
-//! The JSON of heartbeats and of their answers.
+//! Tests of the JSON of heartbeats and of the responses to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use runtime::http::heartbeats;
 
 #[test]
-fn given_heartbeats_and_answers_when_written_and_read_then_nothing_changes() {
+fn heartbeats_and_responses_survive_a_json_round_trip() {
     let heartbeat = Heartbeat {
         id: InstanceId::new("evidence-1"),
         incarnation: Incarnation(1_800_000_000_123),
@@ -39,7 +39,7 @@
     json["stamp"] = heartbeats::write_echo(&Echo { stamp, held });
     let read = heartbeats::read_with_echo(&json.dump()).expect("it reads");
     assert_eq!(read, (heartbeat, Some(Echo { stamp, held })));
-    let hold = KeyRangeLease {
+    let lease = KeyRangeLease {
         key_range: 4,
         epoch: Epoch(9),
         left: Duration::from_millis(6000),
@@ -47,7 +47,7 @@
     };
     let dated = TimestampedResponse {
         response: HeartbeatResponse {
-            leases: vec![hold],
+            leases: vec![lease],
             release: Vec::new(),
             ..HeartbeatResponse::default()
         },
@@ -56,12 +56,12 @@
     };
     let json = jzon::parse(&heartbeats::write_with_stamp(&dated).dump()).expect("it is JSON");
     assert_eq!(heartbeats::read_timestamped_response(&json), Some(dated));
-    for (field, garbled) in [("stamp", "\"none\""), ("let_go", "[7]"), ("state", "4")] {
+    for (field, invalid) in [("stamp", "\"none\""), ("let_go", "[7]"), ("state", "4")] {
         let mut json = heartbeats::write(&read.0);
-        json[field] = jzon::parse(garbled).expect("it is JSON");
+        json[field] = jzon::parse(invalid).expect("it is JSON");
         assert!(
             heartbeats::read_with_echo(&json.dump()).is_err(),
-            "{field} {garbled}"
+            "{field} {invalid}"
         );
     }
 }
--- a/crates/runtime/tests/inbox.rs
+++ b/crates/runtime/tests/inbox.rs
@@ -1,13 +1,13 @@
-//! The inbox of an actor.
+//! Tests of the inbox of an actor.
 
 use runtime::actor::Inbox;
 
 #[test]
-fn given_a_desk_that_does_not_keep_up_when_its_inbox_is_full_then_inputs_are_turned_away() {
+fn full_inbox_rejects_inputs() {
     let (inbox, mut receiver) = Inbox::with_capacity(2);
     assert!(inbox.give(1) && inbox.give(2));
-    assert!(!inbox.give(3), "a third finds no room");
+    assert!(!inbox.give(3), "the third input exceeds the capacity");
     assert_eq!(receiver.try_recv(), Ok(1));
-    assert!(inbox.give(4), "there is room again");
+    assert!(inbox.give(4), "there is capacity again");
     assert_eq!((receiver.try_recv(), receiver.try_recv()), (Ok(2), Ok(4)));
 }
--- a/crates/runtime/tests/outgoing_queue.rs
+++ b/crates/runtime/tests/outgoing_queue.rs
@@ -1,4 +1,4 @@
-//! Stories of messages that wait to be written to a peer that reads slowly.
+//! Tests of the queue of messages to be written to a peer that reads slowly.
 
 use std::time::Duration;
 
@@ -42,8 +42,8 @@
     queue
 }
 
-/// What is written of a queue that gets no more messages.
-fn written(queue: &OutgoingQueue, count: usize) -> Vec<Message> {
+/// Takes this many messages from a queue, as its writer does.
+fn write_next(queue: &OutgoingQueue, count: usize) -> Vec<Message> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime starts");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn given_grants_that_wait_when_a_later_one_comes_then_only_the_latest_is_written() {
+fn later_grant_supersedes_waiting_ones() {
     let queue = filled(&[
         grant(1),
         quorum_read_request(1),
@@ -64,22 +64,22 @@
         grant(3),
     ]);
     let expected = vec![grant(3), quorum_read_request(1), quorum_read_request(2)];
-    assert_eq!(written(&queue, 3), expected);
-    // And one that comes after the latest was written waits by itself.
+    assert_eq!(write_next(&queue, 3), expected);
+    // A later grant after the latest was written is queued again.
     let later = grant(4);
     assert_eq!(queue.push(&later, encoded(&later)), Ok(()));
-    assert_eq!(written(&queue, 1), vec![later]);
+    assert_eq!(write_next(&queue, 1), vec![later]);
 }
 
 #[test]
-fn given_messages_of_which_each_counts_when_they_wait_then_all_are_written_in_order() {
+fn messages_that_do_not_supersede_are_written_in_order() {
     let messages: Vec<Message> = (0..10).map(quorum_read_request).collect();
     let queue = filled(&messages);
-    assert_eq!(written(&queue, 10), messages);
+    assert_eq!(write_next(&queue, 10), messages);
 }
 
 #[test]
-fn given_a_queue_that_nobody_writes_any_more_when_a_message_comes_then_it_is_given_back() {
+fn closed_queue_returns_the_message() {
     let queue = OutgoingQueue::default();
     queue.close();
     let message = quorum_read_request(1);
