--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -132,11 +132,11 @@
     }
 }
 
-/// Runs an agent until a shutdown is requested; `serves` says whether it serves HTTP.
+/// Runs an agent until a shutdown is requested; `serves_http` says whether it serves HTTP.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: ReloadSettings,
-    serves: bool,
+    reload_settings: ReloadSettings,
+    serves_http: bool,
 ) -> anyhow::Result<()> {
     let clock = Clock::start();
     let options = AgentOptions {
@@ -193,7 +193,7 @@
         stopped: stopped.clone(),
     };
     spawn_actor(worker, clock, receiver, node_settings.terms.tick);
-    if serves {
+    if serves_http {
         let listener = listen(node_settings.serving).await?;
         let stop = Arc::new(AtomicBool::new(false));
         let draining = stopping.clone();
@@ -211,7 +211,7 @@
         }));
     }
     let settings_inbox = worker_inbox.clone();
-    follow_settings(reread, move |seeds| {
+    follow_settings(reload_settings, move |seeds| {
         settings_inbox.give(AgentInput::Seeds { seeds });
     });
     shutdown_signal().await;
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::heartbeats::PendingHeartbeat;
-use crate::proxy_calls::PROXY_MAP_PERIOD;
+use crate::proxy_calls::PROXY_MAP_INTERVAL;
 use caperworks::catch_up::{CatchUpRequest, FullMapLimit, SnapshotSender};
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::voter::Voter;
@@ -202,7 +202,7 @@
             voter: None,
             snapshots: SnapshotSender::default(),
             agent_map_limit: FullMapLimit::default(),
-            proxy_map_limit: FullMapLimit::once_in(PROXY_MAP_PERIOD),
+            proxy_map_limit: FullMapLimit::once_in(PROXY_MAP_INTERVAL),
         }
     }
 
--- a/crates/agent/src/proxy_calls.rs
+++ b/crates/agent/src/proxy_calls.rs
@@ -14,9 +14,9 @@
 ///
 /// It is shorter than for other followers: the proxy polls ten times a second on the same machine, and serves
 /// no requests before it has the map.
-pub(crate) const PROXY_MAP_PERIOD: Duration = Duration::from_millis(300);
+pub(crate) const PROXY_MAP_INTERVAL: Duration = Duration::from_millis(300);
 /// For how many hours usage is kept.
-const USAGE_HOURS: u64 = 48;
+const USAGE_RETENTION_HOURS: u64 = 48;
 
 impl AgentMachine {
     /// Responds to a poll of the proxy with a view.
@@ -88,7 +88,7 @@
             proxies: proxies.max(1),
             configuration: follower.map(MapName::Configuration).version,
             ownership: follower.map(MapName::Ownership).version,
-            link_slow_for: self.link.slow_for(now),
+            link_slow_for: self.link.slow_link_remaining(now),
         }
     }
 
@@ -106,7 +106,8 @@
             self.usage.insert(key, line.clone());
         }
         let latest = self.usage.keys().map(|key| key.1).max().unwrap_or(0);
-        self.usage.retain(|key, _| key.1 + USAGE_HOURS >= latest);
+        self.usage
+            .retain(|key, _| key.1 + USAGE_RETENTION_HOURS >= latest);
     }
 
     /// Returns the usage of the proxy beside this agent, by hour, route and service.
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -592,8 +592,11 @@
         renewals += outputs.iter().filter(|output| is_renewal(output)).count();
     }
     let last_part = millis(11_800);
-    let slow_for = fixture.view(millis(12_000)).link_slow_for;
-    assert_eq!(slow_for, last_part + SLOW_LINK_WINDOW - millis(12_000));
+    let slow_link_remaining = fixture.view(millis(12_000)).link_slow_for;
+    assert_eq!(
+        slow_link_remaining,
+        last_part + SLOW_LINK_WINDOW - millis(12_000)
+    );
     assert!(
         renewals <= 1,
         "it sent {renewals} renewals while a response was arriving"
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -39,7 +39,7 @@
 /// A response that took at least this long came over a slow link.
 ///
 /// Regions are about 0.1 s apart, and a link that is not saturated adds little to that.
-pub const SLOW_RESPONSE: Duration = Duration::from_millis(400);
+pub const SLOW_RESPONSE_THRESHOLD: Duration = Duration::from_millis(400);
 /// For how long after the last slow response missing responses are taken for a slow link and not for a
 /// partition.
 ///
@@ -187,7 +187,7 @@
     }
 
     /// Returns for how much longer missing responses are taken for a slow link and not for a partition.
-    pub fn slow_for(&self, now: Duration) -> Duration {
+    pub fn slow_link_remaining(&self, now: Duration) -> Duration {
         self.slow_response_at.map_or(Duration::ZERO, |slow_at| {
             (slow_at + SLOW_LINK_WINDOW).saturating_sub(now)
         })
@@ -221,7 +221,7 @@
             return;
         }
         self.reporter.figures.record_opened_connection(took);
-        if took >= SLOW_RESPONSE {
+        if took >= SLOW_RESPONSE_THRESHOLD {
             self.slow_response_at = Some(now);
         }
     }
@@ -428,7 +428,7 @@
     ) {
         let sent_at = self.lease.sent_at(granted.number);
         // A response to a request that is no longer remembered took longer than any that is.
-        let is_slow = sent_at.is_none_or(|sent_at| now >= sent_at + SLOW_RESPONSE);
+        let is_slow = sent_at.is_none_or(|sent_at| now >= sent_at + SLOW_RESPONSE_THRESHOLD);
         self.lease.granted(
             granted.number,
             granted.quorum_read_age,
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -7,7 +7,7 @@
 use caperworks::facts::{HeardHeartbeat, Heartbeat, InstanceState, Member, Role};
 use caperworks::identifiers::{Incarnation, InstanceId, NodeId, ServiceName, Version, Zone};
 use caperworks::instances::Instances;
-use caperworks::link::{CoreLink, Responder, SLOW_LINK_WINDOW, SLOW_RESPONSE};
+use caperworks::link::{CoreLink, Responder, SLOW_LINK_WINDOW, SLOW_RESPONSE_THRESHOLD};
 use caperworks::messages::{Granted, Message, Renewal, ResponseExtent};
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 use caperworks::rtt_estimator::CORE_TIMEOUT;
@@ -235,22 +235,30 @@
 fn a_connection_to_a_controller_that_opens_late_tells_a_full_link_from_a_partition() {
     let mut link = new_link();
     let (now, followed) = follow_controller(&mut link);
-    assert_eq!(link.slow_for(now), Duration::ZERO);
-    link.connection_opened(now, followed, SLOW_RESPONSE - millis(1));
-    assert_eq!(link.slow_for(now), Duration::ZERO, "it opened fast");
-    link.connection_opened(now, address(300), SLOW_RESPONSE);
-    assert_eq!(link.slow_for(now), Duration::ZERO, "it is not a controller");
-    link.connection_opened(now, followed, SLOW_RESPONSE);
-    assert_eq!(link.slow_for(now), SLOW_LINK_WINDOW);
+    assert_eq!(link.slow_link_remaining(now), Duration::ZERO);
+    link.connection_opened(now, followed, SLOW_RESPONSE_THRESHOLD - millis(1));
+    assert_eq!(
+        link.slow_link_remaining(now),
+        Duration::ZERO,
+        "it opened fast"
+    );
+    link.connection_opened(now, address(300), SLOW_RESPONSE_THRESHOLD);
+    assert_eq!(
+        link.slow_link_remaining(now),
+        Duration::ZERO,
+        "it is not a controller"
+    );
+    link.connection_opened(now, followed, SLOW_RESPONSE_THRESHOLD);
+    assert_eq!(link.slow_link_remaining(now), SLOW_LINK_WINDOW);
 }
 
 #[test]
 fn a_link_that_has_not_been_answered_yet_counts_as_slow_until_it_is() {
     let mut link = new_link();
     let (now, to, renewal) = next_renewal(&mut link, Duration::ZERO);
-    assert_eq!(link.slow_for(now), SLOW_LINK_WINDOW);
+    assert_eq!(link.slow_link_remaining(now), SLOW_LINK_WINDOW);
     link.granted(now + STEP, responder(to), &grant(renewal.number, 1));
-    assert_eq!(link.slow_for(now + STEP), Duration::ZERO);
+    assert_eq!(link.slow_link_remaining(now + STEP), Duration::ZERO);
 }
 
 #[test]
--- a/crates/runtime/src/actor/settings.rs
+++ b/crates/runtime/src/actor/settings.rs
@@ -15,13 +15,16 @@
 /// Calls `take` with the seeds each time that the platform reports by `SIGHUP` that the settings have changed.
 ///
 /// The signal handler is installed before the task starts: a signal without a handler ends the process.
-pub fn follow_settings(reread: ReloadSettings, take: impl Fn(Vec<SocketAddr>) + Send + 'static) {
+pub fn follow_settings(
+    reload_settings: ReloadSettings,
+    take: impl Fn(Vec<SocketAddr>) + Send + 'static,
+) {
     let Ok(mut changed) = signal(SignalKind::hangup()) else {
         return;
     };
     tokio::spawn(async move {
         while changed.recv().await.is_some() {
-            match reread() {
+            match reload_settings() {
                 Some(settings) => {
                     event(SETTINGS_READ, "");
                     take(settings.seeds);
