--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -177,7 +177,7 @@
         let mut chance = Chance::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED_MAPS, options.seeds.clone(), chance.draw())
-            .in_form(options.feed_form);
+            .with_form(options.feed_form);
         link.instances.span = options.instance_timeout;
         link.lease.span = options.lease_span;
         link.instances.refresh = options.heartbeat_refresh;
--- a/crates/caperworks/src/catch_up/receiver.rs
+++ b/crates/caperworks/src/catch_up/receiver.rs
@@ -66,7 +66,7 @@
     }
 
     /// The same receiver, requesting maps and changes in this form.
-    pub fn in_form(mut self, form: FeedForm) -> Self {
+    pub fn with_form(mut self, form: FeedForm) -> Self {
         self.form = form;
         self
     }
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -77,7 +77,7 @@
         let skipped = (after.next().0 - first.version.0) as usize;
         let mut bytes = 0;
         let later = self.changes.iter().skip(skipped);
-        let mut later = later.map(|numbered| numbered.in_form(form)).peekable();
+        let mut later = later.map(|numbered| numbered.with_form(form)).peekable();
         let mut changes = Vec::new();
         while let Some(numbered) = later.next_if(|numbered| {
             bytes += encoded_length(numbered);
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -169,9 +169,9 @@
 
     /// Returns the link with the form in which it follows maps: reduced for a node that only reads them,
     /// complete for one that may become a voter.
-    pub fn in_form(mut self, form: FeedForm) -> Self {
+    pub fn with_form(mut self, form: FeedForm) -> Self {
         self.form = form;
-        self.catch_up = self.catch_up.in_form(form);
+        self.catch_up = self.catch_up.with_form(form);
         self
     }
 
--- a/crates/caperworks/src/reduced_map.rs
+++ b/crates/caperworks/src/reduced_map.rs
@@ -52,7 +52,7 @@
 
 impl NumberedChange {
     /// Returns the change in this form.
-    pub fn in_form(&self, form: FeedForm) -> Self {
+    pub fn with_form(&self, form: FeedForm) -> Self {
         match form {
             FeedForm::Complete => self.clone(),
             FeedForm::Reduced => Self {
--- a/crates/caperworks/tests/reduced_map.rs
+++ b/crates/caperworks/tests/reduced_map.rs
@@ -61,7 +61,7 @@
 fn reduced_updates(changes: &[NumberedChange]) -> ConsensusMessage {
     let reduced = changes
         .iter()
-        .map(|change| change.in_form(FeedForm::Reduced));
+        .map(|change| change.with_form(FeedForm::Reduced));
     ConsensusMessage::updates(FeedForm::Reduced, MAP, reduced.collect())
 }
 
--- a/crates/controller/tests/fleet_stories/follower.rs
+++ b/crates/controller/tests/fleet_stories/follower.rs
@@ -28,7 +28,7 @@
         Self {
             address: SocketAddr::from(([127, 0, 0, 3], 6500 + index)),
             role,
-            link: CoreLink::new(node, &wants, seeds, 0).in_form(FeedForm::Reduced),
+            link: CoreLink::new(node, &wants, seeds, 0).with_form(FeedForm::Reduced),
         }
     }
 
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -116,7 +116,7 @@
         let mut chance = Chance::seeded(seed);
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), chance.draw())
-            .in_form(FeedForm::Reduced);
+            .with_form(FeedForm::Reduced);
         link.members.refresh = options.member_refresh;
         Self {
             options,
