--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -338,7 +338,7 @@
         self.poll_agents(now, outputs);
         self.link.members.expire(now);
         let suspected = match self.options.proxy_serves_stale {
-            true => self.link.count_silent_instances(now),
+            true => self.link.update_suspected_instances(now),
             false => self.link.instances.count_silent(now),
         };
         for id in suspected {
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -271,7 +271,7 @@
     ///
     /// None is marked while no controller could have reported them: while the control plane is unreachable,
     /// missing heartbeats are no evidence.
-    pub fn count_silent_instances(&mut self, now: Duration) -> Vec<InstanceId> {
+    pub fn update_suspected_instances(&mut self, now: Duration) -> Vec<InstanceId> {
         let timeout = self.instances.span;
         if now.saturating_sub(self.last_useful_response_at) >= CONTROLLER_TIMEOUT {
             self.quorum_since = None;
--- a/crates/caperworks/tests/gone_stories.rs
+++ b/crates/caperworks/tests/gone_stories.rs
@@ -180,7 +180,7 @@
             link.granted(now, responder(1), &grant(number, assured));
         }
     }
-    link.count_silent_instances(now)
+    link.update_suspected_instances(now)
 }
 
 #[test]
