--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -26,7 +26,7 @@
     PARTITION_FALLBACK_LEFT, PIECE_REFUSED, STALE, STARTED, STOPPED, STOPPING,
 };
 use runtime::http::{
-    heartbeats, json_response, ready_response, serve_http, small_body, usage_json, Body,
+    heartbeats, json_response, read_limited_body, ready_response, serve_http, usage_json, Body,
 };
 use runtime::options::NodeSettings;
 
@@ -99,7 +99,7 @@
             }
         }
         (&Method::POST, "/beats") => {
-            let heartbeat = match small_body(request.into_body(), 64 * 1024).await {
+            let heartbeat = match read_limited_body(request.into_body(), 64 * 1024).await {
                 Ok(body) => heartbeats::read_with_echo(&String::from_utf8_lossy(&body))
                     .map_err(|failure| failure.to_string()),
                 Err(_) => Err("the request body is too large or was truncated".to_string()),
--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -23,7 +23,7 @@
 use caperworks::identifiers::Version;
 use caperworks::replicated_map::ReplicatedMap;
 use runtime::http::heartbeats::{self, HeartbeatError};
-use runtime::http::{json_response, ready_response, small_body, Body, BodyError};
+use runtime::http::{json_response, read_limited_body, ready_response, Body, BodyError};
 
 /// The most bytes of a body that is no change set.
 const MOST_SMALL_BODY_BYTES: usize = 64 * 1024;
@@ -111,7 +111,7 @@
 
     /// Removes agents from the roster.
     async fn retire(&self, request: Request<Incoming>) -> Response<Body> {
-        let body = small_body(request.into_body(), MOST_SMALL_BODY_BYTES).await;
+        let body = read_limited_body(request.into_body(), MOST_SMALL_BODY_BYTES).await;
         let text = body.unwrap_or_default();
         let proposal_outcome = match read_drop(&String::from_utf8_lossy(&text)) {
             Err(errors) => ProposalOutcome::Faulty(errors.into_iter().map(Fault::from).collect()),
@@ -189,7 +189,7 @@
 }
 
 async fn read_change_set(request: Request<Incoming>) -> Result<String, ChangeSetBodyError> {
-    match small_body(request.into_body(), MOST_BYTES).await {
+    match read_limited_body(request.into_body(), MOST_BYTES).await {
         Ok(body) => Ok(String::from_utf8_lossy(&body).into_owned()),
         Err(BodyError::TooLarge) => Err(ChangeSetBodyError::TooLarge),
         Err(BodyError::Interrupted) => Err(ChangeSetBodyError::BrokenOff),
@@ -199,7 +199,7 @@
 async fn read_heartbeat(
     request: Request<Incoming>,
 ) -> Result<(Heartbeat, Option<Echo>), HeartbeatBodyError> {
-    let body = small_body(request.into_body(), MOST_SMALL_BODY_BYTES)
+    let body = read_limited_body(request.into_body(), MOST_SMALL_BODY_BYTES)
         .await
         .map_err(|_| HeartbeatBodyError::Body)?;
     heartbeats::read_with_echo(&String::from_utf8_lossy(&body)).map_err(HeartbeatBodyError::Form)
--- a/crates/local-fleet/src/relay.rs
+++ b/crates/local-fleet/src/relay.rs
@@ -14,7 +14,7 @@
 use caperworks::identifiers::NodeId;
 use caperworks::messages::Envelope;
 use runtime::connections::{listen, ControlPort};
-use runtime::http::{json_response, serve_http, small_body};
+use runtime::http::{json_response, read_limited_body, serve_http};
 use runtime::locks::locked;
 
 /// One way that is cut: nothing from any of these reaches any of those.
@@ -74,7 +74,7 @@
         let (cut, modes) = (cut.clone(), modes.clone());
         async move {
             let path = request.uri().path().to_string();
-            let body = small_body(request.into_body(), 1024 * 1024)
+            let body = read_limited_body(request.into_body(), 1024 * 1024)
                 .await
                 .unwrap_or_default();
             let value = jzon::parse(&String::from_utf8_lossy(&body)).unwrap_or(JsonValue::Null);
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -14,7 +14,7 @@
 mod server;
 
 pub use self::ambiguous_framing::AmbiguousFraming;
-pub use self::body::{full_body, small_body, Body, BodyError};
+pub use self::body::{full_body, read_limited_body, Body, BodyError};
 pub use self::client::{Fetch, FetchError, Fetched};
 pub use self::headers::{
     DEADLINE_HEADER, EPOCH_HEADER, INCARNATION_HEADER, INSTANCE_HEADER, KEY_RANGE_HEADER,
--- a/crates/runtime/src/http/body.rs
+++ b/crates/runtime/src/http/body.rs
@@ -27,7 +27,7 @@
 }
 
 /// Reads a body of at most `limit` bytes to its end.
-pub async fn small_body(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
+pub async fn read_limited_body(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(failure) if failure.is::<http_body_util::LengthLimitError>() => {
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -27,9 +27,9 @@
 use runtime::connections::listen;
 use runtime::events::{event, start_log, STARTED, STOPPED, STOPPING};
 use runtime::http::{
-    full_body, heartbeats, json_response, serve_http, small_body, Body, Fetch, DEADLINE_HEADER,
-    EPOCH_HEADER, INCARNATION_HEADER, INSTANCE_HEADER, KEY_RANGE_HEADER, LOAD_HEADER,
-    OUTCOME_HEADER, REQUEST_HEADER,
+    full_body, heartbeats, json_response, read_limited_body, serve_http, Body, Fetch,
+    DEADLINE_HEADER, EPOCH_HEADER, INCARNATION_HEADER, INSTANCE_HEADER, KEY_RANGE_HEADER,
+    LOAD_HEADER, OUTCOME_HEADER, REQUEST_HEADER,
 };
 use runtime::locks::locked;
 use runtime::options::read_flags;
@@ -346,7 +346,7 @@
         body: Incoming,
         key_range: Option<(u32, Epoch)>,
     ) -> Result<u64, Option<&'static str>> {
-        let bytes = small_body(body, MOST_BODY).await.map_err(|_| None)?;
+        let bytes = read_limited_body(body, MOST_BODY).await.map_err(|_| None)?;
         tokio::time::sleep(Duration::from_millis(self.flags.work_ms)).await;
         if !self.may_run(key_range, Duration::ZERO) {
             return Err(Some("the hold passed before the work took effect"));
@@ -363,7 +363,7 @@
     }
 
     async fn ail(&self, request: Request<Incoming>) -> Response<Body> {
-        let body = small_body(request.into_body(), 4096)
+        let body = read_limited_body(request.into_body(), 4096)
             .await
             .unwrap_or_default();
         let value = jzon::parse(&String::from_utf8_lossy(&body)).unwrap_or(JsonValue::Null);
