--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -15,7 +15,7 @@
 use caperworks::messages::UsageLine;
 use caperworks::ownership::TimestampedResponse;
 use runtime::actor::{
-    follow_settings, fresh_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
+    follow_settings, random_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
     ReadyUntil, ReloadSettings, Tickets,
 };
 use runtime::clock::Clock;
@@ -150,7 +150,7 @@
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
         demand_report_interval: node_settings.terms.core.member_refresh,
     };
-    let machine = AgentMachine::start(options, fresh_seed());
+    let machine = AgentMachine::start(options, random_seed());
     let (inbox, receiver) = Inbox::open();
     let events = inbox.clone();
     let port = ControlPort::open_with_events(
--- a/crates/caperctl/src/main.rs
+++ b/crates/caperctl/src/main.rs
@@ -10,7 +10,7 @@
 use bpaf::{construct, long, positional, OptionParser, Parser};
 
 use crate::usage::{read_hour, rows, write, Range};
-use runtime::actor::fresh_seed;
+use runtime::actor::random_seed;
 use runtime::http::{Fetch, Fetched};
 use runtime::options::{exit_with_faults, read_flags, OptionsFault};
 
@@ -190,7 +190,7 @@
         area: request,
     };
     let change = jzon::object! {
-        id: format!("{word}-{zone}-{:x}", fresh_seed()),
+        id: format!("{word}-{zone}-{:x}", random_seed()),
         put: [put],
     };
     apply(controllers, change.dump()).await
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -20,7 +20,7 @@
 use caperworks::identifiers::NodeId;
 use caperworks::slots::DiskWrite;
 use runtime::actor::{
-    follow_settings, fresh_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
+    follow_settings, random_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
     ReloadSettings,
 };
 use runtime::clock::Clock;
@@ -132,7 +132,7 @@
     )
     .disk_capacity(slot_bytes, log_bytes)
     .core(node_settings.terms.core.clone());
-    let (machine, outputs) = ControllerMachine::start(options, &image, fresh_seed());
+    let (machine, outputs) = ControllerMachine::start(options, &image, random_seed());
     Ok((folder, machine, outputs))
 }
 
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -13,7 +13,7 @@
 };
 use caperworks::link::RejectedChunk;
 use runtime::actor::{
-    follow_settings, fresh_seed, shutdown_signal, spawn_actor, Host, Inbox, ReloadSettings,
+    follow_settings, random_seed, shutdown_signal, spawn_actor, Host, Inbox, ReloadSettings,
 };
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
@@ -130,7 +130,7 @@
         seeds: node_settings.seeds.clone(),
         member_refresh: node_settings.terms.core.member_refresh,
     };
-    let machine = DirectoryMachine::start(options, fresh_seed());
+    let machine = DirectoryMachine::start(options, random_seed());
     let node = machine.node();
     let machine = Arc::new(Mutex::new(machine));
     let (inbox, receiver) = Inbox::open();
--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -14,7 +14,7 @@
 use jzon::JsonValue;
 
 use caperworks::identifiers::mix;
-use runtime::actor::fresh_seed;
+use runtime::actor::random_seed;
 use runtime::clock::Clock;
 use runtime::events::start_log;
 use runtime::http::{Fetch, OUTCOME_HEADER};
@@ -265,7 +265,7 @@
             .collect(),
         traffic,
         clock: Clock::start(),
-        run: fresh_seed() >> 32,
+        run: random_seed() >> 32,
         numbers: AtomicU64::new(0),
         known: Mutex::default(),
         record,
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -28,7 +28,7 @@
 use caperworks::reduced_map::FeedForm;
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 use caperworks::rtt_estimator::CORE_TIMEOUT;
-use runtime::actor::fresh_seed;
+use runtime::actor::random_seed;
 use runtime::clock::Clock;
 use runtime::connections::ControlPort;
 use runtime::http::{heartbeats, Fetch, Fetched};
@@ -205,7 +205,7 @@
 impl SimulatedAgent {
     fn begin_anew(&mut self) {
         let now = self.fleet.clock.now();
-        self.node = NodeId(fresh_seed() >> 1);
+        self.node = NodeId(random_seed() >> 1);
         self.envelope_clock = EnvelopeClock::new(self.node);
         self.counter = 0;
         self.controller_incarnation = NodeId(0);
--- a/crates/proxy/src/carrier.rs
+++ b/crates/proxy/src/carrier.rs
@@ -24,7 +24,7 @@
 use caperworks::facts::Demand;
 use caperworks::identifiers::{mix, steady_hash, InstanceId, ServiceName, Zone};
 use caperworks::messages::ProxyView;
-use runtime::actor::fresh_seed;
+use runtime::actor::random_seed;
 use runtime::clock::Clock;
 use runtime::http::{ready_response, Body, FarEnd};
 use runtime::locks::locked;
@@ -96,7 +96,7 @@
             usage: UsageAccounts::default(),
             broken: BrokenCarrier::Nothing,
             requests: AtomicU64::new(0),
-            seed: fresh_seed(),
+            seed: random_seed(),
             knowledge: RwLock::new(Arc::new(knowledge)),
             shards: RwLock::default(),
             meter: DemandMeter::default(),
@@ -227,7 +227,7 @@
                 chart.caller_waits(now + Duration::from_millis(millis));
             }
         }
-        let service = route.service_for(fresh_seed()).clone();
+        let service = route.service_for(random_seed()).clone();
         let usage_key = UsageKey::of(&name, &service);
         *counted = Some(usage_key.clone());
         self.meter.measure(now, &far_end, &name);
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -15,7 +15,7 @@
 use caperworks::poll_pacer::PollPacer;
 use caperworks::replicated_map::MapName;
 use caperworks::rtt_estimator::LOCAL_TIMEOUT;
-use runtime::actor::{follow_settings, fresh_seed, shutdown_signal, ReloadSettings};
+use runtime::actor::{follow_settings, random_seed, shutdown_signal, ReloadSettings};
 use runtime::clock::Clock;
 use runtime::connections::{listen, ControlPort};
 use runtime::events::{event, NOT_READY, READY, STARTED, STOPPED, STOPPING};
@@ -33,7 +33,7 @@
 ) {
     tokio::spawn(async move {
         let mut number = 0;
-        let incarnation = fresh_seed();
+        let incarnation = random_seed();
         let mut heartbeat = tokio::time::interval(period);
         heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut was_ready = false;
@@ -125,7 +125,7 @@
     let asked: Asked = Arc::new(Mutex::new(AskedPulls::new()));
     let (taking, responses) = (carrier.clone(), asked.clone());
     let port = ControlPort::open(
-        NodeId(fresh_seed() >> 1),
+        NodeId(random_seed() >> 1),
         node_settings.control,
         node_settings.control,
         move |envelope| {
--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -10,7 +10,7 @@
 
 use runbook_runner::runbook::{Action, Runbook};
 use runbook_runner::runner::{Runner, Seen, Wish};
-use runtime::actor::fresh_seed;
+use runtime::actor::random_seed;
 use runtime::clock::Clock;
 use runtime::http::Fetch;
 use runtime::options::{exit_with_faults, read_flags, OptionsFault};
@@ -126,7 +126,7 @@
     }
     let name = runbook.name.clone();
     println!("{name}: {}", runbook.about);
-    let mut runner = Runner::start(runbook, inputs, fresh_seed()).unwrap_or_else(|wrong| {
+    let mut runner = Runner::start(runbook, inputs, random_seed()).unwrap_or_else(|wrong| {
         let faults: Vec<OptionsFault> = wrong
             .into_iter()
             .map(|remedy| on_command_line("--set", remedy))
--- a/crates/runtime/src/actor.rs
+++ b/crates/runtime/src/actor.rs
@@ -15,7 +15,7 @@
 pub use self::host::{spawn_actor, Host, HostActor, InputMessage};
 pub use self::inbox::Inbox;
 pub use self::readiness::ReadyUntil;
-pub use self::seed::fresh_seed;
+pub use self::seed::random_seed;
 pub use self::settings::{follow_settings, ReloadSettings};
 pub use self::shutdown::{shut_down_gracefully, shutdown_signal};
 pub use self::tickets::Tickets;
