--- a/crates/runtime/src/progress_watch.rs
+++ b/crates/runtime/src/progress_watch.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// A message that takes longer than this from its first byte to its last comes over a slow link.
-pub const SLOW_MESSAGE: Duration = Duration::from_millis(400);
+pub const SLOW_MESSAGE_THRESHOLD: Duration = Duration::from_millis(400);
 /// The interval between reports of progress of the same slow message.
 pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -17,7 +17,7 @@
     /// Starts to watch a message whose first byte has arrived.
     pub fn begin(now: Instant) -> Self {
         Self {
-            next_at: now + SLOW_MESSAGE,
+            next_at: now + SLOW_MESSAGE_THRESHOLD,
         }
     }
 
--- a/crates/simulator/src/narrow_link.rs
+++ b/crates/simulator/src/narrow_link.rs
@@ -14,7 +14,7 @@
 /// What a network carries in one go.
 const PROGRESS_BYTES: f64 = 1460.0;
 /// A message that takes longer from its first byte to its last counts as slow, as in the runtime.
-const SLOW_MESSAGE: Duration = Duration::from_millis(400);
+const SLOW_MESSAGE_THRESHOLD: Duration = Duration::from_millis(400);
 
 /// A segment that is still to be carried, or the rest of one.
 #[derive(Debug, Clone)]
@@ -111,7 +111,7 @@
             budget -= carried;
             if first.carried < first.bytes {
                 let parts = (first.carried / PROGRESS_BYTES) as u64;
-                let is_slow = now.saturating_sub(began_at) >= SLOW_MESSAGE;
+                let is_slow = now.saturating_sub(began_at) >= SLOW_MESSAGE_THRESHOLD;
                 if is_slow && parts > first.reported_progress {
                     come.push(FromLink::Part);
                 }
