--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -170,7 +170,7 @@
     event(STOPPING, "");
     carrier.stopping.store(true, Ordering::SeqCst);
     stopping.store(true, Ordering::Relaxed);
-    tokio::time::sleep(node_settings.terms.linger).await;
+    tokio::time::sleep(node_settings.terms.shutdown_grace_period).await;
     carrier.closed.store(true, Ordering::SeqCst);
     let until = Instant::now() + node_settings.terms.max_drain_wait;
     while carrier.under_way.load(Ordering::SeqCst) > 0 && Instant::now() < until {
--- a/crates/runtime/src/options/tuning.rs
+++ b/crates/runtime/src/options/tuning.rs
@@ -21,7 +21,7 @@
     /// The interval between ticks of the state machine.
     pub tick: Duration,
     /// For how long a proxy that is shutting down still accepts requests.
-    pub linger: Duration,
+    pub shutdown_grace_period: Duration,
     /// For how long it then waits for the requests in flight.
     pub max_drain_wait: Duration,
     /// A second address for readiness checks.
@@ -38,7 +38,7 @@
             max_buffered_body: 64 * 1024,
             tick: Duration::from_millis(25),
             // Responses of directories that name a proxy are valid for two seconds.
-            linger: Duration::from_millis(2600),
+            shutdown_grace_period: Duration::from_millis(2600),
             max_drain_wait: Duration::from_secs(10),
             readiness: None,
         }
