--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -128,7 +128,7 @@
     ) -> Option<(u64, BTreeSet<SocketAddr>)> {
         let left = lease_until.saturating_sub(now);
         let fallback_members = membership.fallback_members()?;
-        let mut others = fallback_members.everyone();
+        let mut others = fallback_members.all_members();
         let is_disabled = self.broken == BrokenFallback::Silent;
         let is_early = left >= FALLBACK_REQUEST_LEAD || now < self.next_request_at;
         if !others.remove(&self.own) || is_early || is_disabled {
--- a/crates/caperworks/src/partition_fallback/messages.rs
+++ b/crates/caperworks/src/partition_fallback/messages.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns all members, of both sets.
-    pub fn everyone(&self) -> BTreeSet<SocketAddr> {
+    pub fn all_members(&self) -> BTreeSet<SocketAddr> {
         self.members.iter().chain(&self.before).copied().collect()
     }
 }
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -230,7 +230,7 @@
     let fallback_members = state.map(MapName::Membership).fallback_members();
     let listed = fallback_members
         .into_iter()
-        .flat_map(FallbackMembers::everyone);
+        .flat_map(FallbackMembers::all_members);
     listed
         .map(|address| (address, agents.contains_key(&address)))
         .collect()
