--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -93,7 +93,7 @@
             message,
             stamp: None,
             echo: None,
-            reads_here: true,
+            is_bidirectional: true,
         };
         self.machine.input(now, AgentInput::Heard { envelope })
     }
--- a/crates/caperworks/src/envelope_clock.rs
+++ b/crates/caperworks/src/envelope_clock.rs
@@ -83,7 +83,7 @@
             message,
             stamp: Some(self.stamp(now)),
             echo,
-            reads_here: true,
+            is_bidirectional: true,
         }
     }
 
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -23,7 +23,7 @@
         4 echo: Option<Echo>,
         /// The sender also reads messages on the connection on which this one comes. Earlier releases do not.
         #[cbor(default)]
-        5 reads_here: bool,
+        5 is_bidirectional: bool,
     }
 
     /// The proposal of a set of voters by which a new membership is founded.
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/core_stories.rs
@@ -748,7 +748,7 @@
         reply_to: SocketAddr::from(([127, 0, 0, 1], 7000)),
         stamp: Some(stamp),
         echo: Some(Echo { stamp, held }),
-        reads_here: true,
+        is_bidirectional: true,
         message: Message::ConsensusMessage {
             vote: ConsensusMessage::Accept {
                 map: MapName::Membership,
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -810,7 +810,7 @@
             stamp,
             held: millis(15),
         }),
-        reads_here: false,
+        is_bidirectional: false,
     }
 }
 
--- a/crates/local-fleet/src/flows.rs
+++ b/crates/local-fleet/src/flows.rs
@@ -137,7 +137,7 @@
             if let Some(port) = &*locked(&forwarding) {
                 // The relay stands between, so the answer cannot come back on this connection.
                 let envelope = Envelope {
-                    reads_here: false,
+                    is_bidirectional: false,
                     ..envelope
                 };
                 port.forward(listened, &envelope);
--- a/crates/local-fleet/src/relay.rs
+++ b/crates/local-fleet/src/relay.rs
@@ -58,7 +58,7 @@
                 if let Some(port) = &*locked(&forwarding) {
                     // The relay stands between, so the answer cannot come back on this connection.
                     let envelope = Envelope {
-                        reads_here: false,
+                        is_bidirectional: false,
                         ..envelope
                     };
                     port.forward(listened, &envelope);
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -152,7 +152,7 @@
             message,
             stamp: None,
             echo: None,
-            reads_here: true,
+            is_bidirectional: true,
         };
         self.forward(to, &envelope);
     }
@@ -277,7 +277,7 @@
         let mut response_connection: Option<PeerConnection> = None;
         let received = |frame| {
             if let FrameRead::Envelope(envelope) = &frame {
-                if envelope.reads_here {
+                if envelope.is_bidirectional {
                     if let Some(writer) = writer.take() {
                         response_connection =
                             Some(self.respond_on_connection(envelope.reply_to, writer));
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -88,7 +88,7 @@
         message,
         stamp: None,
         echo: None,
-        reads_here: true,
+        is_bidirectional: true,
     }
 }
 
@@ -180,7 +180,7 @@
     let mut stream = TcpStream::connect(address).await.expect("it opens");
     let poll = Envelope {
         reply_to: own,
-        reads_here: false,
+        is_bidirectional: false,
         ..envelope(renewal(1))
     };
     let bytes = minicbor::to_vec(poll).expect("it encodes");
--- a/crates/simulator/src/world/messages.rs
+++ b/crates/simulator/src/world/messages.rs
@@ -72,7 +72,7 @@
                 message,
                 stamp: None,
                 echo: None,
-                reads_here: true,
+                is_bidirectional: true,
             },
         };
         let envelope = Box::new(envelope);
--- a/crates/simulator/tests/connections.rs
+++ b/crates/simulator/tests/connections.rs
@@ -70,7 +70,7 @@
         },
         stamp: None,
         echo: None,
-        reads_here: true,
+        is_bidirectional: true,
     })
 }
 
