--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -28,11 +28,11 @@
     /// Sends no requests.
     Silent,
     /// Counts as fresh even if the others have later versions.
-    IgnoresNewerVersions,
+    NoPooling,
     /// Any response is enough, instead of those of a majority of the members.
-    CountsOnlyResponders,
+    CountsTheLiving,
     /// Counts its own response from the start, although it may have lost state.
-    QualifiedFromStart,
+    Forgetful,
 }
 
 /// A request in flight, with the responses so far.
@@ -113,7 +113,7 @@
         let is_confirmed = now < lease_until
             && lease_until >= self.fallback_members_since + MEMBERS_SETTLE_TIME + LEASE_SPAN
             && version > Version(0);
-        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::QualifiedFromStart;
+        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::Forgetful;
     }
 
     /// Returns the number of the next request and the members to send it to, if it is due.
@@ -178,7 +178,7 @@
                 (is_qualified && *address == own) || request.responses.contains_key(address)
             };
             let has_quorum = match broken {
-                BrokenFallback::CountsOnlyResponders => !request.responses.is_empty(),
+                BrokenFallback::CountsTheLiving => !request.responses.is_empty(),
                 _ => fallback_members.enough(has_responded, majority_of),
             };
             let is_up_to_date = request.responses.values().all(|versions| {
@@ -189,7 +189,7 @@
                         .is_none_or(|version| *version <= present)
                 })
             });
-            if has_quorum && (is_up_to_date || broken == BrokenFallback::IgnoresNewerVersions) {
+            if has_quorum && (is_up_to_date || broken == BrokenFallback::NoPooling) {
                 let until = request.sent_at + FALLBACK_LIFETIME - DRIFT_MARGIN;
                 self.fresh_until = self.fresh_until.max(until);
             }
