--- a/crates/runtime/tests/outgoing_queue.rs
+++ b/crates/runtime/tests/outgoing_queue.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn messages_that_do_not_supersede_are_written_in_order() {
+fn messages_that_do_not_supersede_are_all_written_in_sequence() {
     let messages: Vec<Message> = (0..10).map(quorum_read_request).collect();
     let queue = filled(&messages);
     assert_eq!(write_next(&queue, 10), messages);
