--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn every_controller_is_asked_soon_and_briefly_while_none_responds() {
+fn every_controller_is_polled_soon_with_a_brief_extent_while_none_responds() {
     let mut link = new_link();
     let (started_at, unresponsive) = follow_controller(&mut link);
     let mut now = started_at;
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_connection_to_a_controller_that_opens_late_tells_a_full_link_from_a_partition() {
+fn a_slowly_opened_connection_distinguishes_a_saturated_link_from_a_partition() {
     let mut link = new_link();
     let (now, followed) = follow_controller(&mut link);
     assert_eq!(link.slow_link_remaining(now), Duration::ZERO);
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test]
-async fn an_earlier_release_that_does_not_read_there_is_answered_at_its_own_address() {
+async fn an_earlier_release_receives_responses_at_its_own_address() {
     let (sender, mut requests) = mpsc::unbounded_channel();
     let address = free_address();
     let controller = ControlPort::open(NodeId(1), address, address, move |envelope| {
