--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -34,7 +34,7 @@
 /// Switch to another controller when the current one has sent no useful response for this long, or for the
 /// measured timeout of the link if that is longer.
 const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(800);
-/// How soon after a request the next controller is asked if the current one cannot be reached.
+/// How soon after a request the next controller is polled if the current one cannot be reached.
 const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A response that took at least this long came over a slow link.
 ///
@@ -378,7 +378,7 @@
     /// Applies the instances and members that a response reports.
     ///
     /// Ages are counted from our request: a response that waited in a socket while this process was frozen, or
-    /// was delayed on its way, must not make anyone look alive. It cannot be older than its request.
+    /// was delayed on its way, must not make a node look alive. It cannot be older than its request.
     fn apply_facts(
         &mut self,
         now: Duration,
