--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The agent's process: its state machine in an actor, and its answers over HTTP.
+//! The agent's process: its state machine in an actor, and its HTTP interface.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use caperworks::messages::UsageLine;
 use caperworks::ownership::TimestampedResponse;
 use runtime::actor::{
-    asked_to_stop, follow_settings, fresh_seed, open_actor, shut_down_gracefully, Host, Inbox,
-    ReadyUntil, Reread, Tickets,
+    follow_settings, random_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
+    ReadyUntil, ReloadSettings, Tickets,
 };
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
@@ -26,7 +26,7 @@
     PARTITION_FALLBACK_LEFT, PIECE_REFUSED, STALE, STARTED, STOPPED, STOPPING,
 };
 use runtime::http::{
-    heartbeats, json_response, ready_response, serve_http, small_body, usage_json, Body,
+    heartbeats, json_response, read_limited_body, ready_response, serve_http, usage_json, Body,
 };
 use runtime::options::NodeSettings;
 
@@ -95,17 +95,17 @@
             inbox.give(AgentInput::Usage { ticket });
             match lines.await {
                 Ok(lines) => json_response(200, &usage_json(&zone, &lines)),
-                Err(_) => json_response(503, &jzon::object! { why: "this agent is about to stop" }),
+                Err(_) => json_response(503, &jzon::object! { why: "this agent is shutting down" }),
             }
         }
         (&Method::POST, "/beats") => {
-            let heartbeat = match small_body(request.into_body(), 64 * 1024).await {
-                Ok(body) => heartbeats::read_dated(&String::from_utf8_lossy(&body))
+            let heartbeat = match read_limited_body(request.into_body(), 64 * 1024).await {
+                Ok(body) => heartbeats::read_with_echo(&String::from_utf8_lossy(&body))
                     .map_err(|failure| failure.to_string()),
-                Err(_) => Err("the body is too large or broke off".to_string()),
+                Err(_) => Err("the request body is too large or was truncated".to_string()),
             };
             let (heartbeat, echo) = match heartbeat {
-                Ok(dated) => dated,
+                Ok(heartbeat_and_echo) => heartbeat_and_echo,
                 Err(why) => return json_response(400, &jzon::object! { why: why }),
             };
             let (ticket, response) = tickets.draw();
@@ -115,29 +115,36 @@
                 echo,
             }) {
                 tickets.forget(ticket);
-                return json_response(503, &jzon::object! { why: "this agent has too much to do" });
+                return json_response(
+                    503,
+                    &jzon::object! { why: "this agent is overloaded: its inbox is full" },
+                );
             }
             match response.await {
-                Ok(Some(response)) => json_response(200, &heartbeats::write_dated(&response)),
+                Ok(Some(response)) => json_response(200, &heartbeats::write_with_stamp(&response)),
                 _ => json_response(
                     503,
-                    &jzon::object! { why: "no controller heard the heartbeat" },
+                    &jzon::object! { why: "no controller acknowledged the heartbeat" },
                 ),
             }
         }
-        _ => json_response(404, &jzon::object! { why: "there is no such resource" }),
+        _ => json_response(404, &jzon::object! { why: "unknown path or method" }),
     }
 }
 
-/// Runs an agent until it is asked to stop; `serves` says whether it answers over HTTP.
-pub async fn run(node_settings: NodeSettings, reread: Reread, serves: bool) -> anyhow::Result<()> {
+/// Runs an agent until a shutdown is requested; `serves_http` says whether it serves HTTP.
+pub async fn run(
+    node_settings: NodeSettings,
+    reload_settings: ReloadSettings,
+    serves_http: bool,
+) -> anyhow::Result<()> {
     let clock = Clock::start();
     let options = AgentOptions {
         control: node_settings.advertise,
         zone: node_settings.zone.clone(),
         seeds: node_settings.seeds.clone(),
         feed_form: node_settings.terms.core.agents_feed_form(),
-        proxy_serves_on: node_settings.terms.proxy.serves_stale,
+        proxy_serves_stale: node_settings.terms.proxy.serves_stale,
         instance_timeout: node_settings.terms.core.instance_timeout,
         lease_duration: node_settings
             .terms
@@ -145,9 +152,9 @@
             .lease_duration
             .unwrap_or(LEASE_DURATION),
         heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
-        demand_period: node_settings.terms.core.member_refresh,
+        demand_report_interval: node_settings.terms.core.member_refresh,
     };
-    let machine = AgentMachine::start(options, fresh_seed());
+    let machine = AgentMachine::start(options, random_seed());
     let (inbox, receiver) = Inbox::open();
     let events = inbox.clone();
     let port = ControlPort::open_with_events(
@@ -180,7 +187,7 @@
     let ready_until = Arc::new(ReadyUntil::default());
     let stopped = Arc::new(Notify::new());
     let stopping = Arc::new(AtomicBool::new(false));
-    let asked = inbox.clone();
+    let worker_inbox = inbox.clone();
     let worker = Worker {
         machine,
         port,
@@ -189,14 +196,14 @@
         ready_until: ready_until.clone(),
         stopped: stopped.clone(),
     };
-    open_actor(worker, clock, receiver, node_settings.terms.tick);
-    if serves {
+    spawn_actor(worker, clock, receiver, node_settings.terms.tick);
+    if serves_http {
         let listener = listen(node_settings.serving).await?;
         let stop = Arc::new(AtomicBool::new(false));
         let draining = stopping.clone();
         tokio::spawn(serve_http(listener, stop, move |_, request| {
             let ready = ready_until.is_ready(clock.now()) && !draining.load(Ordering::SeqCst);
-            let answering = respond(
+            let response_future = respond(
                 inbox.clone(),
                 tickets.clone(),
                 usage.clone(),
@@ -204,17 +211,17 @@
                 ready,
                 request,
             );
-            async move { Ok(answering.await) }
+            async move { Ok(response_future.await) }
         }));
     }
-    let recipient = asked.clone();
-    follow_settings(reread, move |seeds| {
-        recipient.give(AgentInput::Seeds { seeds });
+    let settings_inbox = worker_inbox.clone();
+    follow_settings(reload_settings, move |seeds| {
+        settings_inbox.give(AgentInput::Seeds { seeds });
     });
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
-    shut_down_gracefully(&asked, AgentInput::Stop, &stopped).await;
+    shut_down_gracefully(&worker_inbox, AgentInput::Stop, &stopped).await;
     event(STOPPED, "");
     Ok(())
 }
--- a/crates/caperworks/examples/feed.rs
+++ b/crates/caperworks/examples/feed.rs
@@ -1,7 +1,7 @@
-//! A follower that takes changes after a place, and a snapshot when it is too far behind.
+//! A follower that receives the changes after its version, or a snapshot if it is too far behind.
 
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
-use caperworks::feed::{FeedCache, Follower, HISTORY_WEIGHT};
+use caperworks::feed::{FeedCache, Follower, MAX_HISTORY_WEIGHT};
 use caperworks::identifiers::{ChangeId, Version};
 use caperworks::replicated_map::{Change, MapName};
 
@@ -24,17 +24,19 @@
 
 fn main() {
     let mut feed_cache = FeedCache::default();
-    let last = HISTORY_WEIGHT as u64 + 100;
+    let last = MAX_HISTORY_WEIGHT as u64 + 100;
     for version in 1..=last {
         feed_cache.take(&updates(version, version));
     }
     let mut near = Follower::default();
     near.take(&updates(1, last - 2));
-    let (map, held) = (
+    let (map, present) = (
         MapName::Configuration,
         near.map(MapName::Configuration).version,
     );
-    let response = feed_cache.updates_after(map, held).expect("it is behind");
+    let response = feed_cache
+        .updates_after(map, present)
+        .expect("it is behind");
     assert!(matches!(response, ConsensusMessage::Updates { .. }));
     near.take(&response);
 
--- a/crates/caperworks/src/dispatch/link_monitor.rs
+++ b/crates/caperworks/src/dispatch/link_monitor.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use crate::link::SLOW_LINK_SPAN;
+use crate::link::SLOW_LINK_WINDOW;
 
 /// An attempt to connect that takes longer went over a congested link or failed. Regions are about
 /// 0.1 s apart.
@@ -49,7 +49,7 @@
 impl LinkMonitor {
     /// Records that the link seems congested now.
     pub fn record_congestion(&self, now: Duration) {
-        let until = (now + SLOW_LINK_SPAN).as_micros() as u64;
+        let until = (now + SLOW_LINK_WINDOW).as_micros() as u64;
         self.congested_until_micros
             .fetch_max(until, Ordering::Relaxed);
     }
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -15,7 +15,7 @@
     stable_hash, ChangeId, Epoch, Incarnation, InstanceId, NodeId, RandomSource, Region,
     ServiceName, Version, Zone,
 };
-use caperworks::link::SLOW_LINK_SPAN;
+use caperworks::link::SLOW_LINK_WINDOW;
 use caperworks::map_items::{
     KeyRangeOwner, KeyRangeTable, KeySpace, RequestKind, Route, Service, SplitTarget, Value,
     ZoneSettings,
@@ -253,7 +253,7 @@
     bench.send_view(millis(3500), &one_in_each_zone());
     assert_eq!(bench.admits(millis(3600), &route()), Ok(()));
     assert_eq!(bench.admits(millis(6500), &route()), Err(Failure::Stale));
-    let window_end = millis(2000) + SLOW_LINK_SPAN;
+    let window_end = millis(2000) + SLOW_LINK_WINDOW;
     assert_eq!(bench.admits(window_end, &route()), Ok(()));
 }
 
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -13,7 +13,7 @@
 use caperworks::configuration::Fault;
 use caperworks::facts::{Member, Role};
 use caperworks::identifiers::Version;
-use caperworks::partition_fallback::{majority_of, yes_quorum, FallbackMembers};
+use caperworks::partition_fallback::{confirmation_quorum, majority_of, FallbackMembers};
 use caperworks::replicated_map::{MapName, ALL_MAPS, FALLBACK_MEMBERS};
 
 /// Time that a response to an operator waits for the agents after the change was accepted.
@@ -47,7 +47,7 @@
         .map(MapName::Membership)
         .fallback_members()
         .is_none_or(|fallback_members| {
-            fallback_members.enough(|address| agents.contains_key(address), yes_quorum)
+            fallback_members.enough(|address| agents.contains_key(address), confirmation_quorum)
         })
 }
 
@@ -71,7 +71,7 @@
     let by_set = |set: &Vec<SocketAddr>| {
         let mut versions: Vec<Version> = set.iter().map(version_of).collect();
         versions.sort_by_key(|version| Reverse(*version));
-        versions.get(yes_quorum(set.len()) - 1).copied()
+        versions.get(confirmation_quorum(set.len()) - 1).copied()
     };
     let own = state.map(MapName::Configuration).version;
     [&fallback_members.members, &fallback_members.before]
@@ -145,7 +145,7 @@
             .get(address)
             .is_some_and(|member| member.versions[MapName::Membership.index()] >= version)
     };
-    fallback_members.enough(knows, yes_quorum)
+    fallback_members.enough(knows, confirmation_quorum)
 }
 
 /// Returns the next set of fallback members if a change is due. Agents join automatically, one step at a
@@ -236,7 +236,7 @@
     let fallback_members = state.map(MapName::Membership).fallback_members();
     let listed = fallback_members
         .into_iter()
-        .flat_map(FallbackMembers::everyone);
+        .flat_map(FallbackMembers::all_members);
     listed
         .map(|address| (address, agents.contains_key(&address)))
         .collect()
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -20,8 +20,8 @@
 use caperworks::identifiers::NodeId;
 use caperworks::slots::DiskWrite;
 use runtime::actor::{
-    asked_to_stop, follow_settings, fresh_seed, open_actor, shut_down_gracefully, Host, Inbox,
-    Reread,
+    follow_settings, random_seed, shut_down_gracefully, shutdown_signal, spawn_actor, Host, Inbox,
+    ReloadSettings,
 };
 use runtime::clock::Clock;
 use runtime::connections::{listen, ControlPort};
@@ -75,7 +75,7 @@
 /// usable.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: Reread,
+    reread: ReloadSettings,
     interface: Interface,
 ) -> Result<(), StartError> {
     let clock = Clock::start();
@@ -99,14 +99,14 @@
     host.act(outputs, &mut next);
     next.into_iter()
         .for_each(|input| host.take(clock.now(), input));
-    open_actor(host, clock, receiver, node_settings.terms.tick);
+    spawn_actor(host, clock, receiver, node_settings.terms.tick);
     let stopping = handle.stopping.clone();
     serve_calls(&node_settings, handle, interface).await?;
     let settings_inbox = inbox.clone();
     follow_settings(reread, move |seeds| {
         settings_inbox.give(ControllerInput::SeedsChanged { seeds });
     });
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     stopping.store(true, Ordering::SeqCst);
     shut_down_gracefully(&inbox, ControllerInput::Shutdown, &stopped).await;
@@ -133,7 +133,7 @@
     )
     .disk_capacity(slot_bytes, log_bytes)
     .core(node_settings.terms.core.clone());
-    let (machine, outputs) = ControllerMachine::start(options, &image, fresh_seed());
+    let (machine, outputs) = ControllerMachine::start(options, &image, random_seed());
     Ok((folder, machine, outputs))
 }
 
@@ -157,7 +157,7 @@
     inbox: Inbox<ControllerInput>,
 ) -> mpsc::Sender<(u64, Vec<DiskWrite>)> {
     folder.start_writer(move |ticket, is_written| {
-        inbox.give_surely(if is_written {
+        inbox.push_blocking(if is_written {
             ControllerInput::WriteSynced { ticket }
         } else {
             ControllerInput::WriteFailed { ticket }
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -85,7 +85,7 @@
     // Without timestamps the age of a heartbeat is unknown. It counts as sent just now, and its counter keeps
     // it from replacing later ones.
     let age = match state.options.core.stamped_heartbeats {
-        true => echo.and_then(|echo| echo.lain(state.now, state.incarnation)),
+        true => echo.and_then(|echo| echo.max_age(state.now, state.incarnation)),
         false => Some(Duration::ZERO),
     };
     let received = ReceivedHeartbeat {
--- a/crates/controller/tests/fleet/restarts.rs
+++ b/crates/controller/tests/fleet/restarts.rs
@@ -123,5 +123,5 @@
     let machine = fleet.nodes[restarted].machine.as_ref();
     let machine = machine.expect("the controller is running");
     let incarnation = machine.state.incarnation;
-    assert_eq!(echo.lain(fleet.now, incarnation), None);
+    assert_eq!(echo.max_age(fleet.now, incarnation), None);
 }
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -12,7 +12,9 @@
     DirectoryInput, DirectoryMachine, DirectoryOptions, DirectoryOutput, ResolveError,
 };
 use caperworks::link::RejectedChunk;
-use runtime::actor::{asked_to_stop, follow_settings, fresh_seed, open_actor, Host, Inbox, Reread};
+use runtime::actor::{
+    follow_settings, random_seed, shutdown_signal, spawn_actor, Host, Inbox, ReloadSettings,
+};
 use runtime::clock::Clock;
 use runtime::connections::PortEvent;
 use runtime::connections::{listen, ControlPort};
@@ -122,7 +124,7 @@
 /// Runs a directory until it is asked to stop.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: Reread,
+    reread: ReloadSettings,
     interface: Interface,
 ) -> anyhow::Result<()> {
     let clock = Clock::start();
@@ -133,7 +135,7 @@
         seeds: node_settings.seeds.clone(),
         member_refresh: node_settings.terms.core.member_refresh,
     };
-    let machine = DirectoryMachine::start(options, fresh_seed());
+    let machine = DirectoryMachine::start(options, random_seed());
     let node = machine.node();
     let machine = Arc::new(Mutex::new(machine));
     let (inbox, receiver) = Inbox::open();
@@ -167,7 +169,7 @@
         machine: machine.clone(),
         port,
     };
-    open_actor(worker, clock, receiver, node_settings.terms.tick);
+    spawn_actor(worker, clock, receiver, node_settings.terms.tick);
     let listener = listen(node_settings.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
@@ -177,7 +179,7 @@
         async move { Ok(response) }
     }));
     follow_settings(reread, move |seeds| locked(&recipient).follow_seeds(seeds));
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     locked(&machine).shut_down_gracefully();
     stopping.store(true, Ordering::Relaxed);
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -116,7 +116,7 @@
         let mut random = RandomSource::seeded(seed);
         let node = NodeId(random.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), random.draw())
-            .in_form(FeedForm::Reduced);
+            .with_form(FeedForm::Reduced);
         link.members.refresh = options.member_refresh;
         Self {
             options,
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Parser;
 
-use runtime::actor::{run_daemon, Reread};
+use runtime::actor::{run_daemon, ReloadSettings};
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
@@ -13,9 +13,10 @@
 
 fn main() -> anyhow::Result<()> {
     let flags = read_flags(&node_flags().to_options().descr(HELP));
-    let node_settings = NodeSettings::read_or_end(&flags, &REQUIRED_SETTINGS);
+    let node_settings = NodeSettings::read_or_exit(&flags, &REQUIRED_SETTINGS);
     start_log()?;
-    let reread: Reread = Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
+    let reread: ReloadSettings =
+        Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
     run_daemon(
         node_settings.terms.workers,
         directory::daemon::run(node_settings, reread, directory::daemon::native_interface()),
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -19,7 +19,7 @@
 use caperworks::identifiers::{
     Incarnation, InstanceId, NodeId, RouteName, ServiceName, Version, Zone,
 };
-use caperworks::link::RENEW_PERIOD;
+use caperworks::link::RENEW_INTERVAL;
 use caperworks::messages::ResponseExtent;
 use caperworks::messages::{Envelope, Granted, Message, Renewal};
 use caperworks::ownership::HeldLeases;
@@ -28,7 +28,7 @@
 use caperworks::reduced_map::FeedForm;
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 use caperworks::rtt_estimator::CORE_TIMEOUT;
-use runtime::actor::fresh_seed;
+use runtime::actor::random_seed;
 use runtime::clock::Clock;
 use runtime::connections::ControlPort;
 use runtime::http::{heartbeats, Fetch, Fetched};
@@ -205,7 +205,7 @@
 impl SimulatedAgent {
     fn begin_anew(&mut self) {
         let now = self.fleet.clock.now();
-        self.node = NodeId(fresh_seed() >> 1);
+        self.node = NodeId(random_seed() >> 1);
         self.envelope_clock = EnvelopeClock::new(self.node);
         self.counter = 0;
         self.controller_incarnation = NodeId(0);
@@ -270,7 +270,7 @@
     fn renew(&mut self) {
         let now = self.fleet.clock.now();
         if self.fleet.is_silent(self.number) {
-            self.renew_at = now + RENEW_PERIOD;
+            self.renew_at = now + RENEW_INTERVAL;
             return;
         }
         if now.saturating_sub(self.answered_at) >= CONTROLLER_TIMEOUT.max(self.pace.timeout()) {
@@ -278,11 +278,11 @@
             self.answered_at = now;
             self.pace.begin_anew();
         }
-        if !self.pace.may_ask(now) {
+        if !self.pace.may_poll(now) {
             self.renew_at = now + BEHIND_PERIOD;
             return;
         }
-        self.renew_at = now + RENEW_PERIOD;
+        self.renew_at = now + RENEW_INTERVAL;
         let member = self.member();
         self.pace.asked(now, self.counter);
         let renewal = Renewal {
@@ -322,7 +322,7 @@
                     number: ask.number,
                     versions: self.versions.clone(),
                     updates: Vec::new(),
-                    fit_under: None,
+                    qualified_under: None,
                     draining: Vec::new(),
                 };
                 self.send(envelope.reply_to, Message::FallbackResponse { tell });
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -15,7 +15,7 @@
 use caperworks::poll_pacer::PollPacer;
 use caperworks::replicated_map::MapName;
 use caperworks::rtt_estimator::LOCAL_TIMEOUT;
-use runtime::actor::{asked_to_stop, follow_settings, fresh_seed, Reread};
+use runtime::actor::{follow_settings, random_seed, shutdown_signal, ReloadSettings};
 use runtime::clock::Clock;
 use runtime::connections::{listen, ControlPort};
 use runtime::events::{event, NOT_READY, READY, STARTED, STOPPED, STOPPING};
@@ -33,7 +33,7 @@
 ) {
     tokio::spawn(async move {
         let mut number = 0;
-        let incarnation = fresh_seed();
+        let incarnation = random_seed();
         let mut interval = tokio::time::interval(period);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut was_ready = false;
@@ -44,7 +44,7 @@
                 was_ready = ready;
                 event(if ready { READY } else { NOT_READY }, "");
             }
-            if !locked(&poll_tracker).may_ask(request_handler.clock.now()) {
+            if !locked(&poll_tracker).may_poll(request_handler.clock.now()) {
                 continue;
             }
             number += 1;
@@ -87,8 +87,8 @@
         }
     }
 
-    fn may_ask(&self, now: Duration) -> bool {
-        self.pacer.may_ask(now)
+    fn may_poll(&self, now: Duration) -> bool {
+        self.pacer.may_poll(now)
     }
 
     fn record_sent(&mut self, now: Duration, number: u64) {
@@ -114,7 +114,7 @@
 /// Runs a proxy until the process receives a stop signal.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: Reread,
+    reread: ReloadSettings,
     protocol_adapter: ProtocolAdapter,
 ) -> anyhow::Result<()> {
     // No setting is reloaded: the proxy has no connections other than to its agent.
@@ -125,7 +125,7 @@
     let poll_tracker: SharedPollTracker = Arc::new(Mutex::new(PollTracker::new()));
     let (view_receiver, pending_polls) = (request_handler.clone(), poll_tracker.clone());
     let port = ControlPort::open(
-        NodeId(fresh_seed() >> 1),
+        NodeId(random_seed() >> 1),
         node_settings.control,
         node_settings.control,
         move |envelope| {
@@ -166,13 +166,13 @@
             async move { Ok(response) }
         }));
     }
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     request_handler.stopping.store(true, Ordering::SeqCst);
     stopping.store(true, Ordering::Relaxed);
-    tokio::time::sleep(node_settings.terms.linger).await;
+    tokio::time::sleep(node_settings.terms.shutdown_grace_period).await;
     request_handler.closed.store(true, Ordering::SeqCst);
-    let drain_deadline = Instant::now() + node_settings.terms.most_wait;
+    let drain_deadline = Instant::now() + node_settings.terms.max_drain_wait;
     while request_handler.in_flight.load(Ordering::SeqCst) > 0 && Instant::now() < drain_deadline {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/proxy/src/request_body.rs
+++ b/crates/proxy/src/request_body.rs
@@ -45,7 +45,7 @@
     ) -> Result<RequestBody, Failure> {
         match body.size_hint().exact() {
             Some(length) if length > route.body_limit => Err(Failure::BodyTooLarge),
-            Some(length) if length <= self.held_body => {
+            Some(length) if length <= self.max_buffered_body => {
                 let remaining = lifecycle.deadline().saturating_sub(self.clock.now());
                 match tokio::time::timeout(remaining, body.collect()).await {
                     Ok(Ok(collected)) => {
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -25,7 +25,7 @@
 use caperworks::facts::Demand;
 use caperworks::identifiers::{mix, stable_hash, InstanceId, ServiceName, Zone};
 use caperworks::messages::ProxyView;
-use runtime::actor::fresh_seed;
+use runtime::actor::random_seed;
 use runtime::clock::Clock;
 use runtime::http::{ready_response, Body, Peer};
 use runtime::locks::locked;
@@ -61,7 +61,7 @@
     pub zone: Zone,
     pub serving: SocketAddr,
     pub capacity: u32,
-    pub(crate) held_body: u64,
+    pub(crate) max_buffered_body: u64,
     pub stopping: AtomicBool,
     /// Set shortly before the process ends: from then on new requests are rejected too.
     pub closed: AtomicBool,
@@ -93,7 +93,7 @@
             zone: node_settings.zone.clone(),
             serving: node_settings.serving,
             capacity: node_settings.capacity,
-            held_body: node_settings.terms.held_body,
+            max_buffered_body: node_settings.terms.max_buffered_body,
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             in_flight: AtomicU32::new(0),
@@ -102,7 +102,7 @@
             usage: UsageAccounts::default(),
             injected_bug: InjectedBug::Off,
             requests: AtomicU64::new(0),
-            seed: fresh_seed(),
+            seed: random_seed(),
             proxy_state: RwLock::new(Arc::new(proxy_state)),
             shards: RwLock::default(),
             meter: DemandMeter::default(),
@@ -249,7 +249,7 @@
                 lifecycle.limit_deadline(now + Duration::from_millis(millis));
             }
         }
-        let service = route.service_for(fresh_seed()).clone();
+        let service = route.service_for(random_seed()).clone();
         let usage_key = UsageKey::of(&name, &service);
         *usage_key_slot = Some(usage_key.clone());
         self.meter.record_request(now, &peer, &name);
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -25,7 +25,7 @@
 use proxy::request_handler::{InjectedBug, RequestHandler};
 use runtime::clock::Clock;
 use runtime::http::{serve_http, REQUEST_HEADER};
-use runtime::options::{NodeSettings, Terms};
+use runtime::options::{NodeSettings, TuningOptions};
 
 /// The deadline of a request; a server that does not respond delays it by as much.
 const ROUTE_DEADLINE: Duration = Duration::from_millis(500);
@@ -174,7 +174,7 @@
         log_megabytes: 1,
         capacity: 100,
         agent: Some(nowhere),
-        terms: Terms::default(),
+        terms: TuningOptions::default(),
     }
 }
 
--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -129,7 +129,7 @@
     request_handler
         .set(proxy.request_handler.clone())
         .unwrap_or_else(|_| panic!("it is set once"));
-    interruption.strike_at(clock_read);
+    interruption.trigger_at_read(clock_read);
     let body = if upload { 900_000 } else { 5 };
     let head = format!(
         "POST /one HTTP/1.1\r\nHost: a.example\r\nRequest-Name: one\r\nContent-Length: {body}\r\n\r\n"
@@ -143,7 +143,7 @@
     Outcome {
         status,
         arrivals: journal.arrivals_with(Behaviour::Good),
-        is_undisturbed: interruption.is_to_come(),
+        is_undisturbed: interruption.is_pending(),
     }
 }
 
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 for clients, instances and operators.
 //!
-//! The concerns are: `server` and `client`; `body` and `response`; `headers`, the names of our own
-//! headers; `heartbeats`, the JSON of heartbeats; `ambiguous_framing`, which marks requests to refuse;
-//! and `round_trip`, the kernel's measure of a connection.
+//! The modules are: `server` and `client`; `body` and `response`; `headers`, the names of our own headers;
+//! `heartbeats`, the JSON of heartbeats; `ambiguous_framing`, which marks requests to reject; and
+//! `round_trip`, the kernel's round-trip time of a connection.
 
 mod ambiguous_framing;
 mod body;
@@ -14,7 +14,7 @@
 mod server;
 
 pub use self::ambiguous_framing::AmbiguousFraming;
-pub use self::body::{full_body, small_body, Body, BodyError};
+pub use self::body::{full_body, read_limited_body, Body, BodyError};
 pub use self::client::{Fetch, FetchError, Fetched};
 pub use self::headers::{
     DEADLINE_HEADER, EPOCH_HEADER, INCARNATION_HEADER, INSTANCE_HEADER, KEY_RANGE_HEADER,
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The JSON of heartbeats and of their answers. Field names are fixed by the operators' pages.
+//! The JSON of heartbeats and of the responses to them. The field names are part of the public interface.
 
 use std::time::Duration;
 
@@ -32,12 +32,12 @@
         let_go: heartbeat
             .let_go
             .iter()
-            .map(|given| {
-                let mut json = jzon::object! { slice: given.key_range };
-                if let Some(epoch) = given.epoch {
+            .map(|released| {
+                let mut json = jzon::object! { slice: released.key_range };
+                if let Some(epoch) = released.epoch {
                     json["epoch"] = epoch.0.into();
                 }
-                if let Some(handover) = &given.handover {
+                if let Some(handover) = &released.handover {
                     json["handover"] = handover.as_str().into();
                 }
                 json
@@ -46,13 +46,13 @@
     }
 }
 
-/// Why the JSON of a heartbeat was refused. A retry of the same heartbeat does not help.
+/// The JSON of a heartbeat is invalid. A retry of the same heartbeat does not help.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HeartbeatError {
-    /// It is no JSON.
-    #[error("is no JSON: {0}")]
+    /// It is not valid JSON.
+    #[error("is not valid JSON: {0}")]
     NotJson(String),
-    /// A field is missing or has the wrong form.
+    /// A field is missing or invalid.
     #[error("{field} must be {expected}")]
     Field {
         /// The field.
@@ -60,7 +60,7 @@
         /// What it must be.
         expected: &'static str,
     },
-    /// A list has an entry of the wrong form.
+    /// A list has an invalid entry.
     #[error("{field} must list {expected}")]
     Entry {
         /// The field.
@@ -116,7 +116,7 @@
 }
 
 fn read_held_key_ranges(value: &JsonValue) -> Result<Vec<u32>, HeartbeatError> {
-    let no_number = HeartbeatError::Entry {
+    let not_numbers = HeartbeatError::Entry {
         field: "holding",
         expected: "key range numbers",
     };
@@ -124,7 +124,7 @@
         JsonValue::Null => Ok(Vec::new()),
         JsonValue::Array(list) => {
             let numbers = list.iter().map(JsonValue::as_u32);
-            numbers.collect::<Option<_>>().ok_or(no_number)
+            numbers.collect::<Option<_>>().ok_or(not_numbers)
         }
         _ => Err(HeartbeatError::field("holding", "a list")),
     }
@@ -145,7 +145,7 @@
     })
 }
 
-/// The fields are read in this order, so the first wrong one is the one that is named.
+/// Reads a heartbeat. The fields are read in this order, so the first invalid one is named in the error.
 fn read(value: &JsonValue) -> Result<Heartbeat, HeartbeatError> {
     let state = read_state(value)?;
     let key_ranges_in_use = read_held_key_ranges(value)?;
@@ -158,7 +158,7 @@
         zone: Zone::new(read_text(value, "area")?),
         address: read_text(value, "address")?
             .parse()
-            .map_err(|_| HeartbeatError::field("address", "an IP number and port"))?,
+            .map_err(|_| HeartbeatError::field("address", "an IP address and port"))?,
         capacity: read_small_number(value, "capacity")?,
         state,
         load: read_small_number(value, "load")?,
@@ -170,7 +170,7 @@
 }
 
 /// Reads a heartbeat with the stamp that its instance returns, if it has one.
-pub fn read_dated(text: &str) -> Result<(Heartbeat, Option<Echo>), HeartbeatError> {
+pub fn read_with_echo(text: &str) -> Result<(Heartbeat, Option<Echo>), HeartbeatError> {
     let value = parse(text)?;
     Ok((read(&value)?, read_echo(&value["stamp"])?))
 }
@@ -180,7 +180,7 @@
         return Ok(None);
     }
     let stamp =
-        read_stamp(value).ok_or_else(|| HeartbeatError::field("stamp", "given back as it came"))?;
+        read_stamp(value).ok_or_else(|| HeartbeatError::field("stamp", "returned unchanged"))?;
     let held = value["held_us"]
         .as_u64()
         .ok_or_else(|| HeartbeatError::field("stamp.held_us", "a whole number"))?;
@@ -188,7 +188,7 @@
     Ok(Some(Echo { stamp, held }))
 }
 
-/// Writes the stamp that an instance returns, with how long it had it.
+/// Writes the stamp that an instance returns, with how long the instance held it.
 pub fn write_echo(echo: &Echo) -> JsonValue {
     let mut json = write_stamp(&echo.stamp);
     json["held_us"] = (echo.held.as_micros() as u64).into();
@@ -196,7 +196,7 @@
 }
 
 fn write_stamp(stamp: &Stamp) -> JsonValue {
-    // The node number is text, since it has more digits than JSON numbers keep.
+    // The node id is text, since it has more digits than JSON numbers can represent.
     jzon::object! { node: stamp.incarnation.to_string(), at_us: stamp.at.as_micros() as u64 }
 }
 
@@ -207,15 +207,15 @@
     })
 }
 
-/// Writes the answer to a heartbeat.
-pub fn write_dated(dated: &TimestampedResponse) -> JsonValue {
+/// Writes the response to a heartbeat.
+pub fn write_with_stamp(dated: &TimestampedResponse) -> JsonValue {
     let mut json = write_response(&dated.response);
     json["stamp"] = write_stamp(&dated.stamp);
     json["again"] = dated.again.into();
     json
 }
 
-/// Reads the answer to a heartbeat; nothing without a stamp.
+/// Reads the response to a heartbeat; returns `None` if it has no stamp.
 pub fn read_timestamped_response(value: &JsonValue) -> Option<TimestampedResponse> {
     Some(TimestampedResponse {
         response: read_response(value),
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/bodies.rs
@@ -89,11 +89,11 @@
     fn agent_of(&self, node: &Node, seed: u64) -> AgentMachine {
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
-            proxy_serves_on: self.day.policy.serves_stale,
+            proxy_serves_stale: self.day.policy.serves_stale,
             instance_timeout: INSTANCE_TIMEOUT,
             lease_duration: LEASE_DURATION,
             heartbeat_refresh: Duration::ZERO,
-            demand_period: Duration::ZERO,
+            demand_report_interval: Duration::ZERO,
             control: node.address,
             zone: node.zone.clone(),
             seeds: self.seeds.clone(),
@@ -101,7 +101,7 @@
         let mut machine = AgentMachine::start(options, seed);
         machine.break_fallback(self.day.broken_fallback);
         if self.day.careless_agents {
-            machine.be_careless();
+            machine.ignore_missing_versions();
         }
         machine
     }
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -22,14 +22,14 @@
     mix, stable_hash, Epoch, Incarnation, InstanceId, ServiceName, Zone,
 };
 use caperworks::ownership::HeldLeases;
-use runtime::actor::asked_to_stop;
+use runtime::actor::shutdown_signal;
 use runtime::clock::Clock;
 use runtime::connections::listen;
 use runtime::events::{event, start_log, STARTED, STOPPED, STOPPING};
 use runtime::http::{
-    full_body, heartbeats, json_response, serve_http, small_body, Body, Fetch, DEADLINE_HEADER,
-    EPOCH_HEADER, INCARNATION_HEADER, INSTANCE_HEADER, KEY_RANGE_HEADER, LOAD_HEADER,
-    OUTCOME_HEADER, REQUEST_HEADER,
+    full_body, heartbeats, json_response, read_limited_body, serve_http, Body, Fetch,
+    DEADLINE_HEADER, EPOCH_HEADER, INCARNATION_HEADER, INSTANCE_HEADER, KEY_RANGE_HEADER,
+    LOAD_HEADER, OUTCOME_HEADER, REQUEST_HEADER,
 };
 use runtime::locks::locked;
 use runtime::options::read_flags;
@@ -346,7 +346,7 @@
         body: Incoming,
         key_range: Option<(u32, Epoch)>,
     ) -> Result<u64, Option<&'static str>> {
-        let bytes = small_body(body, MOST_BODY).await.map_err(|_| None)?;
+        let bytes = read_limited_body(body, MOST_BODY).await.map_err(|_| None)?;
         tokio::time::sleep(Duration::from_millis(self.flags.work_ms)).await;
         if !self.may_run(key_range, Duration::ZERO) {
             return Err(Some("the hold passed before the work took effect"));
@@ -363,7 +363,7 @@
     }
 
     async fn ail(&self, request: Request<Incoming>) -> Response<Body> {
-        let body = small_body(request.into_body(), 4096)
+        let body = read_limited_body(request.into_body(), 4096)
             .await
             .unwrap_or_default();
         let value = jzon::parse(&String::from_utf8_lossy(&body)).unwrap_or(JsonValue::Null);
@@ -466,7 +466,7 @@
     tokio::spawn(serve_http(listener, stop.clone(), move |_, request| {
         answering.clone().respond(request)
     }));
-    asked_to_stop().await;
+    shutdown_signal().await;
     event(STOPPING, "");
     test_instance.draining.store(true, Ordering::SeqCst);
     test_instance
