--- a/crates/agent/src/proxy_calls.rs
+++ b/crates/agent/src/proxy_calls.rs
@@ -38,7 +38,7 @@
         let is_same_incarnation =
             matches!(&self.proxy, Some((_, last)) if last.incarnation == pull.incarnation);
         if !is_same_incarnation {
-            self.proxy_limit.begin_anew(proxy);
+            self.proxy_limit.reset(proxy);
         }
         let (feed_cache, limit) = (&self.link.feed_cache, &mut self.proxy_limit);
         let updates = [
--- a/crates/caperworks/src/catch_up/snapshot_rate.rs
+++ b/crates/caperworks/src/catch_up/snapshot_rate.rs
@@ -31,7 +31,7 @@
     }
 
     /// A follower has started anew and has nothing: the next snapshot may leave at once.
-    pub fn begin_anew(&mut self, to: SocketAddr) {
+    pub fn reset(&mut self, to: SocketAddr) {
         self.sent.retain(|(follower, _), _| *follower != to);
     }
 
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -137,7 +137,7 @@
     ///
     /// Why when the voters change: answers of two sets of voters make a majority of neither, and
     /// what a round under an earlier membership left open the next membership does not settle.
-    pub fn begin_anew(&mut self, before: Version) {
+    pub fn reset(&mut self, before: Version) {
         self.open.clear();
         self.latest
             .take_if(|quorum_read| !quorum_read.is_under(before));
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -243,7 +243,7 @@
         self.is_unreachable = false;
         self.answered_at = now;
         self.renew_at = now;
-        self.pace.begin_anew();
+        self.pace.reset();
         // Why here: another one's patience begins anew, and would hide that there was a gap.
         self.assured_since = None;
     }
--- a/crates/caperworks/src/poll_pacer.rs
+++ b/crates/caperworks/src/poll_pacer.rs
@@ -86,7 +86,7 @@
     }
 
     /// The peer is left for another, which has not been asked anything.
-    pub fn begin_anew(&mut self) {
+    pub fn reset(&mut self) {
         if self.unanswered.take().is_some() {
             self.timer.timed_out();
         }
--- a/crates/controller/src/consensus/mod.rs
+++ b/crates/controller/src/consensus/mod.rs
@@ -89,7 +89,7 @@
     let version = state.map(map).version;
     state.log_event(Event::MapUpdated { map, version });
     if map == MapName::Membership {
-        state.quorum_reads.begin_anew(membership_before);
+        state.quorum_reads.reset(membership_before);
         state.next_quorum_read_at = state.now;
     }
 }
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -178,7 +178,7 @@
         versions: Vec::new(),
         held_since: held_since.clone(),
     };
-    process.begin_anew();
+    process.reset();
     // Why spread: a fleet does not ask in one breath, and this one is to be as a fleet is.
     process.renew_at += fleet.spread.mul_f64(f64::from(number % 1000) / 1000.0);
     process.answered_at = process.renew_at;
@@ -189,7 +189,7 @@
             tokio::select! {
                 heard = receiver.recv() => match heard {
                     Some(Heard::Envelope(envelope)) => process.handle(envelope),
-                    Some(Heard::Restart) => process.begin_anew(),
+                    Some(Heard::Restart) => process.reset(),
                     None => return,
                 },
                 () = tokio::time::sleep(until_due) => process.renew(),
@@ -203,7 +203,7 @@
 }
 
 impl SimulatedAgent {
-    fn begin_anew(&mut self) {
+    fn reset(&mut self) {
         let now = self.fleet.clock.now();
         self.node = NodeId(fresh_seed() >> 1);
         self.envelope_clock = EnvelopeClock::new(self.node);
@@ -276,7 +276,7 @@
         if now.saturating_sub(self.answered_at) >= CONTROLLER_TIMEOUT.max(self.pace.timeout()) {
             self.controller = (self.controller + 1) % self.fleet.controllers.len();
             self.answered_at = now;
-            self.pace.begin_anew();
+            self.pace.reset();
         }
         if !self.pace.may_ask(now) {
             self.renew_at = now + BEHIND_PERIOD;
--- a/crates/model-check/src/world/proposals.rs
+++ b/crates/model-check/src/world/proposals.rs
@@ -127,7 +127,7 @@
             node.unsynced.extend(outcome.records);
             node.unsynced_rewrite |= outcome.rewrite;
             if outcome.moved.contains(&MapName::Membership) {
-                node.quorum_reads.begin_anew(before);
+                node.quorum_reads.reset(before);
                 node.open_quorum_read = None;
             }
             if !separate_sync && node.held.is_empty() {
