--- a/crates/caperworks/src/consensus/proposer/pending.rs
+++ b/crates/caperworks/src/consensus/proposer/pending.rs
@@ -6,7 +6,7 @@
 use crate::consensus::proposer::outcome::{ProposalOutcome, ProposerOutcome};
 use crate::consensus::proposer::Proposer;
 use crate::identifiers::Version;
-use crate::map_weighing::Standpoint;
+use crate::map_weighing::ChangeCheck;
 use crate::replicated_map::{Change, MapName, ReplicatedMap};
 
 /// A change that waits to be decided.
@@ -47,7 +47,7 @@
     /// disk would otherwise call every change invalid.
     pub(super) fn complete_repeats(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
         while let Some(proposal) = self.pending.front() {
-            let Some(Standpoint::Repeat(version)) = map.answered_before(&proposal.change) else {
+            let Some(ChangeCheck::Repeat(version)) = map.answered_before(&proposal.change) else {
                 return;
             };
             outcome.complete(proposal.ticket, repeat_result(proposal, version));
@@ -62,15 +62,15 @@
     pub(super) fn complete_unfit(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
         while let Some(proposal) = self.pending.front() {
             let result = match self.standpoint(map, &proposal.change) {
-                Standpoint::Repeat(version) => repeat_result(proposal, version),
-                Standpoint::IdTaken(version) => ProposalOutcome::IdTaken(version),
+                ChangeCheck::Repeat(version) => repeat_result(proposal, version),
+                ChangeCheck::IdTaken(version) => ProposalOutcome::IdTaken(version),
                 // A change that was proposed before and no longer fits lost its version to another
                 // one. Only a decided map may say so, which this one is.
-                Standpoint::Conflicts(conflicts) => ProposalOutcome::Conflicts(conflicts),
-                Standpoint::VersionsTaken(taken) => ProposalOutcome::VersionsTaken(taken),
-                Standpoint::VersionsForgotten(keys) => ProposalOutcome::VersionsForgotten(keys),
-                Standpoint::IdForgotten(version) => ProposalOutcome::IdForgotten(version),
-                Standpoint::Fits => {
+                ChangeCheck::Conflicts(conflicts) => ProposalOutcome::Conflicts(conflicts),
+                ChangeCheck::VersionsTaken(taken) => ProposalOutcome::VersionsTaken(taken),
+                ChangeCheck::VersionsForgotten(keys) => ProposalOutcome::VersionsForgotten(keys),
+                ChangeCheck::IdForgotten(version) => ProposalOutcome::IdForgotten(version),
+                ChangeCheck::Fits => {
                     let faults = self.faults(map, &proposal.change);
                     if faults.is_empty() {
                         return;
@@ -87,10 +87,10 @@
         }
     }
 
-    fn standpoint(&self, map: &ReplicatedMap, change: &Change) -> Standpoint {
+    fn standpoint(&self, map: &ReplicatedMap, change: &Change) -> ChangeCheck {
         match map.weigh(change) {
-            Standpoint::VersionsTaken(_) if self.options.confirms_taken_versions => {
-                Standpoint::Fits
+            ChangeCheck::VersionsTaken(_) if self.options.confirms_taken_versions => {
+                ChangeCheck::Fits
             }
             standpoint => standpoint,
         }
--- a/crates/caperworks/src/map_weighing.rs
+++ b/crates/caperworks/src/map_weighing.rs
@@ -14,7 +14,7 @@
 
 /// The result of the check of a change against a map.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Standpoint {
+pub enum ChangeCheck {
     /// It may be proposed on top of the map.
     Fits,
     /// The same change was committed before, at this version.
@@ -36,36 +36,36 @@
     ///
     /// This is checked first: a caller that lost our answer repeats the change, and must not be told
     /// that it conflicts with its own first success.
-    pub fn answered_before(&self, change: &Change) -> Option<Standpoint> {
+    pub fn answered_before(&self, change: &Change) -> Option<ChangeCheck> {
         let answered = self
             .answered
             .iter()
             .find(|answered| answered.id == change.id)?;
         Some(match answered.digest == change.digest() {
-            true => Standpoint::Repeat(answered.version),
-            false => Standpoint::IdTaken(answered.version),
+            true => ChangeCheck::Repeat(answered.version),
+            false => ChangeCheck::IdTaken(answered.version),
         })
     }
 
     /// Checks a change against this map; the first reason to reject it wins.
-    pub fn weigh(&self, change: &Change) -> Standpoint {
+    pub fn weigh(&self, change: &Change) -> ChangeCheck {
         self.answered_before(change)
             .or_else(|| self.forgotten_id(change))
             .or_else(|| self.weigh_versions(change))
             .or_else(|| self.conflicts(change))
-            .unwrap_or(Standpoint::Fits)
+            .unwrap_or(ChangeCheck::Fits)
     }
 
     /// Whether the change was written against a version so old that its id may have been committed and
     /// forgotten since. Applied once more, an old change would undo later ones.
-    fn forgotten_id(&self, change: &Change) -> Option<Standpoint> {
+    fn forgotten_id(&self, change: &Change) -> Option<ChangeCheck> {
         let read = change
             .guards
             .iter()
             .find(|guard| guard.key == MAP_READ)?
             .expected;
         let remembered_after = self.version.0.saturating_sub(REMEMBERED_CHANGES as u64);
-        (read.0 < remembered_after).then_some(Standpoint::IdForgotten(self.version))
+        (read.0 < remembered_after).then_some(ChangeCheck::IdForgotten(self.version))
     }
 
     /// Checks each put against what was confirmed under the operators' own versions, including the
@@ -73,7 +73,7 @@
     ///
     /// Versions that are certainly taken are reported before those that are forgotten: they tell the
     /// caller more.
-    fn weigh_versions(&self, change: &Change) -> Option<Standpoint> {
+    fn weigh_versions(&self, change: &Change) -> Option<ChangeCheck> {
         let mut histories: BTreeMap<&str, VersionHistory> = BTreeMap::new();
         let mut taken = Vec::new();
         let mut forgotten = Vec::new();
@@ -96,14 +96,14 @@
             }
         }
         match (taken.is_empty(), forgotten.is_empty()) {
-            (false, _) => Some(Standpoint::VersionsTaken(taken)),
-            (true, false) => Some(Standpoint::VersionsForgotten(forgotten)),
+            (false, _) => Some(ChangeCheck::VersionsTaken(taken)),
+            (true, false) => Some(ChangeCheck::VersionsForgotten(forgotten)),
             (true, true) => None,
         }
     }
 
     /// The items that are not as the change's writer saw them.
-    fn conflicts(&self, change: &Change) -> Option<Standpoint> {
+    fn conflicts(&self, change: &Change) -> Option<ChangeCheck> {
         let guards = change
             .guards
             .iter()
@@ -123,6 +123,6 @@
                 })
             })
             .collect();
-        (!conflicts.is_empty()).then_some(Standpoint::Conflicts(conflicts))
+        (!conflicts.is_empty()).then_some(ChangeCheck::Conflicts(conflicts))
     }
 }
--- a/crates/caperworks/tests/reduced_map_stories.rs
+++ b/crates/caperworks/tests/reduced_map_stories.rs
@@ -5,7 +5,7 @@
 use caperworks::feed::Follower;
 use caperworks::identifiers::{Chance, ChangeId};
 use caperworks::map_items::{Route, Value};
-use caperworks::map_weighing::Standpoint;
+use caperworks::map_weighing::ChangeCheck;
 use caperworks::reduced_map::FeedForm;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap, Written};
 
@@ -46,7 +46,7 @@
 /// The changes that voters agree on: they refuse what does not fit.
 fn agreed(map: &mut ReplicatedMap, chance: &mut Chance, number: u64) -> Option<NumberedChange> {
     let change = drawn_change(chance, number);
-    if map.weigh(&change) != Standpoint::Fits {
+    if map.weigh(&change) != ChangeCheck::Fits {
         return None;
     }
     map.apply(&change);
--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/version_stories.rs
@@ -6,7 +6,7 @@
 use caperworks::configuration::{check_configuration, RouteTable, MOST_BYTES};
 use caperworks::identifiers::{Chance, ChangeId, Region, ServiceName, Version};
 use caperworks::map_items::{Route, Service, SplitTarget, Value, ZoneSettings};
-use caperworks::map_weighing::Standpoint;
+use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{
     AnsweredChange, Change, Guard, Item, Put, ReplicatedMap, TakenVersion, Written, MAP_READ,
     REMEMBERED_CHANGES,
@@ -374,10 +374,10 @@
 }
 
 /// Weighs a call of these puts under an id of its own, and applies it if it fits.
-fn taken_in(map: &mut ReplicatedMap, puts: Vec<Put>) -> Standpoint {
+fn taken_in(map: &mut ReplicatedMap, puts: Vec<Put>) -> ChangeCheck {
     let change = call(&format!("call-{}", map.version), puts);
     let standpoint = map.weigh(&change);
-    if standpoint == Standpoint::Fits {
+    if standpoint == ChangeCheck::Fits {
         map.apply(&change);
     }
     standpoint
@@ -388,7 +388,7 @@
     let mut map = ReplicatedMap::empty();
     for (version, text) in puts {
         let standpoint = taken_in(&mut map, vec![worded(KEY, *version, *text)]);
-        assert_eq!(standpoint, Standpoint::Fits, "{version} {text:?}");
+        assert_eq!(standpoint, ChangeCheck::Fits, "{version} {text:?}");
     }
     map
 }
@@ -418,7 +418,7 @@
         let mut map = worded_map(&confirmed);
         let before = standing(&map, KEY);
         let standpoint = taken_in(&mut map, vec![worded(KEY, version, text)]);
-        assert_eq!(standpoint, Standpoint::Fits, "{version} {text:?}");
+        assert_eq!(standpoint, ChangeCheck::Fits, "{version} {text:?}");
         assert_eq!(standing(&map, KEY), before, "it changes nothing");
     }
     for (version, text) in [
@@ -447,13 +447,13 @@
                 digest: contents_digest(Some("c")),
             },
         };
-        assert_eq!(standpoint, Standpoint::VersionsTaken(vec![taken]));
+        assert_eq!(standpoint, ChangeCheck::VersionsTaken(vec![taken]));
         assert_eq!(map, before);
     }
     let mut map = worded_map(&confirmed);
     assert_eq!(
         taken_in(&mut map, vec![worded(KEY, 8, Some("b"))]),
-        Standpoint::Fits
+        ChangeCheck::Fits
     );
     assert_eq!(standing(&map, KEY), Some((8, Some("b".to_string()))));
 }
@@ -463,11 +463,11 @@
     let mut map = worded_map(&[(7, Some("c")), (4, Some("late"))]);
     assert_eq!(
         taken_in(&mut map, vec![worded(KEY, 4, Some("late"))]),
-        Standpoint::Fits
+        ChangeCheck::Fits
     );
     let standpoint = taken_in(&mut map, vec![worded(KEY, 4, Some("other"))]);
     assert!(
-        matches!(standpoint, Standpoint::VersionsTaken(_)),
+        matches!(standpoint, ChangeCheck::VersionsTaken(_)),
         "{standpoint:?}"
     );
 }
@@ -490,7 +490,7 @@
     for version in 1..=most {
         for text in [format!("text {version}"), "other".to_string()] {
             let standpoint = taken_in(&mut map, vec![worded(KEY, version, Some(&text))]);
-            let forgotten = Standpoint::VersionsForgotten(vec![KEY.to_string()]);
+            let forgotten = ChangeCheck::VersionsForgotten(vec![KEY.to_string()]);
             assert_eq!(standpoint, forgotten, "{version}");
         }
     }
@@ -498,9 +498,9 @@
     for version in most + 1..=2 * most {
         let text = format!("text {version}");
         let again = vec![worded(KEY, version, Some(&text))];
-        assert_eq!(taken_in(&mut map, again), Standpoint::Fits, "{version}");
+        assert_eq!(taken_in(&mut map, again), ChangeCheck::Fits, "{version}");
         let other = taken_in(&mut map, vec![worded(KEY, version, Some("other"))]);
-        assert!(matches!(other, Standpoint::VersionsTaken(_)), "{other:?}");
+        assert!(matches!(other, ChangeCheck::VersionsTaken(_)), "{other:?}");
     }
 }
 
@@ -514,13 +514,13 @@
         worded("pool/newer", 9, Some("m")),
     ];
     let standpoint = taken_in(&mut map, mixed);
-    let Standpoint::VersionsTaken(taken) = standpoint else {
+    let ChangeCheck::VersionsTaken(taken) = standpoint else {
         panic!("{standpoint:?}");
     };
     assert_eq!((taken.len(), taken[0].key.as_str()), (1, KEY));
     assert_eq!(map, before);
     let agreeing = vec![worded("pool/new", 1, Some("n")), worded(KEY, 5, Some("a"))];
-    assert_eq!(taken_in(&mut map, agreeing), Standpoint::Fits);
+    assert_eq!(taken_in(&mut map, agreeing), ChangeCheck::Fits);
     assert_eq!(standing(&map, "pool/new"), Some((1, Some("n".to_string()))));
 }
 
@@ -530,11 +530,11 @@
     let twice = vec![worded(KEY, 5, Some("a")), worded(KEY, 5, Some("b"))];
     let standpoint = taken_in(&mut map, twice);
     assert!(
-        matches!(standpoint, Standpoint::VersionsTaken(_)),
+        matches!(standpoint, ChangeCheck::VersionsTaken(_)),
         "{standpoint:?}"
     );
     let same = vec![worded(KEY, 5, Some("a")), worded(KEY, 5, Some("a"))];
-    assert_eq!(taken_in(&mut map, same), Standpoint::Fits);
+    assert_eq!(taken_in(&mut map, same), ChangeCheck::Fits);
 }
 
 /// A map as it was stored before histories were kept.
@@ -562,14 +562,14 @@
         let mut map: ReplicatedMap = minicbor::decode(&bytes).expect("it decodes");
         assert_eq!(map.items, stored.items);
         let again = taken_in(&mut map, vec![worded(KEY, 5, last)]);
-        assert_eq!(again, Standpoint::Fits);
+        assert_eq!(again, ChangeCheck::Fits);
         let other = taken_in(&mut map, vec![worded(KEY, 5, Some("other"))]);
-        assert!(matches!(other, Standpoint::VersionsTaken(_)), "{other:?}");
+        assert!(matches!(other, ChangeCheck::VersionsTaken(_)), "{other:?}");
         let older = taken_in(&mut map, vec![worded(KEY, 3, Some("a"))]);
-        let forgotten = Standpoint::VersionsForgotten(vec![KEY.to_string()]);
+        let forgotten = ChangeCheck::VersionsForgotten(vec![KEY.to_string()]);
         assert_eq!(older, forgotten);
         let newer = taken_in(&mut map, vec![worded(KEY, 6, Some("c"))]);
-        assert_eq!(newer, Standpoint::Fits);
+        assert_eq!(newer, ChangeCheck::Fits);
     }
 }
 
@@ -613,18 +613,18 @@
     for number in 2..=REMEMBERED_CHANGES as u32 {
         map.apply(&unconditional(&format!("later-{number}"), number, 1));
     }
-    assert_eq!(map.weigh(&first), Standpoint::Repeat(Version(1)));
+    assert_eq!(map.weigh(&first), ChangeCheck::Repeat(Version(1)));
     let last = REMEMBERED_CHANGES as u32 + 1;
     map.apply(&unconditional("the one too many", last, 500));
     assert_eq!(
         map.weigh(&first),
-        Standpoint::IdForgotten(map.version),
+        ChangeCheck::IdForgotten(map.version),
         "its id is forgotten, and it read the map before what is remembered"
     );
     let new = unconditional("new", 1, map.version.0);
-    assert_eq!(map.weigh(&new), Standpoint::Fits);
+    assert_eq!(map.weigh(&new), ChangeCheck::Fits);
     let just = unconditional("just", 1, map.version.0 - REMEMBERED_CHANGES as u64);
-    assert_eq!(map.weigh(&just), Standpoint::Fits);
+    assert_eq!(map.weigh(&just), ChangeCheck::Fits);
 }
 
 #[test]
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -16,7 +16,7 @@
 use caperworks::identifiers::Version;
 use caperworks::leadership::LEADERSHIPS;
 use caperworks::map_items::Value;
-use caperworks::map_weighing::Standpoint;
+use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{Change, Guard, MapName, Put};
 
 /// A change without a version is taken only while its caller surely still waits for the response:
@@ -195,7 +195,7 @@
 fn is_new(state: &ControllerState, change: &Change) -> bool {
     !matches!(
         state.map(MapName::Configuration).weigh(change),
-        Standpoint::Repeat(_)
+        ChangeCheck::Repeat(_)
     )
 }
 
--- a/crates/controller/tests/interface_stories.rs
+++ b/crates/controller/tests/interface_stories.rs
@@ -2,7 +2,7 @@
 
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version};
-use caperworks::map_weighing::Standpoint;
+use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{ReplicatedMap, TakenVersion, MAP_READ, REMEMBERED_CHANGES};
 use caperworks::version_history::ConfirmedVersion;
 use controller::operator_json::{proposal_outcome_json, read_form};
@@ -59,15 +59,15 @@
     for number in 0..REMEMBERED_CHANGES {
         let (mut later, _) = read_form(&change_set(r#""edition": 1,"#, &[""]));
         later.id = ChangeId::new(format!("later-{number}"));
-        assert_eq!(map.weigh(&later), Standpoint::Fits, "{number}");
+        assert_eq!(map.weigh(&later), ChangeCheck::Fits, "{number}");
         map.apply(&later);
     }
     let standpoint = map.weigh(&first);
-    assert_eq!(standpoint, Standpoint::IdForgotten(map.version));
+    assert_eq!(standpoint, ChangeCheck::IdForgotten(map.version));
     let read = format!(r#""edition": {},"#, map.version);
     let (mut new, _) = read_form(&change_set(&read, &[""]));
     new.id = ChangeId::new("new");
-    assert_eq!(map.weigh(&new), Standpoint::Fits);
+    assert_eq!(map.weigh(&new), ChangeCheck::Fits);
 }
 
 #[test]
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -7,7 +7,7 @@
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version, Zone};
 use caperworks::map_items::Value;
-use caperworks::map_weighing::Standpoint;
+use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{Change, ReplicatedMap, REMEMBERED_CHANGES};
 
 #[derive(Debug, Clone)]
@@ -178,7 +178,7 @@
                     format!("{name} holds refused {}", answered.id),
                 );
             }
-            if replayed.weigh(&change) != Standpoint::Fits {
+            if replayed.weigh(&change) != ChangeCheck::Fits {
                 let what = format!("{name}: {} does not fit where it stands", answered.id);
                 self.breach(Line::ForkedMap, at, what);
             }
