--- a/crates/caperworks/src/consensus/proposer/pending.rs
+++ b/crates/caperworks/src/consensus/proposer/pending.rs
@@ -88,7 +88,7 @@
     }
 
     fn standpoint(&self, map: &ReplicatedMap, change: &Change) -> ChangeCheck {
-        match map.weigh(change) {
+        match map.check_change(change) {
             ChangeCheck::VersionsTaken(_) if self.options.confirms_taken_versions => {
                 ChangeCheck::Fits
             }
--- a/crates/caperworks/src/map_weighing.rs
+++ b/crates/caperworks/src/map_weighing.rs
@@ -48,7 +48,7 @@
     }
 
     /// Checks a change against this map; the first reason to reject it wins.
-    pub fn weigh(&self, change: &Change) -> ChangeCheck {
+    pub fn check_change(&self, change: &Change) -> ChangeCheck {
         self.answered_before(change)
             .or_else(|| self.forgotten_id(change))
             .or_else(|| self.weigh_versions(change))
--- a/crates/caperworks/tests/reduced_map_stories.rs
+++ b/crates/caperworks/tests/reduced_map_stories.rs
@@ -46,7 +46,7 @@
 /// The changes that voters agree on: they refuse what does not fit.
 fn agreed(map: &mut ReplicatedMap, chance: &mut Chance, number: u64) -> Option<NumberedChange> {
     let change = drawn_change(chance, number);
-    if map.weigh(&change) != ChangeCheck::Fits {
+    if map.check_change(&change) != ChangeCheck::Fits {
         return None;
     }
     map.apply(&change);
--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/version_stories.rs
@@ -376,7 +376,7 @@
 /// Weighs a call of these puts under an id of its own, and applies it if it fits.
 fn taken_in(map: &mut ReplicatedMap, puts: Vec<Put>) -> ChangeCheck {
     let change = call(&format!("call-{}", map.version), puts);
-    let standpoint = map.weigh(&change);
+    let standpoint = map.check_change(&change);
     if standpoint == ChangeCheck::Fits {
         map.apply(&change);
     }
@@ -613,18 +613,18 @@
     for number in 2..=REMEMBERED_CHANGES as u32 {
         map.apply(&unconditional(&format!("later-{number}"), number, 1));
     }
-    assert_eq!(map.weigh(&first), ChangeCheck::Repeat(Version(1)));
+    assert_eq!(map.check_change(&first), ChangeCheck::Repeat(Version(1)));
     let last = REMEMBERED_CHANGES as u32 + 1;
     map.apply(&unconditional("the one too many", last, 500));
     assert_eq!(
-        map.weigh(&first),
+        map.check_change(&first),
         ChangeCheck::IdForgotten(map.version),
         "its id is forgotten, and it read the map before what is remembered"
     );
     let new = unconditional("new", 1, map.version.0);
-    assert_eq!(map.weigh(&new), ChangeCheck::Fits);
+    assert_eq!(map.check_change(&new), ChangeCheck::Fits);
     let just = unconditional("just", 1, map.version.0 - REMEMBERED_CHANGES as u64);
-    assert_eq!(map.weigh(&just), ChangeCheck::Fits);
+    assert_eq!(map.check_change(&just), ChangeCheck::Fits);
 }
 
 #[test]
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -194,7 +194,7 @@
 /// Whether a change was not accepted before.
 fn is_new(state: &ControllerState, change: &Change) -> bool {
     !matches!(
-        state.map(MapName::Configuration).weigh(change),
+        state.map(MapName::Configuration).check_change(change),
         ChangeCheck::Repeat(_)
     )
 }
--- a/crates/controller/tests/interface_stories.rs
+++ b/crates/controller/tests/interface_stories.rs
@@ -59,15 +59,15 @@
     for number in 0..REMEMBERED_CHANGES {
         let (mut later, _) = read_form(&change_set(r#""edition": 1,"#, &[""]));
         later.id = ChangeId::new(format!("later-{number}"));
-        assert_eq!(map.weigh(&later), ChangeCheck::Fits, "{number}");
+        assert_eq!(map.check_change(&later), ChangeCheck::Fits, "{number}");
         map.apply(&later);
     }
-    let standpoint = map.weigh(&first);
+    let standpoint = map.check_change(&first);
     assert_eq!(standpoint, ChangeCheck::IdForgotten(map.version));
     let read = format!(r#""edition": {},"#, map.version);
     let (mut new, _) = read_form(&change_set(&read, &[""]));
     new.id = ChangeId::new("new");
-    assert_eq!(map.weigh(&new), ChangeCheck::Fits);
+    assert_eq!(map.check_change(&new), ChangeCheck::Fits);
 }
 
 #[test]
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -178,7 +178,7 @@
                     format!("{name} holds refused {}", answered.id),
                 );
             }
-            if replayed.weigh(&change) != ChangeCheck::Fits {
+            if replayed.check_change(&change) != ChangeCheck::Fits {
                 let what = format!("{name}: {} does not fit where it stands", answered.id);
                 self.breach(Line::ForkedMap, at, what);
             }
