--- a/crates/caperworks/src/catch_up.rs
+++ b/crates/caperworks/src/catch_up.rs
@@ -61,7 +61,7 @@
         3 form: FeedForm,
         /// The most bytes of the next chunk; zero for [`CHUNK_BYTES`].
         #[cbor(default)]
-        4 most_bytes: u32,
+        4 max_bytes: u32,
     }
 
     /// A chunk of one version of one encoded map.
--- a/crates/caperworks/src/catch_up/receiver.rs
+++ b/crates/caperworks/src/catch_up/receiver.rs
@@ -46,7 +46,7 @@
 pub struct CatchUpReceiver {
     transfers: BTreeMap<MapName, Transfer>,
     last_number: u64,
-    most_bytes: u64,
+    max_bytes: u64,
     form: FeedForm,
     /// The fault to inject; none in production.
     pub broken: BrokenCatchUp,
@@ -55,11 +55,11 @@
 impl CatchUpReceiver {
     /// A receiver without transfers. `first_number` tells this incarnation's transfers from those of
     /// an earlier one; a snapshot of more than `most_bytes` is refused.
-    pub fn new(first_number: u64, most_bytes: u64) -> Self {
+    pub fn new(first_number: u64, max_bytes: u64) -> Self {
         Self {
             transfers: BTreeMap::new(),
             last_number: first_number >> 1,
-            most_bytes,
+            max_bytes,
             form: FeedForm::Complete,
             broken: BrokenCatchUp::Nothing,
         }
@@ -152,7 +152,7 @@
         if let Err(refusal) = transfer.check(from, held, &chunk) {
             return ChunkOutcome::Refused(refusal);
         }
-        if chunk.total > self.most_bytes {
+        if chunk.total > self.max_bytes {
             return ChunkOutcome::Refused(ChunkError::TooLarge);
         }
         transfer.record_response(now);
--- a/crates/caperworks/src/catch_up/receiver/transfer.rs
+++ b/crates/caperworks/src/catch_up/receiver/transfer.rs
@@ -123,7 +123,7 @@
                 version: partial.map_or(Version(0), |partial| partial.version),
                 offset: partial.map_or(0, |partial| partial.bytes.len() as u64),
                 form: self.form,
-                most_bytes: self.chunk_bytes,
+                max_bytes: self.chunk_bytes,
             },
         }
     }
--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -74,14 +74,14 @@
         map: MapName,
         after: Version,
         form: FeedForm,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> FollowerUpdate {
         let present = voter.map(map);
         if after >= present.version {
             return FollowerUpdate::Nothing;
         }
         let history = voter.history(map);
-        if let Some(first) = history.first_changes_after(after, form, most_bytes) {
+        if let Some(first) = history.first_changes_after(after, form, max_bytes) {
             let message = ConsensusMessage::updates(form, map, first.changes);
             return match first.more {
                 true => FollowerUpdate::Partial(message),
@@ -139,7 +139,7 @@
         let requested = position.offset as usize;
         let resumes = position.version == snapshot.version && requested < total;
         let offset = if resumes { requested } else { 0 };
-        let end = total.min(offset + chunk_length(position.most_bytes));
+        let end = total.min(offset + chunk_length(position.max_bytes));
         SnapshotChunk {
             map: name,
             version: snapshot.version,
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -68,7 +68,7 @@
         &self,
         after: Version,
         form: FeedForm,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Option<FirstChanges> {
         let first = self.changes.front()?;
         if first.version > after.next() {
@@ -81,7 +81,7 @@
         let mut changes = Vec::new();
         while let Some(numbered) = later.next_if(|numbered| {
             bytes += encoded_length(numbered);
-            bytes <= most_bytes || changes.is_empty()
+            bytes <= max_bytes || changes.is_empty()
         }) {
             changes.push(numbered);
         }
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -437,7 +437,7 @@
                     version: Version(40),
                     offset: 65_536,
                     form: FeedForm::Reduced,
-                    most_bytes: 4096,
+                    max_bytes: 4096,
                 }),
             },
         ),
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -194,7 +194,7 @@
     renewal: &Renewal,
 ) -> FollowerMaps {
     let now = state.now;
-    let most_bytes = match renewal.extent {
+    let max_bytes = match renewal.extent {
         ResponseExtent::Full => GRANT_UPDATE_BYTES,
         ResponseExtent::Brief => BRIEF_CHANGES_BYTES,
     };
@@ -205,7 +205,7 @@
         let voter = &state.voter;
         match state
             .snapshots
-            .updates_for_follower(now, voter, map, held, renewal.form, most_bytes)
+            .updates_for_follower(now, voter, map, held, renewal.form, max_bytes)
         {
             FollowerUpdate::Nothing => {}
             FollowerUpdate::InChunks => maps.in_chunks.push(map),
