--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -238,7 +238,7 @@
 ///
 /// Called before the voters are changed: what the voters before may have accepted must be decided
 /// while every majority of the present voters still meets every majority of those.
-pub fn settle(proposer: &mut Proposer, membership: Version) -> bool {
+pub fn ensure_recovered(proposer: &mut Proposer, membership: Version) -> bool {
     let is_settled = proposer.is_settled(membership);
     if !is_settled {
         proposer.finish();
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -14,7 +14,7 @@
 use crate::state::parts::ProposalOrigin;
 use crate::state::ControllerState;
 use crate::state_machine::event::Event;
-use caperworks::consensus::proposer::settle;
+use caperworks::consensus::proposer::ensure_recovered;
 use caperworks::identifiers::NodeId;
 use caperworks::map_items::{Value, VoterEntry, VoterSet};
 use caperworks::replicated_map::{Change, MapName, FALLBACK_MEMBERS};
@@ -102,7 +102,7 @@
     let membership = state.map(MapName::Membership).version;
     let mut is_settled = true;
     for proposer in &mut state.proposers {
-        is_settled &= settle(proposer, membership);
+        is_settled &= ensure_recovered(proposer, membership);
     }
     is_settled
 }
--- a/crates/model-check/src/world.rs
+++ b/crates/model-check/src/world.rs
@@ -9,7 +9,7 @@
 use crate::invariants::{check_recoverable, ChosenChanges, Violation};
 use crate::node::Node;
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::consensus::proposer::settle;
+use caperworks::consensus::proposer::ensure_recovered;
 use caperworks::consensus::voter::Voter;
 use caperworks::identifiers::{ChangeId, NodeId, Region, Version, Zone};
 use caperworks::map_items::{Value, VoterEntry, VoterSet, ZoneSettings};
@@ -290,8 +290,8 @@
             let membership = node.voter.get().map(MapName::Membership);
             let version = membership.version;
             let expected = membership.present("seats");
-            let configuration = settle(node.configuration.change(), version);
-            let settled = settle(node.membership.change(), version) && configuration;
+            let configuration = ensure_recovered(node.configuration.change(), version);
+            let settled = ensure_recovered(node.membership.change(), version) && configuration;
             if settled || bound.mistake == Mistake::SkipsSettling {
                 let id = format!("voters-after-{version}");
                 let change = voters_change(&id, expected, holders);
