--- a/crates/caperworks/src/catch_up.rs
+++ b/crates/caperworks/src/catch_up.rs
@@ -42,7 +42,7 @@
 /// [`Change::weight`](crate::replicated_map::Change::weight).
 pub const UPDATE_WEIGHT: usize = 512;
 /// The largest map that a follower takes in chunks, in bytes.
-pub const MOST_FOLLOWED_BYTES: u64 = 64 * 1024 * 1024;
+pub const MAX_FOLLOWER_SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
 /// How soon the same snapshot is sent again in one message to a follower that did not get it.
 pub const FULL_MAP_PERIOD: Duration = Duration::from_secs(1);
 
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use crate::catch_up::{
-    CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk, MOST_FOLLOWED_BYTES,
+    CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk,
+    MAX_FOLLOWER_SNAPSHOT_BYTES,
 };
 use crate::consensus::messages::ConsensusMessage;
 use crate::envelope_clock::EnvelopeClock;
@@ -148,7 +149,7 @@
             lease: LeaseHolder::default(),
             instances: Instances::default(),
             members: Members::default(),
-            catch_up: CatchUpReceiver::new(draw, MOST_FOLLOWED_BYTES),
+            catch_up: CatchUpReceiver::new(draw, MAX_FOLLOWER_SNAPSHOT_BYTES),
             proxies: VecDeque::new(),
             reporter: LinkReporter::default(),
         }
