--- a/crates/caperworks/src/consensus/messages.rs
+++ b/crates/caperworks/src/consensus/messages.rs
@@ -1,6 +1,6 @@
-//! The messages between proposers and voters, and the state that a voter keeps on disk.
+//! Messages between proposers and voters, and the state that a voter stores on disk.
 //!
-//! The numbers before fields and variants are the wire and disk format: never renumber them.
+//! The numbers before fields and variants are part of the wire and disk format: never renumber them.
 
 use crate::catch_up::{SnapshotChunk, TransferPosition};
 use crate::identifiers::{NodeId, Version};
@@ -8,17 +8,16 @@
 use crate::replicated_map::{Change, MapName, ReplicatedMap};
 
 messages! {
-    /// A proposal number. It is ordered by the counter first, and by the proposing node among equal
-    /// counters, so that no two proposers ever use the same one.
+    /// A proposal number, unique per proposer: ordered by the counter, then by the proposing node.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     struct ProposalNumber {
         0 round: u64,
         1 node: NodeId,
     }
 
-    /// A change that a voter has accepted, with the proposal number under which it did.
+    /// A change that a voter has accepted, with the proposal number.
     ///
-    /// It is not known to be committed: only a majority of such acceptances makes it so.
+    /// It is committed only once a majority of voters has accepted it.
     #[derive(Eq)]
     struct AcceptedProposal {
         0 proposal_number: ProposalNumber,
@@ -30,24 +29,24 @@
     struct Replica {
         /// The last committed version.
         0 map: ReplicatedMap,
-        /// The highest proposal number prepared for the next version.
+        /// The highest proposal number promised for the next version.
         1 promised: ProposalNumber,
-        /// What was accepted for the next version, if anything.
+        /// The change accepted for the next version, if any.
         2 accepted: Option<AcceptedProposal>,
     }
 
-    /// A committed change, with the version of the map that it leads to.
+    /// A committed change, with the version of the map that it produces.
     #[derive(Eq)]
     struct NumberedChange {
         0 version: Version,
         1 change: Change,
     }
 
-    /// One record of the write-ahead log between two slots. `version` is always the version that is
-    /// being decided: the one after the voter's own.
+    /// One record of the write-ahead log between two slots. `version` is always the version being
+    /// decided: the one after the voter's committed version.
     #[derive(Eq)]
     enum Record {
-        /// The voter prepared this proposal number.
+        /// The voter promised this proposal number.
         0 Promised { 0 map: MapName, 1 version: Version, 2 proposal_number: ProposalNumber },
         /// The voter accepted this change.
         1 Accepted { 0 map: MapName, 1 version: Version, 2 accepted: AcceptedProposal },
@@ -55,24 +54,24 @@
         2 Committed { 0 map: MapName, 1 version: Version, 2 change: Change },
     }
 
-    /// The messages of the protocol. `version` is the version to be decided, `membership` the version
-    /// of the membership map that the sender counts its majority by.
+    /// The messages of the consensus protocol. `version` is the version to be decided, `membership`
+    /// the version of the membership map that determines the sender's majority.
     #[derive(Eq)]
     enum ConsensusMessage {
         /// Phase 1, proposer to voters.
         0 Prepare { 0 map: MapName, 1 membership: Version, 2 version: Version, 3 proposal_number: ProposalNumber },
-        /// The answer to `Prepare`: no lower proposal number will be accepted any more.
+        /// The response to `Prepare`: the voter will accept no lower proposal number.
         1 Promise { 0 map: MapName, 1 version: Version, 2 proposal_number: ProposalNumber, 3 accepted: Option<AcceptedProposal> },
         /// Phase 2, proposer to voters.
         2 Accept { 0 map: MapName, 1 membership: Version, 2 version: Version, 3 proposal_number: ProposalNumber, 4 change: Change },
-        /// The answer to `Accept`: the change is on the voter's disk.
+        /// The response to `Accept`: the change is synced to the voter's disk.
         3 Accepted { 0 map: MapName, 1 version: Version, 2 proposal_number: ProposalNumber },
-        /// The answer to either when the voter refuses: `promised` is the proposal number that it has
-        /// prepared, and `voter_version` the version of the map that it has.
+        /// The negative response to `Prepare` or `Accept`: `promised` is the proposal number that the
+        /// voter has promised, and `voter_version` its version of the map.
         4 Reject { 0 map: MapName, 1 version: Version, 2 proposal_number: ProposalNumber, 3 promised: ProposalNumber, 4 voter_version: Version },
-        /// The change was accepted by a majority.
+        /// A majority has accepted the change.
         5 Commit { 0 map: MapName, 1 version: Version, 2 change: Change },
-        /// Asks for what is missing after a version; without a position the answer is one message.
+        /// Requests the updates after a version. Without a position the response is one message.
         6 CatchUp { 0 map: MapName, 1 after: Version, 2 position: Option<TransferPosition> },
         /// Committed changes, in order.
         7 Updates { 0 map: MapName, 1 changes: Vec<NumberedChange> },
@@ -80,13 +79,13 @@
         8 Snapshot { 0 map: MapName, 1 full_map: ReplicatedMap },
         /// A chunk of an encoded snapshot.
         9 Chunk { 0 chunk: SnapshotChunk },
-        /// Committed changes in reduced form, for followers that only read. Voters ignore it.
+        /// Committed changes in reduced form, for read-only followers. Voters ignore it.
         10 ReducedUpdates { 0 map: MapName, 1 changes: Vec<NumberedChange> },
     }
 }
 
 impl ProposalNumber {
-    /// Lower than every proposal number that a proposer uses: nothing has been prepared.
+    /// No proposal was promised: lower than every proposal number that a proposer uses.
     pub const NONE: ProposalNumber = ProposalNumber {
         round: 0,
         node: NodeId(0),
@@ -94,7 +93,7 @@
 }
 
 impl Replica {
-    /// The state of a voter that has never heard of this map.
+    /// Returns the state of a voter that has received nothing about this map.
     pub fn empty() -> Self {
         Self {
             map: ReplicatedMap::empty(),
@@ -103,10 +102,10 @@
         }
     }
 
-    /// The highest version that may have been committed, as far as this voter can tell.
+    /// Returns the highest version that may have been committed, as far as this voter can tell.
     ///
-    /// An accepted change counts: a majority may have accepted it and the operator may have been told
-    /// so, and a quorum read must not report a lower version than that.
+    /// An accepted change counts: a majority may have accepted it and it may have been acknowledged
+    /// to the operator, so a quorum read must not report a lower version.
     pub fn possible(&self) -> Version {
         match self.accepted {
             Some(_) => self.map.version.next(),
@@ -116,7 +115,7 @@
 }
 
 impl ConsensusMessage {
-    /// The message that carries committed changes to a follower, in the form that it asked for.
+    /// Creates the message that carries committed changes to a follower in the requested form.
     pub fn updates(form: FeedForm, map: MapName, changes: Vec<NumberedChange>) -> Self {
         match form {
             FeedForm::Complete => Self::Updates { map, changes },
@@ -124,8 +123,8 @@
         }
     }
 
-    /// The committed changes that this message carries to a follower, in whichever form; nothing for
-    /// every other kind of message.
+    /// Returns the committed changes that this message carries to a follower, in either form, or
+    /// `None` for every other kind of message.
     pub fn follower_updates(&self) -> Option<FollowerChanges<'_>> {
         let (form, map, changes) = match self {
             Self::Updates { map, changes } => (FeedForm::Complete, *map, changes),
@@ -141,7 +140,7 @@
 pub struct FollowerChanges<'message> {
     /// Whether the changes are complete or reduced.
     pub form: FeedForm,
-    /// The map that they belong to.
+    /// The map that the changes belong to.
     pub map: MapName,
     /// The changes, lowest version first.
     pub changes: &'message [NumberedChange],
--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -1,8 +1,9 @@
-//! The proposer side of consensus: decides the next version of one replicated map.
+//! The Paxos proposer: decides the next version of one replicated map.
 //!
 //! A proposer is a state machine without I/O. The caller queues changes with [`Proposer::propose`],
-//! passes on the voters' answers with [`Proposer::handle`] and time with [`Proposer::tick`], and sends
-//! what each returns. One version is decided at a time; several pending changes are decided in turn.
+//! forwards the voters' responses to [`Proposer::handle`], calls [`Proposer::tick`] as time passes, and
+//! sends the messages that each returns. One version is decided at a time; pending changes are
+//! decided in the order in which they were queued.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -23,7 +24,7 @@
 pub use self::options::ProposerOptions;
 pub use self::outcome::{ProposalOutcome, ProposerOutcome};
 
-/// The shortest and the longest pause after a phase that timed out.
+/// The minimum and the maximum backoff after a phase that timed out.
 const BACKOFF: [Duration; 2] = [Duration::from_millis(1), Duration::from_millis(80)];
 
 /// The proposer of one node for one map.
@@ -34,18 +35,19 @@
     options: ProposerOptions,
     pending: VecDeque<PendingProposal>,
     phase: Phase,
-    /// The highest counter of a proposal number that was used here or named in a rejection.
+    /// The highest counter of a proposal number that this proposer used or received in a rejection.
     highest_counter: u64,
     backoff_until: Duration,
     recovery_requested: bool,
-    /// The version of the membership that the present phase was started under.
+    /// The version of the membership under which the current phase was started.
     phase_membership: Version,
-    /// The version of the membership under which a majority last reported no accepted change.
+    /// The version of the membership under which a majority last reported that no change is accepted
+    /// but undecided.
     recovered_under: Option<Version>,
 }
 
 impl Proposer {
-    /// An idle proposer for one map.
+    /// Creates an idle proposer for one map.
     pub fn new(name: MapName, node: NodeId, options: ProposerOptions) -> Self {
         Self {
             name,
@@ -61,41 +63,41 @@
         }
     }
 
-    /// Queues a change. Its result comes with `ticket`, after [`ProposerOptions::give_up`] at the
-    /// latest.
+    /// Queues a change. Its result is reported with `ticket`, after
+    /// [`ProposerOptions::pending_timeout`] at the latest.
     pub fn propose(&mut self, now: Duration, ticket: u64, change: Change) {
         self.pending.push_back(PendingProposal {
             ticket,
             change,
-            since: now,
-            offered: false,
+            queued_at: now,
+            was_proposed: false,
         });
     }
 
-    /// Whether there is something to decide.
+    /// Returns whether a change is pending or a recovery was requested.
     pub fn has_work(&self) -> bool {
         !self.pending.is_empty() || self.recovery_requested
     }
 
-    /// Whether a phase is in progress.
+    /// Returns whether a phase is in progress.
     pub fn has_proposal(&self) -> bool {
         !matches!(self.phase, Phase::Idle)
     }
 
-    /// Requests a recovery: a proposal that commits whatever some voter has accepted without it being
-    /// known to be committed.
+    /// Requests a recovery: a proposal that commits any change that voters have accepted but that is
+    /// not known to be committed.
     pub fn finish(&mut self) {
         self.recovery_requested = true;
     }
 
-    /// Whether a majority of this membership has reported that no change is accepted but undecided,
-    /// for instance from the membership before.
-    pub fn is_settled(&self, membership: Version) -> bool {
+    /// Returns whether a majority of this membership has reported that no change is accepted but
+    /// undecided, for instance from the previous membership.
+    pub fn is_recovered(&self, membership: Version) -> bool {
         self.recovered_under == Some(membership)
     }
 
-    /// Handles time passing: expires pending changes, gives up a phase that is stuck, and starts the
-    /// next one. Called several times within [`ProposerOptions::phase_span`].
+    /// Expires pending changes, abandons a phase that is stuck, and starts the next one. Must be
+    /// called several times per [`ProposerOptions::phase_timeout`].
     pub fn tick(&mut self, now: Duration, voter: &Voter, chance: &mut Chance) -> ProposerOutcome {
         let mut outcome = ProposerOutcome::default();
         self.expire_pending(now, &mut outcome);
@@ -103,10 +105,11 @@
         let next_version = voter.map(self.name).version.next();
         if self
             .phase
-            .is_stuck(now, self.options.phase_span, next_version)
+            .is_stuck(now, self.options.phase_timeout, next_version)
         {
             self.phase = Phase::Idle;
-            // The pause is random: two proposers in step would outbid each other for ever.
+            // The backoff is random, because two proposers that retry in lockstep would preempt each
+            // other forever.
             self.backoff_until = now + chance.between(BACKOFF[0], BACKOFF[1]);
         }
         self.commit_if_accepted(now, voter, &mut outcome);
@@ -114,13 +117,13 @@
         outcome
     }
 
-    /// Handles the answer of a voter. Answers of nodes that are no voters, and of phases that are
-    /// over, are ignored.
+    /// Handles the response of a voter. Ignores responses from nodes that are not voters and
+    /// responses to earlier phases.
     pub fn handle(
         &mut self,
         now: Duration,
         from: NodeId,
-        vote: &ConsensusMessage,
+        response: &ConsensusMessage,
         voter: &Voter,
     ) -> ProposerOutcome {
         let mut outcome = ProposerOutcome::default();
@@ -131,7 +134,7 @@
             return outcome;
         }
         self.abandon_phase_of_old_membership(voter);
-        match (vote, &mut self.phase) {
+        match (response, &mut self.phase) {
             (
                 ConsensusMessage::Promise {
                     version,
@@ -191,22 +194,22 @@
         outcome
     }
 
-    /// Gives the phase up if the membership has changed since it was started: votes that were
-    /// collected under one membership say nothing of a majority of another.
+    /// Abandons the phase if the membership has changed since it was started: votes collected under
+    /// one membership do not count towards a majority of another.
     fn abandon_phase_of_old_membership(&mut self, voter: &Voter) {
         if self.phase_membership != voter.map(MapName::Membership).version {
             self.phase = Phase::Idle;
         }
     }
 
-    /// Starts phase 1 if there is something to decide, no phase is in progress and no backoff is.
+    /// Starts phase 1 if there is something to decide, no phase is in progress and the backoff is over.
     fn start_prepare_phase(&mut self, now: Duration, voter: &Voter, outcome: &mut ProposerOutcome) {
         if self.has_proposal() || now < self.backoff_until {
             return;
         }
         let replica = voter.replica(self.name);
         if replica.accepted.is_none() {
-            self.complete_repeats(&replica.map, outcome);
+            self.complete_duplicates(&replica.map, outcome);
         }
         let membership = voter.map(MapName::Membership);
         if !self.has_work() || membership.voters().is_none() {
@@ -234,14 +237,15 @@
     }
 }
 
-/// Whether a proposer's map is recovered under this membership; if not, requests the recovery.
+/// Returns whether a proposer's map is recovered under this membership; if not, requests the recovery.
 ///
-/// Called before the voters are changed: what the voters before may have accepted must be decided
-/// while every majority of the present voters still meets every majority of those.
+/// Called before the voters are changed: a change that the previous voters may have accepted must be
+/// decided while every majority of the current voters still intersects every majority of the
+/// previous ones.
 pub fn ensure_recovered(proposer: &mut Proposer, membership: Version) -> bool {
-    let is_settled = proposer.is_settled(membership);
-    if !is_settled {
+    let is_recovered = proposer.is_recovered(membership);
+    if !is_recovered {
         proposer.finish();
     }
-    is_settled
+    is_recovered
 }
--- a/crates/caperworks/src/consensus/proposer/accept_phase.rs
+++ b/crates/caperworks/src/consensus/proposer/accept_phase.rs
@@ -1,11 +1,11 @@
 //! Phase 2: which change is proposed after a majority has promised, and when it is committed.
 //!
-//! Invariants kept here:
+//! Invariants of this module:
 //!
 //! - If any voter of the majority reports an accepted change, the one with the highest proposal
-//!   number is proposed again: it may already be committed, and its writer told so.
-//! - A change counts as committed only with the votes of a majority, at least one of them a
-//!   controller's, and with as many controllers' as the options demand.
+//!   number is proposed again, because it may already be committed and acknowledged to its writer.
+//! - A change counts as committed only with the votes of a majority that includes at least one
+//!   controller, and as many controllers as the options require.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::replicated_map::{Change, MapName};
 
 impl Proposer {
-    /// Starts phase 2 once a majority has promised; goes idle if there is nothing to propose.
+    /// Starts phase 2 once a majority has promised, or becomes idle if there is nothing to propose.
     pub(super) fn start_accept_phase(
         &mut self,
         now: Duration,
@@ -48,7 +48,7 @@
             None => {
                 self.recovery_requested = false;
                 self.recovered_under = Some(self.phase_membership);
-                self.complete_unfit(voter.map(self.name), outcome);
+                self.complete_invalid(voter.map(self.name), outcome);
                 match self.pending.front() {
                     Some(proposal) => proposal.change.clone(),
                     None => {
@@ -59,7 +59,7 @@
             }
         };
         if let Some(proposal) = self.pending.front_mut() {
-            proposal.offered |= proposal.change.id == change.id;
+            proposal.was_proposed |= proposal.change.id == change.id;
         }
         self.phase = Phase::Accepting {
             version,
@@ -78,7 +78,7 @@
         });
     }
 
-    /// Commits the proposed change if it has enough votes; called for each vote and on each tick.
+    /// Commits the proposed change if it has enough votes. Called for each vote and on each tick.
     pub(super) fn commit_if_accepted(
         &mut self,
         now: Duration,
@@ -119,13 +119,13 @@
         });
     }
 
-    /// Whether a change with a majority of votes is on enough controllers' disks.
+    /// Returns whether a change with a majority of votes is on enough controllers' disks.
     ///
-    /// A second controller is waited for, because one machine that confirms a change and then loses
-    /// its disk must not take the only synced replica with it; but one that cannot be reached must
-    /// not stop all changes, hence the time bound. Where the options demand a number of synced
-    /// controllers there is no bound: so many disks may be wiped right after the confirmation while
-    /// all others lose power, and one more must still have the change.
+    /// By default this waits for a second controller, so that a controller that confirms a change and
+    /// then loses its disk does not take the only synced replica with it. The wait is bounded, so that
+    /// an unreachable controller does not block all changes. Where the options require a number of
+    /// synced controllers, the wait is not bounded: one disk fewer than that may be wiped right after
+    /// the confirmation while all other nodes lose power, and a disk with the change must remain.
     fn is_durable(&self, controllers: usize, majority_age: Duration) -> bool {
         let required = self
             .options
@@ -135,14 +135,14 @@
             Some(required) => controllers >= required,
             None => {
                 controllers >= 2
-                    || majority_age >= self.options.second_controller_span
+                    || majority_age >= self.options.second_controller_timeout
                     || self.options.majority_override.is_some()
             }
         };
         controllers > 0 && is_enough
     }
 
-    /// Answers the proposal at the head of the queue if it is the change that was committed.
+    /// Completes the proposal at the head of the queue if it is the change that was committed.
     fn complete_committed(
         &mut self,
         change: &Change,
@@ -158,7 +158,7 @@
     }
 }
 
-/// How many of the nodes are voters of controllers, which keep their state on disk.
+/// Counts the nodes that are controllers; only controllers persist their state to disk.
 fn count_controllers(nodes: &BTreeSet<NodeId>, voters: &VoterSet) -> usize {
     let is_controller = |node: &&NodeId| {
         let entry = voters.holder(**node);
--- a/crates/caperworks/src/consensus/proposer/outcome.rs
+++ b/crates/caperworks/src/consensus/proposer/outcome.rs
@@ -1,4 +1,4 @@
-//! What a proposer reports: the result of each proposed change, and the messages to send.
+//! The outputs of a proposer: the result of each proposed change, and the messages to send.
 
 use crate::configuration::Fault;
 use crate::consensus::messages::ConsensusMessage;
@@ -14,34 +14,34 @@
     Repeat(Version),
     /// Another change was committed under the same id, at this version.
     IdTaken(Version),
-    /// Not committed: these items changed since the writer read them.
+    /// Not committed: these items have changed since the writer read them.
     Conflicts(Vec<Conflict>),
-    /// Other contents were confirmed under the operators' own versions of these items.
+    /// Not committed: other contents were confirmed under the operator versions of these items.
     VersionsTaken(Vec<TakenVersion>),
-    /// Neither confirmed nor refused: of these items it is not known any more what was confirmed
-    /// under the versions that the change has.
+    /// Outcome unknown: for these items, the contents that were confirmed under the versions in the
+    /// change are no longer in the history.
     VersionsForgotten(Vec<String>),
-    /// Neither confirmed nor refused: the change may have been committed before this map's oldest
-    /// remembered change. The map is at this version.
+    /// Outcome unknown: the change may have been committed before the oldest change that the map
+    /// remembers. The map is at this version.
     IdForgotten(Version),
     /// Not committed: the configuration would not be valid.
     Faulty(Vec<Fault>),
-    /// Provably not committed: it was never proposed to any voter.
+    /// Certainly not committed: it was never proposed to any voter.
     NoMajority,
-    /// Not committed, and never proposed: too few agents are in touch to apply it.
+    /// Not committed, and never proposed: too few agents are reachable to apply it.
     TooFewAgents,
-    /// It was proposed and may yet be committed: read it back.
+    /// Outcome unknown: it was proposed and may still be committed. The caller should read it back.
     Unknown,
 }
 
-/// What the caller has to do after an input to a proposer.
+/// The messages to send and the results to report after an input to a proposer.
 #[derive(Debug, Default, PartialEq)]
 pub struct ProposerOutcome {
-    /// Messages to every voter, the node itself included.
+    /// Messages to every voter, including the node itself.
     pub to_voters: Vec<ConsensusMessage>,
     /// Messages to single voters that are behind.
     pub to_one: Vec<(NodeId, ConsensusMessage)>,
-    /// Results by the ticket that the change was proposed with.
+    /// Results, each with the ticket under which the change was proposed.
     pub proposal_outcomes: Vec<(u64, ProposalOutcome)>,
 }
 
--- a/crates/caperworks/src/consensus/proposer/pending.rs
+++ b/crates/caperworks/src/consensus/proposer/pending.rs
@@ -1,4 +1,4 @@
-//! The queue of pending changes: when each is answered without being proposed.
+//! The queue of pending changes, and the cases in which one is completed without being proposed.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 use crate::map_weighing::ChangeCheck;
 use crate::replicated_map::{Change, MapName, ReplicatedMap};
 
-/// A change that waits to be decided.
+/// A change that is waiting to be decided.
 #[derive(Debug, Clone)]
 pub(super) struct PendingProposal {
     pub(super) ticket: u64,
     pub(super) change: Change,
-    pub(super) since: Duration,
-    /// Whether some voter may have accepted it.
-    pub(super) offered: bool,
+    pub(super) queued_at: Duration,
+    /// Whether it was sent to voters, so that some voter may have accepted it.
+    pub(super) was_proposed: bool,
 }
 
 impl Proposer {
-    /// Answers the proposals that have been pending for too long.
+    /// Completes the proposals that have been pending for longer than the timeout.
     ///
-    /// A change that was never proposed is certainly not committed. One that was proposed may have
-    /// been accepted by some voter and can still be committed by any proposer that recovers it, so
-    /// its result is unknown.
+    /// A change that was never proposed is certainly not committed. The outcome of one that was
+    /// proposed is unknown: some voter may have accepted it, and any proposer that recovers it can
+    /// still commit it.
     pub(super) fn expire_pending(&mut self, now: Duration, outcome: &mut ProposerOutcome) {
-        let timeout = self.options.give_up;
+        let timeout = self.options.pending_timeout;
         self.pending.retain(|proposal| {
-            let is_expired = now.saturating_sub(proposal.since) >= timeout;
+            let is_expired = now.saturating_sub(proposal.queued_at) >= timeout;
             if is_expired {
-                let result = match proposal.offered {
+                let result = match proposal.was_proposed {
                     true => ProposalOutcome::Unknown,
                     false => ProposalOutcome::NoMajority,
                 };
@@ -40,32 +40,36 @@
         });
     }
 
-    /// Answers the proposals at the head of the queue that the map is known to have committed.
+    /// Completes the proposals at the head of the queue that the local map already contains.
     ///
-    /// Called before phase 1, so nothing else may be concluded from the map: it may be out of date,
-    /// and a change that does not fit it may fit the committed version. A controller that lost its
-    /// disk would otherwise call every change invalid.
-    pub(super) fn complete_repeats(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
+    /// Called before phase 1, so no other conclusion may be drawn from the map: it may be out of date,
+    /// and a change that conflicts with it may be valid for the committed version. A controller that
+    /// lost its disk would otherwise reject every change as invalid.
+    pub(super) fn complete_duplicates(
+        &mut self,
+        map: &ReplicatedMap,
+        outcome: &mut ProposerOutcome,
+    ) {
         while let Some(proposal) = self.pending.front() {
             let Some(ChangeCheck::Repeat(version)) = map.answered_before(&proposal.change) else {
                 return;
             };
-            outcome.complete(proposal.ticket, repeat_result(proposal, version));
+            outcome.complete(proposal.ticket, duplicate_result(proposal, version));
             self.pending.pop_front();
         }
     }
 
-    /// Answers the proposals at the head of the queue that cannot be committed on top of the map.
+    /// Completes the proposals at the head of the queue that cannot be committed on top of the map.
     ///
-    /// Called only after a majority has promised and none of them has accepted anything: then the map
-    /// is known to be the latest committed version.
-    pub(super) fn complete_unfit(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
+    /// Called only after a majority has promised and none of these voters has accepted a change: the
+    /// map is then known to be the latest committed version.
+    pub(super) fn complete_invalid(&mut self, map: &ReplicatedMap, outcome: &mut ProposerOutcome) {
         while let Some(proposal) = self.pending.front() {
-            let result = match self.standpoint(map, &proposal.change) {
-                ChangeCheck::Repeat(version) => repeat_result(proposal, version),
+            let result = match self.check(map, &proposal.change) {
+                ChangeCheck::Repeat(version) => duplicate_result(proposal, version),
                 ChangeCheck::IdTaken(version) => ProposalOutcome::IdTaken(version),
-                // A change that was proposed before and no longer fits lost its version to another
-                // one. Only a decided map may say so, which this one is.
+                // If the change was proposed before, another change was committed for that version.
+                // This can be concluded only from the latest committed map, which this one is.
                 ChangeCheck::Conflicts(conflicts) => ProposalOutcome::Conflicts(conflicts),
                 ChangeCheck::VersionsTaken(taken) => ProposalOutcome::VersionsTaken(taken),
                 ChangeCheck::VersionsForgotten(keys) => ProposalOutcome::VersionsForgotten(keys),
@@ -87,12 +91,12 @@
         }
     }
 
-    fn standpoint(&self, map: &ReplicatedMap, change: &Change) -> ChangeCheck {
+    fn check(&self, map: &ReplicatedMap, change: &Change) -> ChangeCheck {
         match map.check_change(change) {
             ChangeCheck::VersionsTaken(_) if self.options.confirms_taken_versions => {
                 ChangeCheck::Fits
             }
-            standpoint => standpoint,
+            check => check,
         }
     }
 
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Fault injection: reports a change set as invalid and proposes the valid part of it.
+    /// Fault injection: reports a change set as invalid, but proposes its valid part.
     fn inject_partial_change(
         &mut self,
         map: &ReplicatedMap,
@@ -126,9 +130,10 @@
     }
 }
 
-/// A change that was committed at this version: by this proposal, or by an earlier one of the same id.
-fn repeat_result(proposal: &PendingProposal, version: Version) -> ProposalOutcome {
-    match proposal.offered {
+/// Returns the result of a change that was committed at this version, by this proposal or by an
+/// earlier one with the same id.
+fn duplicate_result(proposal: &PendingProposal, version: Version) -> ProposalOutcome {
+    match proposal.was_proposed {
         true => ProposalOutcome::Accepted(version),
         false => ProposalOutcome::Repeat(version),
     }
--- a/crates/caperworks/src/consensus/proposer/phase.rs
+++ b/crates/caperworks/src/consensus/proposer/phase.rs
@@ -1,4 +1,4 @@
-//! The phase of a proposer, with the votes it has collected.
+//! The current phase of a proposer, with the votes it has collected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use crate::identifiers::{NodeId, Version};
 use crate::replicated_map::Change;
 
-/// Which phase of the protocol is in progress.
+/// The protocol phase that is in progress.
 #[derive(Debug, Clone)]
 pub(super) enum Phase {
     /// Nothing is being decided.
@@ -31,7 +31,7 @@
 }
 
 impl Phase {
-    /// The proposal number in use, if a phase is in progress.
+    /// Returns the proposal number in use, if a phase is in progress.
     pub(super) fn number(&self) -> Option<ProposalNumber> {
         match self {
             Phase::Preparing { number, .. } | Phase::Accepting { number, .. } => Some(*number),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the phase has timed out, or its version has been decided meanwhile.
+    /// Returns whether the phase has timed out or its version has been decided in the meantime.
     pub(super) fn is_stuck(
         &self,
         now: Duration,
--- a/crates/caperworks/src/consensus/voter.rs
+++ b/crates/caperworks/src/consensus/voter.rs
@@ -1,4 +1,4 @@
-//! The acceptor side of consensus: one replica of each map, with what it prepared and accepted.
+//! The Paxos acceptor: one replica of each map, with its promised and accepted proposals.
 //!
 //! A voter is a state machine without I/O. [`Voter::handle`] takes a message and returns the records
 //! to append to the log and the replies; the caller must sync the records before it sends the replies.
@@ -12,23 +12,24 @@
 mod commits;
 mod votes;
 
-/// What the caller has to do after a message was handled.
+/// The records to persist and the replies to send after a message was handled.
 ///
-/// The replies may leave only once the records are synced to disk: a promise that a restart forgets
-/// would let two proposers commit different changes under one version.
+/// The caller must sync the records to disk before it sends the replies: a promise that is lost in a
+/// restart would let two proposers commit different changes under one version.
 #[derive(Debug, Default, PartialEq)]
 pub struct VoterOutcome {
     /// Records to append to the log, in order.
     pub records: Vec<Record>,
     /// Replies to the sender of the message.
     pub replies: Vec<ConsensusMessage>,
-    /// The maps that advanced to a later version.
+    /// The maps whose committed version advanced.
     pub moved: Vec<MapName>,
-    /// A snapshot replaced a map: no log record can carry that, so a slot must be written.
+    /// Whether a snapshot replaced a map. No log record can express that, so the caller must write
+    /// the complete state to a slot.
     pub rewrite: bool,
 }
 
-/// The acceptor of one node: a replica of every map, and the recent changes of each.
+/// The Paxos acceptor of one node: a replica of every map, and the recent changes of each.
 #[derive(Debug, Clone)]
 pub struct Voter {
     replicas: Vec<Replica>,
@@ -42,9 +43,9 @@
 }
 
 impl Voter {
-    /// A voter with the state of a disk slot, one entry per map in the order of [`ALL_MAPS`].
+    /// Creates a voter from the state in a disk slot: one entry per map, in the order of [`ALL_MAPS`].
     ///
-    /// Called once at start; the records of the log follow by [`Voter::replay`].
+    /// Called once at start; the log records after the slot are then applied with [`Voter::replay`].
     pub fn restored(replicas: Vec<Replica>) -> Self {
         let histories = replicas.iter().map(|_| History::default()).collect();
         Self {
@@ -53,43 +54,44 @@
         }
     }
 
-    /// The state to write into a disk slot.
+    /// Returns the state to write into a disk slot.
     pub fn replicas(&self) -> &[Replica] {
         &self.replicas
     }
 
-    /// The consensus state of one map.
+    /// Returns the consensus state of one map.
     pub fn replica(&self, name: MapName) -> &Replica {
         &self.replicas[name.index()]
     }
 
-    /// The last committed version of one map that is known here.
+    /// Returns one map at the last committed version that this node has.
     pub fn map(&self, name: MapName) -> &ReplicatedMap {
         &self.replicas[name.index()].map
     }
 
-    /// The recent changes of one map.
+    /// Returns the recent changes of one map.
     pub fn history(&self, name: MapName) -> &History {
         &self.histories[name.index()]
     }
 
-    /// By map, the highest version that may have been committed; see [`Replica::possible`].
+    /// Returns, for each map, the highest version that may have been committed; see
+    /// [`Replica::highest_possible`].
     pub fn possible(&self) -> Vec<Version> {
         self.replicas.iter().map(Replica::possible).collect()
     }
 
-    /// What a replica that has `after` needs to reach the version here: changes, or a full snapshot.
-    /// Nothing when it is not behind.
+    /// Returns the changes or the full snapshot that bring a replica from version `after` to the
+    /// version of this node, or `None` if the replica is not behind.
     pub fn updates_after(&self, name: MapName, after: Version) -> Option<ConsensusMessage> {
         self.histories[name.index()].updates_after(name, self.map(name), after)
     }
 
     /// Handles a message from a proposer or from another replica.
     ///
-    /// Messages for proposers, for the catch-up receiver or for followers change nothing here.
-    pub fn handle(&mut self, vote: ConsensusMessage) -> VoterOutcome {
+    /// Ignores messages for proposers, for the catch-up receiver and for followers.
+    pub fn handle(&mut self, message: ConsensusMessage) -> VoterOutcome {
         let mut outcome = VoterOutcome::default();
-        match vote {
+        match message {
             ConsensusMessage::Prepare {
                 map,
                 membership,
--- a/crates/caperworks/src/consensus/voter/commits.rs
+++ b/crates/caperworks/src/consensus/voter/commits.rs
@@ -1,7 +1,7 @@
-//! Committed changes: how a voter's maps advance, by messages and by the log after a restart.
+//! Application of committed changes, from messages and from log replay after a restart.
 //!
-//! Invariant kept here: a map never goes back to a lower version, and advances by single changes in
-//! order, or to a complete snapshot of a higher version.
+//! Invariant of this module: the version of a map never decreases. A map advances by single changes
+//! in order, or to a complete snapshot of a higher version.
 
 use crate::consensus::messages::{
     ConsensusMessage, NumberedChange, ProposalNumber, Record, Replica,
@@ -12,10 +12,10 @@
 use crate::replicated_map::{Change, MapName, ReplicatedMap};
 
 impl Voter {
-    /// Applies one record of the log after a restart.
+    /// Applies one log record after a restart.
     ///
-    /// Records are replayed in the order in which they were written. A record for any other version
-    /// than the next one is skipped: the slot already contains its effect.
+    /// Records must be replayed in the order in which they were written. A record for any version
+    /// other than the next one is skipped, because the slot already contains its effect.
     pub fn replay(&mut self, record: Record) {
         match record {
             Record::Promised {
@@ -49,14 +49,14 @@
         }
     }
 
-    /// The replica of a map, if `version` is the one that it decides next.
+    /// Returns the replica of a map if `version` is the next version that it decides.
     fn replica_deciding(&mut self, map: MapName, version: Version) -> Option<&mut Replica> {
         let replica = &mut self.replicas[map.index()];
         (replica.map.version.next() == version).then_some(replica)
     }
 
-    /// Applies a committed change. Prepared and accepted proposals were for the version that it
-    /// decides, so they are dropped with it.
+    /// Applies a committed change, and discards the promised and accepted proposals, which were for
+    /// the version that is now decided.
     fn advance(&mut self, name: MapName, change: Change) {
         let replica = &mut self.replicas[name.index()];
         replica.map.apply(&change);
@@ -82,8 +82,8 @@
         self.advance(map, change);
     }
 
-    /// A proposer says that a change is committed. A voter that is further behind than by this one
-    /// change asks for what it lacks.
+    /// Handles a proposer's notice that a change is committed. Requests catch-up if more than this
+    /// one change is missing.
     pub(super) fn handle_commit(
         &mut self,
         map: MapName,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Another replica sent committed changes: those that follow on the version here are applied.
+    /// Applies the committed changes from another replica that directly follow the local version.
     pub(super) fn handle_changes(
         &mut self,
         map: MapName,
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Another replica sent a full snapshot. One that is not newer is ignored, and so is a reduced
-    /// one: it lacks what votes are decided by.
+    /// Installs a full snapshot from another replica. Ignores one that is not newer, and a reduced
+    /// one, which does not contain the data that votes depend on.
     pub(super) fn handle_snapshot(
         &mut self,
         map: MapName,
--- a/crates/caperworks/src/consensus/voter/votes.rs
+++ b/crates/caperworks/src/consensus/voter/votes.rs
@@ -1,11 +1,11 @@
-//! Votes: when a proposal number is prepared, when a change is accepted, and what a rejection says.
+//! Voting rules: when a voter promises, when it accepts, and what a rejection contains.
 //!
-//! Invariants kept here:
+//! Invariants of this module:
 //!
-//! - A voter never prepares or accepts a proposal number lower than one it has prepared for the same
-//!   version.
-//! - It votes only on the version right after its own, so that a majority of votes for version N+1
-//!   is a majority that has version N.
+//! - A voter never promises or accepts a proposal number lower than one that it has promised for the
+//!   same version.
+//! - It votes only on the version right after its own, so a majority of votes for version N+1 is a
+//!   majority that has version N.
 //! - It votes only for proposers that have exactly its version of the membership.
 
 use crate::consensus::messages::{AcceptedProposal, ConsensusMessage, ProposalNumber, Record};
@@ -13,7 +13,7 @@
 use crate::identifiers::Version;
 use crate::replicated_map::{Change, MapName};
 
-/// What a vote is about: a version of a map under one proposal number.
+/// The subject of a vote: a version of a map under one proposal number.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ProposalKey {
     map: MapName,
@@ -32,8 +32,8 @@
 }
 
 impl Voter {
-    /// Phase 1: promises to accept nothing under a lower proposal number, and reports what was
-    /// accepted before; rejects the proposal if it may not be voted on.
+    /// Phase 1: promises to accept no lower proposal number, and reports the change that was accepted
+    /// before, if any. Rejects the proposal if the voter may not vote on it.
     pub(super) fn handle_prepare(
         &mut self,
         proposal: ProposalKey,
@@ -64,8 +64,8 @@
         });
     }
 
-    /// Phase 2: accepts the change in place of any that was accepted under a lower proposal number;
-    /// rejects the proposal if it may not be voted on.
+    /// Phase 2: accepts the change, replacing any that was accepted under a lower proposal number.
+    /// Rejects the proposal if the voter may not vote on it.
     pub(super) fn handle_accept(
         &mut self,
         proposal: ProposalKey,
@@ -101,11 +101,11 @@
         });
     }
 
-    /// Whether a vote on this proposal may be given.
+    /// Returns whether the voter may vote on this proposal.
     ///
-    /// The membership must be exactly the one known here: a voter that still had an older membership
-    /// could vote on a version for a proposer of the old voters after it had helped the new voters to
-    /// decide that version.
+    /// The proposer must have exactly this voter's version of the membership. Otherwise a voter could
+    /// vote on a version for a proposer that counts the old voters after it had helped the new voters
+    /// to decide that version.
     fn may_vote(&self, proposal: ProposalKey, membership: Version) -> bool {
         let replica = self.replica(proposal.map);
         membership == self.map(MapName::Membership).version
@@ -113,8 +113,8 @@
             && proposal.number >= replica.promised
     }
 
-    /// Tells the proposer why it gets no vote: the proposal number that was prepared here, and the
-    /// version that this voter has. Whichever of the two sides is behind is brought up to date.
+    /// Rejects a proposal with the promised proposal number and the version of this voter, and adds
+    /// the messages that bring the side that is behind, proposer or voter, up to date.
     fn reject(&self, proposal: ProposalKey, membership: Version, outcome: &mut VoterOutcome) {
         let replica = self.replica(proposal.map);
         outcome.replies.push(ConsensusMessage::Reject {
--- a/crates/model-check/src/node.rs
+++ b/crates/model-check/src/node.rs
@@ -60,9 +60,9 @@
 /// [`PROPOSAL_TIME`] begins the next.
 fn untimed_options() -> ProposerOptions {
     ProposerOptions {
-        phase_span: Duration::ZERO,
-        second_controller_span: Duration::MAX,
-        give_up: Duration::MAX,
+        phase_timeout: Duration::ZERO,
+        second_controller_timeout: Duration::MAX,
+        pending_timeout: Duration::MAX,
         synced_controllers: Some(2),
         ..ProposerOptions::default()
     }
