--- a/crates/caperworks/src/map_weighing.rs
+++ b/crates/caperworks/src/map_weighing.rs
@@ -10,7 +10,7 @@
 use crate::replicated_map::{
     Change, Conflict, ReplicatedMap, TakenVersion, MAP_READ, REMEMBERED_CHANGES,
 };
-use crate::version_history::{VersionHistory, VersionStanding};
+use crate::version_history::{VersionHistory, VersionStatus};
 
 /// The result of the check of a change against a map.
 #[derive(Debug, Clone, PartialEq)]
@@ -85,14 +85,14 @@
                 .entry(&put.key)
                 .or_insert_with(|| self.history(&put.key));
             match history.standing(numbered) {
-                VersionStanding::Newest | VersionStanding::Overtaken => history.confirm(numbered),
-                VersionStanding::Confirmed => {}
-                VersionStanding::Taken(confirmed) => taken.push(TakenVersion {
+                VersionStatus::Newest | VersionStatus::Overtaken => history.confirm(numbered),
+                VersionStatus::Confirmed => {}
+                VersionStatus::Taken(confirmed) => taken.push(TakenVersion {
                     key: put.key.clone(),
                     confirmed,
                     newest: history.newest().unwrap_or(confirmed),
                 }),
-                VersionStanding::Forgotten => forgotten.push(put.key.clone()),
+                VersionStatus::Forgotten => forgotten.push(put.key.clone()),
             }
         }
         match (taken.is_empty(), forgotten.is_empty()) {
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -5,7 +5,7 @@
 
 use crate::map_items::Value;
 use crate::replicated_map::{AnsweredChange, Change, Item, Put, ReplicatedMap, REMEMBERED_CHANGES};
-use crate::version_history::{VersionHistory, VersionStanding};
+use crate::version_history::{VersionHistory, VersionStatus};
 
 impl ReplicatedMap {
     /// What was confirmed under the operators' own versions of an item.
@@ -43,7 +43,7 @@
     fn is_overtaken(&self, put: &Put) -> bool {
         match (put.numbered(), &put.written) {
             (Some(numbered), _) => {
-                self.history(&put.key).standing(numbered) != VersionStanding::Newest
+                self.history(&put.key).standing(numbered) != VersionStatus::Newest
             }
             (None, Some(_)) => self.items.contains_key(&put.key),
             (None, None) => false,
@@ -83,7 +83,7 @@
             return;
         };
         let mut history = self.history(&put.key);
-        if let VersionStanding::Newest | VersionStanding::Overtaken = history.standing(numbered) {
+        if let VersionStatus::Newest | VersionStatus::Overtaken = history.standing(numbered) {
             history.confirm(numbered);
         }
         self.histories.insert(put.key.clone(), history);
--- a/crates/caperworks/src/version_history.rs
+++ b/crates/caperworks/src/version_history.rs
@@ -30,7 +30,7 @@
 
 /// How a put under an operators' version relates to what was confirmed before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VersionStanding {
+pub enum VersionStatus {
     /// Higher than every version so far: its contents apply.
     Newest,
     /// The same contents were confirmed under this version.
@@ -77,17 +77,17 @@
     }
 
     /// How a put relates to the history.
-    pub fn standing(&self, put: ConfirmedVersion) -> VersionStanding {
+    pub fn standing(&self, put: ConfirmedVersion) -> VersionStatus {
         let known = self
             .confirmed
             .iter()
             .find(|known| known.version == put.version);
         match (known, self.newest()) {
-            (Some(known), _) if known.digest == put.digest => VersionStanding::Confirmed,
-            (Some(known), _) => VersionStanding::Taken(*known),
-            (None, _) if put.version <= self.forgotten => VersionStanding::Forgotten,
-            (None, Some(newest)) if put.version < newest.version => VersionStanding::Overtaken,
-            (None, _) => VersionStanding::Newest,
+            (Some(known), _) if known.digest == put.digest => VersionStatus::Confirmed,
+            (Some(known), _) => VersionStatus::Taken(*known),
+            (None, _) if put.version <= self.forgotten => VersionStatus::Forgotten,
+            (None, Some(newest)) if put.version < newest.version => VersionStatus::Overtaken,
+            (None, _) => VersionStatus::Newest,
         }
     }
 
