--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -54,7 +54,7 @@
     /// Whether the body can be sent a second time.
     replayable: bool,
     attempts: u32,
-    most_attempts: u32,
+    max_attempts: u32,
     deadline: Duration,
     /// An attempt of this request may have run and its answer is not known.
     doubt: bool,
@@ -67,7 +67,7 @@
             read,
             replayable: true,
             attempts: 0,
-            most_attempts: MOST_ATTEMPTS,
+            max_attempts: MOST_ATTEMPTS,
             deadline: Duration::ZERO,
             doubt: false,
         }
@@ -103,8 +103,8 @@
         self.state = RequestState::Matched;
         self.deadline = now + route.deadline;
         self.read = route.may_repeat(self.read);
-        if route.most_attempts > 0 {
-            self.most_attempts = route.most_attempts;
+        if route.max_attempts > 0 {
+            self.max_attempts = route.max_attempts;
         }
     }
 
@@ -167,7 +167,7 @@
         self.doubt |= !nothing_ran;
         let may = (nothing_ran || self.read)
             && self.replayable
-            && self.attempts < self.most_attempts
+            && self.attempts < self.max_attempts
             && end != AttemptEnd::Late
             && now < self.deadline;
         if may && again() {
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -49,7 +49,7 @@
         /// Its priority when there is too little capacity; 0 is highest.
         10 priority: u32,
         /// To how many instances a request may be sent; zero leaves it to the proxy.
-        11 most_attempts: u32,
+        11 max_attempts: u32,
     }
 
     /// How keys fall into key ranges.
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -412,11 +412,11 @@
 }
 
 /// A request of this kind whose first attempt is under way.
-fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestChart {
+fn sent(kind: RequestKind, reads: bool, max_attempts: u32) -> RequestChart {
     let mut chart = RequestChart::received(reads);
     let route = Route {
         kind,
-        most_attempts,
+        max_attempts,
         ..route()
     };
     chart.matched(millis(0), &route);
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -175,7 +175,7 @@
         }],
         target_latency: millis(90),
         priority: 2,
-        most_attempts: 4,
+        max_attempts: 4,
     }
 }
 
--- a/crates/controller/src/operator_json/reading/route.rs
+++ b/crates/controller/src/operator_json/reading/route.rs
@@ -36,7 +36,7 @@
         split,
         target_latency: reader.milliseconds("target_latency_ms", 0, errors),
         priority: reader.small_number("priority", 0, errors),
-        most_attempts: reader.small_number("most_attempts", 0, errors),
+        max_attempts: reader.small_number("most_attempts", 0, errors),
     };
     reader.finish(errors);
     Some(Value::Route { route })
--- a/crates/controller/src/operator_json/writing/items.rs
+++ b/crates/controller/src/operator_json/writing/items.rs
@@ -82,8 +82,8 @@
     if route.priority > 0 {
         json["priority"] = route.priority.into();
     }
-    if route.most_attempts > 0 {
-        json["most_attempts"] = route.most_attempts.into();
+    if route.max_attempts > 0 {
+        json["most_attempts"] = route.max_attempts.into();
     }
 }
 
