--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -6,7 +6,7 @@
 
 use crate::heartbeats::WaitingHeartbeat;
 use crate::proxy_calls::PROXY_MAP_PERIOD;
-use caperworks::catch_up::{CatchUpRequest, FullMapLimit, SnapshotSender};
+use caperworks::catch_up::{CatchUpRequest, SnapshotRateLimiter, SnapshotSender};
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::Echo;
@@ -159,8 +159,8 @@
     /// Maps of our voting part, encoded for controllers that are behind.
     pub(crate) snapshots: SnapshotSender,
     /// How often other agents and the proxy are sent whole maps.
-    pub(crate) agents_limit: FullMapLimit,
-    pub(crate) proxy_limit: FullMapLimit,
+    pub(crate) agents_limit: SnapshotRateLimiter,
+    pub(crate) proxy_limit: SnapshotRateLimiter,
 }
 
 impl AgentMachine {
@@ -192,8 +192,8 @@
             beaten: BTreeSet::new(),
             voter: None,
             snapshots: SnapshotSender::default(),
-            agents_limit: FullMapLimit::default(),
-            proxy_limit: FullMapLimit::once_in(PROXY_MAP_PERIOD),
+            agents_limit: SnapshotRateLimiter::default(),
+            proxy_limit: SnapshotRateLimiter::once_in(PROXY_MAP_PERIOD),
         }
     }
 
--- a/crates/caperworks/src/catch_up.rs
+++ b/crates/caperworks/src/catch_up.rs
@@ -22,7 +22,7 @@
     BrokenCatchUp, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome,
 };
 pub use self::sender::{FollowerUpdate, SnapshotSender};
-pub use self::snapshot_rate::FullMapLimit;
+pub use self::snapshot_rate::SnapshotRateLimiter;
 
 /// The most bytes of a snapshot in one message.
 pub const CHUNK_BYTES: usize = 64 * 1024;
--- a/crates/caperworks/src/catch_up/snapshot_rate.rs
+++ b/crates/caperworks/src/catch_up/snapshot_rate.rs
@@ -10,18 +10,18 @@
 
 /// Bounds how often the same follower is sent the same map as a full snapshot in one message.
 #[derive(Debug, Clone)]
-pub struct FullMapLimit {
+pub struct SnapshotRateLimiter {
     period: Duration,
     sent: BTreeMap<(SocketAddr, MapName), Duration>,
 }
 
-impl Default for FullMapLimit {
+impl Default for SnapshotRateLimiter {
     fn default() -> Self {
         Self::once_in(FULL_MAP_PERIOD)
     }
 }
 
-impl FullMapLimit {
+impl SnapshotRateLimiter {
     /// At most one in each period, for each follower and map.
     pub fn once_in(period: Duration) -> Self {
         Self {
--- a/crates/caperworks/tests/catch_up_stories.rs
+++ b/crates/caperworks/tests/catch_up_stories.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use caperworks::catch_up::{
-    BrokenCatchUp, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, FullMapLimit,
-    SnapshotChunk, SnapshotSender, CHUNK_BYTES, SNAPSHOT_IDLE_SPAN, UPDATE_WEIGHT,
+    BrokenCatchUp, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk,
+    SnapshotRateLimiter, SnapshotSender, CHUNK_BYTES, SNAPSHOT_IDLE_SPAN, UPDATE_WEIGHT,
 };
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::voter::Voter;
@@ -421,7 +421,7 @@
 #[test]
 fn given_a_follower_that_asks_again_and_again_when_a_whole_map_is_due_then_it_is_sent_once_a_second(
 ) {
-    let mut limit = FullMapLimit::default();
+    let mut limit = SnapshotRateLimiter::default();
     let full_map = ConsensusMessage::Snapshot {
         map: MAP,
         full_map: ReplicatedMap::empty(),
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -19,7 +19,7 @@
 use crate::state_machine::operator_messages::OperatorResponse;
 use crate::state_machine::output::ControllerOutput;
 use crate::state_machine::storage::Storage;
-use caperworks::catch_up::{CatchUpReceiver, FullMapLimit, SnapshotSender};
+use caperworks::catch_up::{CatchUpReceiver, SnapshotRateLimiter, SnapshotSender};
 use caperworks::consensus::messages::Replica;
 use caperworks::consensus::proposer::Proposer;
 use caperworks::consensus::voter::Voter;
@@ -87,7 +87,7 @@
     /// Snapshots that this node sends.
     pub snapshots: SnapshotSender,
     /// Limits how often a complete map is sent in one message.
-    pub full_map_limit: FullMapLimit,
+    pub full_map_limit: SnapshotRateLimiter,
 
     /// The founding of the membership.
     pub founding: FoundingProgress,
@@ -186,7 +186,7 @@
             storage,
             catch_up,
             snapshots: SnapshotSender::default(),
-            full_map_limit: FullMapLimit::default(),
+            full_map_limit: SnapshotRateLimiter::default(),
             founding: FoundingProgress::default(),
             seeds: BTreeMap::new(),
             quorum_reads: QuorumReads::default(),
