--- a/crates/agent/src/witness.rs
+++ b/crates/agent/src/witness.rs
@@ -58,7 +58,7 @@
         };
         let message = Message::QuorumReadResponse {
             number,
-            versions: voter.possible(),
+            versions: voter.highest_possible(),
             // Why nothing: a witness has no disk.
             synced: None,
         };
--- a/crates/caperworks/src/consensus/messages.rs
+++ b/crates/caperworks/src/consensus/messages.rs
@@ -106,7 +106,7 @@
     ///
     /// An accepted change counts: a majority may have accepted it and it may have been acknowledged
     /// to the operator, so a quorum read must not report a lower version.
-    pub fn possible(&self) -> Version {
+    pub fn highest_possible(&self) -> Version {
         match self.accepted {
             Some(_) => self.map.version.next(),
             None => self.map.version,
--- a/crates/caperworks/src/consensus/voter.rs
+++ b/crates/caperworks/src/consensus/voter.rs
@@ -76,8 +76,11 @@
 
     /// Returns, for each map, the highest version that may have been committed; see
     /// [`Replica::highest_possible`].
-    pub fn possible(&self) -> Vec<Version> {
-        self.replicas.iter().map(Replica::possible).collect()
+    pub fn highest_possible(&self) -> Vec<Version> {
+        self.replicas
+            .iter()
+            .map(Replica::highest_possible)
+            .collect()
     }
 
     /// Returns the changes or the full snapshot that bring a replica from version `after` to the
--- a/crates/caperworks/tests/follower_catch_up_stories.rs
+++ b/crates/caperworks/tests/follower_catch_up_stories.rs
@@ -102,7 +102,7 @@
         Granted {
             number: renewal.number,
             quorum_read_age: Duration::ZERO,
-            versions: self.voter.possible(),
+            versions: self.voter.highest_possible(),
             instances: Vec::new(),
             instances_offset: 0,
             members: Vec::new(),
--- a/crates/controller/src/consensus/quorum_reads.rs
+++ b/crates/controller/src/consensus/quorum_reads.rs
@@ -51,7 +51,7 @@
     if !is_founded || state.storage.has_unsynced_snapshot() {
         return;
     }
-    let versions = state.voter.possible();
+    let versions = state.voter.highest_possible();
     let synced = if state.injects(FaultInjection::UnsyncedSnapshot) {
         state.versions()
     } else {
@@ -97,7 +97,7 @@
     state.liveness.handle(state.now, from);
     for name in ALL_MAPS {
         let theirs = versions[name.index()];
-        if theirs > state.voter.replica(name).possible() {
+        if theirs > state.voter.replica(name).highest_possible() {
             snapshot_transfer::begin_catch_up(state, reply_to, name, theirs);
         }
     }
--- a/crates/controller/tests/fleet_stories/main.rs
+++ b/crates/controller/tests/fleet_stories/main.rs
@@ -730,7 +730,7 @@
         let voters = state.voters().map_or(BTreeSet::new(), |voters| {
             voters.holders.iter().map(|holder| holder.node).collect()
         });
-        voters == nodes && state.voter.possible() == states[0].voter.possible()
+        voters == nodes && state.voter.highest_possible() == states[0].voter.highest_possible()
     };
     states.len() == 3 && states.iter().all(level)
 }
--- a/crates/model-check/src/world/quorum_reads.rs
+++ b/crates/model-check/src/world/quorum_reads.rs
@@ -35,7 +35,7 @@
         voter: u8,
     ) -> Result<(), Violation> {
         let teller = self.node(voter);
-        let (from, versions) = (teller.id, teller.voter.get().possible());
+        let (from, versions) = (teller.id, teller.voter.get().highest_possible());
         self.change(index, |node| {
             let voters = node.voter.get().map(MapName::Membership).voters();
             let majority = voters.map_or(usize::MAX, VoterSet::majority);
