--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -81,7 +81,7 @@
 
     /// A committed change that is remembered, to recognise its repetition.
     #[derive(Eq)]
-    struct AnsweredChange {
+    struct RecentChange {
         0 id: ChangeId,
         /// The version of the map that it led to.
         1 version: Version,
@@ -96,7 +96,7 @@
         #[cbor(with = "crate::shared_items")]
         1 items: Items,
         /// The committed changes of late, at most [`REMEMBERED_CHANGES`], oldest first.
-        2 answered: Vec<AnsweredChange>,
+        2 answered: Vec<RecentChange>,
         /// By item, what was confirmed under the operators' own versions; states that were stored
         /// before histories were kept have none.
         #[cbor(default)]
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -4,7 +4,7 @@
 //! versions an item never goes back to a lower one.
 
 use crate::map_items::Value;
-use crate::replicated_map::{AnsweredChange, Change, Item, Put, ReplicatedMap, REMEMBERED_CHANGES};
+use crate::replicated_map::{Change, Item, Put, RecentChange, ReplicatedMap, REMEMBERED_CHANGES};
 use crate::version_history::{VersionHistory, VersionStatus};
 
 impl ReplicatedMap {
@@ -63,7 +63,7 @@
                 self.apply_put(put);
             }
         }
-        self.answered.push(AnsweredChange {
+        self.answered.push(RecentChange {
             id: change.id.clone(),
             version: self.version,
             digest: change.digest(),
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -15,7 +15,7 @@
 use caperworks::map_items::{Route, Value};
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{
-    AnsweredChange, Change, Item, MapName, Put, ReplicatedMap, Written,
+    Change, Item, MapName, Put, RecentChange, ReplicatedMap, Written,
 };
 use caperworks::version_history::VersionHistory;
 
@@ -303,7 +303,7 @@
     #[n(1)]
     items: BTreeMap<String, Item>,
     #[n(2)]
-    answered: Vec<AnsweredChange>,
+    answered: Vec<RecentChange>,
     #[n(3)]
     histories: BTreeMap<String, VersionHistory>,
     #[n(4)]
--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/version_stories.rs
@@ -8,7 +8,7 @@
 use caperworks::map_items::{Route, Service, SplitTarget, Value, ZoneSettings};
 use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{
-    AnsweredChange, Change, Guard, Item, Put, ReplicatedMap, TakenVersion, Written, MAP_READ,
+    Change, Guard, Item, Put, RecentChange, ReplicatedMap, TakenVersion, Written, MAP_READ,
     REMEMBERED_CHANGES,
 };
 use caperworks::version_history::{
@@ -545,7 +545,7 @@
     #[n(1)]
     items: BTreeMap<String, Item>,
     #[n(2)]
-    answered: Vec<AnsweredChange>,
+    answered: Vec<RecentChange>,
 }
 
 #[test]
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -64,12 +64,12 @@
 use caperworks::partition_fallback::FallbackRequest;
 use caperworks::partition_fallback::FallbackResponse;
 use caperworks::reduced_map::FeedForm;
-use caperworks::replicated_map::AnsweredChange;
 use caperworks::replicated_map::Change;
 use caperworks::replicated_map::Guard;
 use caperworks::replicated_map::Item;
 use caperworks::replicated_map::MapName;
 use caperworks::replicated_map::Put;
+use caperworks::replicated_map::RecentChange;
 use caperworks::replicated_map::ReplicatedMap;
 use caperworks::replicated_map::Written;
 use caperworks::slots::DiskImage;
@@ -329,7 +329,7 @@
                 (format!("key-{index}"), item)
             })
             .collect(),
-        answered: vec![AnsweredChange {
+        answered: vec![RecentChange {
             id: ChangeId::from("change-0"),
             version: Version(16),
             digest: 0x0102_0304_0506_0708,
--- a/crates/controller/tests/stored_state.rs
+++ b/crates/controller/tests/stored_state.rs
@@ -15,11 +15,11 @@
 use caperworks::map_items::ZoneSettings;
 use caperworks::messages::Founding;
 use caperworks::reduced_map::FeedForm;
-use caperworks::replicated_map::AnsweredChange;
 use caperworks::replicated_map::Change;
 use caperworks::replicated_map::Guard;
 use caperworks::replicated_map::Item;
 use caperworks::replicated_map::Put;
+use caperworks::replicated_map::RecentChange;
 use caperworks::replicated_map::ReplicatedMap;
 use caperworks::replicated_map::Written;
 use controller::state::StoredState;
@@ -81,7 +81,7 @@
     ReplicatedMap {
         version: Version(version),
         items: [("zone/north-a".to_string(), item)].into_iter().collect(),
-        answered: vec![AnsweredChange {
+        answered: vec![RecentChange {
             id: ChangeId::from("change-0"),
             version: Version(version),
             digest: 99,
