--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -1,10 +1,9 @@
-//! Replicated maps: the state that may never be lost or forked.
+//! Replicated maps: the durable state that must never be lost or diverge between nodes.
 //!
 //! A map is a set of named items, each with its own version, and a map version that counts the
-//! committed change sets. That count is the position of followers in the feed. A change set is applied
-//! completely or not at all; what a change does to a map is in `apply`, the typed reads are in
-//! `lookups`, and whether a change may be proposed is decided in
-//! [`map_weighing`](crate::map_weighing).
+//! committed change sets. Followers use the map version as their position in the feed. A change set is
+//! applied completely or not at all: `apply` contains the effect of a change on a map, `lookups` the
+//! typed reads, and [`map_weighing`](crate::map_weighing) the check whether a change may be proposed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,14 +18,15 @@
 mod apply;
 mod lookups;
 
-/// How many committed change ids a map remembers, so that a repeated change gets its first answer.
+/// How many committed change ids a map remembers, so that a repeated change gets the same result as
+/// the first time.
 pub const REMEMBERED_CHANGES: usize = 512;
 
 messages! {
     /// The replicated maps; each is decided by a proposer of its own.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     enum MapName {
-        /// What operators configure: routes, services, zones, limits on callers.
+        /// The operators' configuration: routes, services, zones, limits on callers.
         0 Configuration,
         /// The mapping of client groups to zones.
         1 Placement,
@@ -36,7 +36,7 @@
         3 Membership,
     }
 
-    /// An item as an operator wrote it: the operator's own version of it, and the text.
+    /// An item as written by an operator: the operator version, and the text.
     #[derive(Eq)]
     struct Written {
         0 version: u64,
@@ -52,10 +52,10 @@
         2 written: Option<Written>,
     }
 
-    /// One item of a change set. `expected` is the version that the writer saw; zero means absent.
+    /// One item of a change set. `expected` is the version that the writer read; zero means absent.
     ///
-    /// With `written` the highest of the operators' own versions wins: a lower one changes nothing,
-    /// whether the item was set or dropped, and an equal one is refused if it has other contents.
+    /// With `written`, the highest operator version wins: a lower version changes nothing, whether the
+    /// item was set or dropped, and an equal version with other contents is rejected.
     #[derive(Eq)]
     struct Put {
         0 key: String,
@@ -64,7 +64,7 @@
         3 written: Option<Written>,
     }
 
-    /// A precondition: an item that a change does not touch but that must still be at this version.
+    /// A precondition: an item that the change does not modify must still be at this version.
     #[derive(Eq)]
     struct Guard {
         0 key: String,
@@ -79,11 +79,11 @@
         2 guards: Vec<Guard>,
     }
 
-    /// A committed change that is remembered, to recognise its repetition.
+    /// A recently committed change, remembered so that a repetition of it can be recognised.
     #[derive(Eq)]
     struct RecentChange {
         0 id: ChangeId,
-        /// The version of the map that it led to.
+        /// The version of the map that it produced.
         1 version: Version,
         /// See [`Change::digest`].
         2 digest: u64,
@@ -95,49 +95,50 @@
         0 version: Version,
         #[cbor(with = "crate::shared_items")]
         1 items: Items,
-        /// The committed changes of late, at most [`REMEMBERED_CHANGES`], oldest first.
+        /// The most recent committed changes, at most [`REMEMBERED_CHANGES`], oldest first.
         2 answered: Vec<RecentChange>,
-        /// By item, what was confirmed under the operators' own versions; states that were stored
-        /// before histories were kept have none.
+        /// For each item, the operator versions that were confirmed. Absent in states that were stored
+        /// before histories were introduced.
         #[cbor(default)]
         3 histories: BTreeMap<String, VersionHistory>,
-        /// Whether it has all that voters need; a voter installs only a complete one. Stored as a
+        /// Whether the map is complete or reduced; a voter installs only a complete one. Stored as a
         /// flag, which is absent in states of the first release.
         #[cbor(default, with = "crate::reduced_map::form_as_flag")]
         4 form: FeedForm,
     }
 
-    /// An item that is not at the version that the writer of a change expected.
+    /// An item that is not at the version that a change expects.
     #[derive(Eq)]
     struct Conflict {
         0 key: String,
-        /// The version that the writer saw.
+        /// The version that the writer read.
         1 expected: Version,
-        /// The version that the map has; zero when the item is absent.
+        /// The current version in the map; zero if the item is absent.
         2 present: Version,
     }
 
-    /// An item that a change wants to write under an operators' version that has other contents.
+    /// An item whose operator version in a change was already confirmed with other contents.
     #[derive(Eq)]
     struct TakenVersion {
         0 key: String,
-        /// What was confirmed under the version that the change has.
+        /// The confirmed contents under the version in the change.
         1 confirmed: ConfirmedVersion,
-        /// The highest confirmed version, which may be a later one.
+        /// The highest confirmed version, which may be later.
         2 newest: ConfirmedVersion,
     }
 }
 
-/// The key of a guard on the map itself: its version as the change's writer read it.
+/// The key of a guard on the version of the map itself, as read by the writer of the change.
 ///
-/// It is no item. It says how old a change may be, see
-/// [`Standpoint::IdForgotten`](crate::map_weighing::Standpoint::IdForgotten).
+/// No item has this key. The guard limits the age of a change, see
+/// [`ChangeCheck::IdForgotten`](crate::map_weighing::ChangeCheck::IdForgotten).
 pub const MAP_READ: &str = "map";
 
-/// The item of the fencing token: a new leader of a role writes it to fence off the one before.
+/// The item that contains the fencing token: a new leader of a role writes it to fence off the
+/// previous leader.
 pub const FENCE: &str = "fence";
 
-/// The item of the configuration map that bounds what callers may send.
+/// The item of the configuration map that contains the limits on callers.
 pub const LIMITS: &str = "limits/callers";
 
 /// The item of the membership map that lists the agents.
@@ -152,7 +153,7 @@
 ];
 
 impl MapName {
-    /// Its index in lists with one entry per map.
+    /// Returns its index in lists with one entry per map.
     pub fn index(self) -> usize {
         self as usize
     }
@@ -170,7 +171,8 @@
 }
 
 impl Written {
-    /// Its version with a digest of its contents; `is_present` is false for an item that was dropped.
+    /// Returns the operator version with a digest of the contents, unless the version is 0;
+    /// `is_present` is false for an item that was dropped.
     fn confirmed(&self, is_present: bool) -> Option<ConfirmedVersion> {
         let text = is_present.then_some(self.text.as_str());
         (self.version > 0).then(|| ConfirmedVersion {
@@ -181,16 +183,16 @@
 }
 
 impl Put {
-    /// Its version of the operators' own with a digest of its contents, if it has one.
+    /// Returns the operator version, if any, with a digest of the contents.
     ///
-    /// Version 0 counts as none: it only fills an item that is absent.
+    /// Version 0 counts as none: it only sets an item that is absent.
     pub fn numbered(&self) -> Option<ConfirmedVersion> {
         self.written.as_ref()?.confirmed(self.value.is_some())
     }
 }
 
 impl Item {
-    /// The operators' own version that it was written under, if any, with a digest of its contents.
+    /// Returns the operator version under which it was written, if any, with a digest of the contents.
     fn numbered(&self) -> Option<ConfirmedVersion> {
         self.written
             .as_ref()?
@@ -199,9 +201,9 @@
 }
 
 impl Change {
-    /// The approximate size of the change, in items; bounds histories and answers.
+    /// Returns the approximate size of the change in items, which bounds histories and responses.
     pub fn weight(&self) -> usize {
-        let of_value = |value: &Value| match value {
+        let value_weight = |value: &Value| match value {
             Value::Mapping { mapping } => mapping.groups.len() * LIST_LENGTH,
             Value::KeyRanges { table } => table.owners.len(),
             _ => 1,
@@ -209,11 +211,12 @@
         1 + self
             .puts
             .iter()
-            .map(|put| put.value.as_ref().map_or(1, of_value))
+            .map(|put| put.value.as_ref().map_or(1, value_weight))
             .sum::<usize>()
     }
 
-    /// A digest that tells two change sets under one id apart. It is the same on every node.
+    /// Returns a digest that distinguishes two change sets with the same id. It is the same on every
+    /// node.
     pub fn digest(&self) -> u64 {
         let bytes = minicbor::to_vec(&self.puts).expect("puts encode");
         steady_hash_of(&bytes)
@@ -221,7 +224,7 @@
 }
 
 impl ReplicatedMap {
-    /// A map at version zero, before the first change.
+    /// Creates a map at version zero, before the first change.
     pub fn empty() -> Self {
         Self {
             version: Version(0),
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Whether it lacks what only voters need.
+    /// Returns whether the map omits the data that only voters need.
     pub fn is_reduced(&self) -> bool {
         self.form == FeedForm::Reduced
     }
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -1,14 +1,14 @@
-//! How a committed change alters a map: the same way on every node.
+//! Deterministic application of committed changes to a map.
 //!
-//! Invariants kept here: the map version grows by one with each change, and under the operators' own
-//! versions an item never goes back to a lower one.
+//! Invariants of this module: each change increases the map version by one, and the operator version
+//! of an item never decreases.
 
 use crate::map_items::Value;
 use crate::replicated_map::{Change, Item, Put, RecentChange, ReplicatedMap, REMEMBERED_CHANGES};
 use crate::version_history::{VersionHistory, VersionStatus};
 
 impl ReplicatedMap {
-    /// What was confirmed under the operators' own versions of an item.
+    /// Returns the confirmed operator versions of an item.
     pub fn history(&self, key: &str) -> VersionHistory {
         if let Some(history) = self.histories.get(key) {
             return history.clone();
@@ -20,9 +20,10 @@
             .unwrap_or_default()
     }
 
-    /// A replica that has the histories of a change's items alone: enough to apply the change to it.
+    /// Returns a copy of the map with only the histories of the items in `change`, which is sufficient
+    /// to apply that change.
     ///
-    /// The histories of all items are most of what a replica costs, and each change is tried on one.
+    /// Each change is tried on a copy, and the histories of all items make up most of its cost.
     pub fn with_histories_of(&self, change: &Change) -> Self {
         let history = |put: &Put| {
             let history = self.histories.get(&put.key)?;
@@ -37,10 +38,10 @@
         }
     }
 
-    /// Whether the put changes nothing because a higher operators' version is present.
+    /// Returns whether the put has no effect because a higher operator version is present.
     ///
-    /// Version 0 only fills an item that is absent.
-    fn is_overtaken(&self, put: &Put) -> bool {
+    /// Version 0 only sets an item that is absent.
+    fn is_superseded(&self, put: &Put) -> bool {
         match (put.numbered(), &put.written) {
             (Some(numbered), _) => {
                 self.history(&put.key).standing(numbered) != VersionStatus::Newest
@@ -50,16 +51,16 @@
         }
     }
 
-    /// Applies a change that was committed for the version after this one.
+    /// Applies the change that was committed for the next version.
     ///
-    /// Every node applies the same changes in the same order, so this must depend on nothing but the
+    /// Every node applies the same changes in the same order, so the result must depend only on the
     /// map and the change.
     pub fn apply(&mut self, change: &Change) {
         self.version = self.version.next();
         for put in &change.puts {
-            let overtaken = self.is_overtaken(put);
-            self.remember_version(put);
-            if !overtaken {
+            let is_superseded = self.is_superseded(put);
+            self.record_version(put);
+            if !is_superseded {
                 self.apply_put(put);
             }
         }
@@ -73,9 +74,9 @@
         }
     }
 
-    /// Records what the put confirms under the operators' own version, also where it is overtaken. A
-    /// writer without versions starts the item's history anew.
-    fn remember_version(&mut self, put: &Put) {
+    /// Records the operator version that the put confirms, even if the put is superseded. A put
+    /// without `written` deletes the history of the item.
+    fn record_version(&mut self, put: &Put) {
         if put.written.is_none() {
             self.histories.remove(&put.key);
         }
@@ -93,7 +94,7 @@
     fn apply_put(&mut self, put: &Put) {
         let value = match (&put.value, &put.written) {
             (Some(value), _) => value.clone(),
-            // A tombstone: an older change that arrives again must find that it was overtaken.
+            // Keep a tombstone, so that an older change that is sent again is recognised as superseded.
             (None, Some(_)) => Value::Dropped,
             (None, None) => {
                 self.items.remove(&put.key);
--- a/crates/caperworks/src/replicated_map/lookups.rs
+++ b/crates/caperworks/src/replicated_map/lookups.rs
@@ -1,4 +1,4 @@
-//! Typed reads of a map's items. The keys are part of the stored format.
+//! Typed lookups of map items. The keys are part of the stored format.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
 use crate::shared_items::items_of_kind;
 
 impl ReplicatedMap {
-    /// The version of an item; zero when it is absent.
+    /// Returns the version of an item, or zero if it is absent.
     pub fn present(&self, key: &str) -> Version {
         self.items.get(key).map_or(Version(0), |item| item.version)
     }
 
-    /// The limits on callers, if operators set any.
+    /// Returns the limits on callers, if operators have set any.
     pub fn caller_limits(&self) -> Option<&CallerLimits> {
         match &self.items.get(LIMITS)?.value {
             Value::Limits { limits } => Some(limits),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The voters, if this is the membership map and the system was founded.
+    /// Returns the voters, if this is the membership map and the system has been bootstrapped.
     pub fn voters(&self) -> Option<&VoterSet> {
         match &self.items.get("seats")?.value {
             Value::VoterSet { voters } => Some(voters),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The agents that may keep proxies fresh while no controller can be reached.
+    /// Returns the agents that may renew the leases of proxies while no controller is reachable.
     pub fn fallback_members(&self) -> Option<&FallbackMembers> {
         match &self.items.get(FALLBACK_MEMBERS)?.value {
             Value::FallbackMembers { fallback_members } => Some(fallback_members),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The control addresses of all voters, or only of those that are controllers.
+    /// Returns the control addresses of all voters, or only of those that are controllers.
     pub fn voter_addresses(&self, controllers_only: bool) -> Vec<SocketAddr> {
         self.voters()
             .iter()
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    /// The current term of a leadership role.
+    /// Returns the current term of a leadership role.
     pub fn leadership(&self, name: &str) -> Option<&LeadershipTerm> {
         match &self.items.get(&format!("duty/{name}"))?.value {
             Value::Leadership { term } => Some(term),
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The fencing token: the term of the leader that last took this map over. Changes of an earlier
-    /// term conflict with it.
+    /// Returns the fencing token: the term of the last leader that took over this map. Changes of an
+    /// earlier term conflict with it.
     pub fn fence(&self) -> Option<&LeadershipTerm> {
         match &self.items.get(FENCE)?.value {
             Value::Leadership { term } => Some(term),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The mapping of client groups to zones.
+    /// Returns the mapping of client groups to zones.
     pub fn mapping(&self) -> Option<&Mapping> {
         match &self.items.get("mapping")?.value {
             Value::Mapping { mapping } => Some(mapping),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The owners of the key ranges of a service.
+    /// Returns the owners of the key ranges of a service.
     pub fn key_ranges(&self, service: &ServiceName) -> Option<&KeyRangeTable> {
         match &self.items.get(&format!("slices/{service}"))?.value {
             Value::KeyRanges { table } => Some(table),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// All routes, by name.
+    /// Returns all routes, by name.
     pub fn routes(&self) -> impl Iterator<Item = (RouteName, &Route)> {
         items_of_kind(&self.items, "rule").filter_map(|(name, item)| match &item.value {
             Value::Route { route } => Some((RouteName::new(name), route)),
@@ -92,7 +92,7 @@
         })
     }
 
-    /// All services, by name.
+    /// Returns all services, by name.
     pub fn services(&self) -> impl Iterator<Item = (ServiceName, &Service)> {
         items_of_kind(&self.items, "pool").filter_map(|(name, item)| match &item.value {
             Value::Service { service } => Some((ServiceName::new(name), service)),
@@ -100,7 +100,7 @@
         })
     }
 
-    /// All zones, by name.
+    /// Returns all zones, by name.
     pub fn zones(&self) -> impl Iterator<Item = (Zone, &ZoneSettings)> {
         items_of_kind(&self.items, "area").filter_map(|(name, item)| match &item.value {
             Value::Zone { zone } => Some((Zone::new(name), zone)),
--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -1,11 +1,11 @@
-//! The layout of a controller's disk: two slots written in turn, with a short log between.
+//! The on-disk layout of a controller: two slots that are written alternately, and a write-ahead log.
 //!
-//! A slot contains the complete state under a generation; the log contains what came after it, each
-//! line under the same generation. All three files have a fixed size and are laid out before use, so a
-//! full disk cannot take away the space that votes need. Nothing counts until it is synced.
+//! A slot contains the complete state at one generation; the log contains the records after it, each
+//! with the same generation. All three files have a fixed size and are preallocated, so that a full
+//! disk cannot prevent a controller from voting. Data counts only once it is synced.
 //!
-//! [`SlotDisk`] does no I/O: it returns writes for the host to carry out, and takes back what was
-//! synced. How the state is found again at start is in `recovery`.
+//! [`SlotDisk`] does no I/O: it returns writes for the host to perform, and is told when they have been
+//! synced. Recovery at start is in `recovery`.
 
 use std::collections::VecDeque;
 
@@ -18,7 +18,7 @@
 pub use self::image::{DiskFile, DiskImage, UnknownFormat};
 pub use self::recovery::{DiskDamage, Recovery};
 
-/// A write for the host to carry out and to sync, before it reports it by [`SlotDisk::synced`].
+/// A write for the host to perform and sync, and then to report with [`SlotDisk::synced`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum DiskWrite {
     /// Replaces the contents of a slot.
@@ -37,22 +37,22 @@
     },
 }
 
-/// The state machine of the layout.
+/// The state machine of the on-disk layout.
 #[derive(Debug, Clone)]
 pub struct SlotDisk {
     /// The generation of the newest slot.
     generation: Generation,
     log_length: u64,
-    /// How much of the log is known to be synced.
+    /// How many bytes of the log are known to be synced.
     log_synced: u64,
-    /// The log's length after each write that is not known to be synced, by the write's ticket.
+    /// For each write that is not known to be synced: its ticket, and the length of the log after it.
     log_writes: VecDeque<(u64, u64)>,
     log_capacity: u64,
     slot_capacity: u64,
 }
 
 impl SlotDisk {
-    /// A blank disk with slots and a log of these sizes, in bytes.
+    /// Creates the state of a blank disk with slots and a log of these sizes in bytes.
     pub fn new(slot_capacity: u64, log_capacity: u64) -> Self {
         Self {
             generation: Generation::NONE,
@@ -64,28 +64,28 @@
         }
     }
 
-    /// Whether a state of this many bytes fits a slot.
+    /// Returns whether a state of this many bytes fits into a slot.
     pub fn slot_fits(&self, length: usize) -> bool {
         (length + FRAME_HEADER_BYTES) as u64 <= self.slot_capacity
     }
 
-    /// How many bytes of the log are written.
+    /// Returns how many bytes of the log have been written.
     pub fn log_length(&self) -> u64 {
         self.log_length
     }
 
-    /// The last rewrite failed: the next one must go to the same slot, because the other one may have
-    /// the only intact state.
+    /// Makes the next rewrite go to the same slot after a rewrite has failed, because the other slot
+    /// may contain the only intact state.
     pub fn same_slot_again(&mut self) {
         self.generation = self.generation.next();
     }
 
-    /// Records the ticket under which the host carries out the write that was just returned.
+    /// Records the ticket of the write that was just returned to the host.
     pub fn wrote(&mut self, ticket: u64) {
         self.log_writes.push_back((ticket, self.log_length));
     }
 
-    /// The host has synced every write up to this ticket.
+    /// Records that the host has synced every write up to this ticket.
     pub fn synced(&mut self, ticket: u64) {
         while let Some((written, length)) = self.log_writes.front().copied() {
             if written > ticket {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Appends lines to the log; returns nothing when they do not fit, or no slot was written yet. A
-    /// [`SlotDisk::rewrite`] is due then.
+    /// Appends lines to the log. Returns `None` if they do not fit or no slot has been written yet; the
+    /// caller must then call [`SlotDisk::rewrite`].
     pub fn append(&mut self, lines: &[Vec<u8>]) -> Option<DiskWrite> {
         let mut bytes = Vec::new();
         for line in lines {
@@ -118,14 +118,14 @@
         Some(DiskWrite::Log { offset, bytes })
     }
 
-    /// Writes the complete state into the other slot, and starts the log anew once that is synced.
+    /// Writes the complete state to the other slot, and then restarts the log.
     ///
-    /// The two writes must be carried out and synced in this order: the head of the new log says that
-    /// its slot is complete. Tickets of writes to the log before are forgotten.
+    /// The two writes must be performed and synced in this order, because the header of the new log
+    /// certifies that its slot is complete. Tickets of writes to the previous log are discarded.
     pub fn rewrite(&mut self, state: &[u8]) -> [DiskWrite; 2] {
         self.generation = self.generation.next();
-        let head = write_frame(FrameKind::LogLine, self.generation, 0, &[]);
-        self.log_length = head.len() as u64;
+        let header = write_frame(FrameKind::LogLine, self.generation, 0, &[]);
+        self.log_length = header.len() as u64;
         self.log_synced = 0;
         self.log_writes.clear();
         [
@@ -135,7 +135,7 @@
             },
             DiskWrite::Log {
                 offset: 0,
-                bytes: head,
+                bytes: header,
             },
         ]
     }
--- a/crates/caperworks/src/slots/image.rs
+++ b/crates/caperworks/src/slots/image.rs
@@ -1,21 +1,21 @@
-//! The bytes found on disk at start, by file.
+//! The contents of the data folder's files at start.
 
 use crate::disk_frame::{unknown_format_at, FrameKind};
 use crate::slots::log_contents::LogContents;
 
-/// The bytes of the data folder's files, as far as they were written.
+/// The bytes of each file in the data folder, up to the last byte that was written.
 #[derive(Debug, Clone, Default)]
 pub struct DiskImage {
-    /// The two slots; generations are written to them in turn.
+    /// The two slots, which are written alternately.
     pub slots: [Vec<u8>; 2],
     /// The write-ahead log.
     pub log: Vec<u8>,
 }
 
-/// A stored file of a format that this program cannot read, written by a later release.
+/// A file in a format that this program cannot read, written by a later release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownFormat {
-    /// The file.
+    /// Which file it is.
     pub part: DiskFile,
     /// Its format number.
     pub format: u16,
@@ -33,7 +33,7 @@
 }
 
 impl DiskFile {
-    /// The name of the file.
+    /// Returns the name of the file.
     pub fn file_name(self) -> &'static str {
         match self {
             DiskFile::FirstSlot => "slot-1",
@@ -44,8 +44,8 @@
 }
 
 impl DiskImage {
-    /// The first file that has a frame of an unknown format. A controller must then write nothing:
-    /// it would destroy what a later release stored.
+    /// Returns the first file with a frame of an unknown format, if any. A controller must then not
+    /// write anything, because it would destroy the data of a later release.
     pub fn unknown_format(&self) -> Option<UnknownFormat> {
         let unknown = |part, kind, bytes: &[u8]| {
             unknown_format_at(kind, bytes).map(|format| UnknownFormat { part, format })
--- a/crates/caperworks/src/slots/log_contents.rs
+++ b/crates/caperworks/src/slots/log_contents.rs
@@ -1,8 +1,8 @@
-//! The intact lines of a log, and whether what lies behind them is damage.
+//! Parsing of the log: the intact lines at its start, and whether the bytes after them indicate damage.
 //!
-//! Each line records how much of the log was synced before it. A disk may carry out unsynced writes in
-//! any order, sector by sector, so an intact line behind a broken one is damage only if the broken one
-//! had been synced by then.
+//! Each line records how many bytes of the log were synced before it was written. A disk may perform
+//! unsynced writes in any order, sector by sector, so an intact line after a broken one indicates
+//! damage only if the broken line had already been synced.
 
 use crate::disk_frame::{read_frame, FrameKind, Generation};
 
@@ -10,25 +10,25 @@
 pub(super) struct LogContents {
     pub(super) generation: Option<Generation>,
     pub(super) lines: Vec<Vec<u8>>,
-    /// How many bytes the lines take.
+    /// The length of the lines in bytes.
     pub(super) length: usize,
-    /// Whether any line is of a format before the present one.
+    /// Whether any line is in an older format.
     pub(super) has_old_format: bool,
 }
 
-/// What intact lines behind a broken one mean.
+/// The state of the log after its first broken line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum LogRest {
-    /// There are none.
-    Nothing,
-    /// They were written before the broken one was synced: power was lost in between.
+pub(super) enum LogTail {
+    /// There are no intact lines.
+    Empty,
+    /// Intact lines were written before the broken line was synced: power was lost in between.
     Unsynced,
-    /// They were written after the broken one was synced: synced data has been lost.
-    SyncedLost,
+    /// Intact lines were written after the broken line was synced: synced data has been lost.
+    SyncedDataLost,
 }
 
 impl LogContents {
-    /// An empty log.
+    /// Returns the contents of an empty log.
     pub(super) fn empty() -> Self {
         Self {
             generation: None,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Reads lines until one is broken or belongs to another generation. The empty line that heads
-    /// each log is no record.
+    /// Reads lines until one is broken or belongs to another generation. The empty line at the start
+    /// of each log is its header and not a record.
     pub(super) fn read(log: &[u8]) -> Self {
         let mut contents = Self::empty();
         while let Some(line) = read_frame(FrameKind::LogLine, &log[contents.length..]) {
@@ -55,9 +55,9 @@
         contents
     }
 
-    /// What lies behind the end of the lines.
-    pub(super) fn rest(&self, log: &[u8], generation: Generation) -> LogRest {
-        let mut rest = LogRest::Nothing;
+    /// Returns the state of the log after the intact lines.
+    pub(super) fn tail(&self, log: &[u8], generation: Generation) -> LogTail {
+        let mut tail = LogTail::Empty;
         for offset in self.length + 1..log.len() {
             let Some(line) = read_frame(FrameKind::LogLine, &log[offset..]) else {
                 continue;
@@ -67,10 +67,10 @@
             }
             let synced_before = line.synced_before.unwrap_or(u64::MAX);
             if synced_before > self.length as u64 {
-                return LogRest::SyncedLost;
+                return LogTail::SyncedDataLost;
             }
-            rest = LogRest::Unsynced;
+            tail = LogTail::Unsynced;
         }
-        rest
+        tail
     }
 }
--- a/crates/caperworks/src/slots/recovery.rs
+++ b/crates/caperworks/src/slots/recovery.rs
@@ -1,66 +1,65 @@
-//! Recovery at start: the newest intact slot and the log lines behind it, or proof that synced data
-//! has been lost.
+//! Recovery at start: finds the newest intact slot and the log lines after it, or detects that synced
+//! data has been lost.
 //!
-//! Invariant kept here: what was synced is either recovered completely or reported as damage. A
-//! controller that voted on less than it once synced could help to commit two changes under one
-//! version.
+//! Invariant of this module: synced data is either recovered completely or reported as damaged. A
+//! controller that voted after losing synced data could help to commit two changes under one version.
 
 use thiserror::Error;
 
 use crate::disk_frame::{read_frame, FrameKind, Generation};
 use crate::slots::image::{DiskImage, UnknownFormat};
-use crate::slots::log_contents::{LogContents, LogRest};
+use crate::slots::log_contents::{LogContents, LogTail};
 use crate::slots::SlotDisk;
 
 /// The result of recovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Recovery {
-    /// Nothing was ever synced here.
+    /// Nothing has ever been synced to this disk.
     Empty,
-    /// The state of the newest slot, and the records of the log behind it, in order.
+    /// The state in the newest slot, and the log records after it, in order.
     Found {
         /// The payload of the slot.
         state: Vec<u8>,
-        /// The payloads of the log's lines.
+        /// The payloads of the log lines.
         lines: Vec<Vec<u8>>,
     },
-    /// Synced data is not all there: the node must not vote on the strength of it.
+    /// Synced data is missing or damaged: the node must not vote on the basis of this state.
     Damaged(DiskDamage),
 }
 
-/// Why the data on disk cannot be relied on. A retry does not help: the controller has to join anew
-/// as an empty one, or be started with the program that wrote the data.
+/// The reason why the data on disk cannot be used. A retry does not help: the controller has to join
+/// again with an empty disk, or be started with the release that wrote the data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DiskDamage {
     /// A file was written by a later release.
-    #[error("{} is of unknown format {}", .0.part.file_name(), .0.format)]
+    #[error("file {} has the unknown format {}", .0.part.file_name(), .0.format)]
     UnknownFormat(UnknownFormat),
-    /// Something was written, but no slot is intact.
-    #[error("neither slot is whole")]
+    /// Data was written, but no slot is intact.
+    #[error("both slots are corrupted or incomplete")]
     NoIntactSlot,
-    /// The log belongs to a later slot than the best one that is left.
-    #[error("the log follows slot {log}, the best slot left is {slot}")]
+    /// The log belongs to a later generation than the newest intact slot.
+    #[error("the log has generation {log}, but the newest intact slot has generation {slot}")]
     SlotLost {
         /// The generation of the log.
         log: Generation,
-        /// The generation of the best slot that is left.
+        /// The generation of the newest intact slot.
         slot: Generation,
     },
-    /// A slot is damaged, and the log cannot tell whether that slot was the newest.
-    #[error("a slot and the log's head are spoiled")]
+    /// A slot is damaged, and without an intact log header it is unknown whether it was the newest.
+    #[error("a slot and the log header are corrupted")]
     SlotAndLogDamaged,
     /// A log line that was synced is damaged.
-    #[error("the log is broken at byte {offset}")]
+    #[error("the log is corrupted at byte {offset}")]
     LogDamaged {
-        /// Where the intact lines end.
+        /// The offset in bytes where the intact lines end.
         offset: usize,
     },
 }
 
 impl SlotDisk {
-    /// Recovers the state from what lies on disk, and goes on from there; called once at start.
+    /// Recovers the state from the contents of the disk; called once at start.
     ///
-    /// After [`Recovery::Damaged`] call [`SlotDisk::skip_generations`] before anything is written.
+    /// After [`Recovery::Damaged`], call [`SlotDisk::skip_generations`] before anything is written.
     pub fn recover(&mut self, image: &DiskImage) -> Recovery {
         self.recover_intact(image).unwrap_or_else(Recovery::Damaged)
     }
@@ -84,24 +83,25 @@
             .zip(&image.slots)
             .any(|(slot, bytes)| slot.is_none() && !is_blank(bytes));
         check_newest(generation, log.generation, has_damaged_slot)?;
-        // Lines of an older generation do not count: the slot was written after them and contains
-        // their effect.
+        // Lines of an older generation are ignored, because the slot was written after them and
+        // contains their effect.
         let is_current = log.generation == Some(generation);
         let log = if is_current {
             log
         } else {
             LogContents::empty()
         };
-        let rest = log.rest(&image.log, generation);
-        if rest == LogRest::SyncedLost {
+        let tail = log.tail(&image.log, generation);
+        if tail == LogTail::SyncedDataLost {
             return Err(DiskDamage::LogDamaged { offset: log.length });
         }
         self.generation = generation;
-        // The log counts as full, so that a slot is written next, in two cases: nothing may be written
-        // before intact lines that do not count, or they would follow on it; and a log never mixes
-        // formats, or an older program would take the later lines for a torn tail.
+        // In two cases the log is treated as full, so that a slot is written next. If there are intact
+        // unsynced lines after a broken one, a line appended before them would make them valid again.
+        // And a log never mixes formats, because an older release would take the lines in the newer
+        // format for a torn tail.
         let is_full =
-            rest == LogRest::Unsynced || log.has_old_format || newest.synced_before.is_none();
+            tail == LogTail::Unsynced || log.has_old_format || newest.synced_before.is_none();
         self.log_length = if is_full {
             self.log_capacity
         } else {
@@ -114,8 +114,8 @@
         })
     }
 
-    /// After damage: goes on above every generation that can still be read, so that what is left of
-    /// the old state can never pass for the newest.
+    /// Continues after damage with a generation higher than every readable one, so that remains of the
+    /// old state can never be taken for the newest.
     pub fn skip_generations(&mut self, image: &DiskImage) {
         let readable = [
             read_frame(FrameKind::Slot, &image.slots[0]),
@@ -136,10 +136,10 @@
     bytes.iter().all(|byte| *byte == 0)
 }
 
-/// Without an intact slot nothing was ever synced, or all of it is lost.
+/// Decides, without an intact slot, whether nothing was ever synced or all synced data is lost.
 ///
-/// One blank slot and no log line are no damage: the very first slot was torn while it was written,
-/// and nothing was ever confirmed on the strength of it.
+/// One blank slot and no log line are not damage: power was lost while the very first slot was being
+/// written, and nothing had been confirmed on the basis of it.
 fn recover_without_slot(image: &DiskImage, log: &LogContents) -> Result<Recovery, DiskDamage> {
     let are_blank = image.slots.iter().all(|slot| is_blank(slot)) && is_blank(&image.log);
     let is_first_torn = log.generation.is_none() && image.slots.iter().any(|slot| is_blank(slot));
@@ -150,7 +150,7 @@
     }
 }
 
-/// Checks that no later slot than the newest intact one was ever synced.
+/// Checks that no slot later than the newest intact one can have been synced.
 fn check_newest(
     newest: Generation,
     log: Option<Generation>,
