--- a/crates/caperworks/src/catch_up/receiver.rs
+++ b/crates/caperworks/src/catch_up/receiver.rs
@@ -77,7 +77,7 @@
     }
 
     /// The bytes of incomplete snapshots that are buffered.
-    pub fn held_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.transfers.values().map(Transfer::buffered_bytes).sum()
     }
 
--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -52,7 +52,7 @@
     }
 
     /// The bytes of encoded snapshots that are buffered.
-    pub fn held_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.snapshots
             .values()
             .map(|snapshot| snapshot.bytes.len())
--- a/crates/caperworks/tests/catch_up_stories.rs
+++ b/crates/caperworks/tests/catch_up_stories.rs
@@ -114,11 +114,11 @@
     let request = begun(&mut receiver, Version(6000));
     let (full_map, chunks) = fetch(&mut receiver, &mut sender, &voter, request);
     assert_eq!(&full_map, voter.map(MAP));
-    let expected = sender.held_bytes().div_ceil(CHUNK_BYTES) as u32;
+    let expected = sender.buffered_bytes().div_ceil(CHUNK_BYTES) as u32;
     assert!(chunks > 3 && chunks == expected, "{chunks} pieces");
     assert_eq!(sender.encodings(), 1);
     sender.tick(SNAPSHOT_IDLE_SPAN);
-    assert_eq!(sender.held_bytes(), 0, "it is not kept for good");
+    assert_eq!(sender.buffered_bytes(), 0, "it is not kept for good");
 }
 
 #[test]
@@ -180,7 +180,7 @@
     );
     let (full_map, chunks) = fetch(&mut receiver, &mut senders[1], &voter, elsewhere.clone());
     assert_eq!(&full_map, voter.map(MAP));
-    let all = senders[1].held_bytes().div_ceil(CHUNK_BYTES) as u32;
+    let all = senders[1].buffered_bytes().div_ceil(CHUNK_BYTES) as u32;
     assert_eq!(chunks, all - 1, "the first piece is not sent again");
 }
 
@@ -250,7 +250,7 @@
         panic!("it goes on");
     };
     let good = chunk(&mut sender, &voter, &request);
-    let held = receiver.held_bytes();
+    let held = receiver.buffered_bytes();
     let changed = |change: &dyn Fn(&mut SnapshotChunk)| {
         let mut chunk = good.clone();
         change(&mut chunk);
@@ -304,7 +304,7 @@
     for (chunk, why) in wrong {
         let outcome = receiver.handle_chunk(millis(2), peer(1), Version(0), chunk);
         assert_eq!(outcome, ChunkOutcome::Refused(why));
-        assert_eq!(receiver.held_bytes(), held, "nothing of it is kept");
+        assert_eq!(receiver.buffered_bytes(), held, "nothing of it is kept");
     }
     let outcome = receiver.handle_chunk(millis(2), peer(2), Version(0), good.clone());
     assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::OtherPeer));
@@ -340,7 +340,7 @@
     let chunk = chunk(&mut SnapshotSender::default(), &voter, &request);
     let outcome = receiver.handle_chunk(millis(1), peer(1), Version(0), chunk);
     assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::TooLarge));
-    assert_eq!(receiver.held_bytes(), 0);
+    assert_eq!(receiver.buffered_bytes(), 0);
 }
 
 /// Fetches while one bit of one piece is wrong; tells how it ended.
--- a/crates/controller/tests/catch_up_stories.rs
+++ b/crates/controller/tests/catch_up_stories.rs
@@ -445,11 +445,11 @@
         assert!(messages <= 2 * chunks + 12, "{traffic:?}");
         assert!(traffic.bytes <= full_map + full_map / 4, "{traffic:?}");
         assert!(traffic.largest <= CHUNK_BYTES + 512, "{traffic:?}");
-        assert_eq!(fleet.state(index).catch_up.held_bytes(), 0);
+        assert_eq!(fleet.state(index).catch_up.buffered_bytes(), 0);
     }
     fleet.runs(SNAPSHOT_IDLE_SPAN);
     for index in 0..4 {
-        assert_eq!(fleet.state(index).snapshots.held_bytes(), 0);
+        assert_eq!(fleet.state(index).snapshots.buffered_bytes(), 0);
     }
 }
 
