--- a/crates/caperworks/examples/consensus.rs
+++ b/crates/caperworks/examples/consensus.rs
@@ -1,4 +1,4 @@
-//! Three voters agree on a change: the machines alone, with messages carried by a loop.
+//! Three voters agree on a change: only the state machines, with a loop that delivers the messages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -66,12 +66,15 @@
     proposer.propose(now, 42, change);
     let mut outcome = proposer.tick(now, &voters[&me], &mut chance);
     let mut proposal_outcomes = Vec::new();
-    while let Some(vote) = outcome.to_voters.pop() {
+    while let Some(request) = outcome.to_voters.pop() {
         let nodes: Vec<NodeId> = voters.keys().copied().collect();
         for node in nodes {
-            // A real host syncs `records` before it sends `replies`.
-            let heard = voters.get_mut(&node).expect("a voter").handle(vote.clone());
-            for reply in heard.replies {
+            // A real host must sync `records` before it sends `replies`.
+            let voted = voters
+                .get_mut(&node)
+                .expect("the node is a voter")
+                .handle(request.clone());
+            for reply in voted.replies {
                 let more = proposer.handle(now, node, &reply, &voters[&me]);
                 outcome.to_voters.extend(more.to_voters);
                 proposal_outcomes.extend(more.proposal_outcomes);
--- a/crates/caperworks/src/catch_up.rs
+++ b/crates/caperworks/src/catch_up.rs
@@ -1,12 +1,12 @@
-//! Catch-up: how a replica that is behind gets the changes or the snapshot that it lacks.
+//! Catch-up of replicas that are behind, by missing changes or by snapshots in chunks.
 //!
-//! The receiver has at most one transfer in progress per map, with one peer. It asks with
-//! [`ConsensusMessage::CatchUp`](crate::consensus::messages::ConsensusMessage::CatchUp) and gets
-//! either the changes it lacks, a bounded number at a time, or a snapshot in chunks of at most
-//! [`CHUNK_BYTES`], each requested when the one before it has arrived. A peer that times out is
-//! replaced by another; the chunks received so far are kept if the other peer has the same version.
+//! The receiver has at most one transfer in progress per map, with one peer at a time. It sends
+//! [`ConsensusMessage::CatchUp`](crate::consensus::messages::ConsensusMessage::CatchUp) and receives
+//! either the missing changes, a bounded number at a time, or a snapshot in chunks of at most
+//! [`CHUNK_BYTES`], each requested when the previous one has arrived. After a timeout the receiver
+//! switches to another peer, and keeps the chunks received so far if that peer has the same version.
 //! A snapshot replaces the map only when it is complete and its digest matches. The sender encodes a
-//! map once and keeps at most one encoded snapshot per map and form.
+//! map once, and keeps at most one encoded snapshot per map and form.
 
 use std::time::Duration;
 
@@ -24,56 +24,56 @@
 pub use self::sender::{FollowerUpdate, SnapshotSender};
 pub use self::snapshot_rate::SnapshotRateLimiter;
 
-/// The most bytes of a snapshot in one message.
+/// The maximum number of snapshot bytes in one message.
 pub const CHUNK_BYTES: usize = 64 * 1024;
-/// The most bytes of one map's changes in a lease grant.
+/// The maximum number of bytes of one map's changes in a lease grant.
 ///
-/// The lease comes with the changes and must not wait long behind them on a slow link; a follower
-/// that lacks more asks again at once.
+/// The lease is sent together with the changes and must not be delayed by them on a slow link. A
+/// follower that is missing more changes requests them immediately.
 pub const GRANT_UPDATE_BYTES: usize = 16 * 1024;
-/// How long a peer may take over an answer before another is asked. Each timeout doubles it, so that
-/// a path which is slow to all peers still delivers chunks in time.
+/// How long to wait for a response before switching to another peer. Each timeout doubles it, so that
+/// chunks still arrive in time when the path to every peer is slow.
 pub const CHUNK_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest that a peer may take.
+/// The maximum of the doubled [`CHUNK_TIMEOUT`].
 pub const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long an encoded snapshot is kept after it was last requested.
 pub const SNAPSHOT_IDLE_SPAN: Duration = Duration::from_secs(2);
-/// The most weight of changes in one answer, by
+/// The maximum total weight of the changes in one response, as returned by
 /// [`Change::weight`](crate::replicated_map::Change::weight).
-pub const UPDATE_WEIGHT: usize = 512;
-/// The largest map that a follower takes in chunks, in bytes.
+pub const MAX_UPDATE_WEIGHT: usize = 512;
+/// The largest snapshot in bytes that a follower accepts in chunks.
 pub const MAX_FOLLOWER_SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
-/// How soon the same snapshot is sent again in one message to a follower that did not get it.
-pub const FULL_MAP_PERIOD: Duration = Duration::from_secs(1);
+/// The minimum interval between full snapshots of the same map in one message to the same follower.
+pub const MIN_FULL_MAP_INTERVAL: Duration = Duration::from_secs(1);
 
 messages! {
     /// The progress of a transfer, as the receiver reports it with each request.
     #[derive(Copy, Eq, Default)]
     struct TransferPosition {
-        /// Drawn anew for each peer that is asked; chunks with an earlier number are refused.
+        /// The transfer number, a new one for each peer; chunks with an earlier number are rejected.
         0 transfer: u64,
         /// The version of the snapshot that is being received; zero when none is.
         1 version: Version,
-        /// How many bytes of it have been received.
+        /// How many bytes of the snapshot have been received.
         2 offset: u64,
-        /// The form in which the receiver wants the map, or the changes.
+        /// The form in which the receiver requests the map or the changes.
         #[cbor(default)]
         3 form: FeedForm,
-        /// The most bytes of the next chunk; zero for [`CHUNK_BYTES`].
+        /// The maximum length of the next chunk in bytes; zero means [`CHUNK_BYTES`].
         #[cbor(default)]
         4 max_bytes: u32,
     }
 
-    /// A chunk of one version of one encoded map.
+    /// A chunk of an encoded map at one version.
     #[derive(Eq)]
     struct SnapshotChunk {
         0 map: MapName,
         1 version: Version,
-        /// The transfer that it was requested for, see [`TransferPosition`].
+        /// The transfer for which it was requested, see [`TransferPosition`].
         2 transfer: u64,
-        /// The position of its first byte in the encoded map.
+        /// The offset of its first byte in the encoded map.
         3 offset: u64,
-        /// The length of the encoded map, in bytes.
+        /// The length of the encoded map in bytes.
         4 total: u64,
         /// The digest of the complete encoded map.
         5 digest: u64,
--- a/crates/caperworks/src/catch_up/receiver.rs
+++ b/crates/caperworks/src/catch_up/receiver.rs
@@ -1,4 +1,4 @@
-//! The receiving side of catch-up: one transfer per map, resumed with another peer after a timeout.
+//! The receiving side of catch-up: one transfer per map, continued with another peer after a timeout.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,33 +11,34 @@
 use crate::reduced_map::FeedForm;
 use crate::replicated_map::{MapName, ReplicatedMap, ALL_MAPS};
 
-mod refusal;
+mod chunk_error;
 mod transfer;
 
-pub use self::refusal::ChunkError;
+pub use self::chunk_error::ChunkError;
 pub use self::transfer::CatchUpRequest;
 
-/// After so many timeouts in a row a transfer is given up; the next hint begins another.
-const MOST_TIMEOUTS: u32 = 8;
+/// The number of consecutive timeouts after which a transfer is abandoned. The next announcement of a
+/// newer version starts another.
+const MAX_CONSECUTIVE_TIMEOUTS: u32 = 8;
 
-/// What follows from a chunk.
+/// The result of handling a chunk.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChunkOutcome {
-    /// More is to come: the request for it.
+    /// More chunks or changes are needed: the next request.
     Next(CatchUpRequest),
     /// The snapshot is complete and its digest matches.
     Snapshot(ReplicatedMap),
-    /// The chunk was refused; nothing of it is kept.
+    /// The chunk was rejected and discarded.
     Refused(ChunkError),
 }
 
-/// Fault injection into the receiver, to prove the invariant checkers.
+/// Fault injection into the receiver, to test the invariant checkers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BrokenCatchUp {
     /// No fault.
     #[default]
     Nothing,
-    /// The digest of the complete snapshot is not checked.
+    /// Does not verify the digest of the complete snapshot.
     SkipsDigest,
 }
 
@@ -53,8 +54,8 @@
 }
 
 impl CatchUpReceiver {
-    /// A receiver without transfers. `first_number` tells this incarnation's transfers from those of
-    /// an earlier one; a snapshot of more than `most_bytes` is refused.
+    /// Creates a receiver without transfers. `first_number` distinguishes the transfers of this
+    /// incarnation from those of earlier ones; snapshots of more than `max_bytes` are rejected.
     pub fn new(first_number: u64, max_bytes: u64) -> Self {
         Self {
             transfers: BTreeMap::new(),
@@ -65,54 +66,61 @@
         }
     }
 
-    /// The same receiver, requesting maps and changes in this form.
+    /// Sets the form in which the receiver requests maps and changes.
     pub fn in_form(mut self, form: FeedForm) -> Self {
         self.form = form;
         self
     }
 
-    /// Whether a transfer of this map is in progress.
+    /// Returns whether a transfer of this map is in progress.
     pub fn is_receiving(&self, map: MapName) -> bool {
         self.transfers.contains_key(&map)
     }
 
-    /// The bytes of incomplete snapshots that are buffered.
+    /// Returns how many bytes of incomplete snapshots are buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.transfers.values().map(Transfer::buffered_bytes).sum()
     }
 
-    fn draw_number(&mut self) -> u64 {
+    fn next_transfer_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// A peer announced that it has version `goal` of a map that is at `held` here.
+    /// Handles an announcement by a peer that it has version `target_version` of a map whose local version is
+    /// `local_version`.
     ///
-    /// Begins a transfer and returns its first request, unless one is in progress already.
+    /// Starts a transfer and returns its first request, unless one is already in progress.
     pub fn behind(
         &mut self,
         now: Duration,
         map: MapName,
-        held: Version,
+        local_version: Version,
         peer: SocketAddr,
-        goal: Version,
+        target_version: Version,
     ) -> Option<CatchUpRequest> {
         if let Some(transfer) = self.transfers.get_mut(&map) {
-            transfer.add_hint(now, peer, goal);
+            transfer.record_announcement(now, peer, target_version);
             return None;
         }
-        let transfer = Transfer::new(now, self.draw_number(), peer, goal, self.form);
-        let request = transfer.request(map, held);
+        let transfer = Transfer::new(
+            now,
+            self.next_transfer_number(),
+            peer,
+            target_version,
+            self.form,
+        );
+        let request = transfer.request(map, local_version);
         self.transfers.insert(map, transfer);
         Some(request)
     }
 
-    /// Handles time passing: requests from the next peer where one has timed out, and gives a
-    /// transfer up after eight in a row.
+    /// Switches each transfer that has timed out to the next peer, and returns the requests to send.
+    /// Abandons a transfer after eight consecutive timeouts.
     pub fn tick(
         &mut self,
         now: Duration,
-        held: impl Fn(MapName) -> Version,
+        local_version: impl Fn(MapName) -> Version,
     ) -> Vec<CatchUpRequest> {
         let mut requests = Vec::new();
         for map in ALL_MAPS {
@@ -120,52 +128,52 @@
             if !self.transfers.get(&map).is_some_and(is_timed_out) {
                 continue;
             }
-            let number = self.draw_number();
+            let number = self.next_transfer_number();
             let Some(transfer) = self.transfers.get_mut(&map) else {
                 continue;
             };
-            if transfer.count_timeout() >= MOST_TIMEOUTS {
+            if transfer.count_timeout() >= MAX_CONSECUTIVE_TIMEOUTS {
                 self.transfers.remove(&map);
                 continue;
             }
             transfer.switch_peer(now, number);
-            requests.push(transfer.request(map, held(map)));
+            requests.push(transfer.request(map, local_version(map)));
         }
         requests
     }
 
-    /// Handles a chunk: adds it to the snapshot, or refuses it without a trace.
+    /// Handles a chunk: adds it to the snapshot, or rejects it without changing the transfer.
     ///
-    /// `held` is the version that is present here. A complete snapshot is returned for the caller to
-    /// install; the transfer ends when [`CatchUpReceiver::handle_changes`] reports that it did.
+    /// Returns a complete snapshot for the caller to install. The transfer ends when the caller then
+    /// calls [`CatchUpReceiver::handle_changes`].
     pub fn handle_chunk(
         &mut self,
         now: Duration,
         from: SocketAddr,
-        held: Version,
+        local_version: Version,
         chunk: SnapshotChunk,
     ) -> ChunkOutcome {
         let map = chunk.map;
         let Some(transfer) = self.transfers.get_mut(&map) else {
-            return ChunkOutcome::Refused(ChunkError::NotAskedFor);
+            return ChunkOutcome::Refused(ChunkError::NotRequested);
         };
-        if let Err(refusal) = transfer.check(from, held, &chunk) {
-            return ChunkOutcome::Refused(refusal);
+        if let Err(error) = transfer.check(from, local_version, &chunk) {
+            return ChunkOutcome::Refused(error);
         }
         if chunk.total > self.max_bytes {
             return ChunkOutcome::Refused(ChunkError::TooLarge);
         }
         transfer.record_response(now);
         let Some(snapshot) = transfer.add(chunk) else {
-            return ChunkOutcome::Next(transfer.request(map, held));
+            return ChunkOutcome::Next(transfer.request(map, local_version));
         };
         match self.decode(&snapshot) {
             Ok(decoded) => ChunkOutcome::Snapshot(decoded),
-            Err(refusal) => ChunkOutcome::Refused(refusal),
+            Err(error) => ChunkOutcome::Refused(error),
         }
     }
 
-    /// Decodes a complete snapshot after a check of its digest.
+    /// Verifies the digest of a complete snapshot and decodes it.
     fn decode(&self, snapshot: &PartialSnapshot) -> Result<ReplicatedMap, ChunkError> {
         let is_intact = content_digest(&snapshot.bytes) == snapshot.digest;
         if !is_intact && self.broken != BrokenCatchUp::SkipsDigest {
@@ -177,26 +185,26 @@
             .ok_or(ChunkError::Unreadable)
     }
 
-    /// The peer answered with changes, with none, or a snapshot was installed; `held` is the version
-    /// that is present now, and `moved` whether the answer advanced it.
+    /// Handles a response with changes, an empty response, or the installation of a snapshot.
+    /// `local_version` is the version afterwards, and `advanced` whether the response advanced it.
     ///
-    /// Returns the next request where more is known to be missing; otherwise the transfer ends.
+    /// Returns the next request if more is known to be missing; otherwise the transfer ends.
     pub fn handle_changes(
         &mut self,
         now: Duration,
         map: MapName,
-        held: Version,
-        moved: bool,
+        local_version: Version,
+        advanced: bool,
     ) -> Option<CatchUpRequest> {
         let transfer = self.transfers.get_mut(&map)?;
-        if !transfer.is_overtaken(held) {
+        if !transfer.is_superseded(local_version) {
             return None;
         }
-        if !moved || transfer.is_reached(held) {
+        if !advanced || transfer.is_reached(local_version) {
             self.transfers.remove(&map);
             return None;
         }
         transfer.restart_with_changes(now);
-        Some(transfer.request(map, held))
+        Some(transfer.request(map, local_version))
     }
 }
--- a/crates/caperworks/src/catch_up/receiver/transfer.rs
+++ b/crates/caperworks/src/catch_up/receiver/transfer.rs
@@ -1,12 +1,12 @@
-//! One transfer: the peer that is asked, the chunks received so far, and which chunk may come next.
+//! One transfer: the current peer, the chunks received so far, and which chunk may come next.
 //!
-//! Invariant kept here: chunks are added in order and without gaps, and all of them come from the
-//! snapshot that the first one began.
+//! Invariant of this module: chunks are added in order and without gaps, and all of them belong to
+//! the same snapshot as the first one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::catch_up::receiver::refusal::ChunkError;
+use crate::catch_up::receiver::chunk_error::ChunkError;
 use crate::catch_up::{
     SnapshotChunk, TransferPosition, CHUNK_BYTES, CHUNK_TIMEOUT, MAX_CHUNK_TIMEOUT,
 };
@@ -15,18 +15,18 @@
 use crate::reduced_map::FeedForm;
 use crate::replicated_map::MapName;
 
-/// How long ago the last hint of a newer version may be before the timeouts are reset: peers announce
-/// several times a second that they are ahead, so after a longer gap none of them was reachable.
-const HINT_GAP: Duration = Duration::from_secs(1);
-/// The bytes of the first chunk to a follower that only reads, which may be behind a slow link;
-/// chunks that arrive promptly are followed by larger ones.
+/// After this long without an announcement of a newer version, the timeout is reset. Peers announce
+/// several times a second that they are ahead, so during a longer gap none of them was reachable.
+const ANNOUNCEMENT_GAP: Duration = Duration::from_secs(1);
+/// The length in bytes of the first chunk for a read-only follower, which may be behind a slow link.
+/// Chunks that arrive promptly are followed by larger ones.
 const FIRST_REDUCED_CHUNK_BYTES: u32 = 16 * 1024;
-/// A chunk that took no longer came over a path that can bear a larger one.
-const PROMPT_CHUNK: Duration = Duration::from_millis(150);
-/// The most peers that are remembered as able to send a map.
-const MOST_SOURCES: usize = 8;
+/// A chunk that arrives within this time is followed by a larger one.
+const PROMPT_CHUNK_TIME: Duration = Duration::from_millis(150);
+/// The maximum number of peers that are remembered as sources of a map.
+const MAX_SOURCES: usize = 8;
 
-/// The bytes of a transfer's first chunk, and of the next one after a timeout.
+/// Returns the length in bytes of the first chunk of a transfer, and of the first after a timeout.
 fn first_chunk_bytes(form: FeedForm) -> u32 {
     match form {
         FeedForm::Complete => CHUNK_BYTES as u32,
@@ -41,14 +41,14 @@
     pub to: SocketAddr,
     /// The map that is behind.
     pub map: MapName,
-    /// The version that is present here.
+    /// The local version.
     pub after: Version,
     /// The progress of the transfer.
     pub position: TransferPosition,
 }
 
 impl CatchUpRequest {
-    /// The message that carries the request.
+    /// Returns the message that carries the request.
     pub fn message(&self) -> ConsensusMessage {
         ConsensusMessage::CatchUp {
             map: self.map,
@@ -58,7 +58,7 @@
     }
 }
 
-/// The bytes of a snapshot that have arrived.
+/// A snapshot of which some bytes have been received.
 #[derive(Debug, Clone)]
 pub(super) struct PartialSnapshot {
     pub(super) version: Version,
@@ -72,18 +72,18 @@
 pub(super) struct Transfer {
     number: u64,
     peer: SocketAddr,
-    /// The version that peers are known to have.
-    goal: Version,
-    asked_at: Duration,
+    /// The highest version that a peer is known to have.
+    target_version: Version,
+    requested_at: Duration,
     timeout: Duration,
-    hinted_at: Duration,
-    timeouts_in_a_row: u32,
+    announced_at: Duration,
+    consecutive_timeouts: u32,
     sources: Vec<SocketAddr>,
-    /// Whether the peer has sent a chunk under this number.
+    /// Whether the peer has sent a chunk with the current transfer number.
     peer_has_sent: bool,
     partial: Option<PartialSnapshot>,
     form: FeedForm,
-    /// How many bytes the next chunk may have.
+    /// The maximum length of the next chunk.
     chunk_bytes: u32,
 }
 
@@ -92,17 +92,17 @@
         now: Duration,
         number: u64,
         peer: SocketAddr,
-        goal: Version,
+        target_version: Version,
         form: FeedForm,
     ) -> Self {
         Self {
             number,
             peer,
-            goal,
-            asked_at: now,
+            target_version,
+            requested_at: now,
             timeout: CHUNK_TIMEOUT,
-            hinted_at: now,
-            timeouts_in_a_row: 0,
+            announced_at: now,
+            consecutive_timeouts: 0,
             sources: vec![peer],
             peer_has_sent: false,
             partial: None,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The request for the next chunk, or for the changes after a version.
+    /// Returns the request for the next chunk, or for the changes after a version.
     pub(super) fn request(&self, map: MapName, after: Version) -> CatchUpRequest {
         let partial = self.partial.as_ref();
         CatchUpRequest {
@@ -128,36 +128,41 @@
         }
     }
 
-    /// A peer announced that it has `goal`.
+    /// Handles an announcement by a peer that it has version `target_version`.
     ///
-    /// After a long gap between hints a network partition has healed, and the timeouts that grew
-    /// during it say nothing of how fast the paths are now.
-    pub(super) fn add_hint(&mut self, now: Duration, peer: SocketAddr, goal: Version) {
-        if !self.sources.contains(&peer) && self.sources.len() < MOST_SOURCES {
+    /// A long gap between announcements means that a network partition has healed. The timeout that
+    /// grew during the partition does not reflect how fast the paths are now, so it is reset.
+    pub(super) fn record_announcement(
+        &mut self,
+        now: Duration,
+        peer: SocketAddr,
+        target_version: Version,
+    ) {
+        if !self.sources.contains(&peer) && self.sources.len() < MAX_SOURCES {
             self.sources.push(peer);
         }
-        self.goal = self.goal.max(goal);
-        if now.saturating_sub(self.hinted_at) >= HINT_GAP {
+        self.target_version = self.target_version.max(target_version);
+        if now.saturating_sub(self.announced_at) >= ANNOUNCEMENT_GAP {
             self.timeout = CHUNK_TIMEOUT;
         }
-        self.hinted_at = now;
+        self.announced_at = now;
     }
 
-    /// Whether the peer has not answered in time.
+    /// Returns whether the peer has not responded within the timeout.
     pub(super) fn is_timed_out(&self, now: Duration) -> bool {
-        now.saturating_sub(self.asked_at) >= self.timeout
+        now.saturating_sub(self.requested_at) >= self.timeout
     }
 
-    /// Counts a timeout; returns how many there were in a row.
+    /// Counts a timeout and returns the number of consecutive ones.
     pub(super) fn count_timeout(&mut self) -> u32 {
-        self.timeouts_in_a_row += 1;
-        self.timeouts_in_a_row
+        self.consecutive_timeouts += 1;
+        self.consecutive_timeouts
     }
 
-    /// Turns to the next peer under a new number, with twice the timeout and small chunks.
+    /// Switches to the next peer under a new transfer number, with twice the timeout and small chunks.
     pub(super) fn switch_peer(&mut self, now: Duration, number: u64) {
         self.number = number;
-        self.asked_at = now;
+        self.requested_at = now;
         self.timeout = (self.timeout * 2).min(MAX_CHUNK_TIMEOUT);
         self.chunk_bytes = first_chunk_bytes(self.form);
         let index = self.sources.iter().position(|source| *source == self.peer);
@@ -166,40 +171,41 @@
         self.peer_has_sent = false;
     }
 
-    /// The peer answered now: chunks that come promptly may grow.
+    /// Records a response from the peer, and increases the chunk length if it arrived promptly.
     pub(super) fn record_response(&mut self, now: Duration) {
-        if now.saturating_sub(self.asked_at) <= PROMPT_CHUNK {
+        if now.saturating_sub(self.requested_at) <= PROMPT_CHUNK_TIME {
             self.chunk_bytes = (self.chunk_bytes * 2).min(CHUNK_BYTES as u32);
         }
-        self.asked_at = now;
+        self.requested_at = now;
     }
 
-    /// The peer answered with changes and more are missing: the next request asks for changes.
+    /// Discards a partial snapshot after the peer responded with changes, so that the next request
+    /// asks for the changes that are still missing.
     pub(super) fn restart_with_changes(&mut self, now: Duration) {
         self.partial = None;
-        self.asked_at = now;
-        self.timeouts_in_a_row = 0;
+        self.requested_at = now;
+        self.consecutive_timeouts = 0;
     }
 
-    /// Whether the version here has reached what peers are known to have.
+    /// Returns whether the local version has reached the highest version that peers are known to have.
     pub(super) fn is_reached(&self, local_version: Version) -> bool {
-        local_version >= self.goal
+        local_version >= self.target_version
     }
 
-    /// Whether no snapshot is being received that is newer than the version here.
-    pub(super) fn is_overtaken(&self, local_version: Version) -> bool {
+    /// Returns whether no snapshot newer than the local version is being received.
+    pub(super) fn is_superseded(&self, local_version: Version) -> bool {
         let partial = self.partial.as_ref();
         partial.is_none_or(|partial| partial.version <= local_version)
     }
 
-    /// The bytes that have been buffered.
+    /// Returns how many bytes are buffered.
     pub(super) fn buffered_bytes(&self) -> usize {
         self.partial
             .as_ref()
             .map_or(0, |partial| partial.bytes.len())
     }
 
-    /// Whether a chunk may come next, given what has arrived so far.
+    /// Checks whether a chunk may come next, given what has been received so far.
     pub(super) fn check(
         &self,
         from: SocketAddr,
@@ -225,7 +231,7 @@
         }
     }
 
-    /// Whether a chunk continues the snapshot that was begun, or may begin another.
+    /// Checks whether a chunk continues the partial snapshot or may start another one.
     fn check_continuation(
         &self,
         partial: &PartialSnapshot,
@@ -234,7 +240,7 @@
         let is_same = chunk.version == partial.version;
         if !is_same && chunk.offset == 0 && (!self.peer_has_sent || chunk.version > partial.version)
         {
-            // The sender no longer has, or never had, the version that was begun: start over.
+            // The sender no longer has, or never had, the version of the partial snapshot: start over.
             return Ok(());
         }
         if chunk.version < partial.version {
@@ -244,25 +250,25 @@
             return Err(ChunkError::OtherSnapshot);
         }
         match chunk.offset.cmp(&(partial.bytes.len() as u64)) {
-            std::cmp::Ordering::Less => Err(ChunkError::Doubled),
+            std::cmp::Ordering::Less => Err(ChunkError::Duplicate),
             std::cmp::Ordering::Greater => Err(ChunkError::AfterGap),
             std::cmp::Ordering::Equal => Ok(()),
         }
     }
 
-    /// Whether a chunk has as many bytes as were asked for, or as a chunk may have at most: senders of
-    /// an earlier release know only that one length.
+    /// Returns whether a chunk has the requested length or the maximum length; senders of an earlier
+    /// release support only the latter.
     fn has_right_length(&self, chunk: &SnapshotChunk) -> bool {
         let remaining = chunk.total.saturating_sub(chunk.offset);
         let length = chunk.bytes.len() as u64;
         let accepted = [u64::from(self.chunk_bytes), CHUNK_BYTES as u64];
-        length > 0 && accepted.iter().any(|most| length == remaining.min(*most))
+        length > 0 && accepted.iter().any(|max| length == remaining.min(*max))
     }
 
-    /// Adds a chunk that was checked; returns the snapshot once it is complete.
+    /// Adds a chunk that has been checked, and returns the snapshot once it is complete.
     pub(super) fn add(&mut self, chunk: SnapshotChunk) -> Option<PartialSnapshot> {
         self.peer_has_sent = true;
-        self.timeouts_in_a_row = 0;
+        self.consecutive_timeouts = 0;
         if chunk.offset == 0 {
             self.partial = Some(PartialSnapshot {
                 version: chunk.version,
--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -1,12 +1,12 @@
-//! The sending side of catch-up: changes where the history reaches back far enough, and chunks of an
-//! encoded snapshot otherwise.
+//! The sending side of catch-up: changes if the history reaches back far enough, and otherwise chunks
+//! of an encoded snapshot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::catch_up::{
-    SnapshotChunk, TransferPosition, CHUNK_BYTES, GRANT_UPDATE_BYTES, SNAPSHOT_IDLE_SPAN,
-    UPDATE_WEIGHT,
+    SnapshotChunk, TransferPosition, CHUNK_BYTES, GRANT_UPDATE_BYTES, MAX_UPDATE_WEIGHT,
+    SNAPSHOT_IDLE_SPAN,
 };
 use crate::consensus::messages::{ConsensusMessage, NumberedChange};
 use crate::consensus::voter::Voter;
@@ -15,7 +15,7 @@
 use crate::reduced_map::FeedForm;
 use crate::replicated_map::{MapName, ReplicatedMap};
 
-/// A map in encoded form, kept for as long as chunks of it are requested.
+/// An encoded map, kept for as long as chunks of it are requested.
 #[derive(Debug, Clone)]
 struct EncodedSnapshot {
     version: Version,
@@ -24,14 +24,14 @@
     used_at: Duration,
 }
 
-/// What a follower gets with a lease grant.
+/// The updates that a follower receives with a lease grant.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerUpdate {
-    /// It is up to date.
+    /// The follower is up to date.
     Nothing,
-    /// All that it lacks, in one message.
+    /// Everything that is missing, in one message.
     Inline(ConsensusMessage),
-    /// As many changes as one message may carry; there are more after them.
+    /// As many changes as fit into one message; more are missing after them.
     Partial(ConsensusMessage),
     /// The map is too large for one message: the follower has to request it in chunks.
     InChunks,
@@ -46,12 +46,12 @@
 }
 
 impl SnapshotSender {
-    /// How many times a map was encoded.
+    /// Returns how many times a map was encoded.
     pub fn encodings(&self) -> u64 {
         self.encodings
     }
 
-    /// The bytes of encoded snapshots that are buffered.
+    /// Returns how many bytes of encoded snapshots are buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.snapshots
             .values()
@@ -59,14 +59,16 @@
             .sum()
     }
 
-    /// Handles time passing: drops the snapshots that were not requested for [`SNAPSHOT_IDLE_SPAN`].
+    /// Drops the snapshots that have not been requested for [`SNAPSHOT_IDLE_TIMEOUT`].
     pub fn tick(&mut self, now: Duration) {
         self.snapshots
             .retain(|_, snapshot| now.saturating_sub(snapshot.used_at) < SNAPSHOT_IDLE_SPAN);
     }
 
-    /// What a follower at version `after` gets with a lease grant: at most so many bytes of changes, lowest
-    /// version first, or a snapshot if that fits into [`GRANT_UPDATE_BYTES`]; a larger one it has to request.
+    /// Returns the updates for a follower at version `after` to send with a lease grant.
+    ///
+    /// These are at most `max_bytes` of changes, lowest version first, or a snapshot if it fits into
+    /// [`MAX_GRANT_UPDATE_BYTES`]. The follower has to request a larger snapshot in chunks.
     pub fn updates_for_follower(
         &mut self,
         now: Duration,
@@ -95,9 +97,9 @@
         FollowerUpdate::Inline(ConsensusMessage::Snapshot { map, full_map })
     }
 
-    /// Answers a catch-up request of a peer at version `after`: with changes where the history reaches
-    /// back so far, and with a chunk otherwise. A peer that is up to date gets no changes, which ends
-    /// its transfer at once.
+    /// Responds to a catch-up request from a peer at version `after`: with changes if the history
+    /// reaches back far enough, and with a chunk otherwise. A peer that is up to date gets an empty list
+    /// of changes, which ends its transfer immediately.
     pub fn respond(
         &mut self,
         now: Duration,
@@ -125,7 +127,8 @@
         }
     }
 
-    /// The chunk at the receiver's position; from the start if its version is no longer encoded.
+    /// Returns the chunk at the receiver's position, or the first one if the receiver's version is no
+    /// longer encoded.
     fn chunk(
         &mut self,
         now: Duration,
@@ -151,10 +154,10 @@
         }
     }
 
-    /// An encoded version of the map after `after`, encoded now if there is none.
+    /// Returns an encoded snapshot of the map newer than `after`, encoding the map if there is none.
     ///
-    /// An earlier version than the present one serves as well: a map that advances during every
-    /// transfer would otherwise be encoded for every chunk, and no transfer would end.
+    /// The snapshot may be older than the current version: a map that advances during every transfer
+    /// would otherwise be encoded again for every chunk, and no transfer would complete.
     fn encoded(
         &mut self,
         now: Duration,
@@ -190,20 +193,20 @@
     }
 }
 
-/// The length of a chunk, given what was asked for; zero asks for [`CHUNK_BYTES`].
-fn chunk_length(asked: u32) -> usize {
-    match asked as usize {
+/// Returns the length of a chunk for a requested length; zero requests [`CHUNK_BYTES`].
+fn chunk_length(requested: u32) -> usize {
+    match requested as usize {
         0 => CHUNK_BYTES,
-        asked => asked.min(CHUNK_BYTES),
+        requested => requested.min(CHUNK_BYTES),
     }
 }
 
-/// As many of the changes, from the first on, as fit into [`UPDATE_WEIGHT`]; at least one.
+/// Returns the first changes, at least one, whose total weight fits into [`MAX_UPDATE_WEIGHT`].
 fn first_changes(mut changes: Vec<NumberedChange>) -> Vec<NumberedChange> {
     let mut weight = 0;
-    let fitting = changes.iter().take_while(|numbered| {
-        weight += numbered.change.weight();
-        weight <= UPDATE_WEIGHT
+    let fitting = changes.iter().take_while(|committed| {
+        weight += committed.change.weight();
+        weight <= MAX_UPDATE_WEIGHT
     });
     let count = fitting.count().max(1);
     changes.truncate(count);
--- a/crates/caperworks/src/catch_up/snapshot_rate.rs
+++ b/crates/caperworks/src/catch_up/snapshot_rate.rs
@@ -1,49 +1,49 @@
-//! Bounds how often a full snapshot is sent to the same follower in one message.
+//! Rate limit for full snapshots that are sent to the same follower in one message.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::catch_up::FULL_MAP_PERIOD;
+use crate::catch_up::MIN_FULL_MAP_INTERVAL;
 use crate::consensus::messages::ConsensusMessage;
 use crate::replicated_map::MapName;
 
-/// Bounds how often the same follower is sent the same map as a full snapshot in one message.
+/// Limits how often a full snapshot of the same map is sent to the same follower in one message.
 #[derive(Debug, Clone)]
 pub struct SnapshotRateLimiter {
-    period: Duration,
+    interval: Duration,
     sent: BTreeMap<(SocketAddr, MapName), Duration>,
 }
 
 impl Default for SnapshotRateLimiter {
     fn default() -> Self {
-        Self::once_in(FULL_MAP_PERIOD)
+        Self::once_in(MIN_FULL_MAP_INTERVAL)
     }
 }
 
 impl SnapshotRateLimiter {
-    /// At most one in each period, for each follower and map.
-    pub fn once_in(period: Duration) -> Self {
+    /// Creates a limiter that admits one snapshot per interval for each follower and map.
+    pub fn once_in(interval: Duration) -> Self {
         Self {
-            period,
+            interval,
             sent: BTreeMap::new(),
         }
     }
 
-    /// A follower has started anew and has nothing: the next snapshot may leave at once.
+    /// Admits the next snapshot to a follower immediately, because it has restarted with an empty map.
     pub fn reset(&mut self, to: SocketAddr) {
         self.sent.retain(|(follower, _), _| *follower != to);
     }
 
-    /// Whether this message may leave for this follower now. Only snapshots are limited: a follower
-    /// asks again several times a second while one is in flight.
+    /// Returns whether this message may be sent to this follower now. Only snapshots are limited,
+    /// because a follower repeats its request several times a second while a snapshot is in flight.
     pub fn admits(&mut self, now: Duration, to: SocketAddr, updates: &ConsensusMessage) -> bool {
         let ConsensusMessage::Snapshot { map, .. } = updates else {
             return true;
         };
-        let period = self.period;
+        let interval = self.interval;
         self.sent
-            .retain(|_, sent_at| now.saturating_sub(*sent_at) < period);
+            .retain(|_, sent_at| now.saturating_sub(*sent_at) < interval);
         if self.sent.contains_key(&(to, *map)) {
             return false;
         }
--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -1,8 +1,8 @@
-//! Coordination parts for a fleet of many small processes, as state machines without I/O.
+//! Coordination components for a fleet of many small processes, as state machines without I/O.
 //!
-//! Every machine here takes inputs (a message heard, time passing, a write that was synced)
-//! and returns what to send, write and answer. Time, randomness, disk and network come in from
-//! outside, so the same code runs in the daemons and under the seeded simulator.
+//! Every state machine takes inputs (a received message, elapsed time, a completed disk sync) and
+//! returns the messages, writes and responses to perform. Time, randomness, disk and network are
+//! provided by the caller, so the same code runs in the daemons and in the deterministic simulator.
 
 #[macro_use]
 pub mod identifiers;
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -1,4 +1,5 @@
-//! The items of the maps: routes, services, zones, mappings, key ranges, voters and leadership terms.
+//! The item types of the maps: routes, services, zones, mappings, key ranges, voters and leadership
+//! terms.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,9 +17,11 @@
         /// `GET` and `HEAD` may run more than once, everything else at most once.
         #[default]
         0 ByMethod,
+        /// Every request may run more than once.
         1 Repeatable,
+        /// Every request may run at most once.
         2 Once,
-        /// Large bodies; at most once.
+        /// Every request may run at most once and may have a large body.
         3 Upload,
     }
 
@@ -29,14 +32,14 @@
         1 weight: u32,
     }
 
-    /// Which host and path go to which service.
+    /// A route from a host and path to a service.
     #[derive(Eq, Default)]
     struct Route {
         0 host: String,
         1 path: String,
-        /// Where its requests go when they are not split.
+        /// The service that receives its requests when they are not split.
         2 service: ServiceName,
-        /// The regions that its requests may be served in; none bind it nowhere.
+        /// The regions in which its requests may be served; empty means all regions.
         3 homes: Vec<Region>,
         /// The deadline of a request.
         4 deadline: Duration,
@@ -46,13 +49,13 @@
         8 split: Vec<SplitTarget>,
         /// The latency target (SLO); zero when there is none.
         9 target_latency: Duration,
-        /// Its priority when there is too little capacity; 0 is highest.
+        /// Its priority when capacity is insufficient; 0 is highest.
         10 priority: u32,
-        /// To how many instances a request may be sent; zero leaves it to the proxy.
+        /// The maximum number of instances that a request is sent to; zero means the proxy's default.
         11 max_attempts: u32,
     }
 
-    /// How keys fall into key ranges.
+    /// How keys are assigned to key ranges.
     #[derive(Copy, Eq, Default)]
     enum KeySpace {
         /// By the hash of any text.
@@ -62,16 +65,17 @@
         1 Ranges,
     }
 
+    /// The configuration of a service.
     #[derive(Eq, Default)]
     struct Service {
         0 keyed: bool,
         1 key_ranges: u32,
         2 instance_cap: u32,
         3 key_cap: u32,
-        /// Requests in a thousand seconds that an instance which is warming up bears from all proxies
-        /// together (slow start).
+        /// Slow start: requests per 1000 seconds that a warming-up instance accepts from all proxies
+        /// together.
         4 slow_start_rate_milli: u32,
-        /// How long an instance warms up after its start.
+        /// How long an instance is warming up after its start.
         5 warm_up_span: Duration,
         6 key_space: KeySpace,
         /// Connections that an instance accepts from all proxies together; zero when unknown.
@@ -79,7 +83,8 @@
         8 health_path: String,
     }
 
-    /// What a caller may send, and for how long it may take or stay idle.
+    /// Limits on what a caller may send, and on how long a request header may take and a connection
+    /// may stay idle.
     #[derive(Eq, Default)]
     struct CallerLimits {
         0 head_bytes: u64,
@@ -88,12 +93,14 @@
         3 idle_span: Duration,
     }
 
+    /// The settings of a zone.
     #[derive(Eq)]
     struct ZoneSettings {
         0 region: Region,
         1 closed: bool,
     }
 
+    /// The share of a client group's traffic that is placed in a zone.
     #[derive(Eq)]
     struct Share {
         0 zone: Zone,
@@ -109,29 +116,33 @@
         3 unplaced: u32,
     }
 
+    /// The mapping of client groups to zones.
     #[derive(Eq)]
     struct Mapping {
         0 epoch: Epoch,
         1 groups: Vec<GroupPlacement>,
-        /// How many proxies were ready when it was written.
+        /// The number of proxies that were ready when the mapping was written.
         2 proxies: u32,
     }
 
+    /// The owner of one key range.
     #[derive(Eq)]
     struct KeyRangeOwner {
         0 instance: InstanceId,
         1 incarnation: Incarnation,
         2 epoch: Epoch,
-        /// What the owner before handed over.
+        /// The data that the previous owner handed over.
         3 handover: Option<String>,
     }
 
+    /// The owners of the key ranges of one service.
     #[derive(Eq)]
     struct KeyRangeTable {
         0 epoch: Epoch,
         1 owners: Vec<Option<KeyRangeOwner>>,
     }
 
+    /// One voter: a controller or a witness.
     #[derive(Eq)]
     struct VoterEntry {
         0 node: NodeId,
@@ -140,17 +151,20 @@
         3 controller: bool,
     }
 
+    /// The voters of the consensus protocol.
     #[derive(Eq)]
     struct VoterSet {
         0 holders: Vec<VoterEntry>,
     }
 
+    /// The leader of a role, with the epoch of its term.
     #[derive(Eq)]
     struct LeadershipTerm {
         0 holder: NodeId,
         1 epoch: Epoch,
     }
 
+    /// The value of an item.
     #[derive(Eq)]
     enum Value {
         0 Route { 0 route: Route },
@@ -162,36 +176,36 @@
         6 Leadership { 0 term: LeadershipTerm },
         7 FallbackMembers { 0 fallback_members: FallbackMembers },
         8 Limits { 0 limits: CallerLimits },
-        /// A tombstone: an item that was dropped under an operators' version, which still counts.
+        /// A tombstone: the item was dropped under an operator version, which is still compared.
         9 Dropped,
     }
 }
 
 impl VoterSet {
-    /// How many voters make a majority.
+    /// Returns how many voters form a majority.
     pub fn majority(&self) -> usize {
         self.holders.len() / 2 + 1
     }
 
-    /// The entry of a voter; nothing for a node that is none.
+    /// Returns the entry of a voter; `None` for a node that is not a voter.
     pub fn holder(&self, node: NodeId) -> Option<&VoterEntry> {
         self.holders.iter().find(|holder| holder.node == node)
     }
 }
 
 impl Route {
-    /// The services that its requests may go to.
+    /// Returns the services that its requests may be sent to.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
-        let whole = self.split.is_empty().then_some(&self.service);
-        whole
+        let unsplit = self.split.is_empty().then_some(&self.service);
+        unsplit
             .into_iter()
             .chain(self.split.iter().map(|part| &part.service))
     }
 
-    /// The service for one request, by a draw.
-    pub fn service_for(&self, draw: u64) -> &ServiceName {
+    /// Returns the service for one request, chosen by a random value according to the weights.
+    pub fn service_for(&self, random_value: u64) -> &ServiceName {
         let total: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
-        let mut point = draw % total.max(1);
+        let mut point = random_value % total.max(1);
         for part in &self.split {
             if point < u64::from(part.weight) {
                 return &part.service;
@@ -201,12 +215,12 @@
         &self.service
     }
 
-    /// Whether it may be served in a region.
+    /// Returns whether its requests may be served in a region.
     pub fn is_at_home(&self, region: Option<&Region>) -> bool {
         self.homes.is_empty() || region.is_some_and(|region| self.homes.contains(region))
     }
 
-    /// Whether a request by this method may run more than once.
+    /// Returns whether a request may run more than once; `reads` is whether its method only reads.
     pub fn may_repeat(&self, reads: bool) -> bool {
         match self.kind {
             RequestKind::ByMethod => reads,
@@ -217,12 +231,12 @@
 }
 
 impl Service {
-    /// Requests a second that an instance which is warming up bears from all proxies together.
+    /// Returns the requests per second that a warming-up instance accepts from all proxies together.
     pub fn slow_start_rate(&self) -> f64 {
         f64::from(self.slow_start_rate_milli) / 1000.0
     }
 
-    /// The key range that a key falls into; none for a key that is none of this service's.
+    /// Returns the key range of a key; `None` if the key is not valid for this service.
     pub fn key_range_of(&self, key: &str) -> Option<u32> {
         match self.key_space {
             KeySpace::Hashed => Some(key_range_of_hash(key, self.key_ranges)),
@@ -233,7 +247,7 @@
         }
     }
 
-    /// The first and last key of a key range, of a service whose keys fall into ranges.
+    /// Returns the first and the last key of a key range, for a service with [`KeySpace::Ranges`].
     pub fn key_bounds(&self, key_range: u32) -> (u32, u32) {
         let key_ranges = u64::from(self.key_ranges.max(1));
         let first = (u64::from(key_range) * KEYS).div_ceil(key_ranges);
@@ -242,5 +256,5 @@
     }
 }
 
-/// How many keys there are where they are numbers.
+/// The number of keys in [`KeySpace::Ranges`].
 pub const KEYS: u64 = 65_536;
--- a/crates/caperworks/src/map_weighing.rs
+++ b/crates/caperworks/src/map_weighing.rs
@@ -1,8 +1,8 @@
-//! The check of a change before it is proposed: whether it fits the map, was committed before, or must
-//! be rejected.
+//! Validation of a change before it is proposed: whether it can be applied to the map, was committed
+//! before, or must be rejected.
 //!
-//! The check is made by the proposer against a map that is known to be the latest one. What a change
-//! then does is decided in [`replicated_map`](crate::replicated_map) alone.
+//! The proposer checks the change against a map that is known to be the latest version. The effect of
+//! the change is implemented in [`replicated_map`](crate::replicated_map).
 
 use std::collections::BTreeMap;
 
@@ -15,27 +15,28 @@
 /// The result of the check of a change against a map.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChangeCheck {
-    /// It may be proposed on top of the map.
+    /// The change may be proposed on top of the map.
     Fits,
     /// The same change was committed before, at this version.
     Repeat(Version),
-    /// The change's id was used before for something else.
+    /// Another change with the same id was committed before, at this version.
     IdTaken(Version),
-    /// These items are not as the change's writer saw them.
+    /// These items are no longer at the versions that the writer read.
     Conflicts(Vec<Conflict>),
-    /// Other contents were confirmed under the operators' own versions of these items.
+    /// Other contents were confirmed under the operator versions of these items.
     VersionsTaken(Vec<TakenVersion>),
-    /// So old that it is not known any more what was confirmed under the versions of these items.
+    /// The operator versions of these items are so old that they are no longer in the history.
     VersionsForgotten(Vec<String>),
-    /// Its writer read the map so long ago that its id may have been accepted and forgotten since.
+    /// The writer read such an old version of the map that a change with the same id may have been
+    /// committed and removed from the map since. The map is at this version.
     IdForgotten(Version),
 }
 
 impl ReplicatedMap {
-    /// Whether a change of this id was committed before: the same one, or another use of the id.
+    /// Returns whether the same change, or another one with the same id, was committed before.
     ///
-    /// This is checked first: a caller that lost our answer repeats the change, and must not be told
-    /// that it conflicts with its own first success.
+    /// This is checked first: a caller that did not receive the response repeats the change, and the
+    /// repetition must not be rejected as conflicting with the first, successful attempt.
     pub fn answered_before(&self, change: &Change) -> Option<ChangeCheck> {
         let answered = self
             .answered
@@ -47,18 +48,19 @@
         })
     }
 
-    /// Checks a change against this map; the first reason to reject it wins.
+    /// Checks a change against this map and returns the first reason to reject it, if any.
     pub fn check_change(&self, change: &Change) -> ChangeCheck {
         self.answered_before(change)
-            .or_else(|| self.forgotten_id(change))
-            .or_else(|| self.weigh_versions(change))
+            .or_else(|| self.check_forgotten_id(change))
+            .or_else(|| self.check_operator_versions(change))
             .or_else(|| self.conflicts(change))
             .unwrap_or(ChangeCheck::Fits)
     }
 
-    /// Whether the change was written against a version so old that its id may have been committed and
-    /// forgotten since. Applied once more, an old change would undo later ones.
-    fn forgotten_id(&self, change: &Change) -> Option<ChangeCheck> {
+    /// Checks whether the writer read such an old version of the map that a change with the same id may
+    /// have been committed and removed from the map since. If it were applied again, it would undo
+    /// later changes.
+    fn check_forgotten_id(&self, change: &Change) -> Option<ChangeCheck> {
         let read = change
             .guards
             .iter()
@@ -68,12 +70,12 @@
         (read.0 < remembered_after).then_some(ChangeCheck::IdForgotten(self.version))
     }
 
-    /// Checks each put against what was confirmed under the operators' own versions, including the
+    /// Checks the operator version of each put against the confirmed versions, including those of the
     /// puts before it in the same change.
     ///
-    /// Versions that are certainly taken are reported before those that are forgotten: they tell the
-    /// caller more.
-    fn weigh_versions(&self, change: &Change) -> Option<ChangeCheck> {
+    /// Versions that are certainly taken are reported in preference to versions that are no longer in
+    /// the history, because they are more informative to the caller.
+    fn check_operator_versions(&self, change: &Change) -> Option<ChangeCheck> {
         let mut histories: BTreeMap<&str, VersionHistory> = BTreeMap::new();
         let mut taken = Vec::new();
         let mut forgotten = Vec::new();
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The items that are not as the change's writer saw them.
+    /// Returns the items that are no longer at the versions that the writer read.
     fn conflicts(&self, change: &Change) -> Option<ChangeCheck> {
         let guards = change
             .guards
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -16,7 +16,7 @@
         self.items
             .get(key)
             .and_then(Item::numbered)
-            .map(VersionHistory::of_stored)
+            .map(VersionHistory::from_stored)
             .unwrap_or_default()
     }
 
--- a/crates/caperworks/src/version_history.rs
+++ b/crates/caperworks/src/version_history.rs
@@ -1,13 +1,13 @@
-//! What was confirmed under the operators' own versions of one item.
+//! The history of confirmed operator versions of one item.
 //!
-//! Operators number an item themselves, and two of them may pick the same number. The history tells
-//! "these contents were confirmed under this version" from "other contents were", so that exactly
-//! one of the two is ever confirmed, and a call that is sent again after a lost answer is known.
+//! Operators assign versions to items themselves, and two of them may choose the same version. The
+//! history records which contents were confirmed under a version, so that only one of two different
+//! contents is ever confirmed, and a call that is repeated after a lost response is recognised.
 
 /// How many confirmed versions of one item are remembered.
 ///
-/// An operator has up to eight calls in flight, and a call must be recognised after as many others of
-/// two operators have overtaken it.
+/// An operator has up to eight calls in flight, and a repeated call must still be recognised after the
+/// calls of two operators have been committed before it.
 pub const REMEMBERED_VERSIONS: usize = 16;
 
 crate::messages! {
@@ -21,17 +21,17 @@
     /// The confirmed versions of one item.
     #[derive(Eq, Default)]
     struct VersionHistory {
-        /// The highest version comes last.
+        /// Ordered by version, the highest last.
         0 confirmed: Vec<ConfirmedVersion>,
-        /// Up to this version it is not known any more what was confirmed.
+        /// The highest version that may have been removed from the history.
         1 forgotten: u64,
     }
 }
 
-/// How a put under an operators' version relates to what was confirmed before.
+/// How the operator version of a put relates to the versions confirmed before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionStatus {
-    /// Higher than every version so far: its contents apply.
+    /// Higher than every confirmed version: the put takes effect.
     Newest,
     /// The same contents were confirmed under this version.
     Confirmed,
@@ -39,22 +39,22 @@
     Taken(ConfirmedVersion),
     /// A higher version is confirmed, and nothing was ever confirmed under this one.
     Overtaken,
-    /// So old that it is not known any more what was confirmed under it.
+    /// So old that the contents confirmed under it are no longer in the history.
     Forgotten,
 }
 
-/// A digest by which contents are compared: the same on every node and in every build.
+/// Returns a 128-bit digest for comparing contents; it is the same on every node and in every build.
 ///
-/// It is not cryptographic: equal contents have to be recognised among a handful, nobody gains by a
-/// collision, and thousands of short texts are digested on small machines.
+/// It is not cryptographic, because it only has to distinguish a handful of contents, nobody gains
+/// from a collision, and small machines compute it for thousands of short texts.
 pub fn wide_digest(bytes: &[u8]) -> u128 {
     xxhash_rust::xxh3::xxh3_128(bytes)
 }
 
-/// A digest of the text that an operator wrote of an item; no text means that it was dropped.
+/// Returns a digest of an operator's text of an item; `None` means that the item was dropped.
 ///
-/// It covers the text and not what was parsed from it: a later release may read more of the same
-/// text, and a call that was confirmed before must still be recognised after it.
+/// It covers the text and not the parsed value: a later release may parse more of the same text, and
+/// must still recognise a call that was confirmed before the upgrade.
 pub fn contents_digest(text: Option<&str>) -> u64 {
     match text {
         Some(text) => xxhash_rust::xxh3::xxh3_64_with_seed(text.as_bytes(), 1),
@@ -63,20 +63,20 @@
 }
 
 impl VersionHistory {
-    /// The history of an item that was stored before histories were kept.
-    pub fn of_stored(confirmed: ConfirmedVersion) -> Self {
+    /// Creates the history of an item that was stored before histories were introduced.
+    pub fn from_stored(confirmed: ConfirmedVersion) -> Self {
         Self {
             confirmed: vec![confirmed],
             forgotten: confirmed.version.saturating_sub(1),
         }
     }
 
-    /// The highest confirmed version.
+    /// Returns the highest confirmed version.
     pub fn newest(&self) -> Option<ConfirmedVersion> {
         self.confirmed.last().copied()
     }
 
-    /// How a put relates to the history.
+    /// Returns how a put relates to the confirmed versions.
     pub fn standing(&self, put: ConfirmedVersion) -> VersionStatus {
         let known = self
             .confirmed
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Records that these contents are confirmed under this version; forgets the lowest version when
+    /// Records that these contents are confirmed under this version, and removes the lowest version if
     /// there are more than [`REMEMBERED_VERSIONS`].
     ///
-    /// Called only for [`VersionStanding::Newest`] and [`VersionStanding::Overtaken`], so that a version
-    /// never has two contents.
+    /// Called only for [`VersionStatus::Newest`] and [`VersionStatus::Superseded`], so that a version
+    /// never has two different contents.
     pub fn confirm(&mut self, put: ConfirmedVersion) {
         let index = self
             .confirmed
--- a/crates/caperworks/tests/catch_up_stories.rs
+++ b/crates/caperworks/tests/catch_up_stories.rs
@@ -5,7 +5,7 @@
 
 use caperworks::catch_up::{
     BrokenCatchUp, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk,
-    SnapshotRateLimiter, SnapshotSender, CHUNK_BYTES, SNAPSHOT_IDLE_SPAN, UPDATE_WEIGHT,
+    SnapshotRateLimiter, SnapshotSender, CHUNK_BYTES, MAX_UPDATE_WEIGHT, SNAPSHOT_IDLE_SPAN,
 };
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::voter::Voter;
@@ -258,7 +258,7 @@
     };
     let last = CHUNK_BYTES as u64;
     let wrong = [
-        (first, ChunkError::Doubled),
+        (first, ChunkError::Duplicate),
         (
             changed(&|chunk| chunk.bytes.truncate(100)),
             ChunkError::WrongLength,
@@ -278,7 +278,7 @@
         ),
         (
             changed(&|chunk| chunk.map = MapName::Placement),
-            ChunkError::NotAskedFor,
+            ChunkError::NotRequested,
         ),
         (
             changed(&|chunk| chunk.transfer -= 1),
@@ -394,7 +394,7 @@
             .iter()
             .map(|numbered| numbered.change.weight())
             .sum();
-        assert!(weight <= UPDATE_WEIGHT);
+        assert!(weight <= MAX_UPDATE_WEIGHT);
         responses += 1;
         let moved = !behind.handle(updates).moved.is_empty();
         request = receiver.handle_changes(millis(1), MAP, behind.map(MAP).version, moved);
--- a/crates/caperworks/tests/follower_catch_up_stories.rs
+++ b/crates/caperworks/tests/follower_catch_up_stories.rs
@@ -383,7 +383,7 @@
         .respond(world.now, &controller.voter, MAP, Version(0), position);
     let step = world.link.handle_catch_up(world.now, address(0), &vote);
     let why = step.refused.map(|refused| refused.why);
-    assert_eq!(why, Some(ChunkError::NotAskedFor));
+    assert_eq!(why, Some(ChunkError::NotRequested));
     assert_eq!(world.held().version, before);
 }
 
