--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -90,7 +90,7 @@
         0 head_bytes: u64,
         1 body_bytes: u64,
         2 head_span: Duration,
-        3 idle_span: Duration,
+        3 idle_timeout: Duration,
     }
 
     /// The settings of a zone.
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -268,7 +268,7 @@
                 head_bytes: 8192,
                 body_bytes: 1_000_000,
                 head_span: millis(5000),
-                idle_span: millis(60_000),
+                idle_timeout: millis(60_000),
             },
         },
         Value::Dropped,
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -50,11 +50,11 @@
     }
 
     /// Whether it may be taken up again after having been idle for as long as it has been.
-    fn is_fresh(&self, idle_span: Duration) -> bool {
+    fn is_fresh(&self, idle_timeout: Duration) -> bool {
         let kept_for = self
             .kept_for
-            .map_or(idle_span, |kept| kept.mul_f64(KEPT_SHARE));
-        self.idle_since.elapsed() < idle_span.min(kept_for)
+            .map_or(idle_timeout, |kept| kept.mul_f64(KEPT_SHARE));
+        self.idle_since.elapsed() < idle_timeout.min(kept_for)
     }
 
     /// Whether it can carry a request: open, free, and without a byte that nobody asked for.
@@ -83,14 +83,14 @@
         timeout: Duration,
         read: bool,
     ) -> Option<Connection> {
-        let idle_span = if read {
+        let idle_timeout = if read {
             IDLE_SPAN
         } else {
             IDLE_SPAN_FOR_WRITES
         };
         let pooled = locked(&self.idle).get_mut(key).and_then(|idle| {
             while let Some(connection) = idle.pop() {
-                if connection.is_fresh(idle_span) && connection.is_clean() {
+                if connection.is_fresh(idle_timeout) && connection.is_clean() {
                     return Some(connection);
                 }
             }
