--- a/crates/caperworks/src/catch_up.rs
+++ b/crates/caperworks/src/catch_up.rs
@@ -37,7 +37,7 @@
 /// The maximum of the doubled [`CHUNK_TIMEOUT`].
 pub const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long an encoded snapshot is kept after it was last requested.
-pub const SNAPSHOT_IDLE_SPAN: Duration = Duration::from_secs(2);
+pub const SNAPSHOT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum total weight of the changes in one response, as returned by
 /// [`Change::weight`](crate::replicated_map::Change::weight).
 pub const MAX_UPDATE_WEIGHT: usize = 512;
--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -6,7 +6,7 @@
 
 use crate::catch_up::{
     SnapshotChunk, TransferPosition, CHUNK_BYTES, GRANT_UPDATE_BYTES, MAX_UPDATE_WEIGHT,
-    SNAPSHOT_IDLE_SPAN,
+    SNAPSHOT_IDLE_TIMEOUT,
 };
 use crate::consensus::messages::{ConsensusMessage, NumberedChange};
 use crate::consensus::voter::Voter;
@@ -62,7 +62,7 @@
     /// Drops the snapshots that have not been requested for [`SNAPSHOT_IDLE_TIMEOUT`].
     pub fn tick(&mut self, now: Duration) {
         self.snapshots
-            .retain(|_, snapshot| now.saturating_sub(snapshot.used_at) < SNAPSHOT_IDLE_SPAN);
+            .retain(|_, snapshot| now.saturating_sub(snapshot.used_at) < SNAPSHOT_IDLE_TIMEOUT);
     }
 
     /// Returns the updates for a follower at version `after` to send with a lease grant.
--- a/crates/caperworks/tests/catch_up_stories.rs
+++ b/crates/caperworks/tests/catch_up_stories.rs
@@ -5,7 +5,7 @@
 
 use caperworks::catch_up::{
     BrokenCatchUp, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk,
-    SnapshotRateLimiter, SnapshotSender, CHUNK_BYTES, MAX_UPDATE_WEIGHT, SNAPSHOT_IDLE_SPAN,
+    SnapshotRateLimiter, SnapshotSender, CHUNK_BYTES, MAX_UPDATE_WEIGHT, SNAPSHOT_IDLE_TIMEOUT,
 };
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::voter::Voter;
@@ -117,7 +117,7 @@
     let expected = sender.buffered_bytes().div_ceil(CHUNK_BYTES) as u32;
     assert!(chunks > 3 && chunks == expected, "{chunks} pieces");
     assert_eq!(sender.encodings(), 1);
-    sender.tick(SNAPSHOT_IDLE_SPAN);
+    sender.tick(SNAPSHOT_IDLE_TIMEOUT);
     assert_eq!(sender.buffered_bytes(), 0, "it is not kept for good");
 }
 
--- a/crates/controller/tests/catch_up_stories.rs
+++ b/crates/controller/tests/catch_up_stories.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::support::controllers::{address, lay, policy, STEP};
-use caperworks::catch_up::{ChunkError, SnapshotChunk, CHUNK_BYTES, SNAPSHOT_IDLE_SPAN};
+use caperworks::catch_up::{ChunkError, SnapshotChunk, CHUNK_BYTES, SNAPSHOT_IDLE_TIMEOUT};
 use caperworks::consensus::messages::{ConsensusMessage, ProposalNumber};
 use caperworks::feed::HISTORY_WEIGHT;
 use caperworks::identifiers::{ChangeId, ServiceName, Zone};
@@ -430,7 +430,7 @@
         if index == 2 {
             fleet.nodes[2].image = image.clone();
         }
-        fleet.runs(SNAPSHOT_IDLE_SPAN);
+        fleet.runs(SNAPSHOT_IDLE_TIMEOUT);
         fleet.slows_down(rate);
         fleet.starts(index);
         let span = fleet.runs_until_level(index);
@@ -447,7 +447,7 @@
         assert!(traffic.largest <= CHUNK_BYTES + 512, "{traffic:?}");
         assert_eq!(fleet.state(index).catch_up.buffered_bytes(), 0);
     }
-    fleet.runs(SNAPSHOT_IDLE_SPAN);
+    fleet.runs(SNAPSHOT_IDLE_TIMEOUT);
     for index in 0..4 {
         assert_eq!(fleet.state(index).snapshots.buffered_bytes(), 0);
     }
