--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -76,7 +76,7 @@
 
     /// Makes the next rewrite go to the same slot after a rewrite has failed, because the other slot
     /// may contain the only intact state.
-    pub fn same_slot_again(&mut self) {
+    pub fn retry_same_slot(&mut self) {
         self.generation = self.generation.next();
     }
 
--- a/crates/controller/src/state_machine/storage.rs
+++ b/crates/controller/src/state_machine/storage.rs
@@ -101,7 +101,7 @@
     fn fail_writes(&mut self, ticket: u64) {
         let lost_slot = self.unsynced_slot.take_if(|slot| *slot >= ticket);
         if lost_slot.is_some() {
-            self.disk.same_slot_again();
+            self.disk.retry_same_slot();
         }
         self.pending.clear();
         self.last_ticket += 1;
