--- a/crates/caperworks/src/dispatch/request_chart.rs
+++ b/crates/caperworks/src/dispatch/request_chart.rs
@@ -102,7 +102,7 @@
     pub fn matched(&mut self, now: Duration, route: &Route) {
         self.state = RequestState::Matched;
         self.deadline = now + route.deadline;
-        self.read = route.may_repeat(self.read);
+        self.read = route.is_idempotent(self.read);
         if route.max_attempts > 0 {
             self.max_attempts = route.max_attempts;
         }
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -221,7 +221,7 @@
     }
 
     /// Returns whether a request may run more than once; `reads` is whether its method only reads.
-    pub fn may_repeat(&self, reads: bool) -> bool {
+    pub fn is_idempotent(&self, reads: bool) -> bool {
         match self.kind {
             RequestKind::ByMethod => reads,
             RequestKind::Repeatable => true,
