--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -43,7 +43,7 @@
             instance_cap: 32,
             key_cap: 1,
             slow_start_rate_milli: 10000,
-            warm_up_span: Duration::from_secs(5),
+            warm_up_period: Duration::from_secs(5),
             ..Service::default()
         },
     };
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -36,7 +36,7 @@
         instance_cap: 10,
         key_cap: 2,
         slow_start_rate_milli: 5000,
-        warm_up_span: Duration::from_secs(3),
+        warm_up_period: Duration::from_secs(3),
         ..Service::default()
     };
     let name = ServiceName::new("evidence");
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -251,7 +251,7 @@
     if service.slow_start_rate_milli == 0 {
         fault("gentle_per_second", "give at least 1");
     }
-    if service.warm_up_span > Duration::from_secs(600) {
+    if service.warm_up_period > Duration::from_secs(600) {
         fault("warm_ms", "give at most 600000");
     }
 }
--- a/crates/caperworks/src/dispatch/proxy_knowledge.rs
+++ b/crates/caperworks/src/dispatch/proxy_knowledge.rs
@@ -140,7 +140,7 @@
 
     /// Whether an instance may be cold, as far as can be told.
     pub(crate) fn is_warming_up(&self, heartbeat: &Heartbeat, service: &Service) -> bool {
-        heartbeat.is_warming_up(service.warm_up_span) || self.doubtful.contains_key(&heartbeat.id)
+        heartbeat.is_warming_up(service.warm_up_period) || self.doubtful.contains_key(&heartbeat.id)
     }
 
     /// Whether keys may still go to an owner, though it may be leaving.
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -118,9 +118,9 @@
     }
 
     /// Why both: an instance may say that it warms up, and one that came back may forget to.
-    pub fn is_warming_up(&self, warm_up_span: Duration) -> bool {
+    pub fn is_warming_up(&self, warm_up_period: Duration) -> bool {
         self.state == InstanceState::Warming
-            || self.up < warm_up_span
+            || self.up < warm_up_period
             || !self.warm_up_left.is_zero()
     }
 }
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -76,7 +76,7 @@
         /// together.
         4 slow_start_rate_milli: u32,
         /// How long an instance is warming up after its start.
-        5 warm_up_span: Duration,
+        5 warm_up_period: Duration,
         6 key_space: KeySpace,
         /// Connections that an instance accepts from all proxies together; zero when unknown.
         7 connection_limit: u32,
--- a/crates/caperworks/src/ownership/moves.rs
+++ b/crates/caperworks/src/ownership/moves.rs
@@ -53,7 +53,7 @@
             return None;
         }
         let candidates = candidates(name, view);
-        let targets = targets(name, &table.owners, &candidates, service.warm_up_span);
+        let targets = targets(name, &table.owners, &candidates, service.warm_up_period);
         let mut moves = self.count_moves(name);
         let mut next_epoch = highest_epoch(&table);
         let mut is_changed = false;
--- a/crates/caperworks/src/ownership/table.rs
+++ b/crates/caperworks/src/ownership/table.rs
@@ -52,7 +52,7 @@
     service: &ServiceName,
     owners: &[Option<KeyRangeOwner>],
     candidates: &[&'view Heartbeat],
-    warm_up_span: Duration,
+    warm_up_period: Duration,
 ) -> Vec<Option<&'view Heartbeat>> {
     if candidates.is_empty() {
         return vec![None; owners.len()];
@@ -70,7 +70,7 @@
                     let owns = owner
                         .as_ref()
                         .is_some_and(|owner| is_owner(owner, candidate));
-                    let is_warming_up = candidate.is_warming_up(warm_up_span) && !owns;
+                    let is_warming_up = candidate.is_warming_up(warm_up_period) && !owns;
                     let weight = steady_hash(&format!("{service} {key_range} {}", candidate.id));
                     (is_warming_up, Reverse(weight))
                 })?;
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -44,7 +44,7 @@
         instance_cap: 4,
         key_cap: 2,
         slow_start_rate_milli: 12000,
-        warm_up_span: millis(5000),
+        warm_up_period: millis(5000),
         ..Service::default()
     }
 }
--- a/crates/caperworks/tests/ownership_stories.rs
+++ b/crates/caperworks/tests/ownership_stories.rs
@@ -59,7 +59,7 @@
             instance_cap: 10,
             key_cap: 4,
             slow_start_rate_milli: 10000,
-            warm_up_span: seconds(3),
+            warm_up_period: seconds(3),
             ..Service::default()
         };
         Self {
--- a/crates/caperworks/tests/silence_stories.rs
+++ b/crates/caperworks/tests/silence_stories.rs
@@ -65,7 +65,7 @@
     };
     let service = Service {
         instance_cap: 100,
-        warm_up_span: millis(5000),
+        warm_up_period: millis(5000),
         ..Service::default()
     };
     let change = Change {
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -186,7 +186,7 @@
         instance_cap: 100,
         key_cap: 10,
         slow_start_rate_milli: 1500,
-        warm_up_span: millis(30_000),
+        warm_up_period: millis(30_000),
         key_space: KeySpace::Ranges,
         connection_limit: 40,
         health_path: "/health".to_string(),
--- a/crates/controller/src/operator_json/reading/service.rs
+++ b/crates/controller/src/operator_json/reading/service.rs
@@ -30,7 +30,7 @@
         instance_cap: reader.small_number("instance_cap", DEFAULT_INSTANCE_CAP, errors),
         key_cap: reader.small_number("key_cap", DEFAULT_KEY_CAP, errors),
         slow_start_rate_milli: reader.thousandths("gentle_per_second", DEFAULT_COLD_RATE, errors),
-        warm_up_span: reader.milliseconds("warm_ms", DEFAULT_WARM_UP_MS, errors),
+        warm_up_period: reader.milliseconds("warm_ms", DEFAULT_WARM_UP_MS, errors),
         key_space: read_key_space(&mut reader, errors),
         connection_limit: reader.small_number("connection_limit", 0, errors),
         health_path: reader.text("health_path", errors).unwrap_or_default(),
--- a/crates/controller/src/operator_json/writing/items.rs
+++ b/crates/controller/src/operator_json/writing/items.rs
@@ -94,7 +94,7 @@
         instance_cap: service.instance_cap,
         key_cap: service.key_cap,
         gentle_per_second: service.slow_start_rate(),
-        warm_ms: service.warm_up_span.as_millis() as u64,
+        warm_ms: service.warm_up_period.as_millis() as u64,
         key_space: match service.key_space {
             KeySpace::Hashed => "hashed",
             KeySpace::Ranges => "ranges",
--- a/crates/simulator/src/world/observation.rs
+++ b/crates/simulator/src/world/observation.rs
@@ -38,7 +38,7 @@
             instance_cap: 64,
             key_cap: 8,
             slow_start_rate_milli: plan.service["gentle_per_second"].as_u32().unwrap_or(6) * 1000,
-            warm_up_span: Duration::from_millis(plan.service["warm_ms"].as_u64().unwrap_or(5000)),
+            warm_up_period: Duration::from_millis(plan.service["warm_ms"].as_u64().unwrap_or(5000)),
             ..Service::default()
         };
         let nowhere = Region::new("");
@@ -63,7 +63,7 @@
         let reached = Reached {
             request,
             instance: heartbeat,
-            cold: heartbeat.is_warming_up(service.warm_up_span),
+            cold: heartbeat.is_warming_up(service.warm_up_period),
             service: &service,
             route: &true_route,
             region: self.regions.get(&heartbeat.zone).unwrap_or(&nowhere),
