--- a/crates/caperworks/src/consensus/proposer/pending.rs
+++ b/crates/caperworks/src/consensus/proposer/pending.rs
@@ -51,7 +51,8 @@
         outcome: &mut ProposerOutcome,
     ) {
         while let Some(proposal) = self.pending.front() {
-            let Some(ChangeCheck::Repeat(version)) = map.answered_before(&proposal.change) else {
+            let Some(ChangeCheck::Repeat(version)) = map.check_committed_before(&proposal.change)
+            else {
                 return;
             };
             outcome.complete(proposal.ticket, duplicate_result(proposal, version));
--- a/crates/caperworks/src/map_weighing.rs
+++ b/crates/caperworks/src/map_weighing.rs
@@ -37,7 +37,7 @@
     ///
     /// This is checked first: a caller that did not receive the response repeats the change, and the
     /// repetition must not be rejected as conflicting with the first, successful attempt.
-    pub fn answered_before(&self, change: &Change) -> Option<ChangeCheck> {
+    pub fn check_committed_before(&self, change: &Change) -> Option<ChangeCheck> {
         let answered = self
             .answered
             .iter()
@@ -50,7 +50,7 @@
 
     /// Checks a change against this map and returns the first reason to reject it, if any.
     pub fn check_change(&self, change: &Change) -> ChangeCheck {
-        self.answered_before(change)
+        self.check_committed_before(change)
             .or_else(|| self.check_forgotten_id(change))
             .or_else(|| self.check_operator_versions(change))
             .or_else(|| self.conflicts(change))
