--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -148,7 +148,7 @@
 ) {
     let mut places: BTreeMap<(String, &str), (&str, bool)> = BTreeMap::new();
     for (key, (numbered, route)) in unconfirmed_routes(map, change) {
-        let is_overtaken = map.history(key).standing(numbered) == VersionStatus::Overtaken;
+        let is_overtaken = map.history(key).standing(numbered) == VersionStatus::Superseded;
         // A route that was overtaken may name a service that was dropped since its operator sent it.
         let is_known = |name: &ServiceName| match after.items.get(&format!("pool/{name}")) {
             Some(item) => is_overtaken || item.value != Value::Dropped,
--- a/crates/caperworks/src/map_weighing.rs
+++ b/crates/caperworks/src/map_weighing.rs
@@ -87,7 +87,7 @@
                 .entry(&put.key)
                 .or_insert_with(|| self.history(&put.key));
             match history.standing(numbered) {
-                VersionStatus::Newest | VersionStatus::Overtaken => history.confirm(numbered),
+                VersionStatus::Newest | VersionStatus::Superseded => history.confirm(numbered),
                 VersionStatus::Confirmed => {}
                 VersionStatus::Taken(confirmed) => taken.push(TakenVersion {
                     key: put.key.clone(),
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -84,7 +84,7 @@
             return;
         };
         let mut history = self.history(&put.key);
-        if let VersionStatus::Newest | VersionStatus::Overtaken = history.standing(numbered) {
+        if let VersionStatus::Newest | VersionStatus::Superseded = history.standing(numbered) {
             history.confirm(numbered);
         }
         self.histories.insert(put.key.clone(), history);
--- a/crates/caperworks/src/version_history.rs
+++ b/crates/caperworks/src/version_history.rs
@@ -38,7 +38,7 @@
     /// Other contents were confirmed under this version.
     Taken(ConfirmedVersion),
     /// A higher version is confirmed, and nothing was ever confirmed under this one.
-    Overtaken,
+    Superseded,
     /// So old that the contents confirmed under it are no longer in the history.
     Forgotten,
 }
@@ -86,7 +86,7 @@
             (Some(known), _) if known.digest == put.digest => VersionStatus::Confirmed,
             (Some(known), _) => VersionStatus::Taken(*known),
             (None, _) if put.version <= self.forgotten => VersionStatus::Forgotten,
-            (None, Some(newest)) if put.version < newest.version => VersionStatus::Overtaken,
+            (None, Some(newest)) if put.version < newest.version => VersionStatus::Superseded,
             (None, _) => VersionStatus::Newest,
         }
     }
