--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -61,7 +61,7 @@
             }
         }
         (Some(Value::Limits { limits }), "limits") => {
-            if limits.head_bytes == 0 || limits.head_span.is_zero() {
+            if limits.head_bytes == 0 || limits.header_timeout.is_zero() {
                 let why = "a head has some bytes and some time";
                 faults.push(Fault::new(&put.key, why));
             }
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -89,7 +89,7 @@
     struct CallerLimits {
         0 head_bytes: u64,
         1 body_bytes: u64,
-        2 head_span: Duration,
+        2 header_timeout: Duration,
         3 idle_timeout: Duration,
     }
 
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -267,7 +267,7 @@
             limits: CallerLimits {
                 head_bytes: 8192,
                 body_bytes: 1_000_000,
-                head_span: millis(5000),
+                header_timeout: millis(5000),
                 idle_timeout: millis(60_000),
             },
         },
