--- a/crates/caperworks/tests/catch_up_stories.rs
+++ b/crates/caperworks/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Stories of catch-up: transfers in pieces, refused pieces, silent peers.
+//! Tests of catch-up: transfers in chunks, rejected chunks, and peers that do not respond.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
 
 const MAP: MapName = MapName::Configuration;
-const MOST_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_BYTES: u64 = 16 * 1024 * 1024;
 
 fn peer(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + number))
@@ -63,13 +63,13 @@
 }
 
 fn receiver() -> CatchUpReceiver {
-    CatchUpReceiver::new(99, MOST_BYTES)
+    CatchUpReceiver::new(99, MAX_BYTES)
 }
 
-fn begun(receiver: &mut CatchUpReceiver, goal: Version) -> CatchUpRequest {
+fn begin(receiver: &mut CatchUpReceiver, target_version: Version) -> CatchUpRequest {
     receiver
-        .behind(millis(0), MAP, Version(0), peer(1), goal)
-        .expect("a transfer begins")
+        .behind(millis(0), MAP, Version(0), peer(1), target_version)
+        .expect("a transfer starts")
 }
 
 fn respond(
@@ -84,11 +84,11 @@
 fn chunk(sender: &mut SnapshotSender, voter: &Voter, request: &CatchUpRequest) -> SnapshotChunk {
     match respond(sender, voter, request) {
         ConsensusMessage::Chunk { chunk } => chunk,
-        other => panic!("{other:?} is no piece"),
+        other => panic!("expected a chunk, got {other:?}"),
     }
 }
 
-/// Fetches until the whole is there; tells it with the number of pieces.
+/// Fetches chunks until the snapshot is complete; returns it with the number of chunks.
 fn fetch(
     receiver: &mut CatchUpReceiver,
     sender: &mut SnapshotSender,
@@ -101,30 +101,30 @@
         match receiver.handle_chunk(millis(0), request.to, Version(0), chunk) {
             ChunkOutcome::Next(next) => request = next,
             ChunkOutcome::Snapshot(full_map) => return (full_map, chunks),
-            ChunkOutcome::Refused(why) => panic!("refused: {why}"),
+            ChunkOutcome::Refused(error) => panic!("rejected: {error}"),
         }
     }
-    panic!("it never ends");
+    panic!("the transfer does not end");
 }
 
 #[test]
-fn given_a_large_map_when_fetched_then_it_comes_in_bounded_pieces_and_is_encoded_once() {
+fn large_map_is_fetched_in_bounded_chunks_and_encoded_once() {
     let voter = voter(6000, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
-    let request = begun(&mut receiver, Version(6000));
+    let request = begin(&mut receiver, Version(6000));
     let (full_map, chunks) = fetch(&mut receiver, &mut sender, &voter, request);
     assert_eq!(&full_map, voter.map(MAP));
     let expected = sender.buffered_bytes().div_ceil(CHUNK_BYTES) as u32;
-    assert!(chunks > 3 && chunks == expected, "{chunks} pieces");
+    assert!(chunks > 3 && chunks == expected, "{chunks} chunks");
     assert_eq!(sender.encodings(), 1);
     sender.tick(SNAPSHOT_IDLE_TIMEOUT);
-    assert_eq!(sender.buffered_bytes(), 0, "it is not kept for good");
+    assert_eq!(sender.buffered_bytes(), 0, "an idle snapshot is dropped");
 }
 
 #[test]
-fn given_a_transfer_under_way_when_more_peers_are_ahead_then_none_of_them_is_asked() {
+fn transfer_in_progress_sends_no_requests_to_further_peers() {
     let mut receiver = receiver();
-    begun(&mut receiver, Version(9));
+    begin(&mut receiver, Version(9));
     for number in 2..50 {
         let more = receiver.behind(millis(10), MAP, Version(0), peer(number), Version(9));
         assert_eq!(more, None);
@@ -133,13 +133,13 @@
 }
 
 #[test]
-fn given_a_map_that_moves_on_all_the_time_when_fetched_then_each_transfer_ends() {
+fn transfer_of_a_constantly_advancing_map_completes() {
     let mut voter = voter(8000, 3000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
-    let mut request = begun(&mut receiver, Version(8000));
+    let mut request = begin(&mut receiver, Version(8000));
     loop {
         let chunk = chunk(&mut sender, &voter, &request);
-        // So much that its changes never reach back to the snapshot that is under way.
+        // Enough changes that the history never reaches back to the snapshot being transferred.
         advance(&mut voter, 3000, 3000);
         match receiver.handle_chunk(millis(0), request.to, Version(0), chunk) {
             ChunkOutcome::Next(next) => request = next,
@@ -147,49 +147,49 @@
                 assert_eq!(full_map.version, Version(8000));
                 break;
             }
-            ChunkOutcome::Refused(why) => panic!("refused: {why}"),
+            ChunkOutcome::Refused(error) => panic!("rejected: {error}"),
         }
     }
     assert_eq!(sender.encodings(), 1);
 }
 
 #[test]
-fn given_a_silent_peer_when_its_span_is_over_then_another_goes_on_where_it_stopped() {
+fn transfer_continues_with_another_peer_after_a_timeout() {
     let voter = voter(6000, 6000);
     let mut senders = [SnapshotSender::default(), SnapshotSender::default()];
     let mut receiver = receiver();
-    let first = begun(&mut receiver, Version(6000));
+    let first = begin(&mut receiver, Version(6000));
     receiver.behind(millis(1), MAP, Version(0), peer(2), Version(6000));
     let chunk_one = chunk(&mut senders[0], &voter, &first);
     let ChunkOutcome::Next(second) =
         receiver.handle_chunk(millis(2), peer(1), Version(0), chunk_one)
     else {
-        panic!("it goes on");
+        panic!("expected a request for the next chunk");
     };
     let late = chunk(&mut senders[0], &voter, &second);
     let requests = receiver.tick(millis(502), |_| Version(0));
-    let [elsewhere] = requests.as_slice() else {
+    let [next_request] = requests.as_slice() else {
         panic!("{requests:?}");
     };
-    assert_eq!(elsewhere.to, peer(2));
-    assert_eq!(elsewhere.position.offset, CHUNK_BYTES as u64);
-    // What the first one still sends belongs to an older transfer.
+    assert_eq!(next_request.to, peer(2));
+    assert_eq!(next_request.position.offset, CHUNK_BYTES as u64);
+    // A late chunk from the first peer belongs to an older transfer.
     assert_eq!(
         receiver.handle_chunk(millis(503), peer(1), Version(0), late),
         ChunkOutcome::Refused(ChunkError::OtherTransfer)
     );
-    let (full_map, chunks) = fetch(&mut receiver, &mut senders[1], &voter, elsewhere.clone());
+    let (full_map, chunks) = fetch(&mut receiver, &mut senders[1], &voter, next_request.clone());
     assert_eq!(&full_map, voter.map(MAP));
     let all = senders[1].buffered_bytes().div_ceil(CHUNK_BYTES) as u32;
-    assert_eq!(chunks, all - 1, "the first piece is not sent again");
+    assert_eq!(chunks, all - 1, "the first chunk is not sent again");
 }
 
 #[test]
-fn given_a_peer_of_an_older_version_when_it_goes_on_then_the_transfer_begins_anew_and_ends() {
+fn transfer_restarts_with_a_peer_of_an_older_version_and_completes() {
     let (ahead, behind) = (voter(7000, 6000), voter(6500, 6000));
     let mut senders = [SnapshotSender::default(), SnapshotSender::default()];
     let mut receiver = receiver();
-    let first = begun(&mut receiver, Version(7000));
+    let first = begin(&mut receiver, Version(7000));
     receiver.behind(millis(1), MAP, Version(0), peer(2), Version(6500));
     let chunk_one = chunk(&mut senders[0], &ahead, &first);
     receiver.handle_chunk(millis(2), peer(1), Version(0), chunk_one);
@@ -199,21 +199,21 @@
 }
 
 #[test]
-fn given_peers_that_stay_silent_when_time_goes_by_then_the_transfer_is_given_up() {
+fn transfer_is_abandoned_when_no_peer_responds() {
     let mut receiver = receiver();
-    begun(&mut receiver, Version(5));
+    begin(&mut receiver, Version(5));
     let mut asked = 0;
     for tick in 0..1200 {
         asked += receiver.tick(millis(tick * 25), |_| Version(0)).len();
     }
-    assert!((1..=8).contains(&asked), "{asked} questions");
+    assert!((1..=8).contains(&asked), "{asked} requests");
     assert!(!receiver.is_receiving(MAP));
 }
 
 #[test]
-fn given_a_way_that_is_slow_for_all_when_spans_go_by_then_each_is_longer_up_to_a_bound() {
+fn chunk_timeout_doubles_up_to_its_maximum() {
     let mut receiver = receiver();
-    begun(&mut receiver, Version(5));
+    begin(&mut receiver, Version(5));
     let mut asked = vec![0];
     for tick in 1..600 {
         let now = tick * 25;
@@ -226,28 +226,28 @@
 }
 
 #[test]
-fn given_a_transfer_that_a_cut_silenced_when_a_peer_is_heard_again_then_it_goes_on_at_once() {
+fn transfer_resumes_immediately_after_a_network_partition() {
     let mut receiver = receiver();
-    begun(&mut receiver, Version(5));
+    begin(&mut receiver, Version(5));
     for tick in 1..720 {
         receiver.tick(millis(tick * 25), |_| Version(0));
     }
-    // Asked last at 15.5 s, with a patience of four seconds.
+    // The last request was sent at 15.5 s, with a timeout of four seconds.
     receiver.behind(millis(18_000), MAP, Version(0), peer(2), Version(5));
     let requests = receiver.tick(millis(18_000), |_| Version(0));
     assert_eq!(requests.len(), 1);
 }
 
 #[test]
-fn given_pieces_that_are_wrong_when_heard_then_each_is_refused_whole_and_the_transfer_still_ends() {
+fn invalid_chunks_are_rejected_and_the_transfer_still_completes() {
     let voter = voter(6000, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
-    let request = begun(&mut receiver, Version(6000));
+    let request = begin(&mut receiver, Version(6000));
     let first = chunk(&mut sender, &voter, &request);
     let ChunkOutcome::Next(request) =
         receiver.handle_chunk(millis(1), peer(1), Version(0), first.clone())
     else {
-        panic!("it goes on");
+        panic!("expected a request for the next chunk");
     };
     let good = chunk(&mut sender, &voter, &request);
     let held = receiver.buffered_bytes();
@@ -301,10 +301,10 @@
             ChunkError::OtherSnapshot,
         ),
     ];
-    for (chunk, why) in wrong {
+    for (chunk, error) in wrong {
         let outcome = receiver.handle_chunk(millis(2), peer(1), Version(0), chunk);
-        assert_eq!(outcome, ChunkOutcome::Refused(why));
-        assert_eq!(receiver.buffered_bytes(), held, "nothing of it is kept");
+        assert_eq!(outcome, ChunkOutcome::Refused(error));
+        assert_eq!(receiver.buffered_bytes(), held, "the chunk is discarded");
     }
     let outcome = receiver.handle_chunk(millis(2), peer(2), Version(0), good.clone());
     assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::OtherPeer));
@@ -315,10 +315,10 @@
 }
 
 #[test]
-fn given_a_piece_of_another_map_under_its_own_transfer_when_heard_then_it_is_refused() {
+fn chunk_of_another_map_is_rejected() {
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
     let voter = voter(6000, 6000);
-    let request = begun(&mut receiver, Version(6000));
+    let request = begin(&mut receiver, Version(6000));
     receiver.behind(
         millis(0),
         MapName::Placement,
@@ -333,22 +333,22 @@
 }
 
 #[test]
-fn given_a_snapshot_larger_than_a_slot_when_it_comes_then_it_is_refused() {
+fn snapshot_above_the_maximum_size_is_rejected() {
     let voter = voter(6000, 6000);
     let mut receiver = CatchUpReceiver::new(1, 100 * 1024);
-    let request = begun(&mut receiver, Version(6000));
+    let request = begin(&mut receiver, Version(6000));
     let chunk = chunk(&mut SnapshotSender::default(), &voter, &request);
     let outcome = receiver.handle_chunk(millis(1), peer(1), Version(0), chunk);
     assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::TooLarge));
     assert_eq!(receiver.buffered_bytes(), 0);
 }
 
-/// Fetches while one bit of one piece is wrong; tells how it ended.
+/// Fetches a snapshot with one wrong bit in one chunk; returns the last outcome.
 fn fetch_with_a_wrong_bit(broken: BrokenCatchUp) -> ChunkOutcome {
     let voter = voter(6000, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
     receiver.broken = broken;
-    let mut request = begun(&mut receiver, Version(6000));
+    let mut request = begin(&mut receiver, Version(6000));
     loop {
         let mut chunk = chunk(&mut sender, &voter, &request);
         if chunk.offset == CHUNK_BYTES as u64 {
@@ -356,21 +356,21 @@
                 .bytes
                 .windows(4)
                 .position(|bytes| bytes == b"host")
-                .expect("a route is there");
+                .expect("the chunk contains a route");
             chunk.bytes[index] ^= 0x02;
         }
         match receiver.handle_chunk(millis(0), peer(1), Version(0), chunk) {
             ChunkOutcome::Next(next) => request = next,
-            ended => return ended,
+            last => return last,
         }
     }
 }
 
 #[test]
-fn given_one_wrong_bit_when_the_whole_is_there_then_its_digest_refuses_it() {
+fn snapshot_with_one_wrong_bit_fails_its_digest_check() {
     let ended = fetch_with_a_wrong_bit(BrokenCatchUp::Nothing);
     assert_eq!(ended, ChunkOutcome::Refused(ChunkError::WrongDigest));
-    // The broken variant takes a map that nobody agreed on.
+    // With the fault injected, the receiver accepts a map that was never committed.
     let ended = fetch_with_a_wrong_bit(BrokenCatchUp::SkipsDigest);
     let ChunkOutcome::Snapshot(full_map) = ended else {
         panic!("{ended:?}");
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn given_a_little_that_is_missing_when_asked_for_then_bounded_changes_come_until_all_is_there() {
+fn missing_changes_are_sent_in_bounded_responses_until_complete() {
     let ahead = voter(1500, 6000);
     let mut behind = voter(200, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
@@ -400,17 +400,17 @@
         request = receiver.handle_changes(millis(1), MAP, behind.map(MAP).version, moved);
     }
     assert_eq!(behind.map(MAP), ahead.map(MAP));
-    assert!((2..20).contains(&responses), "{responses} answers");
+    assert!((2..20).contains(&responses), "{responses} responses");
     assert!(!receiver.is_receiving(MAP));
     assert_eq!(sender.encodings(), 0);
 }
 
 #[test]
-fn given_a_peer_with_nothing_newer_when_asked_then_it_says_so_and_the_transfer_ends() {
+fn transfer_ends_when_the_peer_has_nothing_newer() {
     let held = voter(5, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
     let request = receiver.behind(millis(0), MAP, Version(5), peer(1), Version(6));
-    let updates = respond(&mut sender, &held, &request.expect("it asks"));
+    let updates = respond(&mut sender, &held, &request.expect("a transfer starts"));
     let changes = Vec::new();
     assert_eq!(updates, ConsensusMessage::Updates { map: MAP, changes });
     let next = receiver.handle_changes(millis(1), MAP, Version(5), false);
@@ -419,8 +419,7 @@
 }
 
 #[test]
-fn given_a_follower_that_asks_again_and_again_when_a_whole_map_is_due_then_it_is_sent_once_a_second(
-) {
+fn full_snapshot_is_sent_at_most_once_a_second_to_a_follower() {
     let mut limit = SnapshotRateLimiter::default();
     let full_map = ConsensusMessage::Snapshot {
         map: MAP,
@@ -433,10 +432,10 @@
 }
 
 #[test]
-fn given_a_question_of_an_older_program_when_read_then_it_has_no_position() {
-    // What a program without pieces sends: the kind, and a list of the map and the version.
+fn catch_up_request_of_an_older_release_has_no_position() {
+    // The request of a release without chunks: the kind, and a list of the map and the version.
     let bytes = [0x82, 0x06, 0x82, 0x82, 0x00, 0x80, 0x05];
-    let read = minicbor::decode::<ConsensusMessage>(&bytes).expect("it reads");
+    let read = minicbor::decode::<ConsensusMessage>(&bytes).expect("the request decodes");
     let expected = ConsensusMessage::CatchUp {
         map: MAP,
         after: Version(5),
--- a/crates/caperworks/tests/disk_stories.rs
+++ b/crates/caperworks/tests/disk_slots.rs
@@ -1,4 +1,4 @@
-//! Stories of slots and log: torn writes, old formats and unknown ones.
+//! Tests of the disk slots and the log: torn writes, old formats and unknown formats.
 
 use caperworks::disk_frame::{read_frame, FrameKind, DISK_FORMAT, FRAME_HEADER_BYTES};
 use caperworks::identifiers::Chance;
@@ -6,7 +6,7 @@
 
 const SLOT_CAPACITY: usize = 16 * 1024;
 const LOG_CAPACITY: usize = 8 * 1024;
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
 fn new_disk() -> SlotDisk {
     SlotDisk::new(SLOT_CAPACITY as u64, LOG_CAPACITY as u64)
@@ -35,17 +35,17 @@
     }
 }
 
-fn lay(image: &mut DiskImage, write: &DiskWrite) {
+fn apply_write(image: &mut DiskImage, write: &DiskWrite) {
     target(image, write).copy_from_slice(bytes_of(write));
 }
 
-/// Carries out only the first `length` bytes of a write.
-fn lay_prefix(image: &mut DiskImage, write: &DiskWrite, length: usize) {
+/// Performs only the first `length` bytes of a write.
+fn apply_write_prefix(image: &mut DiskImage, write: &DiskWrite, length: usize) {
     target(image, write)[..length].copy_from_slice(&bytes_of(write)[..length]);
 }
 
-/// Carries out some of the sectors of a write, by chance, in no order.
-fn lay_some_sectors(image: &mut DiskImage, write: &DiskWrite, chance: &mut Chance) {
+/// Performs a random subset of the sectors of a write.
+fn apply_random_sectors(image: &mut DiskImage, write: &DiskWrite, chance: &mut Chance) {
     let first = match write {
         DiskWrite::Slot { .. } => 0,
         DiskWrite::Log { offset, .. } => *offset as usize,
@@ -53,7 +53,7 @@
     let (target, bytes) = (target(image, write), bytes_of(write));
     let mut start = 0;
     while start < bytes.len() {
-        let sector_end = ((first + start) / SECTOR + 1) * SECTOR - first;
+        let sector_end = ((first + start) / SECTOR_BYTES + 1) * SECTOR_BYTES - first;
         let end = sector_end.min(bytes.len());
         if chance.below(2) == 0 {
             target[start..end].copy_from_slice(&bytes[start..end]);
@@ -73,13 +73,13 @@
     bytes
 }
 
-/// A disk whose slot and lines are all synced, and the machine that wrote it.
+/// Returns a disk whose slots and log lines are all synced, and what recovery must find on it.
 fn synced_disk(generations: u64, lines: u64) -> (SlotDisk, DiskImage, Recovery) {
     let (mut disk, mut image) = (new_disk(), blank_image());
     let mut ticket = 0;
     for generation in 1..=generations {
         for write in disk.rewrite(&state(generation, 3000)) {
-            lay(&mut image, &write);
+            apply_write(&mut image, &write);
         }
         ticket += 1;
         disk.wrote(ticket);
@@ -87,8 +87,10 @@
     }
     let lines: Vec<Vec<u8>> = (1..=lines).map(|number| line(number, 90)).collect();
     for line in &lines {
-        let write = disk.append(std::slice::from_ref(line)).expect("room");
-        lay(&mut image, &write);
+        let write = disk
+            .append(std::slice::from_ref(line))
+            .expect("the line fits");
+        apply_write(&mut image, &write);
         ticket += 1;
         disk.wrote(ticket);
         disk.synced(ticket);
@@ -97,12 +99,12 @@
     (disk, image, Recovery::Found { state, lines })
 }
 
-/// A recovered disk must go on: what it writes next must be there after the next start.
-fn goes_on(image: &DiskImage, named: &str) {
+/// Checks that a recovered disk stays usable: what is written next must be recovered at the next start.
+fn check_writable(image: &DiskImage, case: &str) {
     let mut image = image.clone();
     let mut disk = new_disk();
     let Recovery::Found { state, mut lines } = disk.recover(&image) else {
-        panic!("{named}: nothing was found");
+        panic!("{case}: no state was recovered");
     };
     let next = line(999, 61);
     let writes = match disk.append(std::slice::from_ref(&next)) {
@@ -111,33 +113,33 @@
             vec![write]
         }
         None => {
-            let whole = [state.clone(), lines.concat(), next].concat();
+            let complete = [state.clone(), lines.concat(), next].concat();
             lines.clear();
-            let writes = disk.rewrite(&whole).to_vec();
+            let writes = disk.rewrite(&complete).to_vec();
             for write in &writes {
-                lay(&mut image, write);
+                apply_write(&mut image, write);
             }
             let found = new_disk().recover(&image);
             assert_eq!(
                 found,
                 Recovery::Found {
-                    state: whole,
+                    state: complete,
                     lines
                 },
-                "{named}"
+                "{case}"
             );
             return;
         }
     };
     for write in &writes {
-        lay(&mut image, write);
+        apply_write(&mut image, write);
     }
     let found = new_disk().recover(&image);
-    assert_eq!(found, Recovery::Found { state, lines }, "{named}");
+    assert_eq!(found, Recovery::Found { state, lines }, "{case}");
 }
 
 #[test]
-fn given_a_slot_write_cut_at_any_byte_when_recovered_then_it_is_the_state_before_or_after() {
+fn slot_write_truncated_at_any_byte_recovers_the_old_or_new_state() {
     for generations in [1, 2, 3] {
         let (mut disk, image, before) = synced_disk(generations, 5);
         let next = state(77, 4000);
@@ -151,14 +153,14 @@
                 let mut found = image.clone();
                 writes[..index]
                     .iter()
-                    .for_each(|whole| lay(&mut found, whole));
-                lay_prefix(&mut found, torn, cut);
+                    .for_each(|complete| apply_write(&mut found, complete));
+                apply_write_prefix(&mut found, torn, cut);
                 let recovered = new_disk().recover(&found);
                 let is_slot_complete = index == 1 || cut == bytes_of(torn).len();
                 let expected = if is_slot_complete { &after } else { &before };
                 assert_eq!(&recovered, expected, "{generations} {index} {cut}");
                 if cut % 97 == 0 {
-                    goes_on(&found, "a cut slot");
+                    check_writable(&found, "torn slot");
                 }
             }
         }
@@ -166,7 +168,7 @@
 }
 
 #[test]
-fn given_a_slot_write_with_torn_sectors_when_recovered_then_it_is_the_state_before_or_after() {
+fn slot_write_with_torn_sectors_recovers_the_old_or_new_state() {
     for seed in 0..400 {
         let mut chance = Chance::seeded(seed);
         let (mut disk, image, before) = synced_disk(1 + seed % 3, seed % 7);
@@ -175,95 +177,97 @@
             state: next.clone(),
             lines: Vec::new(),
         };
-        let [slot, head] = disk.rewrite(&next);
+        let [slot, header] = disk.rewrite(&next);
         let mut found = image.clone();
-        lay_some_sectors(&mut found, &slot, &mut chance);
+        apply_random_sectors(&mut found, &slot, &mut chance);
         let recovered = new_disk().recover(&found);
         assert!(recovered == before || recovered == after, "seed {seed}");
-        goes_on(&found, "torn sectors of a slot");
-        lay(&mut found, &slot);
-        lay_some_sectors(&mut found, &head, &mut chance);
+        check_writable(&found, "torn sectors of a slot");
+        apply_write(&mut found, &slot);
+        apply_random_sectors(&mut found, &header, &mut chance);
         assert_eq!(new_disk().recover(&found), after, "seed {seed}");
-        goes_on(&found, "torn sectors of the log's head");
+        check_writable(&found, "torn sectors of the log header");
     }
 }
 
 #[test]
-fn given_a_log_cut_at_any_byte_when_recovered_then_all_whole_lines_before_the_cut_are_there() {
-    let (_, image, whole) = synced_disk(2, 20);
-    let Recovery::Found { state, lines } = whole else {
-        panic!("it is whole");
+fn truncated_log_recovers_all_complete_lines() {
+    let (_, image, complete) = synced_disk(2, 20);
+    let Recovery::Found { state, lines } = complete else {
+        panic!("the disk has a synced state");
     };
-    let head = FRAME_HEADER_BYTES;
-    let each = FRAME_HEADER_BYTES + lines[0].len();
-    for cut in 0..head + each * lines.len() {
+    let header_length = FRAME_HEADER_BYTES;
+    let line_length = FRAME_HEADER_BYTES + lines[0].len();
+    for cut in 0..header_length + line_length * lines.len() {
         let mut found = image.clone();
         found.log[cut..].fill(0);
-        let kept = cut.saturating_sub(head) / each;
+        let kept = cut.saturating_sub(header_length) / line_length;
         let expected = Recovery::Found {
             state: state.clone(),
             lines: lines[..kept].to_vec(),
         };
         assert_eq!(new_disk().recover(&found), expected, "cut at {cut}");
-        goes_on(&found, "a cut log");
+        check_writable(&found, "truncated log");
     }
 }
 
-/// Writes several batches without a sync, tears them by sector, and recovers.
+/// Returns a disk with several unsynced writes torn by sector, its synced lines, and the unsynced ones.
 fn torn_log(seed: u64) -> (DiskImage, Vec<Vec<u8>>, Vec<Vec<u8>>) {
     let mut chance = Chance::seeded(seed);
-    let (mut disk, mut image, whole) = synced_disk(2, seed % 9);
-    let Recovery::Found { lines: synced, .. } = whole else {
-        panic!("it is whole");
+    let (mut disk, mut image, complete) = synced_disk(2, seed % 9);
+    let Recovery::Found { lines: synced, .. } = complete else {
+        panic!("the disk has a synced state");
     };
     let mut unsynced = Vec::new();
     for number in 0..1 + chance.below(8) {
         let line = line(100 + number, chance.below(900) as usize);
-        let write = disk.append(std::slice::from_ref(&line)).expect("room");
-        lay_some_sectors(&mut image, &write, &mut chance);
+        let write = disk
+            .append(std::slice::from_ref(&line))
+            .expect("the line fits");
+        apply_random_sectors(&mut image, &write, &mut chance);
         unsynced.push(line);
     }
     (image, synced, unsynced)
 }
 
 #[test]
-fn given_unsynced_lines_with_torn_sectors_when_recovered_then_no_synced_line_is_lost() {
+fn torn_unsynced_lines_never_lose_a_synced_line() {
     let mut full_logs = 0;
     for seed in 0..2000 {
         let (image, synced, unsynced) = torn_log(seed);
         let mut disk = new_disk();
         let Recovery::Found { lines, .. } = disk.recover(&image) else {
-            panic!("seed {seed}: what was synced is lost");
+            panic!("seed {seed}: synced data is lost");
         };
         let all = [synced.clone(), unsynced].concat();
         assert!(lines.len() >= synced.len(), "seed {seed}");
         assert_eq!(lines, all[..lines.len()], "seed {seed}");
-        goes_on(&image, &format!("seed {seed}"));
+        check_writable(&image, &format!("seed {seed}"));
         full_logs += u32::from(disk.append(&[vec![1]]).is_none());
     }
-    println!("{full_logs} of 2000 logs had whole lines behind a broken one");
+    println!("{full_logs} of 2000 logs had intact lines after a broken one");
     assert!(
         full_logs > 50,
-        "whole lines lay behind broken ones {full_logs} times"
+        "only {full_logs} logs had intact lines after a broken one"
     );
 }
 
 #[test]
-fn given_a_synced_line_that_rots_when_recovered_then_it_is_damage_and_no_torn_tail() {
+fn corrupted_synced_line_is_reported_as_damage() {
     let (_, image, _) = synced_disk(2, 6);
-    let each = FRAME_HEADER_BYTES + line(1, 90).len();
-    // The last line may pass for a torn one: nothing was written after it.
-    for index in 0..FRAME_HEADER_BYTES + each * 5 {
+    let line_length = FRAME_HEADER_BYTES + line(1, 90).len();
+    // Damage to the last line may be taken for a torn write, because nothing was written after it.
+    for index in 0..FRAME_HEADER_BYTES + line_length * 5 {
         for bit in [0x01, 0x80] {
-            let mut rotten = image.clone();
-            rotten.log[index] ^= bit;
-            let recovered = new_disk().recover(&rotten);
+            let mut corrupted = image.clone();
+            corrupted.log[index] ^= bit;
+            let recovered = new_disk().recover(&corrupted);
             assert!(matches!(recovered, Recovery::Damaged(_)), "byte {index}");
         }
     }
 }
 
-/// What programs before format numbers wrote, made as they made it.
+/// Disk format 1, as written by releases before format numbers were introduced.
 mod old_format {
     use caperworks::identifiers::mix;
 
@@ -291,7 +295,7 @@
     }
 }
 
-/// The image of an old program: the slot of generation 2, and lines behind it.
+/// Returns the disk of an old release: slots of generations 1 and 2, and log lines after the second.
 fn old_image(lines: &[Vec<u8>]) -> DiskImage {
     let mut image = blank_image();
     for generation in [1, 2] {
@@ -308,7 +312,7 @@
 }
 
 #[test]
-fn given_an_image_of_the_old_format_when_recovered_then_it_is_read_and_the_new_one_is_written() {
+fn old_disk_format_is_read_and_the_new_format_is_written() {
     let lines: Vec<Vec<u8>> = (0..4).map(|number| line(number, 50)).collect();
     let mut image = old_image(&lines);
     let mut disk = new_disk();
@@ -317,23 +321,29 @@
         lines,
     };
     assert_eq!(disk.recover(&image), expected);
-    goes_on(&image, "the old format");
-    assert_eq!(disk.append(&[line(9, 9)]), None, "a log mixes no formats");
+    check_writable(&image, "old format");
+    assert_eq!(
+        disk.append(&[line(9, 9)]),
+        None,
+        "a log does not mix formats"
+    );
     for write in disk.rewrite(&state(3, 700)) {
-        lay(&mut image, &write);
+        apply_write(&mut image, &write);
     }
     let expected = Recovery::Found {
         state: state(3, 700),
         lines: Vec::new(),
     };
     assert_eq!(new_disk().recover(&image), expected);
-    let written = read_frame(FrameKind::Slot, &image.slots[0]).expect("it is whole");
-    assert!(written.synced_before.is_some(), "it is of the new format");
+    let written = read_frame(FrameKind::Slot, &image.slots[0]).expect("the slot is intact");
+    assert!(
+        written.synced_before.is_some(),
+        "the slot is in the new format"
+    );
 }
 
 #[test]
-fn given_an_old_image_when_the_first_new_slot_is_cut_anywhere_then_the_old_state_or_the_new_is_there(
-) {
+fn torn_first_slot_after_a_format_upgrade_recovers_the_old_state() {
     let lines: Vec<Vec<u8>> = (0..4).map(|number| line(number, 50)).collect();
     let image = old_image(&lines);
     let mut disk = new_disk();
@@ -341,41 +351,41 @@
     let [slot, _] = disk.rewrite(&state(3, 700));
     for cut in 0..bytes_of(&slot).len() {
         let mut found = image.clone();
-        lay_prefix(&mut found, &slot, cut);
+        apply_write_prefix(&mut found, &slot, cut);
         assert_eq!(new_disk().recover(&found), before, "cut at {cut}");
     }
 }
 
 #[test]
-fn given_an_old_image_with_any_byte_rotten_when_recovered_then_no_state_is_ever_guessed() {
+fn corrupted_byte_in_the_old_format_never_recovers_a_wrong_state() {
     let lines: Vec<Vec<u8>> = (0..3).map(|number| line(number, 20)).collect();
     let image = old_image(&lines);
     let log_length = 24 * 4 + lines.concat().len();
     for index in 0..log_length {
-        let mut rotten = image.clone();
-        rotten.log[index] ^= 0x40;
-        match new_disk().recover(&rotten) {
+        let mut corrupted = image.clone();
+        corrupted.log[index] ^= 0x40;
+        match new_disk().recover(&corrupted) {
             Recovery::Damaged(_) => {}
             Recovery::Found { lines: found, .. } => assert_eq!(found, lines[..2], "byte {index}"),
-            Recovery::Empty => panic!("byte {index} reads as new"),
+            Recovery::Empty => panic!("byte {index}: recovered as empty"),
         }
     }
     for index in 0..24 + 500 {
-        let mut rotten = image.clone();
-        rotten.slots[1][index] ^= 0x40;
-        let recovered = new_disk().recover(&rotten);
+        let mut corrupted = image.clone();
+        corrupted.slots[1][index] ^= 0x40;
+        let recovered = new_disk().recover(&corrupted);
         assert!(matches!(recovered, Recovery::Damaged(_)), "byte {index}");
     }
 }
 
-/// Gives a frame the number of a format that is not known yet.
+/// Replaces the format number of a frame.
 fn renumber(bytes: &mut [u8], format: u16) {
     bytes[4..6].copy_from_slice(&format.to_le_bytes());
     bytes[6..8].copy_from_slice(&(!format).to_le_bytes());
 }
 
 #[test]
-fn given_a_file_of_an_unknown_format_when_read_then_file_and_number_are_told_and_no_state() {
+fn unknown_disk_format_reports_the_file_and_the_format_number() {
     let (_, image, _) = synced_disk(2, 3);
     let second_line = FRAME_HEADER_BYTES + FRAME_HEADER_BYTES + line(1, 90).len();
     for (part, offset) in [
@@ -401,13 +411,13 @@
 }
 
 #[test]
-fn given_a_format_number_that_rots_when_read_then_it_is_damage_and_no_unknown_format() {
+fn corrupted_format_number_is_not_reported_as_an_unknown_format() {
     let (_, image, _) = synced_disk(2, 3);
     for index in 0..8 {
         for bit in 0..8 {
-            let mut rotten = image.clone();
-            rotten.slots[1][index] ^= 1 << bit;
-            assert_eq!(rotten.unknown_format(), None, "byte {index} bit {bit}");
+            let mut corrupted = image.clone();
+            corrupted.slots[1][index] ^= 1 << bit;
+            assert_eq!(corrupted.unknown_format(), None, "byte {index} bit {bit}");
         }
     }
 }
--- a/crates/caperworks/tests/follower_catch_up_stories.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -1,4 +1,4 @@
-//! Stories of followers that lack a map which is too large for a grant: they fetch it in pieces.
+//! Tests of followers that fetch a map in chunks because it is too large for a grant.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap};
 
 const MAP: MapName = MapName::Configuration;
-/// Many routes: a map of several pieces.
+/// A number of routes whose map takes several chunks.
 const MANY: u64 = 4000;
-/// Few routes: a map of less than a piece.
+/// A number of routes whose map is smaller than a chunk.
 const FEW: u64 = 20;
 const STEP: Duration = Duration::from_millis(50);
-/// What an envelope and a piece's own fields take beside its bytes.
+/// The size of an envelope and of the other fields of a chunk.
 const FRAME_BYTES: usize = 200;
 
 fn millis(number: u64) -> Duration {
@@ -56,15 +56,15 @@
     }
 }
 
-/// One controller, as far as its followers see it.
+/// One controller, as seen by its followers.
 struct Controller {
     voter: Voter,
     sender: SnapshotSender,
-    hears: bool,
+    is_reachable: bool,
 }
 
 impl Controller {
-    /// With so many routes, and a history that does not reach back to them.
+    /// Creates a controller with this many routes and a history that does not contain their change.
     fn with_routes(count: u64) -> Self {
         let mut voter = Voter::default();
         voter.handle(ConsensusMessage::Commit {
@@ -76,7 +76,7 @@
         Self {
             voter: Voter::restored(replicas),
             sender: SnapshotSender::default(),
-            hears: true,
+            is_reachable: true,
         }
     }
 
@@ -117,42 +117,42 @@
     }
 }
 
-/// A message on its way.
-struct Carried {
+/// A message in flight.
+struct InFlight {
     due: Duration,
-    /// From this controller to the follower, or from the follower to this controller.
+    /// The controller that sends or receives the message; the other end is the follower.
     controller: usize,
     to_follower: bool,
     message: Message,
 }
 
-/// One follower, its controllers, and ways between them that take a while.
+/// One follower, its controllers, and the network between them, which has a delay.
 struct World {
     now: Duration,
     link: CoreLink,
     controllers: Vec<Controller>,
-    way: Duration,
-    wire: Vec<Carried>,
+    delay: Duration,
+    in_flight: Vec<InFlight>,
     largest_response: usize,
     chunks: usize,
     refused: Vec<ChunkError>,
-    /// Changes the next piece on its way.
-    spoil: Option<fn(&mut SnapshotChunk)>,
+    /// Corrupts the next chunk in flight.
+    corrupt: Option<fn(&mut SnapshotChunk)>,
 }
 
 impl World {
-    fn new(controllers: Vec<Controller>, way: Duration) -> Self {
+    fn new(controllers: Vec<Controller>, delay: Duration) -> Self {
         let seeds = (0..controllers.len()).map(address).collect();
         Self {
             now: Duration::ZERO,
             link: CoreLink::new(NodeId(9), &[MAP], seeds, 0),
             controllers,
-            way,
-            wire: Vec::new(),
+            delay,
+            in_flight: Vec::new(),
             largest_response: 0,
             chunks: 0,
             refused: Vec::new(),
-            spoil: None,
+            corrupt: None,
         }
     }
 
@@ -175,48 +175,50 @@
         }
     }
 
-    fn sends(&mut self, to: SocketAddr, message: Message) {
+    fn send(&mut self, to: SocketAddr, message: Message) {
         let controller = (0..self.controllers.len()).find(|index| address(*index) == to);
-        let controller = controller.expect("it is one of the controllers");
-        self.wire.push(Carried {
-            due: self.now + self.way,
+        let controller = controller.expect("the address belongs to a controller");
+        self.in_flight.push(InFlight {
+            due: self.now + self.delay,
             controller,
             to_follower: false,
             message,
         });
     }
 
-    fn asks(&mut self, requests: impl IntoIterator<Item = CatchUpRequest>) {
+    fn send_requests(&mut self, requests: impl IntoIterator<Item = CatchUpRequest>) {
         for request in requests {
             let vote = request.message();
-            self.sends(request.to, Message::ConsensusMessage { vote });
+            self.send(request.to, Message::ConsensusMessage { vote });
         }
     }
 
-    fn responses(&mut self, controller: usize, mut message: Message) {
+    fn send_response(&mut self, controller: usize, mut message: Message) {
         if let Message::ConsensusMessage {
             vote: ConsensusMessage::Chunk { chunk },
         } = &mut message
         {
             self.chunks += 1;
-            if let Some(spoil) = self.spoil.take() {
-                spoil(chunk);
+            if let Some(corrupt) = self.corrupt.take() {
+                corrupt(chunk);
             }
         }
-        let bytes = minicbor::to_vec(&message).expect("it encodes").len();
+        let bytes = minicbor::to_vec(&message)
+            .expect("the message encodes")
+            .len();
         self.largest_response = self.largest_response.max(bytes);
-        self.wire.push(Carried {
-            due: self.now + self.way,
+        self.in_flight.push(InFlight {
+            due: self.now + self.delay,
             controller,
             to_follower: true,
             message,
         });
     }
 
-    fn reaches_controller(&mut self, controller: usize, message: &Message) {
+    fn deliver_to_controller(&mut self, controller: usize, message: &Message) {
         let now = self.now;
         let index = &mut self.controllers[controller];
-        if !index.hears {
+        if !index.is_reachable {
             return;
         }
         let response = match message {
@@ -237,10 +239,10 @@
             },
             _ => return,
         };
-        self.responses(controller, response);
+        self.send_response(controller, response);
     }
 
-    fn reaches_follower(&mut self, controller: usize, message: &Message) {
+    fn deliver_to_follower(&mut self, controller: usize, message: &Message) {
         match message {
             Message::Grant { granted } => {
                 let from = address(controller);
@@ -250,13 +252,13 @@
                 };
                 self.link.granted(self.now, responder, granted);
                 let requests = self.link.fetch_in_chunks(self.now, from, granted);
-                self.asks(requests);
+                self.send_requests(requests);
             }
             Message::ConsensusMessage { vote } => {
                 let from = address(controller);
                 let step = self.link.handle_catch_up(self.now, from, vote);
                 self.refused.extend(step.refused.map(|refused| refused.why));
-                self.asks(step.request);
+                self.send_requests(step.request);
             }
             _ => {}
         }
@@ -264,22 +266,26 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        let (due, waiting): (Vec<Carried>, Vec<Carried>) = std::mem::take(&mut self.wire)
+        let (due, waiting): (Vec<InFlight>, Vec<InFlight>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|carried| carried.due <= self.now);
-        self.wire = waiting;
-        for carried in due {
-            match carried.to_follower {
-                true => self.reaches_follower(carried.controller, &carried.message),
-                false => self.reaches_controller(carried.controller, &carried.message),
+            .partition(|message_in_flight| message_in_flight.due <= self.now);
+        self.in_flight = waiting;
+        for message_in_flight in due {
+            match message_in_flight.to_follower {
+                true => self
+                    .deliver_to_follower(message_in_flight.controller, &message_in_flight.message),
+                false => self.deliver_to_controller(
+                    message_in_flight.controller,
+                    &message_in_flight.message,
+                ),
             }
         }
         let requests = self.link.tick_catch_up(self.now);
-        self.asks(requests);
+        self.send_requests(requests);
         if self.link.due(self.now) {
             let member = self.member();
             let (to, message) = self.link.renew(self.now, member);
-            self.sends(to, message);
+            self.send(to, message);
         }
     }
 
@@ -287,91 +293,100 @@
         self.link.feed_cache.follower().map(MAP)
     }
 
-    /// Runs until the follower holds what this controller holds; tells how long that took.
-    fn runs_until_level(&mut self, controller: usize) -> Duration {
-        let began = self.now;
+    /// Runs until the follower has the same map as this controller; returns how long it took.
+    fn run_until_caught_up(&mut self, controller: usize) -> Duration {
+        let started_at = self.now;
         while self.held() != self.controllers[controller].voter.map(MAP) {
             self.step();
-            assert!(self.now - began < millis(60_000), "it never gets level");
+            assert!(
+                self.now - started_at < millis(60_000),
+                "the follower does not catch up"
+            );
         }
-        self.now - began
+        self.now - started_at
     }
 }
 
 #[test]
-fn given_a_map_of_many_routes_when_a_follower_lacks_it_then_no_message_is_larger_than_a_piece() {
+fn follower_fetches_a_large_map_without_messages_above_the_chunk_size() {
     let mut world = World::new(vec![Controller::with_routes(MANY)], millis(50));
-    world.runs_until_level(0);
-    assert!(world.chunks >= 3, "{} pieces", world.chunks);
+    world.run_until_caught_up(0);
+    assert!(world.chunks >= 3, "{} chunks", world.chunks);
     assert!(world.largest_response <= CHUNK_BYTES + FRAME_BYTES);
     assert_eq!(world.controllers[0].sender.encodings(), 1);
     assert_eq!(world.refused, []);
-    // Its lease lives soon after, for a grant that names what it holds is asked for at once.
-    let held_at = world.now;
+    // It has a valid lease soon after, because it requests a grant for its new version immediately.
+    let caught_up_at = world.now;
     while world.link.fresh_until() <= world.now {
         world.step();
-        assert!(world.now - held_at < millis(1000), "it is not fresh");
+        assert!(
+            world.now - caught_up_at < millis(1000),
+            "the follower has no valid lease"
+        );
     }
 }
 
 #[test]
-fn given_a_map_of_few_routes_when_a_follower_lacks_it_then_it_comes_with_the_grant() {
+fn follower_receives_a_small_map_with_the_grant() {
     let mut world = World::new(vec![Controller::with_routes(FEW)], millis(50));
-    world.runs_until_level(0);
+    world.run_until_caught_up(0);
     assert_eq!(world.chunks, 0);
 }
 
 #[test]
-fn given_a_slow_way_when_pieces_come_one_by_one_then_the_follower_stays_with_its_controller() {
-    // Why two: a follower with one controller has no other to turn to.
+fn follower_keeps_its_controller_during_a_transfer_over_a_slow_link() {
+    // Two controllers, because a follower with only one has no other to switch to.
     let controllers = vec![Controller::with_routes(MANY), Controller::with_routes(MANY)];
     let mut world = World::new(controllers, millis(200));
     let first = world.link.controller();
-    world.runs_until_level(0);
-    assert!(world.now > millis(1600), "it took only {:?}", world.now);
+    world.run_until_caught_up(0);
+    assert!(
+        world.now > millis(1600),
+        "the transfer took only {:?}",
+        world.now
+    );
     assert_eq!(world.link.controller(), first);
 }
 
 #[test]
-fn given_a_controller_that_falls_silent_midway_when_another_has_the_version_then_it_goes_on_there()
-{
+fn follower_continues_a_transfer_with_another_controller_after_a_failure() {
     let controllers = vec![Controller::with_routes(MANY), Controller::with_routes(MANY)];
     let mut world = World::new(controllers, millis(50));
     while world.chunks < 2 {
         world.step();
     }
-    let asked = world.link.controller();
-    let silent = (0..2).find(|index| address(*index) == asked);
-    let silent = silent.expect("it is one of them");
-    world.controllers[silent].hears = false;
-    world.runs_until_level(1 - silent);
-    let bytes = minicbor::to_vec(world.held()).expect("it encodes").len();
-    // One more at most: the piece that the silent one did not send any more.
+    let current = world.link.controller();
+    let failed = (0..2).find(|index| address(*index) == current);
+    let failed = failed.expect("the address belongs to a controller");
+    world.controllers[failed].is_reachable = false;
+    world.run_until_caught_up(1 - failed);
+    let bytes = minicbor::to_vec(world.held()).expect("a map encodes").len();
+    // At most one more: the chunk that the failed controller did not send.
     let all = bytes.div_ceil(CHUNK_BYTES);
     assert!(
         world.chunks <= all + 1,
-        "{} pieces of {all}: it began anew",
+        "{} chunks instead of {all}: the transfer was restarted",
         world.chunks
     );
 }
 
 #[test]
-fn given_a_piece_that_is_spoiled_on_its_way_when_it_comes_then_it_is_refused_and_all_comes_anew() {
+fn follower_rejects_a_corrupted_chunk_and_still_completes_the_transfer() {
     let cut: fn(&mut SnapshotChunk) = |chunk| chunk.bytes.truncate(100);
     let wrong_offset: fn(&mut SnapshotChunk) = |chunk| chunk.offset += 1;
     let wrong_bit: fn(&mut SnapshotChunk) = |chunk| chunk.bytes[5] ^= 1;
-    for spoil in [cut, wrong_offset, wrong_bit] {
+    for corrupt in [cut, wrong_offset, wrong_bit] {
         let mut world = World::new(vec![Controller::with_routes(MANY)], millis(50));
-        world.spoil = Some(spoil);
-        world.runs_until_level(0);
+        world.corrupt = Some(corrupt);
+        world.run_until_caught_up(0);
         assert_eq!(world.refused.len(), 1, "{:?}", world.refused);
     }
 }
 
 #[test]
-fn given_a_follower_that_no_longer_asks_when_a_piece_comes_then_it_is_refused() {
+fn follower_rejects_a_chunk_that_it_did_not_request() {
     let mut world = World::new(vec![Controller::with_routes(MANY)], millis(50));
-    world.runs_until_level(0);
+    world.run_until_caught_up(0);
     let before = world.held().version;
     let controller = &mut world.controllers[0];
     let position = TransferPosition {
@@ -382,13 +397,13 @@
         .sender
         .respond(world.now, &controller.voter, MAP, Version(0), position);
     let step = world.link.handle_catch_up(world.now, address(0), &vote);
-    let why = step.refused.map(|refused| refused.why);
-    assert_eq!(why, Some(ChunkError::NotRequested));
+    let error = step.refused.map(|refused| refused.why);
+    assert_eq!(error, Some(ChunkError::NotRequested));
     assert_eq!(world.held().version, before);
 }
 
 #[test]
-fn given_a_controller_that_lacks_what_its_grants_name_when_other_maps_move_on_then_it_is_left() {
+fn follower_leaves_a_controller_that_does_not_have_the_versions_it_grants() {
     let wants = [MAP, MapName::Ownership];
     let seeds = vec![address(0), address(1)];
     let mut link = CoreLink::new(NodeId(9), &wants, seeds, 0);
@@ -399,7 +414,7 @@
         now += STEP;
         assert!(
             now < millis(1500),
-            "it stays with a controller that is behind"
+            "the follower stays with a controller that is behind"
         );
         if !link.due(now) || link.controller() != first {
             continue;
--- a/crates/caperworks/tests/one_number_stories.rs
+++ b/crates/caperworks/tests/operator_version_races.rs
@@ -1,5 +1,5 @@
-//! Stories of two operators who pick the same version: random schedules over real voters and
-//! proposers, with lost messages and answers, repeats elsewhere, restarts and snapshots.
+//! Two operators that choose the same item version: random schedules over voters and proposers, with
+//! lost messages and responses, calls repeated at other nodes, restarts and snapshots.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use caperworks::version_history::REMEMBERED_VERSIONS;
 
 const NODES: u64 = 3;
-const KEYS: [&str; 3] = ["pool/a", "pool/b", "pool/c"];
+const ITEM_KEYS: [&str; 3] = ["pool/a", "pool/b", "pool/c"];
 const CONFIGURATION: MapName = MapName::Configuration;
 
 fn voters_change() -> Change {
@@ -42,7 +42,7 @@
     }
 }
 
-/// A put of one operator: a service, or its removal.
+/// Creates a put of a service, or of its removal, under an operator version.
 fn put(key: &str, version: u64, contents: Option<&str>) -> Put {
     let service = Service {
         instance_cap: 1,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The same puts are the same change wherever they are sent, as on the operators' platform.
+/// Creates a change whose id depends only on its puts, as the operators' platform does.
 fn call(puts: Vec<Put>) -> Change {
     let bytes = minicbor::to_vec(&puts).expect("puts encode");
     Change {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The same call after the map has forgotten its id.
+/// Returns the same change under another id, as after the map has forgotten its id.
 fn under_another_id(change: &Change, number: u64) -> Change {
     Change {
         id: ChangeId::new(format!("{}-late-{number}", change.id)),
@@ -82,8 +82,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ReportedOutcome {
     Confirmed,
-    Refused,
-    Unclear,
+    Rejected,
+    Unknown,
 }
 
 fn reported(outcome: &ProposalOutcome) -> ReportedOutcome {
@@ -92,37 +92,38 @@
         ProposalOutcome::NoMajority
         | ProposalOutcome::TooFewAgents
         | ProposalOutcome::VersionsForgotten(_)
-        | ProposalOutcome::Unknown => ReportedOutcome::Unclear,
-        _ => ReportedOutcome::Refused,
+        | ProposalOutcome::Unknown => ReportedOutcome::Unknown,
+        _ => ReportedOutcome::Rejected,
     }
 }
 
-/// Sees every answer that a node gives, also those that are lost on their way.
+/// Records every response of a node, including those that are lost in transit.
 #[derive(Default)]
 struct Observer {
     /// The contents confirmed under each version of each item.
     confirmed: BTreeMap<(String, u64), (Option<Value>, String)>,
     confirmed_calls: Vec<Change>,
-    refusals: usize,
-    /// The newest answer.
+    rejections: usize,
+    /// The latest response.
     last: Option<(ChangeId, ReportedOutcome)>,
-    breaches: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Observer {
-    fn answered(&mut self, change: &Change, outcome: &ProposalOutcome) {
+    fn record_outcome(&mut self, change: &Change, outcome: &ProposalOutcome) {
         let reported = reported(outcome);
         self.last = Some((change.id.clone(), reported));
         match reported {
             ReportedOutcome::Confirmed => self.confirmed(change),
-            ReportedOutcome::Refused => {
-                self.refusals += 1;
+            ReportedOutcome::Rejected => {
+                self.rejections += 1;
                 if self.has_confirmed(change) {
-                    let what = format!("{} was confirmed and then told {outcome:?}", change.id);
-                    self.breaches.push(what);
+                    let description =
+                        format!("{} was confirmed and later got {outcome:?}", change.id);
+                    self.violations.push(description);
                 }
             }
-            ReportedOutcome::Unclear => {}
+            ReportedOutcome::Unknown => {}
         }
     }
 
@@ -136,8 +137,8 @@
                 .entry(item_key.clone())
                 .or_insert_with(|| contents.clone());
             if *first != contents {
-                let what = format!("{item_key:?}: {} and {} confirmed", first.1, contents.1);
-                self.breaches.push(what);
+                let description = format!("{item_key:?}: {} and {} confirmed", first.1, contents.1);
+                self.violations.push(description);
             }
         }
         if !self.has_confirmed(change) {
@@ -150,29 +151,29 @@
         confirmed.any(|known| known.puts == change.puts)
     }
 
-    /// What stands is at least the newest that was confirmed, and has its contents.
-    fn read_back(&mut self, map: &ReplicatedMap) {
-        for key in KEYS {
+    /// Checks that each item is at least at its highest confirmed version, with the confirmed contents.
+    fn check_map(&mut self, map: &ReplicatedMap) {
+        for key in ITEM_KEYS {
             let of_key = |item_key: &&(String, u64)| item_key.0 == key;
             let Some(newest) = self.confirmed.keys().filter(of_key).max() else {
                 continue;
             };
-            let standing = map.items.get(key).and_then(|item| item.written.as_ref());
-            let Some(standing) = standing else {
-                self.breaches.push(format!("{newest:?} is missing"));
+            let current = map.items.get(key).and_then(|item| item.written.as_ref());
+            let Some(current) = current else {
+                self.violations.push(format!("{newest:?} is missing"));
                 continue;
             };
-            let contents = self.confirmed.get(&(key.to_string(), standing.version));
-            let other = contents.is_some_and(|(_, text)| *text != standing.text);
-            if standing.version < newest.1 || other {
-                let what = format!("{standing:?} stands, {newest:?} was confirmed");
-                self.breaches.push(what);
+            let contents = self.confirmed.get(&(key.to_string(), current.version));
+            let differs = contents.is_some_and(|(_, text)| *text != current.text);
+            if current.version < newest.1 || differs {
+                let description = format!("the item is {current:?}, but {newest:?} was confirmed");
+                self.violations.push(description);
             }
         }
     }
 }
 
-/// One controller: its machines, and what it has synced to its disk.
+/// One controller: its state machines, and its synced state on disk.
 struct Node {
     voter: Voter,
     proposer: Proposer,
@@ -182,7 +183,7 @@
 
 impl Node {
     fn started(number: u64, voter: Voter, options: &ProposerOptions) -> Self {
-        let slot = minicbor::to_vec(voter.replicas().to_vec()).expect("copies encode");
+        let slot = minicbor::to_vec(voter.replicas().to_vec()).expect("replicas encode");
         let proposer = Proposer::new(CONFIGURATION, NodeId(number), options.clone());
         Self {
             voter,
@@ -192,14 +193,14 @@
         }
     }
 
-    /// Syncs what the voter wants kept.
-    fn keep(&mut self, outcome: &VoterOutcome) {
+    /// Syncs the records of the voter, or its complete state.
+    fn sync(&mut self, outcome: &VoterOutcome) {
         for record in &outcome.records {
             self.log
                 .push(minicbor::to_vec(record).expect("a record encodes"));
         }
         if outcome.rewrite {
-            self.slot = minicbor::to_vec(self.voter.replicas().to_vec()).expect("copies encode");
+            self.slot = minicbor::to_vec(self.voter.replicas().to_vec()).expect("replicas encode");
             self.log.clear();
         }
     }
@@ -214,15 +215,15 @@
     }
 }
 
-/// Three nodes, two operators, and everything that may go wrong between them.
+/// Three nodes and two operators, with lost, repeated and reordered messages, and restarts.
 struct World {
     chance: Chance,
     now: Duration,
     options: ProposerOptions,
     nodes: BTreeMap<u64, Node>,
-    on_the_way: Vec<(u64, u64, ConsensusMessage)>,
+    in_flight: Vec<(u64, u64, ConsensusMessage)>,
     calls: Vec<Change>,
-    waiting: BTreeMap<u64, Change>,
+    pending_calls: BTreeMap<u64, Change>,
     next_ticket: u64,
     highest_version: u64,
     observer: Observer,
@@ -245,74 +246,74 @@
             now: Duration::ZERO,
             options,
             nodes,
-            on_the_way: Vec::new(),
+            in_flight: Vec::new(),
             calls: Vec::new(),
-            waiting: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             next_ticket: 0,
             highest_version,
             observer: Observer::default(),
         }
     }
 
-    fn any_node(&mut self) -> u64 {
+    fn random_node(&mut self) -> u64 {
         1 + self.chance.below(NODES)
     }
 
     fn send(&mut self, node: u64, change: Change) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        self.waiting.insert(ticket, change.clone());
+        self.pending_calls.insert(ticket, change.clone());
         let proposer = &mut self.nodes.get_mut(&node).expect("a node").proposer;
         proposer.propose(self.now, ticket, change);
     }
 
-    /// A new call of one or two items; the operators write different contents.
+    /// Proposes a new change of one or two items; the operators write different contents.
     fn new_call(&mut self) {
         let operator = ["left", "right"][self.chance.below(2) as usize];
         let count = 1 + self.chance.below(2) as usize;
         let first = self.chance.below(3) as usize;
         let puts = (first..first + count)
-            .map(|item_key| {
+            .map(|index| {
                 let version = 1 + self.chance.below(self.highest_version);
                 let contents = format!("{operator} {}", self.chance.below(2));
                 let drops = self.chance.below(6) == 0;
                 let contents = (!drops).then_some(contents.as_str());
-                put(KEYS[item_key % 3], version, contents)
+                put(ITEM_KEYS[index % 3], version, contents)
             })
             .collect();
         let change = call(puts);
         self.calls.push(change.clone());
-        let node = self.any_node();
+        let node = self.random_node();
         self.send(node, change);
     }
 
-    /// An old call comes again: its answer was lost, or it lay somewhere for long.
+    /// Proposes an earlier change again, as if its response was lost or it was delayed.
     fn repeat_call(&mut self) {
         if self.calls.is_empty() {
             return;
         }
-        let item_key = self.chance.below(self.calls.len() as u64) as usize;
+        let index = self.chance.below(self.calls.len() as u64) as usize;
         let change = match self.chance.below(3) {
-            0 => under_another_id(&self.calls[item_key], self.next_ticket),
-            _ => self.calls[item_key].clone(),
+            0 => under_another_id(&self.calls[index], self.next_ticket),
+            _ => self.calls[index].clone(),
         };
-        let node = self.any_node();
+        let node = self.random_node();
         self.send(node, change);
     }
 
     fn act(&mut self, from: u64, outcome: ProposerOutcome) {
         for (ticket, proposal_outcome) in outcome.proposal_outcomes {
-            if let Some(change) = self.waiting.remove(&ticket) {
-                self.observer.answered(&change, &proposal_outcome);
+            if let Some(change) = self.pending_calls.remove(&ticket) {
+                self.observer.record_outcome(&change, &proposal_outcome);
             }
         }
-        for vote in outcome.to_voters {
+        for message in outcome.to_voters {
             for to in 1..=NODES {
-                self.on_the_way.push((from, to, vote.clone()));
+                self.in_flight.push((from, to, message.clone()));
             }
         }
-        for (to, vote) in outcome.to_one {
-            self.on_the_way.push((from, to.0, vote));
+        for (to, message) in outcome.to_one {
+            self.in_flight.push((from, to.0, message));
         }
     }
 
@@ -333,38 +334,38 @@
             .proposer
             .handle(now, NodeId(from), &message, &node.voter);
         let outcome = node.voter.handle(message);
-        node.keep(&outcome);
+        node.sync(&outcome);
         for reply in outcome.replies {
-            self.on_the_way.push((to, from, reply));
+            self.in_flight.push((to, from, reply));
         }
         self.act(to, more);
     }
 
     fn deliver_any(&mut self) {
-        if self.on_the_way.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let item_key = self.chance.below(self.on_the_way.len() as u64) as usize;
+        let index = self.chance.below(self.in_flight.len() as u64) as usize;
         let (from, to, message) = match self.chance.below(20) {
-            // A message may come twice.
-            0 => self.on_the_way[item_key].clone(),
-            _ => self.on_the_way.swap_remove(item_key),
+            // A message may be delivered twice.
+            0 => self.in_flight[index].clone(),
+            _ => self.in_flight.swap_remove(index),
         };
         if self.chance.below(12) > 0 {
             self.deliver(from, to, message);
         }
     }
 
-    /// The process starts again from what was synced; whoever waited for it gets no answer.
+    /// Restarts a node from its synced state; its pending calls get no response.
     fn restart(&mut self, number: u64) {
         let voter = self.nodes[&number].recovered();
         let node = Node::started(number, voter, &self.options);
         self.nodes.insert(number, node);
     }
 
-    /// One node hands its whole map to another, as to one that is far behind.
+    /// Sends a full snapshot from one node to another, as if the other was far behind.
     fn snapshot(&mut self) {
-        let (from, to) = (self.any_node(), self.any_node());
+        let (from, to) = (self.random_node(), self.random_node());
         let bytes = minicbor::to_vec(self.nodes[&from].voter.map(CONFIGURATION));
         let full_map = minicbor::decode(&bytes.expect("a map encodes")).expect("it decodes");
         let message = ConsensusMessage::Snapshot {
@@ -379,59 +380,59 @@
             0..=1 => self.new_call(),
             2..=3 => self.repeat_call(),
             4 if self.chance.below(3) == 0 => {
-                let node = self.any_node();
+                let node = self.random_node();
                 self.restart(node);
             }
             5 => self.snapshot(),
             6..=30 => {
-                let node = self.any_node();
+                let node = self.random_node();
                 self.tick(node);
             }
             _ => self.deliver_any(),
         }
     }
 
-    /// Nothing is lost any more: one call is carried to its end.
-    fn settled(&mut self, number: u64, change: &Change) -> ReportedOutcome {
+    /// Completes one call while no messages are lost.
+    fn run_call(&mut self, number: u64, change: &Change) -> ReportedOutcome {
         self.send(number, change.clone());
         let ticket = self.next_ticket;
         for _ in 0..400 {
             self.tick(number);
-            while let Some((from, to, message)) = self.on_the_way.pop() {
+            while let Some((from, to, message)) = self.in_flight.pop() {
                 self.deliver(from, to, message);
             }
-            if !self.waiting.contains_key(&ticket) {
+            if !self.pending_calls.contains_key(&ticket) {
                 break;
             }
         }
         match self.observer.last.take() {
             Some((id, reported)) if id == change.id => reported,
-            _ => ReportedOutcome::Unclear,
+            _ => ReportedOutcome::Unknown,
         }
     }
 
-    /// A call comes once more: if it was confirmed before, it must be again.
-    fn comes_again(&mut self, number: u64, change: &Change) {
+    /// Repeats a call, and checks that it is confirmed again if it was confirmed before.
+    fn repeat_call_and_check(&mut self, number: u64, change: &Change) {
         let before = self.observer.has_confirmed(change);
-        let reported = self.settled(number, change);
+        let reported = self.run_call(number, change);
         let remembered = self.highest_version <= REMEMBERED_VERSIONS as u64;
         if before && remembered && reported != ReportedOutcome::Confirmed {
-            let what = format!("{} was confirmed and is told {reported:?}", change.id);
-            self.observer.breaches.push(what);
+            let description = format!("{} was confirmed and now got {reported:?}", change.id);
+            self.observer.violations.push(description);
         }
     }
 
-    /// Plays a schedule, and then lets every call come once more at every node.
-    fn play(&mut self, steps: usize) {
+    /// Runs a random schedule, and then repeats every call at every node.
+    fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.step();
         }
-        self.on_the_way.clear();
+        self.in_flight.clear();
         for (number, change) in self.calls.clone().into_iter().enumerate() {
             for node in 1..=NODES {
                 let late = under_another_id(&change, number as u64);
-                self.comes_again(node, &late);
-                self.comes_again(node, &change);
+                self.repeat_call_and_check(node, &late);
+                self.repeat_call_and_check(node, &change);
             }
         }
         let maps = self
@@ -439,47 +440,50 @@
             .values()
             .map(|node| node.voter.map(CONFIGURATION));
         let newest = maps.max_by_key(|map| map.version).expect("a map").clone();
-        self.observer.read_back(&newest);
+        self.observer.check_map(&newest);
     }
 }
 
-/// All breaches over some seeds, and how many calls were confirmed and refused.
-fn played(seeds: u64, highest: u64, options: &ProposerOptions) -> (Vec<String>, usize, usize) {
-    let (mut breaches, mut confirmed, mut refused) = (Vec::new(), 0, 0);
+/// Returns all violations over some seeds, and how many calls were confirmed and rejected.
+fn run_schedules(
+    seeds: u64,
+    highest: u64,
+    options: &ProposerOptions,
+) -> (Vec<String>, usize, usize) {
+    let (mut violations, mut confirmed, mut rejected) = (Vec::new(), 0, 0);
     for seed in 0..seeds {
         let mut world = World::new(seed, highest, options.clone());
-        world.play(1500);
+        world.run(1500);
         confirmed += world.observer.confirmed_calls.len();
-        refused += world.observer.refusals;
-        let of_seed = world.observer.breaches.iter();
-        breaches.extend(of_seed.map(|what| format!("seed {seed}: {what}")));
+        rejected += world.observer.rejections;
+        let of_seed = world.observer.violations.iter();
+        violations.extend(of_seed.map(|description| format!("seed {seed}: {description}")));
     }
-    (breaches, confirmed, refused)
+    (violations, confirmed, rejected)
 }
 
 const SEEDS: u64 = 60;
 
 #[test]
-fn given_two_operators_with_one_number_when_anything_is_lost_then_one_content_is_ever_confirmed() {
-    let (breaches, confirmed, refused) = played(SEEDS, 12, &ProposerOptions::default());
-    assert_eq!(breaches, Vec::<String>::new());
-    assert!(confirmed > 500 && refused > 500, "{confirmed}, {refused}");
+fn operator_version_is_confirmed_with_only_one_content() {
+    let (violations, confirmed, rejected) = run_schedules(SEEDS, 12, &ProposerOptions::default());
+    assert_eq!(violations, Vec::<String>::new());
+    assert!(confirmed > 500 && rejected > 500, "{confirmed}, {rejected}");
 }
 
 #[test]
-fn given_more_versions_than_are_remembered_when_anything_is_lost_then_nothing_confirmed_is_refused()
-{
-    let (breaches, confirmed, refused) = played(SEEDS, 200, &ProposerOptions::default());
-    assert_eq!(breaches, Vec::<String>::new());
-    assert!(confirmed > 500 && refused > 50, "{confirmed}, {refused}");
+fn confirmed_call_is_never_rejected_after_its_version_is_forgotten() {
+    let (violations, confirmed, rejected) = run_schedules(SEEDS, 200, &ProposerOptions::default());
+    assert_eq!(violations, Vec::<String>::new());
+    assert!(confirmed > 500 && rejected > 50, "{confirmed}, {rejected}");
 }
 
 #[test]
-fn given_taken_versions_that_are_confirmed_when_two_operators_race_then_the_observer_sees_it() {
+fn observer_detects_a_version_confirmed_with_two_contents() {
     let broken = ProposerOptions {
         confirms_taken_versions: true,
         ..ProposerOptions::default()
     };
-    let (breaches, ..) = played(SEEDS, 12, &broken);
-    assert!(!breaches.is_empty());
+    let (violations, ..) = run_schedules(SEEDS, 12, &broken);
+    assert!(!violations.is_empty());
 }
--- a/crates/caperworks/tests/version_stories.rs
+++ b/crates/caperworks/tests/operator_versions.rs
@@ -1,4 +1,5 @@
-//! Stories of items under the operators' own versions, and of calls that are refused whole.
+//! Tests of items under operator versions, of change sets that are rejected as a whole, and of route
+//! matching.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -36,8 +37,8 @@
     }
 }
 
-/// A put under a version of the operators' own; nothing drops the item.
-fn versioned(key: &str, version: u64, value: Option<Value>) -> Put {
+/// Creates a put under an operator version; without a value it drops the item.
+fn put_under_version(key: &str, version: u64, value: Option<Value>) -> Put {
     let text = format!("{key} {version}");
     Put {
         key: key.to_string(),
@@ -55,7 +56,7 @@
     }
 }
 
-/// The version of an item and its service's limit; no limit for one that was dropped.
+/// Returns the operator version of an item, and the limit of its service unless it was dropped.
 fn configuration(map: &ReplicatedMap, key: &str) -> Option<(u64, Option<u32>)> {
     let item = map.items.get(key)?;
     let version = item.written.as_ref().map_or(0, |written| written.version);
@@ -67,11 +68,11 @@
 
 const KEY: &str = "pool/records";
 
-/// The map after calls of one put each.
+/// Returns the map after changes of one put each.
 fn after(puts: &[(u64, Option<u32>)]) -> ReplicatedMap {
     let mut map = ReplicatedMap::empty();
     for (index, (version, limit)) in puts.iter().enumerate() {
-        let put = versioned(KEY, *version, limit.and_then(service_value));
+        let put = put_under_version(KEY, *version, limit.and_then(service_value));
         let change = call(&format!("call-{index}"), vec![put]);
         assert_eq!(check_configuration(&map, &change), Vec::new());
         map.apply(&change);
@@ -80,20 +81,19 @@
 }
 
 #[test]
-fn given_a_configuration_version_when_a_lower_or_equal_one_comes_then_nothing_of_the_item_changes()
-{
+fn lower_or_equal_operator_version_leaves_the_item_unchanged() {
     let first = after(&[(5, Some(50))]);
     for later in [1, 4, 5] {
         let map = after(&[(5, Some(50)), (later, Some(7))]);
         assert_eq!(configuration(&map, KEY), Some((5, Some(50))), "{later}");
-        assert_eq!(map.items, first.items, "not even its version of ours");
+        assert_eq!(map.items, first.items, "not even the version of the item");
     }
     let map = after(&[(5, Some(50)), (6, Some(60))]);
     assert_eq!(configuration(&map, KEY), Some((6, Some(60))));
 }
 
 #[test]
-fn given_a_dropped_item_when_older_or_equal_puts_come_again_then_it_stays_dropped() {
+fn dropped_item_stays_dropped_under_older_or_equal_versions() {
     for older in [1, 4, 5] {
         let map = after(&[(4, Some(40)), (5, None), (older, Some(7))]);
         assert_eq!(configuration(&map, KEY), Some((5, None)), "{older}");
@@ -103,12 +103,12 @@
     assert_eq!(
         configuration(&map, KEY),
         Some((6, Some(60))),
-        "a later one may"
+        "a later version sets it again"
     );
 }
 
 #[test]
-fn given_a_lower_drop_when_a_higher_version_stands_then_the_item_stays() {
+fn drop_under_a_lower_version_leaves_the_item_unchanged() {
     for drop in [1, 4, 5] {
         let map = after(&[(5, Some(50)), (drop, None)]);
         assert_eq!(configuration(&map, KEY), Some((5, Some(50))), "{drop}");
@@ -116,39 +116,39 @@
 }
 
 #[test]
-fn given_a_drop_that_comes_before_the_put_it_overtakes_when_the_put_comes_then_nothing_stands() {
+fn put_that_arrives_after_a_drop_of_a_higher_version_has_no_effect() {
     let map = after(&[(9, None), (8, Some(80)), (3, Some(30))]);
     assert_eq!(configuration(&map, KEY), Some((9, None)));
     assert_eq!(map.services().count(), 0);
 }
 
 #[test]
-fn given_puts_in_any_sequence_when_all_are_applied_then_the_highest_version_stands() {
+fn highest_operator_version_wins_in_any_order() {
     let puts = [(1, Some(10)), (2, None), (3, Some(30)), (4, None)];
     let mut chance = Chance::seeded(7);
     for highest in [3, 4] {
         for _ in 0..200 {
-            let mut drawn = puts[..highest].to_vec();
-            for index in (1..drawn.len()).rev() {
-                drawn.swap(index, chance.below(index as u64 + 1) as usize);
+            let mut shuffled = puts[..highest].to_vec();
+            for index in (1..shuffled.len()).rev() {
+                shuffled.swap(index, chance.below(index as u64 + 1) as usize);
             }
-            let map = after(&drawn);
+            let map = after(&shuffled);
             let (version, limit) = puts[highest - 1];
             assert_eq!(
                 configuration(&map, KEY),
                 Some((version, limit)),
-                "{drawn:?}"
+                "{shuffled:?}"
             );
         }
     }
 }
 
 #[test]
-fn given_one_call_that_names_an_item_twice_when_applied_then_its_highest_version_stands() {
+fn highest_version_wins_when_one_call_contains_an_item_twice() {
     for versions in [[2, 7], [7, 2]] {
         let puts = versions
             .iter()
-            .map(|version| versioned(KEY, *version, service_value(*version as u32)))
+            .map(|version| put_under_version(KEY, *version, service_value(*version as u32)))
             .collect();
         let change = call("twice", puts);
         let mut map = ReplicatedMap::empty();
@@ -160,42 +160,51 @@
         map.apply(&change);
         assert_eq!(configuration(&map, KEY), Some((7, Some(7))), "{versions:?}");
     }
-    let puts = vec![versioned(KEY, 7, None), versioned(KEY, 2, service_value(2))];
+    let puts = vec![
+        put_under_version(KEY, 7, None),
+        put_under_version(KEY, 2, service_value(2)),
+    ];
     let mut map = ReplicatedMap::empty();
     map.apply(&call("drop and put", puts));
     assert_eq!(configuration(&map, KEY), Some((7, None)));
 }
 
 #[test]
-fn given_version_zero_when_anything_stands_then_it_changes_nothing_and_else_it_stands() {
+fn version_zero_only_sets_an_absent_item() {
     let map = after(&[(0, Some(10))]);
     assert_eq!(configuration(&map, KEY), Some((0, Some(10))));
-    for stands in [(0, Some(10)), (1, Some(10)), (1, None)] {
-        let map = after(&[stands, (0, Some(99))]);
-        assert_eq!(configuration(&map, KEY), Some(stands));
+    for current in [(0, Some(10)), (1, Some(10)), (1, None)] {
+        let map = after(&[current, (0, Some(99))]);
+        assert_eq!(configuration(&map, KEY), Some(current));
     }
     let map = after(&[(0, Some(10)), (1, Some(11))]);
     assert_eq!(configuration(&map, KEY), Some((1, Some(11))));
 }
 
 #[test]
-fn given_a_zone_closed_without_a_version_when_version_zero_comes_again_then_it_stays_closed() {
+fn zone_closed_without_a_version_stays_closed_under_version_zero() {
     let zone = |closed: bool| {
         let region = Region::new("east");
         let zone = ZoneSettings { region, closed };
         Some(Value::Zone { zone })
     };
     let mut map = ReplicatedMap::empty();
-    map.apply(&call("first", vec![versioned("area/e1", 0, zone(false))]));
-    let mut close = versioned("area/e1", 0, zone(true));
+    map.apply(&call(
+        "first",
+        vec![put_under_version("area/e1", 0, zone(false))],
+    ));
+    let mut close = put_under_version("area/e1", 0, zone(true));
     close.written = None;
     map.apply(&call("close", vec![close]));
-    map.apply(&call("again", vec![versioned("area/e1", 0, zone(false))]));
+    map.apply(&call(
+        "again",
+        vec![put_under_version("area/e1", 0, zone(false))],
+    ));
     assert!(map.zones().all(|(_, zone)| zone.closed));
 }
 
 #[test]
-fn given_a_call_with_every_kind_of_fault_when_checked_then_each_is_named() {
+fn configuration_check_reports_every_kind_of_fault() {
     let mut late = route("late.example", "/", "records");
     late.deadline = Duration::from_secs(600) + Duration::from_millis(1);
     let mut endless = route("a.example", "/endless", "records");
@@ -205,22 +214,22 @@
     }];
     let value = |route: Route| Some(Value::Route { route });
     let puts = vec![
-        versioned(KEY, 1, service_value(4)),
-        versioned(
+        put_under_version(KEY, 1, service_value(4)),
+        put_under_version(
             "rule/dangling",
             1,
             value(route("b.example", "/", "nowhere")),
         ),
-        versioned("rule/split", 1, value(endless)),
-        versioned("rule/first", 1, value(route("c.example", "/x", "records"))),
-        versioned("rule/second", 1, value(route("c.example", "/x", "records"))),
-        versioned("rule/late", 1, value(late)),
-        versioned(
+        put_under_version("rule/split", 1, value(endless)),
+        put_under_version("rule/first", 1, value(route("c.example", "/x", "records"))),
+        put_under_version("rule/second", 1, value(route("c.example", "/x", "records"))),
+        put_under_version("rule/late", 1, value(late)),
+        put_under_version(
             "rule/slashless",
             1,
             value(route("d.example", "x", "records")),
         ),
-        versioned("rule/hostless", 1, value(route("", "/", "records"))),
+        put_under_version("rule/hostless", 1, value(route("", "/", "records"))),
     ];
     let faults = check_configuration(&ReplicatedMap::empty(), &call("faulty", puts));
     let named: BTreeSet<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
@@ -236,47 +245,50 @@
 }
 
 #[test]
-fn given_a_service_in_use_when_its_drop_comes_alone_then_the_call_is_refused() {
+fn dropping_a_service_in_use_is_rejected() {
     let route = Some(Value::Route {
         route: route("a.example", "/", "records"),
     });
     let puts = vec![
-        versioned(KEY, 1, service_value(4)),
-        versioned("rule/one", 1, route),
+        put_under_version(KEY, 1, service_value(4)),
+        put_under_version("rule/one", 1, route),
     ];
     let mut map = ReplicatedMap::empty();
     map.apply(&call("first", puts));
-    let drop_service = versioned(KEY, 2, None);
+    let drop_service = put_under_version(KEY, 2, None);
     let alone = call("drop", vec![drop_service.clone()]);
     let faults = check_configuration(&map, &alone);
     assert_eq!(faults.len(), 1);
     assert_eq!(faults[0].field, "rule/one.pool");
-    let both = call("both", vec![drop_service, versioned("rule/one", 2, None)]);
+    let both = call(
+        "both",
+        vec![drop_service, put_under_version("rule/one", 2, None)],
+    );
     assert_eq!(check_configuration(&map, &both), Vec::new());
 }
 
 #[test]
-fn given_a_deadline_of_ten_minutes_when_checked_then_it_is_the_longest_that_passes() {
+fn deadline_of_ten_minutes_is_accepted() {
     let mut longest = route("a.example", "/", "records");
     longest.deadline = Duration::from_secs(600);
     let puts = vec![
-        versioned(KEY, 1, service_value(4)),
-        versioned("rule/longest", 1, Some(Value::Route { route: longest })),
+        put_under_version(KEY, 1, service_value(4)),
+        put_under_version("rule/longest", 1, Some(Value::Route { route: longest })),
     ];
     let faults = check_configuration(&ReplicatedMap::empty(), &call("longest", puts));
     assert_eq!(faults, Vec::new());
 }
 
 #[test]
-fn given_two_routes_whose_hosts_differ_in_case_alone_when_checked_then_the_second_is_a_fault() {
+fn routes_whose_hosts_differ_only_in_case_are_rejected() {
     let value = |host: &str| {
         let route = route(host, "/", "records");
         Some(Value::Route { route })
     };
     let puts = vec![
-        versioned(KEY, 1, service_value(4)),
-        versioned("rule/lower", 1, value("a.example")),
-        versioned("rule/upper", 1, value("A.Example")),
+        put_under_version(KEY, 1, service_value(4)),
+        put_under_version("rule/lower", 1, value("a.example")),
+        put_under_version("rule/upper", 1, value("A.Example")),
     ];
     let faults = check_configuration(&ReplicatedMap::empty(), &call("case", puts));
     let named: Vec<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
@@ -284,7 +296,7 @@
 }
 
 #[test]
-fn given_an_item_in_its_writers_form_when_encoded_and_decoded_then_nothing_is_lost() {
+fn map_with_written_items_survives_a_round_trip() {
     let map = after(&[(1, Some(10)), (2, None)]);
     let bytes = minicbor::to_vec(&map).expect("a map encodes");
     let read: ReplicatedMap = minicbor::decode(&bytes).expect("it decodes");
@@ -297,7 +309,7 @@
         .map(|(name, host, path)| {
             let route = route(host, path, "records");
             let value = Some(Value::Route { route });
-            versioned(&format!("rule/{name}"), 1, value)
+            put_under_version(&format!("rule/{name}"), 1, value)
         })
         .collect();
     let mut map = ReplicatedMap::empty();
@@ -310,7 +322,7 @@
 }
 
 #[test]
-fn given_thousands_of_routes_when_a_path_is_matched_then_the_longest_whole_segments_are_found() {
+fn route_match_finds_the_longest_prefix_of_complete_segments() {
     let mut routes = Vec::new();
     for host in 0..20 {
         for path in 0..250 {
@@ -345,7 +357,7 @@
 }
 
 #[test]
-fn given_an_exact_host_and_any_host_when_matched_then_the_exact_goes_first_if_its_path_fits() {
+fn route_match_prefers_an_exact_host_whose_path_matches() {
     let table = table_of(&[
         ("any", "*", "/"),
         ("any-long", "*", "/a/b/c"),
@@ -360,8 +372,8 @@
     assert_eq!(name("other.example", "/a/b/cd"), "any");
 }
 
-/// A put of a service in the words of one operator; none of them drops it.
-fn worded(key: &str, version: u64, text: Option<&str>) -> Put {
+/// Creates a put of a service with an operator's text; without a text it drops the item.
+fn put_with_text(key: &str, version: u64, text: Option<&str>) -> Put {
     Put {
         key: key.to_string(),
         expected: None,
@@ -373,28 +385,28 @@
     }
 }
 
-/// Weighs a call of these puts under an id of its own, and applies it if it fits.
-fn taken_in(map: &mut ReplicatedMap, puts: Vec<Put>) -> ChangeCheck {
+/// Checks a change with these puts and a unique id, and applies it if it fits.
+fn check_and_apply(map: &mut ReplicatedMap, puts: Vec<Put>) -> ChangeCheck {
     let change = call(&format!("call-{}", map.version), puts);
-    let standpoint = map.check_change(&change);
-    if standpoint == ChangeCheck::Fits {
+    let check = map.check_change(&change);
+    if check == ChangeCheck::Fits {
         map.apply(&change);
     }
-    standpoint
+    check
 }
 
-/// A map after one call each, all of which fit.
-fn worded_map(puts: &[(u64, Option<&str>)]) -> ReplicatedMap {
+/// Returns the map after one change for each put, all of which fit.
+fn map_with_texts(puts: &[(u64, Option<&str>)]) -> ReplicatedMap {
     let mut map = ReplicatedMap::empty();
     for (version, text) in puts {
-        let standpoint = taken_in(&mut map, vec![worded(KEY, *version, *text)]);
-        assert_eq!(standpoint, ChangeCheck::Fits, "{version} {text:?}");
+        let check = check_and_apply(&mut map, vec![put_with_text(KEY, *version, *text)]);
+        assert_eq!(check, ChangeCheck::Fits, "{version} {text:?}");
     }
     map
 }
 
-/// What stands of an item in its operator's words, with the version.
-fn standing(map: &ReplicatedMap, key: &str) -> Option<(u64, Option<String>)> {
+/// Returns the operator version and the text of an item.
+fn written_item(map: &ReplicatedMap, key: &str) -> Option<(u64, Option<String>)> {
     let item = map.items.get(key)?;
     let written = item.written.clone()?;
     let text = (item.value != Value::Dropped).then_some(written.text);
@@ -402,24 +414,24 @@
 }
 
 #[test]
-fn given_each_relation_to_what_was_confirmed_when_a_put_comes_then_it_stands_as_the_table_says() {
+fn put_is_checked_against_each_kind_of_confirmed_version() {
     let confirmed = [(3, Some("a")), (5, None), (7, Some("c"))];
     let fits = [
-        // Accepted before: the same contents under the same version, set or dropped.
+        // Confirmed before: the same contents under the same version, set or dropped.
         (7, Some("c")),
         (5, None),
         (3, Some("a")),
-        // Lower, and nothing was ever confirmed under it: overtaken.
+        // Lower, and nothing was confirmed under this version: superseded.
         (1, Some("x")),
         (4, None),
         (6, Some("c")),
     ];
     for (version, text) in fits {
-        let mut map = worded_map(&confirmed);
-        let before = standing(&map, KEY);
-        let standpoint = taken_in(&mut map, vec![worded(KEY, version, text)]);
-        assert_eq!(standpoint, ChangeCheck::Fits, "{version} {text:?}");
-        assert_eq!(standing(&map, KEY), before, "it changes nothing");
+        let mut map = map_with_texts(&confirmed);
+        let before = written_item(&map, KEY);
+        let check = check_and_apply(&mut map, vec![put_with_text(KEY, version, text)]);
+        assert_eq!(check, ChangeCheck::Fits, "{version} {text:?}");
+        assert_eq!(written_item(&map, KEY), before, "the item is unchanged");
     }
     for (version, text) in [
         (7, Some("b")),
@@ -429,9 +441,9 @@
         (3, Some("c")),
         (3, None),
     ] {
-        let mut map = worded_map(&confirmed);
+        let mut map = map_with_texts(&confirmed);
         let before = map.clone();
-        let standpoint = taken_in(&mut map, vec![worded(KEY, version, text)]);
+        let check = check_and_apply(&mut map, vec![put_with_text(KEY, version, text)]);
         let taken = TakenVersion {
             key: KEY.to_string(),
             confirmed: ConfirmedVersion {
@@ -447,97 +459,106 @@
                 digest: contents_digest(Some("c")),
             },
         };
-        assert_eq!(standpoint, ChangeCheck::VersionsTaken(vec![taken]));
+        assert_eq!(check, ChangeCheck::VersionsTaken(vec![taken]));
         assert_eq!(map, before);
     }
-    let mut map = worded_map(&confirmed);
+    let mut map = map_with_texts(&confirmed);
     assert_eq!(
-        taken_in(&mut map, vec![worded(KEY, 8, Some("b"))]),
+        check_and_apply(&mut map, vec![put_with_text(KEY, 8, Some("b"))]),
         ChangeCheck::Fits
     );
-    assert_eq!(standing(&map, KEY), Some((8, Some("b".to_string()))));
+    assert_eq!(written_item(&map, KEY), Some((8, Some("b".to_string()))));
 }
 
 #[test]
-fn given_an_overtaken_put_that_was_confirmed_when_others_come_under_its_version_then_it_is_taken() {
-    let mut map = worded_map(&[(7, Some("c")), (4, Some("late"))]);
+fn superseded_version_that_was_confirmed_is_taken_for_other_contents() {
+    let mut map = map_with_texts(&[(7, Some("c")), (4, Some("late"))]);
     assert_eq!(
-        taken_in(&mut map, vec![worded(KEY, 4, Some("late"))]),
+        check_and_apply(&mut map, vec![put_with_text(KEY, 4, Some("late"))]),
         ChangeCheck::Fits
     );
-    let standpoint = taken_in(&mut map, vec![worded(KEY, 4, Some("other"))]);
-    assert!(
-        matches!(standpoint, ChangeCheck::VersionsTaken(_)),
-        "{standpoint:?}"
-    );
+    let check = check_and_apply(&mut map, vec![put_with_text(KEY, 4, Some("other"))]);
+    assert!(matches!(check, ChangeCheck::VersionsTaken(_)), "{check:?}");
 }
 
 #[test]
-fn given_more_versions_than_are_remembered_when_old_ones_come_then_they_are_neither_taken_nor_refused(
-) {
+fn forgotten_operator_versions_are_reported_as_forgotten() {
     let mut map = ReplicatedMap::empty();
-    let most = REMEMBERED_VERSIONS as u64;
-    for version in 1..=2 * most {
+    let limit = REMEMBERED_VERSIONS as u64;
+    for version in 1..=2 * limit {
         let text = format!("text {version}");
-        taken_in(&mut map, vec![worded(KEY, version, Some(&text))]);
+        check_and_apply(&mut map, vec![put_with_text(KEY, version, Some(&text))]);
     }
     let history = map.history(KEY);
     assert_eq!(
         (history.confirmed.len() as u64, history.forgotten),
-        (most, most)
+        (limit, limit)
     );
     let before = map.clone();
-    for version in 1..=most {
+    for version in 1..=limit {
         for text in [format!("text {version}"), "other".to_string()] {
-            let standpoint = taken_in(&mut map, vec![worded(KEY, version, Some(&text))]);
+            let check = check_and_apply(&mut map, vec![put_with_text(KEY, version, Some(&text))]);
             let forgotten = ChangeCheck::VersionsForgotten(vec![KEY.to_string()]);
-            assert_eq!(standpoint, forgotten, "{version}");
+            assert_eq!(check, forgotten, "{version}");
         }
     }
     assert_eq!(map, before);
-    for version in most + 1..=2 * most {
+    for version in limit + 1..=2 * limit {
         let text = format!("text {version}");
-        let again = vec![worded(KEY, version, Some(&text))];
-        assert_eq!(taken_in(&mut map, again), ChangeCheck::Fits, "{version}");
-        let other = taken_in(&mut map, vec![worded(KEY, version, Some("other"))]);
+        let again = vec![put_with_text(KEY, version, Some(&text))];
+        assert_eq!(
+            check_and_apply(&mut map, again),
+            ChangeCheck::Fits,
+            "{version}"
+        );
+        let other = check_and_apply(&mut map, vec![put_with_text(KEY, version, Some("other"))]);
         assert!(matches!(other, ChangeCheck::VersionsTaken(_)), "{other:?}");
     }
 }
 
 #[test]
-fn given_a_call_of_many_items_when_one_version_is_taken_then_nothing_of_it_is_applied() {
-    let mut map = worded_map(&[(5, Some("a"))]);
+fn call_with_one_taken_version_is_not_applied() {
+    let mut map = map_with_texts(&[(5, Some("a"))]);
     let before = map.clone();
     let mixed = vec![
-        worded("pool/new", 1, Some("n")),
-        worded(KEY, 5, Some("b")),
-        worded("pool/newer", 9, Some("m")),
+        put_with_text("pool/new", 1, Some("n")),
+        put_with_text(KEY, 5, Some("b")),
+        put_with_text("pool/newer", 9, Some("m")),
     ];
-    let standpoint = taken_in(&mut map, mixed);
-    let ChangeCheck::VersionsTaken(taken) = standpoint else {
-        panic!("{standpoint:?}");
+    let check = check_and_apply(&mut map, mixed);
+    let ChangeCheck::VersionsTaken(taken) = check else {
+        panic!("{check:?}");
     };
     assert_eq!((taken.len(), taken[0].key.as_str()), (1, KEY));
     assert_eq!(map, before);
-    let agreeing = vec![worded("pool/new", 1, Some("n")), worded(KEY, 5, Some("a"))];
-    assert_eq!(taken_in(&mut map, agreeing), ChangeCheck::Fits);
-    assert_eq!(standing(&map, "pool/new"), Some((1, Some("n".to_string()))));
+    let agreeing = vec![
+        put_with_text("pool/new", 1, Some("n")),
+        put_with_text(KEY, 5, Some("a")),
+    ];
+    assert_eq!(check_and_apply(&mut map, agreeing), ChangeCheck::Fits);
+    assert_eq!(
+        written_item(&map, "pool/new"),
+        Some((1, Some("n".to_string())))
+    );
 }
 
 #[test]
-fn given_one_call_with_two_contents_under_one_version_when_weighed_then_it_is_refused_whole() {
+fn call_with_two_contents_under_one_version_is_rejected() {
     let mut map = ReplicatedMap::empty();
-    let twice = vec![worded(KEY, 5, Some("a")), worded(KEY, 5, Some("b"))];
-    let standpoint = taken_in(&mut map, twice);
-    assert!(
-        matches!(standpoint, ChangeCheck::VersionsTaken(_)),
-        "{standpoint:?}"
-    );
-    let same = vec![worded(KEY, 5, Some("a")), worded(KEY, 5, Some("a"))];
-    assert_eq!(taken_in(&mut map, same), ChangeCheck::Fits);
+    let twice = vec![
+        put_with_text(KEY, 5, Some("a")),
+        put_with_text(KEY, 5, Some("b")),
+    ];
+    let check = check_and_apply(&mut map, twice);
+    assert!(matches!(check, ChangeCheck::VersionsTaken(_)), "{check:?}");
+    let same = vec![
+        put_with_text(KEY, 5, Some("a")),
+        put_with_text(KEY, 5, Some("a")),
+    ];
+    assert_eq!(check_and_apply(&mut map, same), ChangeCheck::Fits);
 }
 
-/// A map as it was stored before histories were kept.
+/// A map in the form stored before histories were introduced.
 #[derive(minicbor::Encode)]
 struct StoredBefore {
     #[n(0)]
@@ -549,10 +570,9 @@
 }
 
 #[test]
-fn given_a_map_stored_without_histories_when_read_then_what_stands_is_known_and_older_is_forgotten()
-{
+fn map_stored_without_histories_knows_only_current_versions() {
     for last in [Some("b"), None] {
-        let stored = worded_map(&[(3, Some("a")), (5, last)]);
+        let stored = map_with_texts(&[(3, Some("a")), (5, last)]);
         let bytes = minicbor::to_vec(StoredBefore {
             version: stored.version,
             items: stored.items.clone().into_iter().collect(),
@@ -561,33 +581,33 @@
         .expect("it encodes");
         let mut map: ReplicatedMap = minicbor::decode(&bytes).expect("it decodes");
         assert_eq!(map.items, stored.items);
-        let again = taken_in(&mut map, vec![worded(KEY, 5, last)]);
+        let again = check_and_apply(&mut map, vec![put_with_text(KEY, 5, last)]);
         assert_eq!(again, ChangeCheck::Fits);
-        let other = taken_in(&mut map, vec![worded(KEY, 5, Some("other"))]);
+        let other = check_and_apply(&mut map, vec![put_with_text(KEY, 5, Some("other"))]);
         assert!(matches!(other, ChangeCheck::VersionsTaken(_)), "{other:?}");
-        let older = taken_in(&mut map, vec![worded(KEY, 3, Some("a"))]);
+        let older = check_and_apply(&mut map, vec![put_with_text(KEY, 3, Some("a"))]);
         let forgotten = ChangeCheck::VersionsForgotten(vec![KEY.to_string()]);
         assert_eq!(older, forgotten);
-        let newer = taken_in(&mut map, vec![worded(KEY, 6, Some("c"))]);
+        let newer = check_and_apply(&mut map, vec![put_with_text(KEY, 6, Some("c"))]);
         assert_eq!(newer, ChangeCheck::Fits);
     }
 }
 
 #[test]
-fn given_histories_that_grow_when_a_configuration_is_checked_then_they_do_not_count_as_its_size() {
+fn version_histories_do_not_count_towards_the_configuration_size() {
     let mut map = ReplicatedMap::empty();
     let text = "x".repeat(MOST_BYTES - 2000);
     for version in 1..=2 * REMEMBERED_VERSIONS as u64 {
         let change = call(
             &format!("call-{version}"),
-            vec![worded(KEY, version, Some(&text))],
+            vec![put_with_text(KEY, version, Some(&text))],
         );
         assert_eq!(check_configuration(&map, &change), Vec::new(), "{version}");
         map.apply(&change);
     }
 }
 
-/// A change of the product's own interface: no version of an item is expected.
+/// Creates a change without expected item versions, as from the product's own interface.
 fn unconditional(id: &str, limit: u32, read: u64) -> Change {
     Change {
         id: ChangeId::new(id),
@@ -605,8 +625,7 @@
 }
 
 #[test]
-fn given_a_change_whose_id_was_forgotten_when_it_comes_again_then_it_is_not_applied_over_later_ones(
-) {
+fn change_with_a_forgotten_id_is_not_applied_again() {
     let mut map = ReplicatedMap::empty();
     let first = unconditional("first", 1, 0);
     map.apply(&first);
@@ -619,7 +638,7 @@
     assert_eq!(
         map.check_change(&first),
         ChangeCheck::IdForgotten(map.version),
-        "its id is forgotten, and it read the map before what is remembered"
+        "its id is forgotten, and it read a version before the oldest remembered change"
     );
     let new = unconditional("new", 1, map.version.0);
     assert_eq!(map.check_change(&new), ChangeCheck::Fits);
@@ -628,7 +647,7 @@
 }
 
 #[test]
-fn given_a_full_history_when_encoded_then_it_takes_a_few_hundred_bytes_and_a_new_one_few() {
+fn encoded_version_history_stays_small() {
     let size = |history: &VersionHistory| minicbor::to_vec(history).expect("it encodes").len();
     let mut history = VersionHistory::default();
     let confirmed = |version: u64| ConfirmedVersion {
--- a/crates/caperworks/tests/core_stories.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -1,4 +1,4 @@
-//! Stories of agreement, disk, feed, leases, facts and leadership roles.
+//! Tests of the state machines for consensus, disk slots, feed, leases, heartbeats and leadership.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
     )
 }
 
-/// A council in memory: voters by number, one proposer each, and messages carried by hand.
+/// In-memory voters, each with a proposer; the test delivers the messages between them.
 struct Consensus {
     voters: BTreeMap<u64, Voter>,
     proposers: BTreeMap<u64, Proposer>,
@@ -113,21 +113,22 @@
         }
     }
 
-    /// Carries votes from one proposer to all living voters and their replies back, to the end.
-    fn carry(&mut self, from: u64, outcome: ProposerOutcome) {
+    /// Delivers the requests of one proposer to all running voters, and their replies to the proposer,
+    /// until no messages are left.
+    fn deliver(&mut self, from: u64, outcome: ProposerOutcome) {
         self.proposal_outcomes.extend(outcome.proposal_outcomes);
         let mut to_voters: VecDeque<(Option<u64>, ConsensusMessage)> = outcome
             .to_voters
             .into_iter()
-            .map(|vote| (None, vote))
+            .map(|message| (None, message))
             .collect();
         to_voters.extend(
             outcome
                 .to_one
                 .into_iter()
-                .map(|(node, vote)| (Some(node.0), vote)),
+                .map(|(node, message)| (Some(node.0), message)),
         );
-        while let Some((only, vote)) = to_voters.pop_front() {
+        while let Some((only, message)) = to_voters.pop_front() {
             let numbers: Vec<u64> = self.voters.keys().copied().collect();
             for number in numbers {
                 if self.down.contains(&number) || only.is_some_and(|only| only != number) {
@@ -137,7 +138,7 @@
                     .voters
                     .get_mut(&number)
                     .expect("seat")
-                    .handle(vote.clone())
+                    .handle(message.clone())
                     .replies;
                 for reply in replies {
                     if let ConsensusMessage::CatchUp { .. }
@@ -150,8 +151,8 @@
                             .expect("seat")
                             .handle(reply)
                             .replies;
-                        for vote in back {
-                            self.voters.get_mut(&number).expect("seat").handle(vote);
+                        for message in back {
+                            self.voters.get_mut(&number).expect("seat").handle(message);
                         }
                         continue;
                     }
@@ -159,23 +160,23 @@
                     let more =
                         proposer.handle(self.now, NodeId(number), &reply, &self.voters[&from]);
                     self.proposal_outcomes.extend(more.proposal_outcomes);
-                    to_voters.extend(more.to_voters.into_iter().map(|vote| (None, vote)));
+                    to_voters.extend(more.to_voters.into_iter().map(|message| (None, message)));
                     to_voters.extend(
                         more.to_one
                             .into_iter()
-                            .map(|(node, vote)| (Some(node.0), vote)),
+                            .map(|(node, message)| (Some(node.0), message)),
                     );
                 }
             }
         }
     }
 
-    fn tick(&mut self, number: u64, later: u64) {
-        self.now += millis(later);
+    fn tick(&mut self, number: u64, elapsed_ms: u64) {
+        self.now += millis(elapsed_ms);
         let voter = &self.voters[&number];
         let proposer = self.proposers.get_mut(&number).expect("proposer");
         let outcome = proposer.tick(self.now, voter, &mut self.chance);
-        self.carry(number, outcome);
+        self.deliver(number, outcome);
     }
 
     fn propose(&mut self, number: u64, ticket: u64, change: Change) {
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn given_two_racing_changes_to_one_item_when_both_are_proposed_then_one_wins_and_one_learns_why() {
+fn concurrent_changes_to_one_item_commit_one_and_report_a_conflict_for_the_other() {
     let mut consensus = Consensus::new(3, 0);
     consensus.propose(1, 10, change("left", vec![zone_put("e1", Some(0))]));
     consensus.propose(2, 20, change("right", vec![zone_put("e1", Some(0))]));
@@ -212,12 +213,12 @@
             assert_eq!(conflicts[0].present, Version(1));
             assert_eq!(conflicts[0].key, "area/e1");
         }
-        other => panic!("the loser was told {other:?}"),
+        other => panic!("expected a conflict, got {other:?}"),
     }
 }
 
 #[test]
-fn given_racing_changes_to_different_items_when_proposed_then_both_are_accepted() {
+fn concurrent_changes_to_different_items_are_both_accepted() {
     let mut consensus = Consensus::new(3, 2);
     consensus.propose(1, 10, change("left", vec![zone_put("e1", Some(0))]));
     consensus.propose(2, 20, change("right", vec![zone_put("e2", Some(0))]));
@@ -242,26 +243,26 @@
 }
 
 #[test]
-fn given_a_change_taken_by_a_majority_when_its_proposer_dies_then_the_next_finishes_it_first() {
+fn change_accepted_by_a_majority_is_committed_first_by_the_next_proposer() {
     let mut consensus = Consensus::new(3, 0);
-    let orphan = change("orphan", vec![zone_put("e1", Some(0))]);
+    let orphaned_change = change("orphan", vec![zone_put("e1", Some(0))]);
     let proposal_number = ProposalNumber {
         round: 5,
         node: NodeId(1),
     };
     for number in [1, 3] {
-        let offer = ConsensusMessage::Accept {
+        let request = ConsensusMessage::Accept {
             map: MapName::Configuration,
             membership: Version(1),
             version: Version(1),
             proposal_number,
-            change: orphan.clone(),
+            change: orphaned_change.clone(),
         };
         consensus
             .voters
             .get_mut(&number)
             .expect("seat")
-            .handle(offer);
+            .handle(request);
     }
     consensus.down.insert(1);
     consensus.propose(2, 20, change("next", vec![zone_put("e2", Some(0))]));
@@ -269,7 +270,10 @@
         consensus.tick(2, 50);
     }
     let map = consensus.voters[&2].map(MapName::Configuration);
-    assert_eq!(map.answered[0].id, orphan.id, "the orphan is version 1");
+    assert_eq!(
+        map.answered[0].id, orphaned_change.id,
+        "the orphaned change is version 1"
+    );
     assert_eq!(
         consensus.proposal_outcome(20),
         Some(&ProposalOutcome::Accepted(Version(2)))
@@ -277,7 +281,7 @@
 }
 
 #[test]
-fn given_no_majority_when_time_runs_out_then_not_offered_is_refused_and_offered_is_unknown() {
+fn timed_out_change_is_rejected_if_never_proposed_and_unknown_if_proposed() {
     let mut consensus = Consensus::new(3, 0);
     consensus.down.extend([2, 3]);
     consensus.propose(1, 10, change("alone", vec![zone_put("e1", None)]));
@@ -288,30 +292,30 @@
         consensus.proposal_outcome(10),
         Some(&ProposalOutcome::NoMajority)
     );
-    // A majority promises, then falls silent before it can take the offer.
+    // A majority promises, and then becomes unreachable before it can accept the change.
     let mut consensus = Consensus::new(3, 0);
     consensus.propose(1, 11, change("cut-short", vec![zone_put("e2", None)]));
     let proposer = consensus.proposers.get_mut(&1).expect("proposer");
-    let asked = proposer.tick(millis(10), &consensus.voters[&1], &mut consensus.chance);
-    let mut offered = false;
+    let prepared = proposer.tick(millis(10), &consensus.voters[&1], &mut consensus.chance);
+    let mut is_proposed = false;
     for number in [2, 3] {
         let replies = consensus
             .voters
             .get_mut(&number)
             .expect("seat")
-            .handle(asked.to_voters[0].clone());
+            .handle(prepared.to_voters[0].clone());
         let outcome = proposer.handle(
             millis(20),
             NodeId(number),
             &replies.replies[0],
             &consensus.voters[&1],
         );
-        offered |= outcome
+        is_proposed |= outcome
             .to_voters
             .iter()
-            .any(|vote| matches!(vote, ConsensusMessage::Accept { .. }));
+            .any(|message| matches!(message, ConsensusMessage::Accept { .. }));
     }
-    assert!(offered, "two promises are a majority");
+    assert!(is_proposed, "two promises are a majority");
     consensus.down.extend([1, 2, 3]);
     for _ in 0..60 {
         consensus.tick(1, 50);
@@ -323,18 +327,22 @@
 }
 
 #[test]
-fn given_a_controller_whose_maps_are_behind_when_a_change_comes_then_it_is_not_called_faulty() {
+fn controller_with_stale_maps_does_not_reject_a_change_as_invalid() {
     let mut consensus = Consensus::new(3, 0);
     consensus.down.extend([2, 3]);
-    let needs_what_is_not_here = Put {
+    let drops_missing_service = Put {
         key: "pool/that-others-have".to_string(),
         expected: None,
         value: None,
         written: None,
     };
-    consensus.propose(1, 10, change("drop", vec![needs_what_is_not_here]));
+    consensus.propose(1, 10, change("drop", vec![drops_missing_service]));
     consensus.tick(1, 50);
-    assert_eq!(consensus.proposal_outcome(10), None, "alone it cannot know");
+    assert_eq!(
+        consensus.proposal_outcome(10),
+        None,
+        "a stale replica cannot reject it"
+    );
     for _ in 0..60 {
         consensus.tick(1, 50);
     }
@@ -345,7 +353,7 @@
 }
 
 #[test]
-fn given_an_accepted_change_when_it_is_sent_again_then_it_gets_the_first_answer() {
+fn repeated_change_gets_the_result_of_the_first_attempt() {
     let mut consensus = Consensus::new(3, 0);
     let first = change("same", vec![zone_put("e1", Some(0))]);
     consensus.propose(1, 1, first.clone());
@@ -371,8 +379,7 @@
 }
 
 #[test]
-fn given_a_voter_of_another_membership_when_asked_then_it_gives_no_vote_and_the_lagging_side_learns(
-) {
+fn voter_with_another_membership_rejects_and_the_side_behind_is_updated() {
     let mut voter = Voter::default();
     voter.handle(ConsensusMessage::Commit {
         map: MapName::Membership,
@@ -391,7 +398,7 @@
         });
         assert!(
             outcome.records.is_empty(),
-            "no vote under membership {membership}"
+            "voted under membership {membership}"
         );
         let learns = outcome.replies.iter().any(|reply| {
             matches!(
@@ -406,7 +413,7 @@
 }
 
 #[test]
-fn given_a_full_disk_day_when_every_byte_of_a_slot_may_rot_then_no_state_is_ever_guessed() {
+fn corrupted_byte_of_a_slot_or_log_never_recovers_a_wrong_state() {
     let mut disk = SlotDisk::new(4096, 4096);
     let mut image = DiskImage::default();
     let apply = |image: &mut DiskImage, write: &DiskWrite| match write {
@@ -424,9 +431,10 @@
     }
     disk.wrote(1);
     disk.synced(1);
-    // Each line is synced before the next is written: lines of one write may be torn in any order.
+    // Each line is synced before the next is written, because lines of one write may be torn in any
+    // order.
     for (ticket, line) in [(2, b"line one"), (3, b"line two")] {
-        let write = disk.append(&[line.to_vec()]).expect("room");
+        let write = disk.append(&[line.to_vec()]).expect("the line fits");
         apply(&mut image, &write);
         disk.wrote(ticket);
         disk.synced(ticket);
@@ -443,37 +451,37 @@
         (2, image.log.len()),
     ] {
         for index in 0..length {
-            let mut rotten = image.clone();
+            let mut corrupted = image.clone();
             match part {
-                2 => rotten.log[index] ^= 0x40,
-                _ => rotten.slots[part][index] ^= 0x40,
+                2 => corrupted.log[index] ^= 0x40,
+                _ => corrupted.slots[part][index] ^= 0x40,
             }
-            match SlotDisk::new(4096, 4096).recover(&rotten) {
+            match SlotDisk::new(4096, 4096).recover(&corrupted) {
                 Recovery::Damaged(_) => damaged += 1,
                 Recovery::Found { state, lines } => {
                     assert_eq!(state, b"second state", "part {part} byte {index}");
-                    // Only the very last line may pass for a torn tail.
+                    // Only damage to the last line may be taken for a torn tail.
                     assert!(
                         lines.len() >= usize::from(part == 2),
                         "part {part} byte {index}"
                     );
                     assert!(part != 2 || lines[0] == b"line one");
                 }
-                Recovery::Empty => panic!("part {part} byte {index} reads as new"),
+                Recovery::Empty => panic!("part {part} byte {index}: recovered as empty"),
             }
         }
     }
-    assert!(damaged > 0, "rot in the newest slot must be noticed");
+    assert!(damaged > 0, "corruption of the newest slot is detected");
 }
 
 #[test]
-fn given_power_lost_at_any_byte_of_a_rewrite_when_recovered_then_synced_lines_are_there() {
+fn power_loss_at_any_byte_of_a_rewrite_keeps_synced_lines() {
     let mut disk = SlotDisk::new(4096, 4096);
     let mut image = DiskImage {
         slots: [vec![0; 4096], vec![0; 4096]],
         log: vec![0; 4096],
     };
-    let lay = |image: &mut DiskImage, write: &DiskWrite, length: usize| match write {
+    let write_prefix = |image: &mut DiskImage, write: &DiskWrite, length: usize| match write {
         DiskWrite::Slot { second, bytes } => {
             image.slots[usize::from(*second)][..length].copy_from_slice(&bytes[..length]);
         }
@@ -483,18 +491,18 @@
         }
     };
     for write in disk.rewrite(b"base") {
-        lay(&mut image, &write, write_length(&write));
+        write_prefix(&mut image, &write, write_length(&write));
     }
-    let write = disk.append(&[b"synced".to_vec()]).expect("room");
-    lay(&mut image, &write, write_length(&write));
+    let write = disk.append(&[b"synced".to_vec()]).expect("the line fits");
+    write_prefix(&mut image, &write, write_length(&write));
     let writes = disk.rewrite(b"base and synced");
     for (index, torn) in writes.iter().enumerate() {
         for cut in 0..write_length(torn) {
             let mut found = image.clone();
-            for full_map in &writes[..index] {
-                lay(&mut found, full_map, write_length(full_map));
+            for complete in &writes[..index] {
+                write_prefix(&mut found, complete, write_length(complete));
             }
-            lay(&mut found, torn, cut);
+            write_prefix(&mut found, torn, cut);
             match SlotDisk::new(4096, 4096).recover(&found) {
                 Recovery::Found { state, lines } if state == b"base" => {
                     assert_eq!(
@@ -504,7 +512,7 @@
                     );
                 }
                 Recovery::Found { state, .. } => assert_eq!(state, b"base and synced"),
-                // The log's head is written over while the other slot is whole: nothing is lost.
+                // The log header is overwritten only while the other slot is intact, so nothing is lost.
                 other => panic!("write {index} cut at {cut}: {other:?}"),
             }
         }
@@ -518,7 +526,7 @@
 }
 
 #[test]
-fn given_a_follower_when_news_has_gaps_or_is_old_then_it_never_skips_and_never_goes_back() {
+fn follower_ignores_updates_after_a_gap_and_older_snapshots() {
     let mut feed_cache = FeedCache::default();
     let numbered = |version: u64| NumberedChange {
         version: Version(version),
@@ -532,7 +540,11 @@
         feed_cache.take(&updates(1, 3)),
         Some(MapName::Configuration)
     );
-    assert_eq!(feed_cache.take(&updates(5, 6)), None, "a gap is not jumped");
+    assert_eq!(
+        feed_cache.take(&updates(5, 6)),
+        None,
+        "changes after a gap are ignored"
+    );
     assert_eq!(
         feed_cache.take(&updates(2, 4)),
         Some(MapName::Configuration)
@@ -541,16 +553,12 @@
         map: MapName::Configuration,
         full_map: ReplicatedMap::empty(),
     };
-    assert_eq!(
-        feed_cache.take(&old),
-        None,
-        "a lower version is not taken over"
-    );
+    assert_eq!(feed_cache.take(&old), None, "a lower version is ignored");
     assert_eq!(
         feed_cache.follower().map(MapName::Configuration).version,
         Version(4)
     );
-    // A follower of this follower that is a little behind gets changes, a far one the whole map.
+    // A downstream follower that is slightly behind gets changes, one far behind a full snapshot.
     assert!(matches!(
         feed_cache.updates_after(MapName::Configuration, Version(3)),
         Some(ConsensusMessage::Updates { changes, .. }) if changes.len() == 1
@@ -565,7 +573,7 @@
 }
 
 #[test]
-fn given_a_controller_without_a_majority_when_it_asks_round_after_round_then_it_grants_nothing() {
+fn quorum_read_needs_distinct_voters_and_expires() {
     let mut quorum_reads = QuorumReads::default();
     let versions = vec![Version(1); 4];
     for step in 0..20 {
@@ -576,33 +584,33 @@
     assert_eq!(
         quorum_reads.latest(millis(4000)),
         None,
-        "one voter heard twice is not two voters"
+        "two responses from one voter are not a majority"
     );
     let number = quorum_reads.begin(millis(5000));
     quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
     quorum_reads.respond(NodeId(2), number, vec![Version(7); 4], 2);
-    let round = quorum_reads
+    let quorum_read = quorum_reads
         .latest(millis(5100))
-        .expect("a majority answered");
+        .expect("a majority responded");
     assert_eq!(
-        round.started,
+        quorum_read.started,
         millis(5000),
-        "the span counts from the start of the round"
+        "the lifetime counts from the start of the quorum read"
     );
     assert_eq!(
-        round.versions,
+        quorum_read.versions,
         vec![Version(7); 4],
-        "the highest version heard counts"
+        "the highest reported version counts"
     );
     assert_eq!(
         quorum_reads.latest(millis(6600)),
         None,
-        "an old round is no ground for a grant"
+        "an expired quorum read does not permit a grant"
     );
 }
 
 #[test]
-fn given_a_grant_when_its_versions_are_not_held_then_it_makes_nobody_fresh() {
+fn grant_is_valid_only_once_its_versions_are_present() {
     let mut lease = LeaseHolder::default();
     let mut follower = Follower::default();
     let number = lease.renew(millis(1000));
@@ -628,7 +636,7 @@
     assert_eq!(
         lease.fresh_until(&follower, &ALL_MAPS),
         until,
-        "an answer to no question counts for nothing"
+        "a response without a request is ignored"
     );
 }
 
@@ -654,24 +662,23 @@
 }
 
 #[test]
-fn given_heartbeats_in_any_request_when_heard_then_the_newest_life_wins_and_an_address_has_one_instance(
-) {
+fn latest_incarnation_wins_and_an_address_has_only_one_instance() {
     let mut instances = Instances::default();
     assert!(instances.handle(millis(100), &heartbeat("one", 2, 5, 7001)));
     assert!(
         !instances.handle(millis(200), &heartbeat("one", 1, 99, 7001)),
-        "an older life is no news"
+        "a heartbeat of an earlier incarnation is ignored"
     );
     assert!(
         !instances.handle(millis(200), &heartbeat("one", 2, 4, 7001)),
-        "an older heartbeat is no news"
+        "an older heartbeat is ignored"
     );
     assert!(
         instances.handle(millis(300), &heartbeat("two", 1, 1, 7001)),
-        "another took the address"
+        "another instance now has the address"
     );
     assert!(instances.get(&InstanceId::new("one")).is_none());
-    // A heartbeat of the one before comes late, passed on by a third: it must not push out the newcomer.
+    // A late, forwarded heartbeat of the previous instance must not evict the new one.
     let mut stale = heartbeat("one", 2, 6, 7001);
     stale.age = millis(500);
     assert!(!instances.handle(millis(400), &stale));
@@ -682,19 +689,18 @@
     instances.expire(millis(3150));
     assert!(
         instances.get(&InstanceId::new("one")).is_none(),
-        "the age it came with counts"
+        "the age of a forwarded heartbeat counts"
     );
     assert!(instances.get(&InstanceId::new("two")).is_some());
     instances.expire(millis(3301));
     assert!(
         instances.get(&InstanceId::new("two")).is_none(),
-        "three seconds of silence are gone"
+        "an instance expires after three seconds without a heartbeat"
     );
 }
 
 #[test]
-fn given_a_leadership_when_its_holder_falls_silent_then_the_next_takes_it_and_a_flapping_one_does_not(
-) {
+fn leadership_skips_a_failed_node_until_it_is_stable_again() {
     let holders = (1..=3).map(|number| holder(number, true)).collect();
     let voters = VoterSet { holders };
     let mut liveness = Liveness::default();
@@ -714,30 +720,34 @@
         }
     }
     let now = millis(44 * 200);
-    let taker = first_in_order(now, &voters, &liveness, Some(NodeId(1)));
-    assert_eq!(taker, Some(NodeId(2)), "the silent holder is passed over");
+    let leader = first_in_order(now, &voters, &liveness, Some(NodeId(1)));
+    assert_eq!(
+        leader,
+        Some(NodeId(2)),
+        "the leader that missed its heartbeats is skipped"
+    );
     liveness.handle(now, NodeId(1));
-    let taker = first_in_order(now, &voters, &liveness, Some(NodeId(2)));
+    let leader = first_in_order(now, &voters, &liveness, Some(NodeId(2)));
     assert_eq!(
-        taker,
+        leader,
         Some(NodeId(2)),
-        "one that was just heard again waits"
+        "a node that has just come back has to wait"
     );
     for step in 45..70 {
         for node in 1..=3 {
             liveness.handle(millis(step * 200), NodeId(node));
         }
     }
-    let taker = first_in_order(millis(69 * 200), &voters, &liveness, Some(NodeId(2)));
+    let leader = first_in_order(millis(69 * 200), &voters, &liveness, Some(NodeId(2)));
     assert_eq!(
-        taker,
+        leader,
         Some(NodeId(1)),
-        "once it is steady it is first in order again"
+        "once it is stable it is first in order again"
     );
 }
 
 #[test]
-fn given_messages_of_every_kind_when_encoded_and_decoded_then_nothing_changes() {
+fn envelope_survives_a_round_trip_and_corrupted_bytes_never_panic() {
     let stamp = Stamp {
         incarnation: NodeId(3),
         at: millis(1500),
@@ -767,7 +777,7 @@
         minicbor::decode::<Envelope>(&bytes).expect("decodes"),
         envelope
     );
-    // Garbage of any kind is an error and never a panic.
+    // Corrupted bytes may give a decoding error but never a panic.
     let mut chance = Chance::seeded(3);
     for _ in 0..20_000 {
         let mut garbled = bytes.clone();
@@ -779,8 +789,8 @@
     }
 }
 
-/// A put under a version of the operators' own; nothing drops the item.
-fn versioned(name: &str, version: u64, cap: Option<u32>) -> Put {
+/// Creates a put of a service under an operator version; without a `cap` it drops the item.
+fn put_under_version(name: &str, version: u64, cap: Option<u32>) -> Put {
     let service = |instance_cap| Service {
         instance_cap,
         key_cap: 1,
@@ -798,9 +808,9 @@
     }
 }
 
-/// A put under a version of the operators' own, in one operator's words.
-fn worded(name: &str, version: u64, text: &str) -> Put {
-    let mut put = versioned(name, version, Some(1));
+/// Creates a put of a service under an operator version, with the operator's text.
+fn put_with_text(name: &str, version: u64, text: &str) -> Put {
+    let mut put = put_under_version(name, version, Some(1));
     put.written = Some(Written {
         version,
         text: text.to_string(),
@@ -809,18 +819,18 @@
 }
 
 #[test]
-fn given_racing_calls_of_two_operators_when_both_are_accepted_then_each_item_is_at_its_highest() {
+fn concurrent_calls_of_two_operators_leave_each_item_at_its_highest_version() {
     for swapped in [false, true] {
         let mut consensus = Consensus::new(3, 0);
         let left = vec![
-            versioned("a", 5, Some(5)),
-            versioned("b", 1, Some(1)),
-            versioned("c", 2, None),
+            put_under_version("a", 5, Some(5)),
+            put_under_version("b", 1, Some(1)),
+            put_under_version("c", 2, None),
         ];
         let right = vec![
-            versioned("a", 4, Some(4)),
-            versioned("b", 3, Some(3)),
-            versioned("c", 1, Some(1)),
+            put_under_version("a", 4, Some(4)),
+            put_under_version("b", 3, Some(3)),
+            put_under_version("c", 1, Some(1)),
         ];
         let (first, second) = if swapped { (2, 1) } else { (1, 2) };
         consensus.propose(first, 10, change("left", left));
@@ -852,12 +862,16 @@
 }
 
 #[test]
-fn given_a_call_under_versions_when_it_is_sent_again_anywhere_then_it_is_answered_as_accepted() {
+fn versioned_call_repeated_at_any_node_is_reported_as_accepted() {
     let mut consensus = Consensus::new(3, 0);
-    let first = change("call-1", vec![versioned("a", 5, Some(5))]);
+    let first = change("call-1", vec![put_under_version("a", 5, Some(5))]);
     consensus.propose(1, 1, first.clone());
     consensus.tick(1, 50);
-    consensus.propose(1, 2, change("call-2", vec![versioned("a", 6, None)]));
+    consensus.propose(
+        1,
+        2,
+        change("call-2", vec![put_under_version("a", 6, None)]),
+    );
     consensus.tick(1, 50);
     consensus.propose(2, 3, first.clone());
     for _ in 0..10 {
@@ -885,7 +899,7 @@
 }
 
 #[test]
-fn given_a_call_with_two_faults_when_it_is_proposed_then_both_are_told_and_nothing_is_in_force() {
+fn call_with_two_faults_reports_both_and_applies_nothing() {
     let mut consensus = Consensus::new(3, 0);
     let dangling = |name: &str, path: &str| Put {
         key: format!("rule/{name}"),
@@ -899,10 +913,10 @@
                 ..Route::default()
             },
         }),
-        ..versioned("", 1, None)
+        ..put_under_version("", 1, None)
     };
     let puts = vec![
-        versioned("good", 1, Some(1)),
+        put_under_version("good", 1, Some(1)),
         dangling("one", "/one"),
         dangling("two", "two"),
     ];
@@ -911,7 +925,7 @@
         consensus.tick(1, 50);
     }
     let Some(ProposalOutcome::Faulty(faults)) = consensus.proposal_outcome(1) else {
-        panic!("it was told {:?}", consensus.proposal_outcome(1));
+        panic!("expected faults, got {:?}", consensus.proposal_outcome(1));
     };
     let named: BTreeSet<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
     let expected = ["rule/one.pool", "rule/two.path", "rule/two.pool"];
@@ -922,8 +936,8 @@
     }
 }
 
-/// A council of three controllers and two witnesses that asks for so many synced disks.
-fn consensus_of_disks(synced_controllers: Option<usize>) -> Consensus {
+/// Three controllers and two witnesses whose proposers require this many synced controllers.
+fn consensus_with_synced_controllers(synced_controllers: Option<usize>) -> Consensus {
     let mut consensus = Consensus::new(3, 2);
     for (number, proposer) in &mut consensus.proposers {
         let options = ProposerOptions {
@@ -936,11 +950,15 @@
 }
 
 #[test]
-fn given_one_synced_controller_when_two_are_asked_for_then_no_wait_makes_it_a_yes() {
+fn change_synced_by_one_controller_is_never_accepted_when_two_are_required() {
     let ticks = 200;
-    let mut consensus = consensus_of_disks(Some(2));
+    let mut consensus = consensus_with_synced_controllers(Some(2));
     consensus.down.extend([2, 3]);
-    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    consensus.propose(
+        1,
+        10,
+        change("one", vec![put_under_version("a", 1, Some(1))]),
+    );
     for _ in 0..ticks {
         consensus.tick(1, 50);
     }
@@ -951,10 +969,14 @@
     for voter in consensus.voters.values() {
         assert_eq!(voter.map(MapName::Configuration).version, Version(0));
     }
-    // Where one will do in the end, the same majority of voters is a yes.
-    let mut consensus = consensus_of_disks(None);
+    // Without a required number of synced controllers, the same majority commits the change.
+    let mut consensus = consensus_with_synced_controllers(None);
     consensus.down.extend([2, 3]);
-    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    consensus.propose(
+        1,
+        10,
+        change("one", vec![put_under_version("a", 1, Some(1))]),
+    );
     for _ in 0..ticks {
         consensus.tick(1, 50);
     }
@@ -965,14 +987,18 @@
 }
 
 #[test]
-fn given_a_change_that_waits_for_a_second_disk_when_it_comes_back_then_the_change_is_accepted() {
-    let mut consensus = consensus_of_disks(Some(2));
+fn change_waiting_for_a_second_controller_is_accepted_when_it_comes_back() {
+    let mut consensus = consensus_with_synced_controllers(Some(2));
     consensus.down.extend([2, 3]);
-    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    consensus.propose(
+        1,
+        10,
+        change("one", vec![put_under_version("a", 1, Some(1))]),
+    );
     for _ in 0..20 {
         consensus.tick(1, 50);
     }
-    assert_eq!(consensus.proposal_outcome(10), None, "it waits");
+    assert_eq!(consensus.proposal_outcome(10), None, "it is still pending");
     consensus.down.remove(&3);
     for _ in 0..20 {
         consensus.tick(1, 50);
@@ -981,19 +1007,23 @@
         consensus.proposal_outcome(10),
         Some(&ProposalOutcome::Accepted(Version(1)))
     );
-    let holds = |number: u64| {
+    let version_of = |number: u64| {
         consensus.voters[&number]
             .map(MapName::Configuration)
             .version
     };
-    assert_eq!((holds(1), holds(3)), (Version(1), Version(1)));
+    assert_eq!((version_of(1), version_of(3)), (Version(1), Version(1)));
 }
 
 #[test]
-fn given_all_disks_are_asked_for_when_one_is_missing_then_two_are_no_yes() {
-    let mut consensus = consensus_of_disks(Some(3));
+fn change_synced_by_two_controllers_is_not_accepted_when_three_are_required() {
+    let mut consensus = consensus_with_synced_controllers(Some(3));
     consensus.down.insert(3);
-    consensus.propose(1, 10, change("one", vec![versioned("a", 1, Some(1))]));
+    consensus.propose(
+        1,
+        10,
+        change("one", vec![put_under_version("a", 1, Some(1))]),
+    );
     for _ in 0..200 {
         consensus.tick(1, 50);
     }
@@ -1004,12 +1034,12 @@
 }
 
 #[test]
-fn given_two_operators_with_one_number_when_they_race_then_the_ballot_confirms_exactly_one() {
+fn concurrent_calls_with_the_same_operator_version_confirm_exactly_one() {
     for first in [1, 2] {
         let mut consensus = Consensus::new(3, 0);
         let second = 3 - first;
-        consensus.propose(1, 10, change("left", vec![worded("a", 5, "left")]));
-        consensus.propose(2, 20, change("right", vec![worded("a", 5, "right")]));
+        consensus.propose(1, 10, change("left", vec![put_with_text("a", 5, "left")]));
+        consensus.propose(2, 20, change("right", vec![put_with_text("a", 5, "right")]));
         for _ in 0..40 {
             consensus.tick(first, 50);
             consensus.tick(second, 50);
@@ -1028,10 +1058,10 @@
 }
 
 #[test]
-fn given_a_call_left_unknown_when_another_finished_its_ballot_then_sent_again_it_is_confirmed() {
-    let mut consensus = consensus_of_disks(Some(2));
+fn repeated_call_with_unknown_outcome_is_confirmed_after_another_proposer_committed_it() {
+    let mut consensus = consensus_with_synced_controllers(Some(2));
     consensus.down.extend([2, 3]);
-    let left = change("left", vec![worded("a", 5, "left")]);
+    let left = change("left", vec![put_with_text("a", 5, "left")]);
     consensus.propose(1, 10, left.clone());
     for _ in 0..200 {
         consensus.tick(1, 50);
@@ -1041,14 +1071,14 @@
         Some(&ProposalOutcome::Unknown)
     );
     consensus.down = BTreeSet::from([1]);
-    consensus.propose(2, 20, change("right", vec![worded("a", 5, "right")]));
+    consensus.propose(2, 20, change("right", vec![put_with_text("a", 5, "right")]));
     for _ in 0..40 {
         consensus.tick(2, 50);
     }
     let outcome = consensus.proposal_outcome(20);
     assert!(
         matches!(outcome, Some(ProposalOutcome::VersionsTaken(_))),
-        "it finds the first decided: {outcome:?}"
+        "the first change is already decided: {outcome:?}"
     );
     consensus.propose(3, 30, left.clone());
     let forgotten_id = Change {
@@ -1071,13 +1101,12 @@
 }
 
 #[test]
-fn given_a_controller_that_is_behind_when_it_has_no_majority_then_it_confirms_and_refuses_nothing()
-{
+fn controller_that_is_behind_and_has_no_majority_neither_confirms_nor_rejects() {
     let mut consensus = Consensus::new(3, 0);
-    consensus.propose(1, 10, change("left", vec![worded("a", 5, "left")]));
+    consensus.propose(1, 10, change("left", vec![put_with_text("a", 5, "left")]));
     consensus.tick(1, 50);
     consensus.down.extend([1, 2]);
-    consensus.propose(3, 30, change("right", vec![worded("a", 5, "right")]));
+    consensus.propose(3, 30, change("right", vec![put_with_text("a", 5, "right")]));
     for _ in 0..60 {
         consensus.tick(3, 50);
     }
@@ -1088,12 +1117,12 @@
 }
 
 #[test]
-fn given_a_holder_with_a_shorter_span_when_granted_then_its_lease_ends_sooner_and_never_later() {
+fn lease_with_a_shorter_span_ends_sooner_and_a_longer_span_has_no_effect() {
     let wants = [MapName::Configuration];
-    for (span, lives) in [
+    for (span, lifetime) in [
         (Duration::from_millis(2250), Duration::from_millis(2150)),
         (LEASE_SPAN, LEASE_SPAN - DRIFT_MARGIN),
-        // A span that is too long would outlive what owner managers wait for.
+        // A longer span would outlive the period for which owner managers wait.
         (LEASE_SPAN * 2, LEASE_SPAN - DRIFT_MARGIN),
     ] {
         let mut holder = LeaseHolder::default();
@@ -1101,6 +1130,6 @@
         let number = holder.renew(millis(1000));
         holder.granted(number, millis(50), vec![Version(0); 4]);
         let until = holder.fresh_until(&Follower::default(), &wants);
-        assert_eq!(until, millis(1000) + lives - millis(50), "{span:?}");
+        assert_eq!(until, millis(1000) + lifetime - millis(50), "{span:?}");
     }
 }
--- a/crates/caperworks/tests/stored_bytes.rs
+++ b/crates/caperworks/tests/stored_bytes.rs
@@ -1,4 +1,5 @@
-//! The bytes of stored state, written by the commit before the types were renamed and split.
+//! The encoding of stored maps must stay compatible with earlier releases. The bytes were written by
+//! the commit before the types were renamed and split.
 
 use caperworks::identifiers::{ChangeId, Region};
 use caperworks::map_items::{Value, ZoneSettings};
@@ -34,7 +35,7 @@
     map
 }
 
-/// A map's bytes, and the map that they must decode to.
+/// Returns stored bytes, each with the map that they must decode to.
 fn samples() -> Vec<(&'static str, ReplicatedMap)> {
     vec![
         ("8501a16b617265612f656173742d318301820281826465617374f48207627b7d8183656669727374011b6c0ab699f0a925b5a16b617265612f656173742d31828182071b37ef2ddb6c950ef300f4", sample_map()),
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -1,6 +1,6 @@
-//! Bytes on the wire and on disk, as earlier builds wrote them: they must decode to the same values,
-//! and the same values must encode to the same bytes. The fixtures are never written anew; a member
-//! that is added to a message gets a fixture of its own beside the old one.
+//! Compatibility of the wire and disk formats: bytes written by earlier builds must decode to the same
+//! values, and these values must encode to the same bytes. Fixtures are never regenerated; a field that
+//! is added to a message gets a new fixture in addition to the old one.
 
 use caperworks::catch_up::SnapshotChunk;
 use caperworks::catch_up::TransferPosition;
@@ -86,15 +86,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// As builds wrote them whose connections carried messages one way.
+/// Messages of builds whose connections carried messages in one direction only.
 const ONE_WAY_MESSAGES: &str = include_str!("fixtures/messages.hex");
-/// With the members that came with connections that carry answers.
+/// Messages with the fields that were added together with bidirectional connections.
 const MESSAGES: &str = include_str!("fixtures/messages-2.hex");
 const CONSENSUS_MESSAGES: &str = include_str!("fixtures/consensus_messages.hex");
 const LOG_RECORDS: &str = include_str!("fixtures/log_records.hex");
 const FRAMES: &str = include_str!("fixtures/frames.hex");
 
-/// The fixtures of one file: on each line a name and the bytes in hexadecimal digits.
+/// Parses a fixture file: each line is a name and the bytes in hexadecimal digits.
 fn fixtures(file: &str) -> BTreeMap<&str, Vec<u8>> {
     file.lines()
         .map(|line| line.split_once(' ').expect("a name and its bytes"))
@@ -110,7 +110,8 @@
         .collect()
 }
 
-/// Each fixture of an earlier build decodes to the value of its name, whose later members are as if absent.
+/// Checks that each fixture of an earlier build decodes to the value of its name, in which fields that
+/// were added later have their defaults.
 fn check_decodes<T>(file: &str, values: Vec<(&str, T)>)
 where
     T: for<'bytes> Decode<'bytes, ()> + PartialEq + fmt::Debug,
@@ -126,7 +127,8 @@
     assert!(stored.is_empty(), "fixtures without a value: {stored:?}");
 }
 
-/// Each value against the fixture of its name, and no fixture left over.
+/// Checks that each fixture decodes to the value of its name and the value encodes to the fixture, and
+/// that every fixture has a value.
 fn check<T>(file: &str, values: Vec<(&str, T)>)
 where
     T: Encode<()> + for<'bytes> Decode<'bytes, ()> + PartialEq + fmt::Debug,
@@ -235,7 +237,7 @@
     }
 }
 
-/// One value of each kind that an item can have.
+/// Returns one value of each variant.
 fn item_values() -> Vec<Value> {
     vec![
         Value::Route { route: route() },
@@ -772,7 +774,7 @@
     ]
 }
 
-/// The wire number of a message. A variant that is added must be added here, and gets a fixture.
+/// Returns the wire number of a message. A new variant must be added here and needs a fixture.
 fn number_of(message: &Message) -> u32 {
     match message {
         Message::ConsensusMessage { .. } => 0,
@@ -913,7 +915,7 @@
     let stored = fixtures(FRAMES);
     let old_frame = |name: &str, kind| {
         let bytes = stored.get(name).expect("a frame");
-        let frame = read_frame(kind, bytes).expect("an old frame is read");
+        let frame = read_frame(kind, bytes).expect("the old frame is intact");
         assert_eq!(
             (frame.generation, frame.synced_before),
             (Generation(3), None)
--- a/crates/model-check/tests/model_check.rs
+++ b/crates/model-check/tests/model_check.rs
@@ -38,26 +38,26 @@
 }
 
 #[test]
-fn given_races_restarts_and_reads_when_explored_then_no_invariant_breaks() {
+fn invariants_hold_with_races_restarts_and_reads() {
     for bound in [race(), restarted_proposer(), reads()] {
         assert!(explore_fully(&bound).states > 1_000);
     }
 }
 
 #[test]
-fn given_voters_that_moved_on_when_one_that_left_writes_or_reads_then_no_invariant_breaks() {
+fn invariants_hold_when_a_removed_voter_writes_or_reads() {
     for bound in [removed_writer(), removed_reader()] {
         assert!(explore_fully(&bound).states > 1_000);
     }
 }
 
 #[test]
-fn given_slow_disks_and_restarts_when_explored_then_no_invariant_breaks() {
+fn invariants_hold_with_slow_disks_and_restarts() {
     assert!(explore_fully(&slow_disks()).states > 50_000);
 }
 
 #[test]
-fn given_votes_before_sync_when_explored_then_a_yes_on_too_few_disks_is_found() {
+fn votes_before_sync_are_detected() {
     let violation = find_violation(slow_disks(), InjectedBug::VotesBeforeSync);
     assert!(
         matches!(violation, Violation::TooFewDisks { .. }),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn given_ballots_used_twice_when_explored_then_a_yes_for_another_change_is_found() {
+fn reused_proposal_numbers_are_detected() {
     let violation = find_violation(restarted_proposer(), InjectedBug::ReusesProposalNumbers);
     assert!(
         matches!(violation, Violation::TooFewDisks { .. }),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn given_reads_without_a_round_when_explored_then_a_stale_read_is_found() {
+fn reads_without_a_quorum_are_detected() {
     let violation = find_violation(reads(), InjectedBug::ReadsWithoutQuorum);
     assert!(
         matches!(violation, Violation::StaleRead { .. }),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn given_reads_by_an_earlier_round_when_explored_then_a_stale_read_is_found() {
+fn reads_from_an_earlier_quorum_read_are_detected() {
     let violation = find_violation(reads(), InjectedBug::ReadsByEarlierQuorumRead);
     assert!(
         matches!(violation, Violation::StaleRead { .. }),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn given_no_settling_when_explored_then_it_is_found_that_an_accepted_change_can_be_lost() {
+fn membership_change_without_recovery_is_detected() {
     let violation = find_violation(unsettled_replacement(), InjectedBug::SkipsRecovery);
     assert!(
         matches!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn given_votes_under_any_membership_when_explored_then_it_is_found() {
+fn votes_under_any_membership_are_detected() {
     let violation = find_violation(removed_writer(), InjectedBug::VotesUnderAnyMembership);
     assert!(
         matches!(
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn given_reads_under_an_old_membership_when_explored_then_a_stale_read_is_found() {
+fn reads_under_an_old_membership_are_detected() {
     let violation = find_violation(removed_reader(), InjectedBug::ReadsUnderOldMembership);
     assert!(
         matches!(violation, Violation::StaleRead { .. }),
--- a/crates/model-check/tests/random_schedules.rs
+++ b/crates/model-check/tests/random_schedules.rs
@@ -56,7 +56,7 @@
     })]
 
     #[test]
-    fn given_a_wide_core_when_events_come_in_any_order_then_no_invariant_breaks(
+    fn invariants_hold_in_long_random_schedules(
         picks in prop::collection::vec(any::<u16>(), 50..400),
     ) {
         let result = run_schedule(&large_bound(), &picks);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn given_random_schedules_when_votes_leave_before_they_are_synced_then_one_finds_it() {
+fn random_schedules_detect_votes_before_sync() {
     let bound = large_bound().with_injected_bug(InjectedBug::VotesBeforeSync);
     let mut chance = Chance::seeded(1);
     let found = (0..300).any(|_| {
