--- a/crates/caperworks/src/catch_up.rs
+++ b/crates/caperworks/src/catch_up.rs
@@ -30,7 +30,7 @@
 ///
 /// The lease is sent together with the changes and must not be delayed by them on a slow link. A
 /// follower that is missing more changes requests them immediately.
-pub const GRANT_UPDATE_BYTES: usize = 16 * 1024;
+pub const MAX_GRANT_UPDATE_BYTES: usize = 16 * 1024;
 /// How long to wait for a response before switching to another peer. Each timeout doubles it, so that
 /// chunks still arrive in time when the path to every peer is slow.
 pub const CHUNK_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::catch_up::{
-    SnapshotChunk, TransferPosition, CHUNK_BYTES, GRANT_UPDATE_BYTES, MAX_UPDATE_WEIGHT,
+    SnapshotChunk, TransferPosition, CHUNK_BYTES, MAX_GRANT_UPDATE_BYTES, MAX_UPDATE_WEIGHT,
     SNAPSHOT_IDLE_TIMEOUT,
 };
 use crate::consensus::messages::{ConsensusMessage, NumberedChange};
@@ -90,7 +90,7 @@
                 false => FollowerUpdate::Inline(message),
             };
         }
-        if self.encoded(now, map, present, after, form).bytes.len() > GRANT_UPDATE_BYTES {
+        if self.encoded(now, map, present, after, form).bytes.len() > MAX_GRANT_UPDATE_BYTES {
             return FollowerUpdate::InChunks;
         }
         let full_map = map_in_form(present, form);
@@ -116,7 +116,7 @@
         let changes = match position.form {
             FeedForm::Complete => history.changes_after(after).map(first_changes),
             FeedForm::Reduced => history
-                .first_changes_after(after, position.form, GRANT_UPDATE_BYTES)
+                .first_changes_after(after, position.form, MAX_GRANT_UPDATE_BYTES)
                 .map(|first| first.changes),
         };
         match changes {
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::catch_up::GRANT_UPDATE_BYTES;
+use caperworks::catch_up::MAX_GRANT_UPDATE_BYTES;
 use caperworks::catch_up::{
     CatchUpRequest, ChunkError, FollowerUpdate, SnapshotChunk, SnapshotSender, TransferPosition,
     CHUNK_BYTES,
@@ -88,7 +88,7 @@
             MAP,
             held,
             renewal.form,
-            GRANT_UPDATE_BYTES,
+            MAX_GRANT_UPDATE_BYTES,
         );
         let in_chunks = match updates {
             FollowerUpdate::InChunks => vec![MAP],
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -5,7 +5,7 @@
 
 use crate::fault_injection::FaultInjection;
 use crate::state::ControllerState;
-use caperworks::catch_up::{FollowerUpdate, GRANT_UPDATE_BYTES};
+use caperworks::catch_up::{FollowerUpdate, MAX_GRANT_UPDATE_BYTES};
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::facts::{FirstFacts, HeardHeartbeat, HeardMember, Role};
 use caperworks::leases::LEASE_SPAN;
@@ -195,7 +195,7 @@
 ) -> FollowerMaps {
     let now = state.now;
     let max_bytes = match renewal.extent {
-        ResponseExtent::Full => GRANT_UPDATE_BYTES,
+        ResponseExtent::Full => MAX_GRANT_UPDATE_BYTES,
         ResponseExtent::Brief => BRIEF_CHANGES_BYTES,
     };
     let mut maps = FollowerMaps::default();
