--- a/crates/caperworks/src/catch_up/receiver/transfer.rs
+++ b/crates/caperworks/src/catch_up/receiver/transfer.rs
@@ -262,7 +262,10 @@
         let remaining = chunk.total.saturating_sub(chunk.offset);
         let length = chunk.bytes.len() as u64;
         let accepted = [u64::from(self.chunk_bytes), CHUNK_BYTES as u64];
-        length > 0 && accepted.iter().any(|max| length == remaining.min(*max))
+        length > 0
+            && accepted
+                .iter()
+                .any(|maximum| length == remaining.min(*maximum))
     }
 
     /// Adds a chunk that has been checked, and returns the snapshot once it is complete.
--- a/crates/caperworks/tests/catch_up.rs
+++ b/crates/caperworks/tests/catch_up.rs
@@ -361,7 +361,7 @@
         }
         match receiver.handle_chunk(millis(0), peer(1), Version(0), chunk) {
             ChunkOutcome::Next(next) => request = next,
-            last => return last,
+            outcome => return outcome,
         }
     }
 }
