--- a/crates/caperworks/src/version_history.rs
+++ b/crates/caperworks/src/version_history.rs
@@ -47,7 +47,7 @@
 ///
 /// It is not cryptographic, because it only has to distinguish a handful of contents, nobody gains
 /// from a collision, and small machines compute it for thousands of short texts.
-pub fn wide_digest(bytes: &[u8]) -> u128 {
+pub fn digest_128(bytes: &[u8]) -> u128 {
     xxhash_rust::xxh3::xxh3_128(bytes)
 }
 
