--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -242,7 +242,7 @@
             KeySpace::Hashed => Some(key_range_of_hash(key, self.key_ranges)),
             KeySpace::Ranges => {
                 let number: u16 = key.parse().ok()?;
-                Some((u64::from(number) * u64::from(self.key_ranges) / KEYS) as u32)
+                Some((u64::from(number) * u64::from(self.key_ranges) / KEY_COUNT) as u32)
             }
         }
     }
@@ -250,11 +250,11 @@
     /// Returns the first and the last key of a key range, for a service with [`KeySpace::Ranges`].
     pub fn key_bounds(&self, key_range: u32) -> (u32, u32) {
         let key_ranges = u64::from(self.key_ranges.max(1));
-        let first = (u64::from(key_range) * KEYS).div_ceil(key_ranges);
-        let after = (u64::from(key_range + 1) * KEYS).div_ceil(key_ranges);
+        let first = (u64::from(key_range) * KEY_COUNT).div_ceil(key_ranges);
+        let after = (u64::from(key_range + 1) * KEY_COUNT).div_ceil(key_ranges);
         (first as u32, (after - 1) as u32)
     }
 }
 
 /// The number of keys in [`KeySpace::Ranges`].
-pub const KEYS: u64 = 65_536;
+pub const KEY_COUNT: u64 = 65_536;
--- a/crates/caperworks/tests/range_stories.rs
+++ b/crates/caperworks/tests/range_stories.rs
@@ -9,7 +9,7 @@
     steady_hash, Chance, ChangeId, Epoch, Incarnation, InstanceId, ServiceName, Zone,
 };
 use caperworks::instances::Instances;
-use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
+use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEY_COUNT};
 use caperworks::ownership::{
     HeartbeatResponse, LetGo, OwnerManager, OwnerManagerSpans, OwnershipView, KEY_RANGE_LEASE_SPAN,
     OWNER_MANAGER_WAIT,
@@ -59,7 +59,11 @@
             }
             next = last + 1;
         }
-        assert_eq!(u64::from(next), KEYS, "{key_ranges} slices hold all keys");
+        assert_eq!(
+            u64::from(next),
+            KEY_COUNT,
+            "{key_ranges} slices hold all keys"
+        );
     }
 }
 
