--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -131,7 +131,7 @@
         let is_highest = routes
             .get(put.key.as_str())
             .is_none_or(|(other, _)| other.version < numbered.version);
-        if is_highest && map.history(&put.key).standing(numbered) != VersionStatus::Confirmed {
+        if is_highest && map.history(&put.key).status_of(numbered) != VersionStatus::Confirmed {
             routes.insert(&put.key, (numbered, route));
         }
     }
@@ -148,7 +148,7 @@
 ) {
     let mut places: BTreeMap<(String, &str), (&str, bool)> = BTreeMap::new();
     for (key, (numbered, route)) in unconfirmed_routes(map, change) {
-        let is_overtaken = map.history(key).standing(numbered) == VersionStatus::Superseded;
+        let is_overtaken = map.history(key).status_of(numbered) == VersionStatus::Superseded;
         // A route that was overtaken may name a service that was dropped since its operator sent it.
         let is_known = |name: &ServiceName| match after.items.get(&format!("pool/{name}")) {
             Some(item) => is_overtaken || item.value != Value::Dropped,
--- a/crates/caperworks/src/map_weighing.rs
+++ b/crates/caperworks/src/map_weighing.rs
@@ -86,7 +86,7 @@
             let history = histories
                 .entry(&put.key)
                 .or_insert_with(|| self.history(&put.key));
-            match history.standing(numbered) {
+            match history.status_of(numbered) {
                 VersionStatus::Newest | VersionStatus::Superseded => history.confirm(numbered),
                 VersionStatus::Confirmed => {}
                 VersionStatus::Taken(confirmed) => taken.push(TakenVersion {
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -44,7 +44,7 @@
     fn is_superseded(&self, put: &Put) -> bool {
         match (put.numbered(), &put.written) {
             (Some(numbered), _) => {
-                self.history(&put.key).standing(numbered) != VersionStatus::Newest
+                self.history(&put.key).status_of(numbered) != VersionStatus::Newest
             }
             (None, Some(_)) => self.items.contains_key(&put.key),
             (None, None) => false,
@@ -84,7 +84,7 @@
             return;
         };
         let mut history = self.history(&put.key);
-        if let VersionStatus::Newest | VersionStatus::Superseded = history.standing(numbered) {
+        if let VersionStatus::Newest | VersionStatus::Superseded = history.status_of(numbered) {
             history.confirm(numbered);
         }
         self.histories.insert(put.key.clone(), history);
--- a/crates/caperworks/src/version_history.rs
+++ b/crates/caperworks/src/version_history.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns how a put relates to the confirmed versions.
-    pub fn standing(&self, put: ConfirmedVersion) -> VersionStatus {
+    pub fn status_of(&self, put: ConfirmedVersion) -> VersionStatus {
         let known = self
             .confirmed
             .iter()
