--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records the ticket of the write that was just returned to the host.
-    pub fn wrote(&mut self, ticket: u64) {
+    pub fn record_write(&mut self, ticket: u64) {
         self.log_writes.push_back((ticket, self.log_length));
     }
 
--- a/crates/caperworks/tests/disk_slots.rs
+++ b/crates/caperworks/tests/disk_slots.rs
@@ -82,7 +82,7 @@
             apply_write(&mut image, &write);
         }
         ticket += 1;
-        disk.wrote(ticket);
+        disk.record_write(ticket);
         disk.synced(ticket);
     }
     let lines: Vec<Vec<u8>> = (1..=lines).map(|number| line(number, 90)).collect();
@@ -92,7 +92,7 @@
             .expect("the line fits");
         apply_write(&mut image, &write);
         ticket += 1;
-        disk.wrote(ticket);
+        disk.record_write(ticket);
         disk.synced(ticket);
     }
     let state = state(generations, 3000);
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -429,14 +429,14 @@
     for write in disk.rewrite(b"second state") {
         apply(&mut image, &write);
     }
-    disk.wrote(1);
+    disk.record_write(1);
     disk.synced(1);
     // Each line is synced before the next is written, because lines of one write may be torn in any
     // order.
     for (ticket, line) in [(2, b"line one"), (3, b"line two")] {
         let write = disk.append(&[line.to_vec()]).expect("the line fits");
         apply(&mut image, &write);
-        disk.wrote(ticket);
+        disk.record_write(ticket);
         disk.synced(ticket);
     }
     let truth = Recovery::Found {
--- a/crates/controller/src/state_machine/storage.rs
+++ b/crates/controller/src/state_machine/storage.rs
@@ -206,7 +206,7 @@
         let storage = &mut self.storage;
         storage.last_ticket += 1;
         let ticket = storage.last_ticket;
-        storage.disk.wrote(ticket);
+        storage.disk.record_write(ticket);
         self.outputs
             .push(ControllerOutput::Write { ticket, writes });
         if leaves_at_once {
