--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -185,7 +185,7 @@
                 if *voter_version < Version(version.0 - 1) {
                     let missing = voter.updates_after(self.name, *voter_version);
                     outcome
-                        .to_one
+                        .to_voter
                         .extend(missing.map(|message| (from, message)));
                 }
             }
--- a/crates/caperworks/src/consensus/proposer/outcome.rs
+++ b/crates/caperworks/src/consensus/proposer/outcome.rs
@@ -40,7 +40,7 @@
     /// Messages to every voter, including the node itself.
     pub to_voters: Vec<ConsensusMessage>,
     /// Messages to single voters that are behind.
-    pub to_one: Vec<(NodeId, ConsensusMessage)>,
+    pub to_voter: Vec<(NodeId, ConsensusMessage)>,
     /// Results, each with the ticket under which the change was proposed.
     pub proposal_outcomes: Vec<(u64, ProposalOutcome)>,
 }
--- a/crates/caperworks/tests/operator_version_races.rs
+++ b/crates/caperworks/tests/operator_version_races.rs
@@ -312,7 +312,7 @@
                 self.in_flight.push((from, to, message.clone()));
             }
         }
-        for (to, message) in outcome.to_one {
+        for (to, message) in outcome.to_voter {
             self.in_flight.push((from, to.0, message));
         }
     }
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -124,7 +124,7 @@
             .collect();
         to_voters.extend(
             outcome
-                .to_one
+                .to_voter
                 .into_iter()
                 .map(|(node, message)| (Some(node.0), message)),
         );
@@ -162,7 +162,7 @@
                     self.proposal_outcomes.extend(more.proposal_outcomes);
                     to_voters.extend(more.to_voters.into_iter().map(|message| (None, message)));
                     to_voters.extend(
-                        more.to_one
+                        more.to_voter
                             .into_iter()
                             .map(|(node, message)| (Some(node.0), message)),
                     );
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -43,7 +43,7 @@
 /// Sends what a proposer has to say, and ends the proposals that are decided.
 fn apply_outcome(state: &mut ControllerState, outcome: ProposerOutcome) {
     let voters = state.map(MapName::Membership).voter_addresses(false);
-    for (node, message) in outcome.to_one {
+    for (node, message) in outcome.to_voter {
         send_to_node(state, node, message);
     }
     for message in outcome.to_voters {
