--- a/crates/caperworks/examples/consensus.rs
+++ b/crates/caperworks/examples/consensus.rs
@@ -45,7 +45,7 @@
 
     // Node 1 proposes a change to the configuration.
     let me = NodeId(1);
-    let mut chance = Chance::seeded(1);
+    let mut random = Chance::seeded(1);
     let mut proposer = Proposer::new(MapName::Configuration, me, ProposerOptions::default());
     let change = Change {
         id: ChangeId::new("open-e1"),
@@ -64,7 +64,7 @@
     };
     let now = Duration::from_millis(1);
     proposer.propose(now, 42, change);
-    let mut outcome = proposer.tick(now, &voters[&me], &mut chance);
+    let mut outcome = proposer.tick(now, &voters[&me], &mut random);
     let mut proposal_outcomes = Vec::new();
     while let Some(request) = outcome.to_voters.pop() {
         let nodes: Vec<NodeId> = voters.keys().copied().collect();
--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -98,7 +98,7 @@
 
     /// Expires pending changes, abandons a phase that is stuck, and starts the next one. Must be
     /// called several times per [`ProposerOptions::phase_timeout`].
-    pub fn tick(&mut self, now: Duration, voter: &Voter, chance: &mut Chance) -> ProposerOutcome {
+    pub fn tick(&mut self, now: Duration, voter: &Voter, random: &mut Chance) -> ProposerOutcome {
         let mut outcome = ProposerOutcome::default();
         self.expire_pending(now, &mut outcome);
         self.abandon_phase_of_old_membership(voter);
@@ -110,7 +110,7 @@
             self.phase = Phase::Idle;
             // The backoff is random, because two proposers that retry in lockstep would preempt each
             // other forever.
-            self.backoff_until = now + chance.between(BACKOFF[0], BACKOFF[1]);
+            self.backoff_until = now + random.between(BACKOFF[0], BACKOFF[1]);
         }
         self.commit_if_accepted(now, voter, &mut outcome);
         self.start_prepare_phase(now, voter, &mut outcome);
--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -4,7 +4,7 @@
 //! with the same generation. All three files have a fixed size and are preallocated, so that a full
 //! disk cannot prevent a controller from voting. Data counts only once it is synced.
 //!
-//! [`SlotDisk`] does no I/O: it returns writes for the host to perform, and is told when they have been
+//! [`SlotDisk`] does no I/O: it returns writes for the host to perform, and is notified when they have been
 //! synced. Recovery at start is in `recovery`.
 
 use std::collections::VecDeque;
--- a/crates/caperworks/tests/catch_up.rs
+++ b/crates/caperworks/tests/catch_up.rs
@@ -202,11 +202,11 @@
 fn transfer_is_abandoned_when_no_peer_responds() {
     let mut receiver = receiver();
     begin(&mut receiver, Version(5));
-    let mut asked = 0;
+    let mut request_count = 0;
     for tick in 0..1200 {
-        asked += receiver.tick(millis(tick * 25), |_| Version(0)).len();
+        request_count += receiver.tick(millis(tick * 25), |_| Version(0)).len();
     }
-    assert!((1..=8).contains(&asked), "{asked} requests");
+    assert!((1..=8).contains(&request_count), "{request_count} requests");
     assert!(!receiver.is_receiving(MAP));
 }
 
@@ -214,15 +214,15 @@
 fn chunk_timeout_doubles_up_to_its_maximum() {
     let mut receiver = receiver();
     begin(&mut receiver, Version(5));
-    let mut asked = vec![0];
+    let mut request_times = vec![0];
     for tick in 1..600 {
         let now = tick * 25;
         receiver.behind(millis(now), MAP, Version(0), peer(1), Version(5));
         if !receiver.tick(millis(now), |_| Version(0)).is_empty() {
-            asked.push(now);
+            request_times.push(now);
         }
     }
-    assert_eq!(asked, [0, 500, 1500, 3500, 7500, 11500]);
+    assert_eq!(request_times, [0, 500, 1500, 3500, 7500, 11500]);
 }
 
 #[test]
@@ -385,19 +385,19 @@
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
     let mut request = receiver.behind(millis(0), MAP, Version(200), peer(1), Version(1500));
     let mut responses = 0;
-    while let Some(asked) = request {
-        let updates = respond(&mut sender, &ahead, &asked);
+    while let Some(current) = request {
+        let updates = respond(&mut sender, &ahead, &current);
         let ConsensusMessage::Updates { changes, .. } = &updates else {
             panic!("{updates:?}");
         };
         let weight: usize = changes
             .iter()
-            .map(|numbered| numbered.change.weight())
+            .map(|committed| committed.change.weight())
             .sum();
         assert!(weight <= MAX_UPDATE_WEIGHT);
         responses += 1;
-        let moved = !behind.handle(updates).moved.is_empty();
-        request = receiver.handle_changes(millis(1), MAP, behind.map(MAP).version, moved);
+        let advanced = !behind.handle(updates).moved.is_empty();
+        request = receiver.handle_changes(millis(1), MAP, behind.map(MAP).version, advanced);
     }
     assert_eq!(behind.map(MAP), ahead.map(MAP));
     assert!((2..20).contains(&responses), "{responses} responses");
--- a/crates/caperworks/tests/disk_slots.rs
+++ b/crates/caperworks/tests/disk_slots.rs
@@ -45,7 +45,7 @@
 }
 
 /// Performs a random subset of the sectors of a write.
-fn apply_random_sectors(image: &mut DiskImage, write: &DiskWrite, chance: &mut Chance) {
+fn apply_random_sectors(image: &mut DiskImage, write: &DiskWrite, random: &mut Chance) {
     let first = match write {
         DiskWrite::Slot { .. } => 0,
         DiskWrite::Log { offset, .. } => *offset as usize,
@@ -55,7 +55,7 @@
     while start < bytes.len() {
         let sector_end = ((first + start) / SECTOR_BYTES + 1) * SECTOR_BYTES - first;
         let end = sector_end.min(bytes.len());
-        if chance.below(2) == 0 {
+        if random.below(2) == 0 {
             target[start..end].copy_from_slice(&bytes[start..end]);
         }
         start = end;
@@ -63,8 +63,8 @@
 }
 
 fn state(seed: u64, length: usize) -> Vec<u8> {
-    let mut chance = Chance::seeded(seed);
-    (0..length).map(|_| chance.draw() as u8).collect()
+    let mut random = Chance::seeded(seed);
+    (0..length).map(|_| random.draw() as u8).collect()
 }
 
 fn line(number: u64, length: usize) -> Vec<u8> {
@@ -170,21 +170,21 @@
 #[test]
 fn slot_write_with_torn_sectors_recovers_the_old_or_new_state() {
     for seed in 0..400 {
-        let mut chance = Chance::seeded(seed);
+        let mut random = Chance::seeded(seed);
         let (mut disk, image, before) = synced_disk(1 + seed % 3, seed % 7);
-        let next = state(1000 + seed, 1000 + chance.below(6000) as usize);
+        let next = state(1000 + seed, 1000 + random.below(6000) as usize);
         let after = Recovery::Found {
             state: next.clone(),
             lines: Vec::new(),
         };
         let [slot, header] = disk.rewrite(&next);
         let mut found = image.clone();
-        apply_random_sectors(&mut found, &slot, &mut chance);
+        apply_random_sectors(&mut found, &slot, &mut random);
         let recovered = new_disk().recover(&found);
         assert!(recovered == before || recovered == after, "seed {seed}");
         check_writable(&found, "torn sectors of a slot");
         apply_write(&mut found, &slot);
-        apply_random_sectors(&mut found, &header, &mut chance);
+        apply_random_sectors(&mut found, &header, &mut random);
         assert_eq!(new_disk().recover(&found), after, "seed {seed}");
         check_writable(&found, "torn sectors of the log header");
     }
@@ -213,18 +213,18 @@
 
 /// Returns a disk with several unsynced writes torn by sector, its synced lines, and the unsynced ones.
 fn torn_log(seed: u64) -> (DiskImage, Vec<Vec<u8>>, Vec<Vec<u8>>) {
-    let mut chance = Chance::seeded(seed);
+    let mut random = Chance::seeded(seed);
     let (mut disk, mut image, complete) = synced_disk(2, seed % 9);
     let Recovery::Found { lines: synced, .. } = complete else {
         panic!("the disk has a synced state");
     };
     let mut unsynced = Vec::new();
-    for number in 0..1 + chance.below(8) {
-        let line = line(100 + number, chance.below(900) as usize);
+    for number in 0..1 + random.below(8) {
+        let line = line(100 + number, random.below(900) as usize);
         let write = disk
             .append(std::slice::from_ref(&line))
             .expect("the line fits");
-        apply_random_sectors(&mut image, &write, &mut chance);
+        apply_random_sectors(&mut image, &write, &mut random);
         unsynced.push(line);
     }
     (image, synced, unsynced)
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -135,7 +135,7 @@
     in_flight: Vec<InFlight>,
     largest_response: usize,
     chunks: usize,
-    refused: Vec<ChunkError>,
+    rejected: Vec<ChunkError>,
     /// Corrupts the next chunk in flight.
     corrupt: Option<fn(&mut SnapshotChunk)>,
 }
@@ -151,7 +151,7 @@
             in_flight: Vec::new(),
             largest_response: 0,
             chunks: 0,
-            refused: Vec::new(),
+            rejected: Vec::new(),
             corrupt: None,
         }
     }
@@ -257,7 +257,8 @@
             Message::ConsensusMessage { vote } => {
                 let from = address(controller);
                 let step = self.link.handle_catch_up(self.now, from, vote);
-                self.refused.extend(step.refused.map(|refused| refused.why));
+                self.rejected
+                    .extend(step.refused.map(|refused| refused.why));
                 self.send_requests(step.request);
             }
             _ => {}
@@ -314,7 +315,7 @@
     assert!(world.chunks >= 3, "{} chunks", world.chunks);
     assert!(world.largest_response <= CHUNK_BYTES + FRAME_BYTES);
     assert_eq!(world.controllers[0].sender.encodings(), 1);
-    assert_eq!(world.refused, []);
+    assert_eq!(world.rejected, []);
     // It has a valid lease soon after, because it requests a grant for its new version immediately.
     let caught_up_at = world.now;
     while world.link.fresh_until() <= world.now {
@@ -379,7 +380,7 @@
         let mut world = World::new(vec![Controller::with_routes(MANY)], millis(50));
         world.corrupt = Some(corrupt);
         world.run_until_caught_up(0);
-        assert_eq!(world.refused.len(), 1, "{:?}", world.refused);
+        assert_eq!(world.rejected.len(), 1, "{:?}", world.rejected);
     }
 }
 
--- a/crates/model-check/src/node.rs
+++ b/crates/model-check/src/node.rs
@@ -26,7 +26,7 @@
     Called {
         accepted: Version,
     },
-    Answered,
+    Completed,
 }
 
 /// A node with its in-memory and synced state.
--- a/crates/model-check/src/world/actions.rs
+++ b/crates/model-check/src/world/actions.rs
@@ -92,7 +92,7 @@
 
     pub(super) fn add_read_actions(&self, index: u8, node: &Node, actions: &mut Vec<Action>) {
         let may_begin = node.open_quorum_read.is_none() && node.quorum_reads_left > 0;
-        if may_begin && node.read != ReadState::Answered {
+        if may_begin && node.read != ReadState::Completed {
             actions.push(Action::BeginQuorumRead { index });
         }
         let Some((_, waiting)) = &node.open_quorum_read else {
--- a/crates/model-check/src/world/quorum_reads.rs
+++ b/crates/model-check/src/world/quorum_reads.rs
@@ -80,7 +80,7 @@
             });
         }
         self.change(index, |node| {
-            node.read = ReadState::Answered;
+            node.read = ReadState::Completed;
             node.open_quorum_read = None;
             node.quorum_reads = QuorumReads::default();
         });
--- a/crates/model-check/tests/random_schedules.rs
+++ b/crates/model-check/tests/random_schedules.rs
@@ -67,9 +67,9 @@
 #[test]
 fn random_schedules_detect_votes_before_sync() {
     let bound = large_bound().with_injected_bug(InjectedBug::VotesBeforeSync);
-    let mut chance = Chance::seeded(1);
+    let mut random = Chance::seeded(1);
     let found = (0..300).any(|_| {
-        let picks: Vec<u16> = (0..400).map(|_| chance.draw() as u16).collect();
+        let picks: Vec<u16> = (0..400).map(|_| random.draw() as u16).collect();
         run_schedule(&bound, &picks).is_err()
     });
     assert!(found);
