--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -23,6 +23,7 @@
 pub mod link;
 pub mod link_figures;
 pub mod map_items;
+#[path = "change_check.rs"]
 pub mod map_weighing;
 pub mod members;
 pub mod messages;
