--- a/crates/caperworks/src/consensus/proposer/pending.rs
+++ b/crates/caperworks/src/consensus/proposer/pending.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use crate::change_check::ChangeCheck;
 use crate::configuration::{check_configuration, Fault};
 use crate::consensus::proposer::outcome::{ProposalOutcome, ProposerOutcome};
 use crate::consensus::proposer::Proposer;
 use crate::identifiers::Version;
-use crate::map_weighing::ChangeCheck;
 use crate::replicated_map::{Change, MapName, ReplicatedMap};
 
 /// A change that is waiting to be decided.
--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -8,6 +8,8 @@
 pub mod identifiers;
 
 pub mod catch_up;
+#[path = "change_check.rs"]
+pub mod change_check;
 pub mod configuration;
 pub mod consensus;
 pub mod directory_responses;
@@ -23,8 +25,6 @@
 pub mod link;
 pub mod link_figures;
 pub mod map_items;
-#[path = "change_check.rs"]
-pub mod map_weighing;
 pub mod members;
 pub mod messages;
 pub mod old_disk_format;
--- a/crates/caperworks/tests/operator_versions.rs
+++ b/crates/caperworks/tests/operator_versions.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use caperworks::change_check::ChangeCheck;
 use caperworks::configuration::{check_configuration, RouteTable, MOST_BYTES};
 use caperworks::identifiers::{Chance, ChangeId, Region, ServiceName, Version};
 use caperworks::map_items::{Route, Service, SplitTarget, Value, ZoneSettings};
-use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{
     Change, Guard, Item, Put, RecentChange, ReplicatedMap, TakenVersion, Written, MAP_READ,
     REMEMBERED_CHANGES,
--- a/crates/caperworks/tests/reduced_map_stories.rs
+++ b/crates/caperworks/tests/reduced_map_stories.rs
@@ -1,11 +1,11 @@
 //! Stories of maps and changes in the reduced form, which followers get that only read them.
 
+use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
 use caperworks::consensus::voter::{Voter, VoterOutcome};
 use caperworks::feed::Follower;
 use caperworks::identifiers::{Chance, ChangeId};
 use caperworks::map_items::{Route, Value};
-use caperworks::map_weighing::ChangeCheck;
 use caperworks::reduced_map::FeedForm;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap, Written};
 
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -11,12 +11,12 @@
 use crate::state::ControllerState;
 use crate::state_machine::operator_messages::{ControllerStatus, OperatorCall, OperatorResponse};
 use crate::{agents, reads};
+use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::Version;
 use caperworks::leadership::LEADERSHIPS;
 use caperworks::map_items::Value;
-use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{Change, Guard, MapName, Put};
 
 /// A change without a version is taken only while its caller surely still waits for the response:
--- a/crates/controller/tests/interface_stories.rs
+++ b/crates/controller/tests/interface_stories.rs
@@ -1,8 +1,8 @@
 //! Stories of the product's own interface: how old a change set may be, and what its caller is told.
 
+use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version};
-use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{ReplicatedMap, TakenVersion, MAP_READ, REMEMBERED_CHANGES};
 use caperworks::version_history::ConfirmedVersion;
 use controller::operator_json::{proposal_outcome_json, read_form};
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -4,10 +4,10 @@
 
 use crate::observers::lines::Line;
 use crate::observers::Observers;
+use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version, Zone};
 use caperworks::map_items::Value;
-use caperworks::map_weighing::ChangeCheck;
 use caperworks::replicated_map::{Change, ReplicatedMap, REMEMBERED_CHANGES};
 
 #[derive(Debug, Clone)]
