--- a/crates/caperworks/examples/feed.rs
+++ b/crates/caperworks/examples/feed.rs
@@ -1,13 +1,13 @@
 //! A follower that takes changes after a place, and a snapshot when it is too far behind.
 
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::feed::{FeedCache, Follower, HISTORY_WEIGHT};
 use caperworks::identifiers::{ChangeId, Version};
 use caperworks::replicated_map::{Change, MapName};
 
 fn updates(from: u64, to: u64) -> ConsensusMessage {
     let changes = (from..=to)
-        .map(|version| NumberedChange {
+        .map(|version| CommittedChange {
             version: Version(version),
             change: Change {
                 id: ChangeId::new(format!("change-{version}")),
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use caperworks::configuration::{check_configuration, RouteTable};
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::dispatch::ProxyKnowledge;
 use caperworks::identifiers::{ChangeId, NodeId, ServiceName, Version};
 use caperworks::map_items::{Route, Value};
@@ -70,7 +70,7 @@
         let change = change(vec![route_put(number, 2)]).reduced();
         let updates = ConsensusMessage::ReducedUpdates {
             map: MapName::Configuration,
-            changes: vec![NumberedChange { version, change }],
+            changes: vec![CommittedChange { version, change }],
         };
         // Requests under way hold the knowledge from before the change.
         let shared = knowledge.clone();
--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -8,7 +8,7 @@
     SnapshotChunk, TransferPosition, CHUNK_BYTES, MAX_GRANT_UPDATE_BYTES, MAX_UPDATE_WEIGHT,
     SNAPSHOT_IDLE_TIMEOUT,
 };
-use crate::consensus::messages::{ConsensusMessage, NumberedChange};
+use crate::consensus::messages::{CommittedChange, ConsensusMessage};
 use crate::consensus::voter::Voter;
 use crate::disk_frame::content_digest;
 use crate::identifiers::Version;
@@ -202,7 +202,7 @@
 }
 
 /// Returns the first changes, at least one, whose total weight fits into [`MAX_UPDATE_WEIGHT`].
-fn first_changes(mut changes: Vec<NumberedChange>) -> Vec<NumberedChange> {
+fn first_changes(mut changes: Vec<CommittedChange>) -> Vec<CommittedChange> {
     let mut weight = 0;
     let fitting = changes.iter().take_while(|committed| {
         weight += committed.change.weight();
--- a/crates/caperworks/src/consensus/messages.rs
+++ b/crates/caperworks/src/consensus/messages.rs
@@ -37,7 +37,7 @@
 
     /// A committed change, with the version of the map that it produces.
     #[derive(Eq)]
-    struct NumberedChange {
+    struct CommittedChange {
         0 version: Version,
         1 change: Change,
     }
@@ -74,13 +74,13 @@
         /// Requests the updates after a version. Without a position the response is one message.
         6 CatchUp { 0 map: MapName, 1 after: Version, 2 position: Option<TransferPosition> },
         /// Committed changes, in order.
-        7 Updates { 0 map: MapName, 1 changes: Vec<NumberedChange> },
+        7 Updates { 0 map: MapName, 1 changes: Vec<CommittedChange> },
         /// A full snapshot in one message.
         8 Snapshot { 0 map: MapName, 1 full_map: ReplicatedMap },
         /// A chunk of an encoded snapshot.
         9 Chunk { 0 chunk: SnapshotChunk },
         /// Committed changes in reduced form, for read-only followers. Voters ignore it.
-        10 ReducedUpdates { 0 map: MapName, 1 changes: Vec<NumberedChange> },
+        10 ReducedUpdates { 0 map: MapName, 1 changes: Vec<CommittedChange> },
     }
 }
 
@@ -116,7 +116,7 @@
 
 impl ConsensusMessage {
     /// Creates the message that carries committed changes to a follower in the requested form.
-    pub fn updates(form: FeedForm, map: MapName, changes: Vec<NumberedChange>) -> Self {
+    pub fn updates(form: FeedForm, map: MapName, changes: Vec<CommittedChange>) -> Self {
         match form {
             FeedForm::Complete => Self::Updates { map, changes },
             FeedForm::Reduced => Self::ReducedUpdates { map, changes },
@@ -143,5 +143,5 @@
     /// The map that the changes belong to.
     pub map: MapName,
     /// The changes, lowest version first.
-    pub changes: &'message [NumberedChange],
+    pub changes: &'message [CommittedChange],
 }
--- a/crates/caperworks/src/consensus/voter/commits.rs
+++ b/crates/caperworks/src/consensus/voter/commits.rs
@@ -4,7 +4,7 @@
 //! in order, or to a complete snapshot of a higher version.
 
 use crate::consensus::messages::{
-    ConsensusMessage, NumberedChange, ProposalNumber, Record, Replica,
+    CommittedChange, ConsensusMessage, ProposalNumber, Record, Replica,
 };
 use crate::consensus::voter::{Voter, VoterOutcome};
 use crate::identifiers::Version;
@@ -63,7 +63,7 @@
         replica.promised = ProposalNumber::NONE;
         replica.accepted = None;
         let version = replica.map.version;
-        self.histories[name.index()].push(NumberedChange { version, change });
+        self.histories[name.index()].push(CommittedChange { version, change });
     }
 
     /// Applies a change and adds the log record for it.
@@ -108,7 +108,7 @@
     pub(super) fn handle_changes(
         &mut self,
         map: MapName,
-        changes: Vec<NumberedChange>,
+        changes: Vec<CommittedChange>,
         outcome: &mut VoterOutcome,
     ) {
         for numbered in changes {
--- a/crates/caperworks/src/feed/cache.rs
+++ b/crates/caperworks/src/feed/cache.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::consensus::messages::{ConsensusMessage, NumberedChange};
+use crate::consensus::messages::{CommittedChange, ConsensusMessage};
 use crate::feed::follower::Follower;
 use crate::feed::history::History;
 use crate::identifiers::Version;
@@ -33,7 +33,7 @@
         let after = self.follower.map(moved).version;
         let history = self.histories.entry(moved).or_default();
         let is_new =
-            |numbered: &&NumberedChange| numbered.version > before && numbered.version <= after;
+            |numbered: &&CommittedChange| numbered.version > before && numbered.version <= after;
         for numbered in message.changes.iter().filter(is_new) {
             history.push(numbered.clone());
         }
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::consensus::messages::{ConsensusMessage, NumberedChange};
+use crate::consensus::messages::{CommittedChange, ConsensusMessage};
 use crate::identifiers::Version;
 use crate::reduced_map::FeedForm;
 use crate::replicated_map::{MapName, ReplicatedMap};
@@ -17,13 +17,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct FirstChanges {
     /// The changes, lowest version first.
-    pub changes: Vec<NumberedChange>,
+    pub changes: Vec<CommittedChange>,
     /// Whether there are more after them.
     pub more: bool,
 }
 
 /// The length of a change in a message, in bytes.
-fn encoded_length(numbered: &NumberedChange) -> usize {
+fn encoded_length(numbered: &CommittedChange) -> usize {
     // Encoding into memory cannot fail for these types.
     minicbor::to_vec(numbered).expect("a change encodes").len()
 }
@@ -31,13 +31,13 @@
 /// The recent changes of one map, consecutive versions, at most [`HISTORY_WEIGHT`] of them.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    changes: VecDeque<NumberedChange>,
+    changes: VecDeque<CommittedChange>,
     weight: usize,
 }
 
 impl History {
     /// Adds the next change, and drops the oldest ones beyond [`HISTORY_WEIGHT`].
-    pub fn push(&mut self, numbered: NumberedChange) {
+    pub fn push(&mut self, numbered: CommittedChange) {
         self.weight += numbered.change.weight();
         self.changes.push_back(numbered);
         while self.weight > HISTORY_WEIGHT {
@@ -55,9 +55,9 @@
     }
 
     /// All changes after a version; nothing if the history does not reach back so far.
-    pub fn changes_after(&self, after: Version) -> Option<Vec<NumberedChange>> {
+    pub fn changes_after(&self, after: Version) -> Option<Vec<CommittedChange>> {
         let first = self.changes.front()?;
-        let is_later = |numbered: &&NumberedChange| numbered.version > after;
+        let is_later = |numbered: &&CommittedChange| numbered.version > after;
         let reaches_back = first.version <= after.next();
         reaches_back.then(|| self.changes.iter().filter(is_later).cloned().collect())
     }
--- a/crates/caperworks/src/link_figures.rs
+++ b/crates/caperworks/src/link_figures.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::consensus::messages::{ConsensusMessage, NumberedChange};
+use crate::consensus::messages::{CommittedChange, ConsensusMessage};
 use crate::feed::Follower;
 use crate::messages::Granted;
 
@@ -59,7 +59,7 @@
             return;
         };
         let version = held.map(updates.map).version;
-        let is_held = |numbered: &&NumberedChange| numbered.version <= version;
+        let is_held = |numbered: &&CommittedChange| numbered.version <= version;
         self.changes += updates.changes.len() as u64;
         self.held_changes += updates.changes.iter().filter(is_held).count() as u64;
     }
--- a/crates/caperworks/src/reduced_map.rs
+++ b/crates/caperworks/src/reduced_map.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::consensus::messages::NumberedChange;
+use crate::consensus::messages::CommittedChange;
 use crate::identifiers::ChangeId;
 use crate::replicated_map::{Change, Item, Put, ReplicatedMap, Written};
 
@@ -50,7 +50,7 @@
     }
 }
 
-impl NumberedChange {
+impl CommittedChange {
     /// The change as a follower wants it.
     pub fn in_form(&self, form: FeedForm) -> Self {
         match form {
--- a/crates/caperworks/tests/dispatch_stories.rs
+++ b/crates/caperworks/tests/dispatch_stories.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use caperworks::configuration::{check_configuration, RouteTable};
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestChart, RequestState,
     RetryBudget, ServiceShard, Target,
@@ -359,7 +359,7 @@
             puts: vec![put],
             guards: Vec::new(),
         };
-        let changes = vec![NumberedChange {
+        let changes = vec![CommittedChange {
             version: Version(version),
             change,
         }];
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -8,7 +8,7 @@
     CatchUpRequest, ChunkError, FollowerUpdate, SnapshotChunk, SnapshotSender, TransferPosition,
     CHUNK_BYTES,
 };
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::consensus::voter::Voter;
 use caperworks::facts::{Member, Role};
 use caperworks::identifiers::{ChangeId, NodeId, ServiceName, Version, Zone};
@@ -431,7 +431,7 @@
         granted.versions = vec![Version(7), Version(0), Version(ownership), Version(0)];
         granted.updates = vec![ConsensusMessage::Updates {
             map: MapName::Ownership,
-            changes: vec![NumberedChange {
+            changes: vec![CommittedChange {
                 version: Version(ownership),
                 change: routes(0..1),
             }],
--- a/crates/caperworks/tests/policy_stories.rs
+++ b/crates/caperworks/tests/policy_stories.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, Openings, ProxyKnowledge, ReportedOutcome, RequestChart,
     RequestState, ServiceShard, SLOW_OPENING,
@@ -656,7 +656,7 @@
     let key_ranges = change("t", vec![put("slices/records", Value::KeyRanges { table })]);
     let updates = ConsensusMessage::Updates {
         map: MapName::Ownership,
-        changes: vec![NumberedChange {
+        changes: vec![CommittedChange {
             version: Version(1),
             change: key_ranges,
         }],
--- a/crates/caperworks/tests/reduced_map_stories.rs
+++ b/crates/caperworks/tests/reduced_map_stories.rs
@@ -1,7 +1,7 @@
 //! Stories of maps and changes in the reduced form, which followers get that only read them.
 
 use caperworks::change_check::ChangeCheck;
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::consensus::voter::{Voter, VoterOutcome};
 use caperworks::feed::Follower;
 use caperworks::identifiers::{Chance, ChangeId};
@@ -44,17 +44,17 @@
 }
 
 /// The changes that voters agree on: they refuse what does not fit.
-fn agreed(map: &mut ReplicatedMap, chance: &mut Chance, number: u64) -> Option<NumberedChange> {
+fn agreed(map: &mut ReplicatedMap, chance: &mut Chance, number: u64) -> Option<CommittedChange> {
     let change = drawn_change(chance, number);
     if map.check_change(&change) != ChangeCheck::Fits {
         return None;
     }
     map.apply(&change);
     let version = map.version;
-    Some(NumberedChange { version, change })
+    Some(CommittedChange { version, change })
 }
 
-fn reduced_updates(changes: &[NumberedChange]) -> ConsensusMessage {
+fn reduced_updates(changes: &[CommittedChange]) -> ConsensusMessage {
     let reduced = changes
         .iter()
         .map(|change| change.in_form(FeedForm::Reduced));
@@ -123,7 +123,7 @@
 fn given_a_voter_when_reduced_news_or_a_reduced_map_comes_then_it_takes_nothing_of_it() {
     let mut chance = Chance::seeded(1);
     let mut held = ReplicatedMap::empty();
-    let changes: Vec<NumberedChange> = (0..20)
+    let changes: Vec<CommittedChange> = (0..20)
         .filter_map(|number| agreed(&mut held, &mut chance, number))
         .collect();
     let full_map = held.reduced();
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::{prop, prop_assert_eq, proptest, ProptestConfig, Strategy};
 
 use caperworks::configuration::RouteTable;
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::dispatch::Failure;
 use caperworks::dispatch::ProxyKnowledge;
 use caperworks::identifiers::{ChangeId, NodeId, ServiceName, Version};
@@ -195,7 +195,7 @@
         map.apply(&added);
         let updates = ConsensusMessage::ReducedUpdates {
             map: MapName::Configuration,
-            changes: vec![NumberedChange {
+            changes: vec![CommittedChange {
                 version: map.version,
                 change: added.reduced(),
             }],
@@ -278,7 +278,7 @@
         map: MapName::Configuration,
         changes: changes
             .into_iter()
-            .map(|(version, change)| NumberedChange {
+            .map(|(version, change)| CommittedChange {
                 version,
                 change: change.reduced(),
             })
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange, ProposalNumber};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage, ProposalNumber};
 use caperworks::consensus::proposer::{
     ProposalOutcome, Proposer, ProposerOptions, ProposerOutcome,
 };
@@ -528,7 +528,7 @@
 #[test]
 fn follower_ignores_updates_after_a_gap_and_older_snapshots() {
     let mut feed_cache = FeedCache::default();
-    let numbered = |version: u64| NumberedChange {
+    let numbered = |version: u64| CommittedChange {
         version: Version(version),
         change: change(&format!("change-{version}"), vec![zone_put("e1", None)]),
     };
@@ -622,7 +622,7 @@
     assert_eq!(lease.fresh_until(&follower, &ALL_MAPS), Duration::ZERO);
     follower.take(&ConsensusMessage::Updates {
         map: MapName::Configuration,
-        changes: vec![NumberedChange {
+        changes: vec![CommittedChange {
             version: Version(1),
             change: change("one", vec![zone_put("e1", None)]),
         }],
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -5,8 +5,8 @@
 use caperworks::catch_up::SnapshotChunk;
 use caperworks::catch_up::TransferPosition;
 use caperworks::consensus::messages::AcceptedProposal;
+use caperworks::consensus::messages::CommittedChange;
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::consensus::messages::NumberedChange;
 use caperworks::consensus::messages::ProposalNumber;
 use caperworks::consensus::messages::Record;
 use caperworks::disk_frame::read_frame;
@@ -310,8 +310,8 @@
     }
 }
 
-fn numbered_change() -> NumberedChange {
-    NumberedChange {
+fn numbered_change() -> CommittedChange {
+    CommittedChange {
         version: Version(18),
         change: change(),
     }
--- a/crates/controller/src/operator_json/writing/changes.rs
+++ b/crates/controller/src/operator_json/writing/changes.rs
@@ -3,7 +3,7 @@
 use jzon::JsonValue;
 
 use crate::operator_json::writing::items::{item_json, map_json};
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::identifiers::Version;
 
 /// Writes changes up to a version. Beside them stands `may_be_old` when no majority was heard of late.
@@ -27,7 +27,7 @@
     json
 }
 
-fn change_json(numbered: &NumberedChange) -> JsonValue {
+fn change_json(numbered: &CommittedChange) -> JsonValue {
     let items: Vec<JsonValue> = numbered
         .change
         .puts
