--- a/crates/caperworks/src/consensus/proposer/outcome.rs
+++ b/crates/caperworks/src/consensus/proposer/outcome.rs
@@ -25,7 +25,7 @@
     /// remembers. The map is at this version.
     IdForgotten(Version),
     /// Not committed: the configuration would not be valid.
-    Faulty(Vec<Fault>),
+    Invalid(Vec<Fault>),
     /// Certainly not committed: it was never proposed to any voter.
     NoMajority,
     /// Not committed, and never proposed: too few agents are reachable to apply it.
--- a/crates/caperworks/src/consensus/proposer/pending.rs
+++ b/crates/caperworks/src/consensus/proposer/pending.rs
@@ -84,7 +84,7 @@
                         self.inject_partial_change(map, faults, outcome);
                         return;
                     }
-                    ProposalOutcome::Faulty(faults)
+                    ProposalOutcome::Invalid(faults)
                 }
             };
             outcome.complete(proposal.ticket, result);
@@ -116,7 +116,7 @@
         outcome: &mut ProposerOutcome,
     ) {
         if let Some(proposal) = self.pending.front_mut() {
-            outcome.complete(proposal.ticket, ProposalOutcome::Faulty(faults));
+            outcome.complete(proposal.ticket, ProposalOutcome::Invalid(faults));
             proposal.ticket = u64::MAX;
             let id = proposal.change.id.clone();
             proposal.change.puts.retain(|put| {
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -924,7 +924,7 @@
     for _ in 0..10 {
         consensus.tick(1, 50);
     }
-    let Some(ProposalOutcome::Faulty(faults)) = consensus.proposal_outcome(1) else {
+    let Some(ProposalOutcome::Invalid(faults)) = consensus.proposal_outcome(1) else {
         panic!("expected faults, got {:?}", consensus.proposal_outcome(1));
     };
     let named: BTreeSet<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -75,7 +75,7 @@
             Ok(text) => self.apply_text(&text).await,
             Err(error) => {
                 let fault = Fault::new("body", error.to_string());
-                outcome_response(&ProposalOutcome::Faulty(vec![fault]))
+                outcome_response(&ProposalOutcome::Invalid(vec![fault]))
             }
         }
     }
@@ -92,16 +92,16 @@
         };
         let proposal_outcome = match self.call(call).await {
             Some(OperatorResponse::ProposalOutcome {
-                proposal_outcome: ProposalOutcome::Faulty(more),
+                proposal_outcome: ProposalOutcome::Invalid(more),
             }) => {
                 faults.extend(more);
-                ProposalOutcome::Faulty(faults)
+                ProposalOutcome::Invalid(faults)
             }
             Some(OperatorResponse::ProposalOutcome { proposal_outcome }) => proposal_outcome,
             Some(OperatorResponse::ShuttingDown) => return shutting_down(),
             // Only the errors of form: what a replica that may be old says of the rest is worth nothing.
             Some(OperatorResponse::NotCurrent) if !faults.is_empty() => {
-                ProposalOutcome::Faulty(faults)
+                ProposalOutcome::Invalid(faults)
             }
             Some(OperatorResponse::NotCurrent) => return not_current(),
             _ => ProposalOutcome::Unknown,
@@ -114,7 +114,7 @@
         let body = small_body(request.into_body(), MOST_SMALL_BODY_BYTES).await;
         let text = body.unwrap_or_default();
         let proposal_outcome = match read_drop(&String::from_utf8_lossy(&text)) {
-            Err(errors) => ProposalOutcome::Faulty(errors.into_iter().map(Fault::from).collect()),
+            Err(errors) => ProposalOutcome::Invalid(errors.into_iter().map(Fault::from).collect()),
             Ok(dropped) => match self.call(OperatorCall::Retire { dropped }).await {
                 Some(OperatorResponse::ProposalOutcome { proposal_outcome }) => proposal_outcome,
                 Some(OperatorResponse::ShuttingDown) => return shutting_down(),
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -187,7 +187,7 @@
             state.propose(MapName::Membership, origin, change);
             proposals::tick(state);
         }
-        Err(faults) => respond_with_outcome(state, ticket, ProposalOutcome::Faulty(faults)),
+        Err(faults) => respond_with_outcome(state, ticket, ProposalOutcome::Invalid(faults)),
     }
 }
 
--- a/crates/controller/src/operator_json/writing/outcome.rs
+++ b/crates/controller/src/operator_json/writing/outcome.rs
@@ -37,7 +37,7 @@
         ProposalOutcome::VersionsTaken(taken) => versions_taken(taken),
         ProposalOutcome::VersionsForgotten(keys) => versions_forgotten(keys),
         ProposalOutcome::IdForgotten(version) => id_forgotten(*version),
-        ProposalOutcome::Faulty(faults) => (
+        ProposalOutcome::Invalid(faults) => (
             400,
             jzon::object! { outcome: "refused", faults: faults_json(faults) },
         ),
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -145,7 +145,7 @@
         ReadKind::Check { change } => {
             let faults = check_configuration(state.map(MapName::Configuration), &change);
             let response = OperatorResponse::ProposalOutcome {
-                proposal_outcome: ProposalOutcome::Faulty(faults),
+                proposal_outcome: ProposalOutcome::Invalid(faults),
             };
             state.respond(ticket, response);
         }
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -53,7 +53,7 @@
             | ProposalOutcome::VersionsTaken(_)
             | ProposalOutcome::VersionsForgotten(_)
             | ProposalOutcome::IdForgotten(_)
-            | ProposalOutcome::Faulty(_)
+            | ProposalOutcome::Invalid(_)
             | ProposalOutcome::IdTaken(_)
             | ProposalOutcome::TooFewAgents => {
                 self.tally.refused_changes += 1;
