--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -8,7 +8,6 @@
 pub mod identifiers;
 
 pub mod catch_up;
-#[path = "change_check.rs"]
 pub mod change_check;
 pub mod configuration;
 pub mod consensus;
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -3,7 +3,7 @@
 //! A map is a set of named items, each with its own version, and a map version that counts the
 //! committed change sets. Followers use the map version as their position in the feed. A change set is
 //! applied completely or not at all: `apply` contains the effect of a change on a map, `lookups` the
-//! typed reads, and [`map_weighing`](crate::map_weighing) the check whether a change may be proposed.
+//! typed reads, and [`change_check`](crate::change_check) the check whether a change may be proposed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -131,7 +131,7 @@
 /// The key of a guard on the version of the map itself, as read by the writer of the change.
 ///
 /// No item has this key. The guard limits the age of a change, see
-/// [`ChangeCheck::IdForgotten`](crate::map_weighing::ChangeCheck::IdForgotten).
+/// [`ChangeCheck::IdForgotten`](crate::change_check::ChangeCheck::IdForgotten).
 pub const MAP_READ: &str = "map";
 
 /// The item that contains the fencing token: a new leader of a role writes it to fence off the
