--- a/crates/caperworks/src/catch_up/receiver.rs
+++ b/crates/caperworks/src/catch_up/receiver.rs
@@ -87,8 +87,8 @@
         self.last_number
     }
 
-    /// Handles an announcement by a peer that it has version `target_version` of a map whose local version is
-    /// `local_version`.
+    /// Handles an announcement by a peer that it has version `target_version` of a map that is at
+    /// `local_version` here.
     ///
     /// Starts a transfer and returns its first request, unless one is already in progress.
     pub fn behind(
--- a/crates/caperworks/tests/operator_versions.rs
+++ b/crates/caperworks/tests/operator_versions.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn highest_operator_version_wins_in_any_order() {
+fn highest_operator_version_wins_in_any_sequence() {
     let puts = [(1, Some(10)), (2, None), (3, Some(30)), (4, None)];
     let mut chance = Chance::seeded(7);
     for highest in [3, 4] {
