--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -98,8 +98,8 @@
     }
 
     /// Responds to a catch-up request from a peer at version `after`: with changes if the history
-    /// reaches back far enough, and with a chunk otherwise. A peer that is up to date gets an empty list
-    /// of changes, which ends its transfer immediately.
+    /// reaches back far enough, and with a chunk otherwise. A peer that is up to date gets an empty
+    /// list of changes, which ends its transfer immediately.
     pub fn respond(
         &mut self,
         now: Duration,
--- a/crates/caperworks/src/change_check.rs
+++ b/crates/caperworks/src/change_check.rs
@@ -80,14 +80,14 @@
         let mut taken = Vec::new();
         let mut forgotten = Vec::new();
         for put in &change.puts {
-            let Some(numbered) = put.numbered() else {
+            let Some(put_version) = put.numbered() else {
                 continue;
             };
             let history = histories
                 .entry(&put.key)
                 .or_insert_with(|| self.history(&put.key));
-            match history.status_of(numbered) {
-                VersionStatus::Newest | VersionStatus::Superseded => history.confirm(numbered),
+            match history.status_of(put_version) {
+                VersionStatus::Newest | VersionStatus::Superseded => history.confirm(put_version),
                 VersionStatus::Confirmed => {}
                 VersionStatus::Taken(confirmed) => taken.push(TakenVersion {
                     key: put.key.clone(),
--- a/crates/caperworks/src/consensus/voter/commits.rs
+++ b/crates/caperworks/src/consensus/voter/commits.rs
@@ -111,9 +111,9 @@
         changes: Vec<CommittedChange>,
         outcome: &mut VoterOutcome,
     ) {
-        for numbered in changes {
-            if self.map(map).version.next() == numbered.version {
-                self.commit(map, numbered.version, numbered.change, outcome);
+        for committed in changes {
+            if self.map(map).version.next() == committed.version {
+                self.commit(map, committed.version, committed.change, outcome);
                 outcome.moved = vec![map];
             }
         }
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -43,8 +43,8 @@
     /// Version 0 only sets an item that is absent.
     fn is_superseded(&self, put: &Put) -> bool {
         match (put.numbered(), &put.written) {
-            (Some(numbered), _) => {
-                self.history(&put.key).status_of(numbered) != VersionStatus::Newest
+            (Some(put_version), _) => {
+                self.history(&put.key).status_of(put_version) != VersionStatus::Newest
             }
             (None, Some(_)) => self.items.contains_key(&put.key),
             (None, None) => false,
@@ -80,12 +80,12 @@
         if put.written.is_none() {
             self.histories.remove(&put.key);
         }
-        let Some(numbered) = put.numbered() else {
+        let Some(put_version) = put.numbered() else {
             return;
         };
         let mut history = self.history(&put.key);
-        if let VersionStatus::Newest | VersionStatus::Superseded = history.status_of(numbered) {
-            history.confirm(numbered);
+        if let VersionStatus::Newest | VersionStatus::Superseded = history.status_of(put_version) {
+            history.confirm(put_version);
         }
         self.histories.insert(put.key.clone(), history);
     }
--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -4,8 +4,8 @@
 //! with the same generation. All three files have a fixed size and are preallocated, so that a full
 //! disk cannot prevent a controller from voting. Data counts only once it is synced.
 //!
-//! [`SlotDisk`] does no I/O: it returns writes for the host to perform, and is notified when they have been
-//! synced. Recovery at start is in `recovery`.
+//! [`SlotDisk`] does no I/O: it returns writes for the host to perform, and is notified when they have
+//! been synced. Recovery at start is in `recovery`.
 
 use std::collections::VecDeque;
 
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -512,7 +512,8 @@
                     );
                 }
                 Recovery::Found { state, .. } => assert_eq!(state, b"base and synced"),
-                // The log header is overwritten only while the other slot is intact, so nothing is lost.
+                // The log header is overwritten only while the other slot is intact, so no data is
+                // lost.
                 other => panic!("write {index} cut at {cut}: {other:?}"),
             }
         }
@@ -528,13 +529,13 @@
 #[test]
 fn follower_ignores_updates_after_a_gap_and_older_snapshots() {
     let mut feed_cache = FeedCache::default();
-    let numbered = |version: u64| CommittedChange {
+    let committed = |version: u64| CommittedChange {
         version: Version(version),
         change: change(&format!("change-{version}"), vec![zone_put("e1", None)]),
     };
     let updates = |from: u64, to: u64| ConsensusMessage::Updates {
         map: MapName::Configuration,
-        changes: (from..=to).map(numbered).collect(),
+        changes: (from..=to).map(committed).collect(),
     };
     assert_eq!(
         feed_cache.take(&updates(1, 3)),
--- a/crates/model-check/src/bound.rs
+++ b/crates/model-check/src/bound.rs
@@ -72,7 +72,7 @@
     /// How many proposals each configuration proposer may start.
     pub configuration_proposals: u8,
     /// How many configuration proposals the manager may start, to recover accepted changes.
-    pub committing_proposals: u8,
+    pub recovery_proposals: u8,
     /// How many membership proposals the manager may start.
     pub membership_proposals: u8,
     /// The nodes that serve a read.
@@ -104,7 +104,7 @@
             manager: NodeId(1),
             membership_steps: Vec::new(),
             configuration_proposals: 1,
-            committing_proposals: 0,
+            recovery_proposals: 0,
             membership_proposals: 0,
             readers: Vec::new(),
             quorum_reads: 1,
--- a/crates/model-check/src/invariants.rs
+++ b/crates/model-check/src/invariants.rs
@@ -42,7 +42,7 @@
 }
 
 /// The number of disks on which a change must be synced before it is acknowledged.
-pub const SYNCED_DISKS: usize = 2;
+pub const MIN_SYNCED_DISKS: usize = 2;
 
 /// The change chosen for a version, and the membership under which it was decided, if observed.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/model-check/src/node.rs
+++ b/crates/model-check/src/node.rs
@@ -110,9 +110,7 @@
             configuration: proposer(MapName::Configuration, id),
             membership: proposer(MapName::Membership, id),
             configuration_proposals: match bound.manager == id {
-                true => bound
-                    .committing_proposals
-                    .max(bound.configuration_proposals),
+                true => bound.recovery_proposals.max(bound.configuration_proposals),
                 false => bound.configuration_proposals,
             },
             membership_proposals: bound.membership_proposals,
--- a/crates/model-check/src/scenarios.rs
+++ b/crates/model-check/src/scenarios.rs
@@ -69,7 +69,7 @@
         early_writers: nodes(&[1]),
         manager: NodeId(3),
         membership_steps: replace_first_by_fourth(),
-        committing_proposals: 2,
+        recovery_proposals: 2,
         membership_proposals: 4,
         ..Bound::new("replacement")
     }
@@ -97,7 +97,7 @@
         writers: nodes(&[1, 4]),
         manager: NodeId(4),
         membership_steps: replace_first_by_fourth(),
-        committing_proposals: 4,
+        recovery_proposals: 4,
         membership_proposals: 4,
         ..Bound::new("removed writer")
     }
@@ -124,7 +124,7 @@
             MembershipStep::Leave(NodeId(2)),
             MembershipStep::Join(NodeId(12)),
         ],
-        committing_proposals: 2,
+        recovery_proposals: 2,
         membership_proposals: 4,
         wiped: nodes(&[2]),
         ..Bound::new("wiped disk")
@@ -153,7 +153,7 @@
 /// Like [`replacement`], but without proposals that recover accepted changes.
 pub fn unsettled_replacement() -> Bound {
     Bound {
-        committing_proposals: 0,
+        recovery_proposals: 0,
         membership_proposals: 2,
         ..replacement()
     }
--- a/crates/model-check/src/world/proposals.rs
+++ b/crates/model-check/src/world/proposals.rs
@@ -5,7 +5,7 @@
 
 use crate::bound::{Bound, InjectedBug};
 use crate::digest::DigestWriter;
-use crate::invariants::{disks_with, Violation, SYNCED_DISKS};
+use crate::invariants::{disks_with, Violation, MIN_SYNCED_DISKS};
 use crate::node::{Node, PROPOSAL_TIME};
 use crate::world::{Request, World};
 use caperworks::consensus::messages::ConsensusMessage;
@@ -69,7 +69,7 @@
         }
         let lost = self.nodes().filter(|node| !node.is_running).count();
         let disks = disks_with(self, version);
-        if disks + lost < SYNCED_DISKS {
+        if disks + lost < MIN_SYNCED_DISKS {
             return Err(Violation::TooFewDisks { version, disks });
         }
         self.accepted = self.accepted.max(version);
--- a/crates/model-check/tests/random_schedules.rs
+++ b/crates/model-check/tests/random_schedules.rs
@@ -24,7 +24,7 @@
             MembershipStep::Leave(NodeId(2)),
         ],
         configuration_proposals: 6,
-        committing_proposals: 12,
+        recovery_proposals: 12,
         membership_proposals: 12,
         quorum_reads: 4,
         restarts: 3,
