--- a/crates/caperworks/src/consensus/proposer/options.rs
+++ b/crates/caperworks/src/consensus/proposer/options.rs
@@ -20,7 +20,7 @@
     pub majority_override: Option<usize>,
     /// Fault injection, to test the invariant checkers: the valid part of an invalid change set is
     /// applied.
-    pub applies_partially: bool,
+    pub applies_valid_part: bool,
     /// Fault injection, to test the invariant checkers: a change is confirmed although its version
     /// was already confirmed with other contents.
     pub confirms_taken_versions: bool,
@@ -34,7 +34,7 @@
             pending_timeout: Duration::from_millis(2500),
             synced_controllers: None,
             majority_override: None,
-            applies_partially: false,
+            applies_valid_part: false,
             confirms_taken_versions: false,
         }
     }
--- a/crates/caperworks/src/consensus/proposer/pending.rs
+++ b/crates/caperworks/src/consensus/proposer/pending.rs
@@ -80,7 +80,7 @@
                     if faults.is_empty() {
                         return;
                     }
-                    if self.options.applies_partially {
+                    if self.options.applies_valid_part {
                         self.inject_partial_change(map, faults, outcome);
                         return;
                     }
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -55,7 +55,7 @@
         if self == Self::SingleVoteMajority {
             options.majority_override = Some(1);
         }
-        options.applies_partially = self == Self::PartialChangeSets;
+        options.applies_valid_part = self == Self::PartialChangeSets;
     }
 
     /// Leaves the safeguard out of the receiver of snapshots.
