--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -87,7 +87,7 @@
 use std::time::Duration;
 
 /// Messages of builds whose connections carried messages in one direction only.
-const ONE_WAY_MESSAGES: &str = include_str!("fixtures/messages.hex");
+const ONE_DIRECTION_MESSAGES: &str = include_str!("fixtures/messages.hex");
 /// Messages with the fields that were added together with bidirectional connections.
 const MESSAGES: &str = include_str!("fixtures/messages-2.hex");
 const CONSENSUS_MESSAGES: &str = include_str!("fixtures/consensus_messages.hex");
@@ -503,7 +503,7 @@
     }
 }
 
-fn heard_heartbeats() -> Vec<HeardHeartbeat> {
+fn received_heartbeats() -> Vec<HeardHeartbeat> {
     [
         InstanceState::Warming,
         InstanceState::Serving,
@@ -548,7 +548,7 @@
     }
 }
 
-fn heard_members() -> Vec<HeardMember> {
+fn received_members() -> Vec<HeardMember> {
     [Role::Proxy, Role::Directory]
         .into_iter()
         .map(|role| HeardMember {
@@ -572,7 +572,7 @@
     }
 }
 
-fn hold(key_range: u32) -> KeyRangeLease {
+fn key_range_lease(key_range: u32) -> KeyRangeLease {
     KeyRangeLease {
         key_range,
         epoch: Epoch(4),
@@ -583,8 +583,8 @@
 
 fn heartbeat_response() -> HeartbeatResponse {
     HeartbeatResponse {
-        leases: vec![hold(1)],
-        release: vec![hold(5)],
+        leases: vec![key_range_lease(1)],
+        release: vec![key_range_lease(5)],
         by_owner_manager: true,
         owner_manager: Some(address(5, 7000)),
         fence: Epoch(6),
@@ -623,9 +623,9 @@
                     number: 71,
                     quorum_read_age: millis(41),
                     versions: vec![Version(17), Version(18)],
-                    instances: heard_heartbeats(),
+                    instances: received_heartbeats(),
                     instances_offset: 301,
-                    members: heard_members(),
+                    members: received_members(),
                     members_offset: 201,
                     updates: vec![consensus_message()],
                     assured: true,
@@ -721,8 +721,8 @@
         (
             "7",
             Message::Facts {
-                instances: heard_heartbeats(),
-                members: heard_members(),
+                instances: received_heartbeats(),
+                members: received_members(),
                 gone: vec![InstanceId::from("cart-2")],
             },
         ),
@@ -730,7 +730,7 @@
             "10",
             Message::HeartbeatForward {
                 ticket: 81,
-                heard: heard_heartbeats().remove(1),
+                heard: received_heartbeats().remove(1),
             },
         ),
         (
@@ -746,7 +746,7 @@
                 ask: FallbackRequest {
                     number: 91,
                     versions: vec![Version(17)],
-                    heartbeats: heard_heartbeats(),
+                    heartbeats: received_heartbeats(),
                 },
             },
         ),
@@ -766,7 +766,7 @@
             "16",
             Message::ConfirmFact {
                 number: 92,
-                heartbeat: Some(heard_heartbeats().remove(2)),
+                heartbeat: Some(received_heartbeats().remove(2)),
                 ended: Some(InstanceId::from("cart-2")),
             },
         ),
@@ -830,7 +830,7 @@
         assert_eq!(name, number_of(&message).to_string());
     }
     let envelopes = || messages().map(|(name, message)| (name, envelope(message)));
-    check_decodes(ONE_WAY_MESSAGES, envelopes().collect());
+    check_decodes(ONE_DIRECTION_MESSAGES, envelopes().collect());
     check(MESSAGES, envelopes().collect());
 }
 
--- a/crates/model-check/src/bound.rs
+++ b/crates/model-check/src/bound.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub struct Bound {
     pub name: &'static str,
-    /// The first voters; all are controllers.
+    /// The number of initial voters, all of them controllers.
     pub voters: u64,
     /// The number of nodes that have replicas of the maps but are not voters at first.
     pub spares: u64,
