--- a/crates/caperworks/src/catch_up.rs
+++ b/crates/caperworks/src/catch_up.rs
@@ -18,9 +18,7 @@
 mod sender;
 mod snapshot_rate;
 
-pub use self::receiver::{
-    BrokenCatchUp, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome,
-};
+pub use self::receiver::{CatchUpFault, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome};
 pub use self::sender::{FollowerUpdate, SnapshotSender};
 pub use self::snapshot_rate::SnapshotRateLimiter;
 
--- a/crates/caperworks/src/catch_up/receiver.rs
+++ b/crates/caperworks/src/catch_up/receiver.rs
@@ -34,7 +34,7 @@
 
 /// Fault injection into the receiver, to test the invariant checkers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum BrokenCatchUp {
+pub enum CatchUpFault {
     /// No fault.
     #[default]
     Nothing,
@@ -50,7 +50,7 @@
     max_bytes: u64,
     form: FeedForm,
     /// The fault to inject; none in production.
-    pub broken: BrokenCatchUp,
+    pub broken: CatchUpFault,
 }
 
 impl CatchUpReceiver {
@@ -62,7 +62,7 @@
             last_number: first_number >> 1,
             max_bytes,
             form: FeedForm::Complete,
-            broken: BrokenCatchUp::Nothing,
+            broken: CatchUpFault::Nothing,
         }
     }
 
@@ -176,7 +176,7 @@
     /// Verifies the digest of a complete snapshot and decodes it.
     fn decode(&self, snapshot: &PartialSnapshot) -> Result<ReplicatedMap, ChunkError> {
         let is_intact = content_digest(&snapshot.bytes) == snapshot.digest;
-        if !is_intact && self.broken != BrokenCatchUp::SkipsDigest {
+        if !is_intact && self.broken != CatchUpFault::SkipsDigest {
             return Err(ChunkError::WrongDigest);
         }
         minicbor::decode::<ReplicatedMap>(&snapshot.bytes)
--- a/crates/caperworks/tests/catch_up.rs
+++ b/crates/caperworks/tests/catch_up.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use caperworks::catch_up::{
-    BrokenCatchUp, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk,
+    CatchUpFault, CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk,
     SnapshotRateLimiter, SnapshotSender, CHUNK_BYTES, MAX_UPDATE_WEIGHT, SNAPSHOT_IDLE_TIMEOUT,
 };
 use caperworks::consensus::messages::ConsensusMessage;
@@ -344,7 +344,7 @@
 }
 
 /// Fetches a snapshot with one wrong bit in one chunk; returns the last outcome.
-fn fetch_with_a_wrong_bit(broken: BrokenCatchUp) -> ChunkOutcome {
+fn fetch_with_a_wrong_bit(broken: CatchUpFault) -> ChunkOutcome {
     let voter = voter(6000, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
     receiver.broken = broken;
@@ -368,10 +368,10 @@
 
 #[test]
 fn snapshot_with_one_wrong_bit_fails_its_digest_check() {
-    let ended = fetch_with_a_wrong_bit(BrokenCatchUp::Nothing);
+    let ended = fetch_with_a_wrong_bit(CatchUpFault::Nothing);
     assert_eq!(ended, ChunkOutcome::Refused(ChunkError::WrongDigest));
     // With the fault injected, the receiver accepts a map that was never committed.
-    let ended = fetch_with_a_wrong_bit(BrokenCatchUp::SkipsDigest);
+    let ended = fetch_with_a_wrong_bit(CatchUpFault::SkipsDigest);
     let ChunkOutcome::Snapshot(full_map) = ended else {
         panic!("{ended:?}");
     };
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -7,7 +7,7 @@
 
 use crate::state::options::ControllerOptions;
 use crate::state::ControllerState;
-use caperworks::catch_up::{BrokenCatchUp, CatchUpReceiver};
+use caperworks::catch_up::{CatchUpFault, CatchUpReceiver};
 use caperworks::consensus::proposer::ProposerOptions;
 use caperworks::ownership::OwnerManager;
 
@@ -61,7 +61,7 @@
     /// Leaves the safeguard out of the receiver of snapshots.
     pub(crate) fn apply_to_catch_up(self, receiver: &mut CatchUpReceiver) {
         if self == Self::UncheckedSnapshot {
-            receiver.broken = BrokenCatchUp::SkipsDigest;
+            receiver.broken = CatchUpFault::SkipsDigest;
         }
     }
 
