--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -193,7 +193,7 @@
             voter: None,
             snapshots: SnapshotSender::default(),
             agents_limit: SnapshotRateLimiter::default(),
-            proxy_limit: SnapshotRateLimiter::once_in(PROXY_MAP_PERIOD),
+            proxy_limit: SnapshotRateLimiter::with_interval(PROXY_MAP_PERIOD),
         }
     }
 
--- a/crates/caperworks/src/catch_up/snapshot_rate.rs
+++ b/crates/caperworks/src/catch_up/snapshot_rate.rs
@@ -17,13 +17,13 @@
 
 impl Default for SnapshotRateLimiter {
     fn default() -> Self {
-        Self::once_in(MIN_FULL_MAP_INTERVAL)
+        Self::with_interval(MIN_FULL_MAP_INTERVAL)
     }
 }
 
 impl SnapshotRateLimiter {
     /// Creates a limiter that admits one snapshot per interval for each follower and map.
-    pub fn once_in(interval: Duration) -> Self {
+    pub fn with_interval(interval: Duration) -> Self {
         Self {
             interval,
             sent: BTreeMap::new(),
