--- a/crates/caperworks/src/change_check.rs
+++ b/crates/caperworks/src/change_check.rs
@@ -8,7 +8,7 @@
 
 use crate::identifiers::Version;
 use crate::replicated_map::{
-    Change, Conflict, ReplicatedMap, TakenVersion, MAP_READ, REMEMBERED_CHANGES,
+    Change, Conflict, ReplicatedMap, TakenVersion, MAP_VERSION_GUARD, REMEMBERED_CHANGES,
 };
 use crate::version_history::{VersionHistory, VersionStatus};
 
@@ -64,7 +64,7 @@
         let read = change
             .guards
             .iter()
-            .find(|guard| guard.key == MAP_READ)?
+            .find(|guard| guard.key == MAP_VERSION_GUARD)?
             .expected;
         let remembered_after = self.version.0.saturating_sub(REMEMBERED_CHANGES as u64);
         (read.0 < remembered_after).then_some(ChangeCheck::IdForgotten(self.version))
@@ -109,7 +109,7 @@
         let guards = change
             .guards
             .iter()
-            .filter(|guard| guard.key != MAP_READ)
+            .filter(|guard| guard.key != MAP_VERSION_GUARD)
             .map(|guard| (&guard.key, guard.expected));
         let conflicts: Vec<Conflict> = change
             .puts
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -132,7 +132,7 @@
 ///
 /// No item has this key. The guard limits the age of a change, see
 /// [`ChangeCheck::IdForgotten`](crate::change_check::ChangeCheck::IdForgotten).
-pub const MAP_READ: &str = "map";
+pub const MAP_VERSION_GUARD: &str = "map";
 
 /// The item that contains the fencing token: a new leader of a role writes it to fence off the
 /// previous leader.
--- a/crates/caperworks/tests/operator_versions.rs
+++ b/crates/caperworks/tests/operator_versions.rs
@@ -9,8 +9,8 @@
 use caperworks::identifiers::{Chance, ChangeId, Region, ServiceName, Version};
 use caperworks::map_items::{Route, Service, SplitTarget, Value, ZoneSettings};
 use caperworks::replicated_map::{
-    Change, Guard, Item, Put, RecentChange, ReplicatedMap, TakenVersion, Written, MAP_READ,
-    REMEMBERED_CHANGES,
+    Change, Guard, Item, Put, RecentChange, ReplicatedMap, TakenVersion, Written,
+    MAP_VERSION_GUARD, REMEMBERED_CHANGES,
 };
 use caperworks::version_history::{
     contents_digest, ConfirmedVersion, VersionHistory, REMEMBERED_VERSIONS,
@@ -618,7 +618,7 @@
             written: None,
         }],
         guards: vec![Guard {
-            key: MAP_READ.to_string(),
+            key: MAP_VERSION_GUARD.to_string(),
             expected: Version(read),
         }],
     }
--- a/crates/controller/src/operator_json/reading/change_set.rs
+++ b/crates/controller/src/operator_json/reading/change_set.rs
@@ -9,7 +9,7 @@
 use crate::operator_json::reading::zone::read_zone;
 use caperworks::identifiers::{ChangeId, Version};
 use caperworks::map_items::Value;
-use caperworks::replicated_map::{Change, Guard, Put, MAP_READ};
+use caperworks::replicated_map::{Change, Guard, Put, MAP_VERSION_GUARD};
 
 /// The most bytes of a change set's id.
 const MOST_ID_BYTES: usize = 128;
@@ -173,7 +173,7 @@
     }
     let newest_item = puts.iter().filter_map(seen).max().unwrap_or_default();
     Some(Guard {
-        key: MAP_READ.to_string(),
+        key: MAP_VERSION_GUARD.to_string(),
         expected: newest_item.max(read.unwrap_or_default()),
     })
 }
--- a/crates/controller/tests/interface_stories.rs
+++ b/crates/controller/tests/interface_stories.rs
@@ -3,7 +3,9 @@
 use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version};
-use caperworks::replicated_map::{ReplicatedMap, TakenVersion, MAP_READ, REMEMBERED_CHANGES};
+use caperworks::replicated_map::{
+    ReplicatedMap, TakenVersion, MAP_VERSION_GUARD, REMEMBERED_CHANGES,
+};
 use caperworks::version_history::ConfirmedVersion;
 use controller::operator_json::{proposal_outcome_json, read_form};
 
@@ -14,7 +16,7 @@
     change
         .guards
         .iter()
-        .find(|guard| guard.key == MAP_READ)
+        .find(|guard| guard.key == MAP_VERSION_GUARD)
         .map(|guard| guard.expected.0)
 }
 
