--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns whether a state of this many bytes fits into a slot.
-    pub fn slot_fits(&self, length: usize) -> bool {
+    pub fn fits_slot(&self, length: usize) -> bool {
         (length + FRAME_HEADER_BYTES) as u64 <= self.slot_capacity
     }
 
--- a/crates/controller/src/state_machine/storage.rs
+++ b/crates/controller/src/state_machine/storage.rs
@@ -156,7 +156,7 @@
     /// the disk then counts as failing, and the outputs never leave.
     pub fn write_slot(&mut self, outputs: Vec<ControllerOutput>) {
         let encoded = self.encode_state();
-        if !self.storage.disk.slot_fits(encoded.len()) {
+        if !self.storage.disk.fits_slot(encoded.len()) {
             self.storage.is_failing = true;
             let event = Event::StateTooLarge {
                 bytes: encoded.len() as u64,
