--- a/crates/caperworks/src/slots/recovery.rs
+++ b/crates/caperworks/src/slots/recovery.rs
@@ -35,7 +35,7 @@
     #[error("file {} has the unknown format {}", .0.part.file_name(), .0.format)]
     UnknownFormat(UnknownFormat),
     /// Data was written, but no slot is intact.
-    #[error("both slots are corrupted or incomplete")]
+    #[error("no intact slot found")]
     NoIntactSlot,
     /// The log belongs to a later generation than the newest intact slot.
     #[error("the log has generation {log}, but the newest intact slot has generation {slot}")]
