--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -7,7 +7,7 @@
 
 use crate::heartbeats::PendingHeartbeat;
 use crate::proxy_calls::PROXY_MAP_INTERVAL;
-use caperworks::catch_up::{CatchUpRequest, FullMapLimit, SnapshotSender};
+use caperworks::catch_up::{CatchUpRequest, SnapshotRateLimiter, SnapshotSender};
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::voter::Voter;
 use caperworks::envelope_clock::Echo;
@@ -169,8 +169,8 @@
     /// Encoded snapshots of the voter's maps, for controllers that are behind.
     pub(crate) snapshots: SnapshotSender,
     /// How often other agents and the proxy are sent full maps.
-    pub(crate) agent_map_limit: FullMapLimit,
-    pub(crate) proxy_map_limit: FullMapLimit,
+    pub(crate) agent_map_limit: SnapshotRateLimiter,
+    pub(crate) proxy_map_limit: SnapshotRateLimiter,
 }
 
 impl AgentMachine {
@@ -203,8 +203,8 @@
             unforwarded_heartbeats: BTreeSet::new(),
             voter: None,
             snapshots: SnapshotSender::default(),
-            agent_map_limit: FullMapLimit::default(),
-            proxy_map_limit: FullMapLimit::once_in(PROXY_MAP_INTERVAL),
+            agent_map_limit: SnapshotRateLimiter::default(),
+            proxy_map_limit: SnapshotRateLimiter::with_interval(PROXY_MAP_INTERVAL),
         }
     }
 
--- a/crates/caperworks/examples/consensus.rs
+++ b/crates/caperworks/examples/consensus.rs
@@ -1,4 +1,4 @@
-//! Three voters agree on a change: the machines alone, with messages carried by a loop.
+//! Three voters agree on a change: only the state machines, with a loop that delivers the messages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 
     // Node 1 proposes a change to the configuration.
     let me = NodeId(1);
-    let mut chance = RandomSource::seeded(1);
+    let mut random = RandomSource::seeded(1);
     let mut proposer = Proposer::new(MapName::Configuration, me, ProposerOptions::default());
     let change = Change {
         id: ChangeId::new("open-e1"),
@@ -64,14 +64,17 @@
     };
     let now = Duration::from_millis(1);
     proposer.propose(now, 42, change);
-    let mut outcome = proposer.tick(now, &voters[&me], &mut chance);
+    let mut outcome = proposer.tick(now, &voters[&me], &mut random);
     let mut proposal_outcomes = Vec::new();
-    while let Some(vote) = outcome.to_voters.pop() {
+    while let Some(request) = outcome.to_voters.pop() {
         let nodes: Vec<NodeId> = voters.keys().copied().collect();
         for node in nodes {
-            // A real host syncs `records` before it sends `replies`.
-            let heard = voters.get_mut(&node).expect("a voter").handle(vote.clone());
-            for reply in heard.replies {
+            // A real host must sync `records` before it sends `replies`.
+            let voted = voters
+                .get_mut(&node)
+                .expect("the node is a voter")
+                .handle(request.clone());
+            for reply in voted.replies {
                 let more = proposer.handle(now, node, &reply, &voters[&me]);
                 outcome.to_voters.extend(more.to_voters);
                 proposal_outcomes.extend(more.proposal_outcomes);
--- a/crates/caperworks/examples/feed.rs
+++ b/crates/caperworks/examples/feed.rs
@@ -1,13 +1,13 @@
 //! A follower that receives the changes after its version, or a snapshot if it is too far behind.
 
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::feed::{FeedCache, Follower, MAX_HISTORY_WEIGHT};
 use caperworks::identifiers::{ChangeId, Version};
 use caperworks::replicated_map::{Change, MapName};
 
 fn updates(from: u64, to: u64) -> ConsensusMessage {
     let changes = (from..=to)
-        .map(|version| NumberedChange {
+        .map(|version| CommittedChange {
             version: Version(version),
             change: Change {
                 id: ChangeId::new(format!("change-{version}")),
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -10,7 +10,7 @@
 use crate::identifiers::{Region, RouteName, ServiceName};
 use crate::map_items::{KeySpace, Route, Service, SplitTarget, Value};
 use crate::replicated_map::{Change, Put, ReplicatedMap};
-use crate::version_history::{ConfirmedVersion, VersionStanding};
+use crate::version_history::{ConfirmedVersion, VersionStatus};
 
 /// Returns all errors of the configuration as it would be after the change; none if it is valid.
 ///
@@ -63,7 +63,7 @@
             }
         }
         (Some(Value::Limits { limits }), "limits") => {
-            if limits.head_bytes == 0 || limits.head_span.is_zero() {
+            if limits.head_bytes == 0 || limits.header_timeout.is_zero() {
                 let why = "request heads need a size limit and a timeout above 0";
                 faults.push(Fault::new(&put.key, why));
             }
@@ -141,7 +141,7 @@
         let is_highest = routes
             .get(put.key.as_str())
             .is_none_or(|(other, _)| other.version < numbered.version);
-        if is_highest && map.history(&put.key).standing(numbered) != VersionStanding::Confirmed {
+        if is_highest && map.history(&put.key).status_of(numbered) != VersionStatus::Confirmed {
             routes.insert(&put.key, (numbered, route));
         }
     }
@@ -159,7 +159,7 @@
 ) {
     let mut routes_by_path: BTreeMap<(String, &str), (&str, bool)> = BTreeMap::new();
     for (key, (numbered, route)) in unconfirmed_routes(map, change) {
-        let is_superseded = map.history(key).standing(numbered) == VersionStanding::Overtaken;
+        let is_superseded = map.history(key).status_of(numbered) == VersionStatus::Superseded;
         // A superseded route may name a service that was dropped after its operator sent it.
         let service_exists = |name: &ServiceName| match after.items.get(&format!("pool/{name}")) {
             Some(item) => is_superseded || item.value != Value::Dropped,
@@ -265,7 +265,7 @@
     if service.slow_start_rate_milli == 0 {
         fault("gentle_per_second", "give at least 1");
     }
-    if service.warm_up_span > Duration::from_secs(600) {
+    if service.warm_up_period > Duration::from_secs(600) {
         fault("warm_ms", "give at most 600000");
     }
 }
--- a/crates/caperworks/src/dispatch/proxy_state.rs
+++ b/crates/caperworks/src/dispatch/proxy_state.rs
@@ -146,7 +146,7 @@
 
     /// Returns whether the instance may be warming up.
     pub(crate) fn is_warming_up(&self, heartbeat: &Heartbeat, service: &Service) -> bool {
-        heartbeat.is_warming_up(service.warm_up_span)
+        heartbeat.is_warming_up(service.warm_up_period)
             || self.maybe_warming_up.contains_key(&heartbeat.id)
     }
 
--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -59,7 +59,7 @@
     /// Whether the body can be sent again.
     replayable: bool,
     attempts: u32,
-    most_attempts: u32,
+    max_attempts: u32,
     deadline: Duration,
     /// Whether an earlier attempt may have run without its response being known.
     is_outcome_unknown: bool,
@@ -73,7 +73,7 @@
             idempotent,
             replayable: true,
             attempts: 0,
-            most_attempts: DEFAULT_MAX_ATTEMPTS,
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
             deadline: Duration::ZERO,
             is_outcome_unknown: false,
         }
@@ -109,9 +109,9 @@
     pub fn matched(&mut self, now: Duration, route: &Route) {
         self.state = RequestState::Matched;
         self.deadline = now + route.deadline;
-        self.idempotent = route.may_repeat(self.idempotent);
-        if route.most_attempts > 0 {
-            self.most_attempts = route.most_attempts;
+        self.idempotent = route.is_idempotent(self.idempotent);
+        if route.max_attempts > 0 {
+            self.max_attempts = route.max_attempts;
         }
     }
 
@@ -181,7 +181,7 @@
         self.is_outcome_unknown |= !has_not_run;
         let may_retry = (has_not_run || self.idempotent)
             && self.replayable
-            && self.attempts < self.most_attempts
+            && self.attempts < self.max_attempts
             && end != AttemptEnd::DeadlineExceeded
             && now < self.deadline;
         if may_retry && take_retry() {
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -133,9 +133,9 @@
 
     /// Returns whether the instance is warming up, by its own report or by its uptime: an instance that
     /// was restarted may fail to report it.
-    pub fn is_warming_up(&self, warm_up_span: Duration) -> bool {
+    pub fn is_warming_up(&self, warm_up_period: Duration) -> bool {
         self.state == InstanceState::Warming
-            || self.up < warm_up_span
+            || self.up < warm_up_period
             || !self.warm_up_left.is_zero()
     }
 }
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::consensus::messages::{ConsensusMessage, NumberedChange};
+use crate::consensus::messages::{CommittedChange, ConsensusMessage};
 use crate::identifiers::Version;
 use crate::reduced_map::FeedForm;
 use crate::replicated_map::{MapName, ReplicatedMap};
@@ -17,13 +17,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct FirstChanges {
     /// The changes, lowest version first.
-    pub changes: Vec<NumberedChange>,
+    pub changes: Vec<CommittedChange>,
     /// Whether more changes follow them.
     pub more: bool,
 }
 
 /// Returns the length of a change in a message, in bytes.
-fn encoded_length(numbered: &NumberedChange) -> usize {
+fn encoded_length(numbered: &CommittedChange) -> usize {
     // Encoding into memory cannot fail for these types.
     minicbor::to_vec(numbered).expect("a change encodes").len()
 }
@@ -31,13 +31,13 @@
 /// The recent changes of one map, consecutive versions, at most [`MAX_HISTORY_WEIGHT`] of them.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    changes: VecDeque<NumberedChange>,
+    changes: VecDeque<CommittedChange>,
     weight: usize,
 }
 
 impl History {
     /// Adds the next change, and drops the oldest ones beyond [`MAX_HISTORY_WEIGHT`].
-    pub fn push(&mut self, numbered: NumberedChange) {
+    pub fn push(&mut self, numbered: CommittedChange) {
         self.weight += numbered.change.weight();
         self.changes.push_back(numbered);
         while self.weight > MAX_HISTORY_WEIGHT {
@@ -55,9 +55,9 @@
     }
 
     /// Returns all changes after a version, or `None` if the history does not reach back that far.
-    pub fn changes_after(&self, after: Version) -> Option<Vec<NumberedChange>> {
+    pub fn changes_after(&self, after: Version) -> Option<Vec<CommittedChange>> {
         let first = self.changes.front()?;
-        let is_later = |numbered: &&NumberedChange| numbered.version > after;
+        let is_later = |numbered: &&CommittedChange| numbered.version > after;
         let reaches_back = first.version <= after.next();
         reaches_back.then(|| self.changes.iter().filter(is_later).cloned().collect())
     }
@@ -68,7 +68,7 @@
         &self,
         after: Version,
         form: FeedForm,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Option<FirstChanges> {
         let first = self.changes.front()?;
         if first.version > after.next() {
@@ -81,7 +81,7 @@
         let mut changes = Vec::new();
         while let Some(numbered) = later.next_if(|numbered| {
             bytes += encoded_length(numbered);
-            bytes <= most_bytes || changes.is_empty()
+            bytes <= max_bytes || changes.is_empty()
         }) {
             changes.push(numbered);
         }
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -144,7 +144,7 @@
     ///
     /// Responses of two voter sets together form a majority of neither, and a later membership does
     /// not settle what a quorum read under an earlier one left undecided.
-    pub fn begin_anew(&mut self, before: Version) {
+    pub fn reset(&mut self, before: Version) {
         self.open.clear();
         self.latest
             .take_if(|quorum_read| !quorum_read.is_under(before));
--- a/crates/caperworks/src/lib.rs
+++ b/crates/caperworks/src/lib.rs
@@ -1,13 +1,14 @@
-//! Coordination parts for a fleet of many small processes, as state machines without I/O.
+//! Coordination components for a fleet of many small processes, as state machines without I/O.
 //!
-//! Every machine here takes inputs (a message heard, time passing, a write that was synced)
-//! and returns what to send, write and answer. Time, randomness, disk and network come in from
-//! outside, so the same code runs in the daemons and under the seeded simulator.
+//! Every state machine takes inputs (a received message, elapsed time, a completed disk sync) and
+//! returns the messages, writes and responses to perform. Time, randomness, disk and network are
+//! provided by the caller, so the same code runs in the daemons and in the deterministic simulator.
 
 #[macro_use]
 pub mod identifiers;
 
 pub mod catch_up;
+pub mod change_check;
 pub mod configuration;
 pub mod consensus;
 pub mod directory_responses;
@@ -23,7 +24,6 @@
 pub mod link;
 pub mod link_figures;
 pub mod map_items;
-pub mod map_weighing;
 pub mod members;
 pub mod messages;
 pub mod old_disk_format;
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use crate::catch_up::{
-    CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk, MOST_FOLLOWED_BYTES,
+    CatchUpReceiver, CatchUpRequest, ChunkError, ChunkOutcome, SnapshotChunk,
+    MAX_FOLLOWER_SNAPSHOT_BYTES,
 };
 use crate::consensus::messages::ConsensusMessage;
 use crate::envelope_clock::EnvelopeClock;
@@ -161,7 +162,7 @@
             lease: LeaseHolder::default(),
             instances: Instances::default(),
             members: Members::default(),
-            catch_up: CatchUpReceiver::new(random, MOST_FOLLOWED_BYTES),
+            catch_up: CatchUpReceiver::new(random, MAX_FOLLOWER_SNAPSHOT_BYTES),
             proxy_counts: VecDeque::new(),
             reporter: LinkReporter::default(),
         }
@@ -262,7 +263,7 @@
         self.is_unreachable = false;
         self.last_useful_response_at = now;
         self.renew_at = now;
-        self.pacer.begin_anew();
+        self.pacer.reset();
         // The timeout starts again for the next controller, which would hide that there was a gap.
         self.quorum_since = None;
     }
--- a/crates/caperworks/src/poll_pacer.rs
+++ b/crates/caperworks/src/poll_pacer.rs
@@ -86,7 +86,7 @@
     }
 
     /// Starts again with another peer, to which no poll has been sent.
-    pub fn begin_anew(&mut self) {
+    pub fn reset(&mut self) {
         if self.pending.take().is_some() {
             self.rtt.record_timeout();
         }
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use caperworks::configuration::{check_configuration, RouteTable};
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, ProxyState, ReportedOutcome, RequestLifecycle, RequestState,
     RetryBudget, ServiceShard, Target,
@@ -45,7 +45,7 @@
         instance_cap: 4,
         key_cap: 2,
         slow_start_rate_milli: 12000,
-        warm_up_span: millis(5000),
+        warm_up_period: millis(5000),
         ..Service::default()
     }
 }
@@ -370,7 +370,7 @@
             puts: vec![put],
             guards: Vec::new(),
         };
-        let changes = vec![NumberedChange {
+        let changes = vec![CommittedChange {
             version: Version(version),
             change,
         }];
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -9,7 +9,7 @@
     stable_hash, ChangeId, Epoch, Incarnation, InstanceId, RandomSource, ServiceName, Zone,
 };
 use caperworks::instances::Instances;
-use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEYS};
+use caperworks::map_items::{KeyRangeOwner, KeySpace, Service, Value, KEY_COUNT};
 use caperworks::ownership::{
     HeartbeatResponse, OwnerManager, OwnerManagerTimings, OwnershipView, ReleasedKeyRange,
     KEY_RANGE_LEASE_DURATION, OWNER_MANAGER_TAKEOVER_WAIT,
@@ -61,7 +61,7 @@
         }
         assert_eq!(
             u64::from(next),
-            KEYS,
+            KEY_COUNT,
             "{key_ranges} key ranges cover all keys"
         );
     }
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, ProxyState, RecentConnects, ReportedOutcome, RequestLifecycle,
     RequestState, ServiceShard, SLOW_CONNECT,
@@ -430,11 +430,11 @@
 }
 
 /// Returns a request of this kind whose first attempt was sent.
-fn sent(kind: RequestKind, reads: bool, most_attempts: u32) -> RequestLifecycle {
+fn sent(kind: RequestKind, reads: bool, max_attempts: u32) -> RequestLifecycle {
     let mut chart = RequestLifecycle::received(reads);
     let route = Route {
         kind,
-        most_attempts,
+        max_attempts,
         ..route()
     };
     chart.matched(millis(0), &route);
@@ -686,7 +686,7 @@
     let key_ranges = change("t", vec![put("slices/records", Value::KeyRanges { table })]);
     let updates = ConsensusMessage::Updates {
         map: MapName::Ownership,
-        changes: vec![NumberedChange {
+        changes: vec![CommittedChange {
             version: Version(1),
             change: key_ranges,
         }],
--- a/crates/caperworks/tests/reduced_map.rs
+++ b/crates/caperworks/tests/reduced_map.rs
@@ -1,11 +1,11 @@
 //! Tests of maps and changes in the reduced form, which followers receive that only read them.
 
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::change_check::ChangeCheck;
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::consensus::voter::{Voter, VoterOutcome};
 use caperworks::feed::Follower;
 use caperworks::identifiers::{ChangeId, RandomSource};
 use caperworks::map_items::{Route, Value};
-use caperworks::map_weighing::Standpoint;
 use caperworks::reduced_map::FeedForm;
 use caperworks::replicated_map::{Change, MapName, Put, ReplicatedMap, Written};
 
@@ -48,17 +48,17 @@
     map: &mut ReplicatedMap,
     chance: &mut RandomSource,
     number: u64,
-) -> Option<NumberedChange> {
+) -> Option<CommittedChange> {
     let change = random_change(chance, number);
-    if map.weigh(&change) != Standpoint::Fits {
+    if map.check_change(&change) != ChangeCheck::Fits {
         return None;
     }
     map.apply(&change);
     let version = map.version;
-    Some(NumberedChange { version, change })
+    Some(CommittedChange { version, change })
 }
 
-fn reduced_updates(changes: &[NumberedChange]) -> ConsensusMessage {
+fn reduced_updates(changes: &[CommittedChange]) -> ConsensusMessage {
     let reduced = changes
         .iter()
         .map(|change| change.with_form(FeedForm::Reduced));
@@ -134,7 +134,7 @@
 fn voter_ignores_reduced_updates_and_maps() {
     let mut chance = RandomSource::seeded(1);
     let mut held = ReplicatedMap::empty();
-    let changes: Vec<NumberedChange> = (0..20)
+    let changes: Vec<CommittedChange> = (0..20)
         .filter_map(|number| commit_random_change(&mut held, &mut chance, number))
         .collect();
     let full_map = held.reduced();
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -8,14 +8,14 @@
 use proptest::prelude::{prop, prop_assert_eq, proptest, ProptestConfig, Strategy};
 
 use caperworks::configuration::RouteTable;
-use caperworks::consensus::messages::{ConsensusMessage, NumberedChange};
+use caperworks::consensus::messages::{CommittedChange, ConsensusMessage};
 use caperworks::dispatch::Failure;
 use caperworks::dispatch::ProxyState;
 use caperworks::identifiers::{ChangeId, NodeId, ServiceName, Version};
 use caperworks::map_items::{Route, Value};
 use caperworks::messages::ProxyView;
 use caperworks::replicated_map::{
-    AnsweredChange, Change, Item, MapName, Put, ReplicatedMap, Written,
+    Change, Item, MapName, Put, RecentChange, ReplicatedMap, Written,
 };
 use caperworks::version_history::VersionHistory;
 
@@ -195,7 +195,7 @@
         map.apply(&added);
         let updates = ConsensusMessage::ReducedUpdates {
             map: MapName::Configuration,
-            changes: vec![NumberedChange {
+            changes: vec![CommittedChange {
                 version: map.version,
                 change: added.reduced(),
             }],
@@ -278,7 +278,7 @@
         map: MapName::Configuration,
         changes: changes
             .into_iter()
-            .map(|(version, change)| NumberedChange {
+            .map(|(version, change)| CommittedChange {
                 version,
                 change: change.reduced(),
             })
@@ -303,7 +303,7 @@
     #[n(1)]
     items: BTreeMap<String, Item>,
     #[n(2)]
-    answered: Vec<AnsweredChange>,
+    answered: Vec<RecentChange>,
     #[n(3)]
     histories: BTreeMap<String, VersionHistory>,
     #[n(4)]
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -1,12 +1,12 @@
-//! Bytes on the wire and on disk, as earlier builds wrote them: they must decode to the same values,
-//! and the same values must encode to the same bytes. The fixtures are never written anew; a member
-//! that is added to a message gets a fixture of its own beside the old one.
+//! Compatibility of the wire and disk formats: bytes written by earlier builds must decode to the same
+//! values, and these values must encode to the same bytes. Fixtures are never regenerated; a field that
+//! is added to a message gets a new fixture in addition to the old one.
 
 use caperworks::catch_up::SnapshotChunk;
 use caperworks::catch_up::TransferPosition;
 use caperworks::consensus::messages::AcceptedProposal;
+use caperworks::consensus::messages::CommittedChange;
 use caperworks::consensus::messages::ConsensusMessage;
-use caperworks::consensus::messages::NumberedChange;
 use caperworks::consensus::messages::ProposalNumber;
 use caperworks::consensus::messages::Record;
 use caperworks::disk_frame::read_frame;
@@ -64,12 +64,12 @@
 use caperworks::partition_fallback::FallbackRequest;
 use caperworks::partition_fallback::FallbackResponse;
 use caperworks::reduced_map::FeedForm;
-use caperworks::replicated_map::AnsweredChange;
 use caperworks::replicated_map::Change;
 use caperworks::replicated_map::Guard;
 use caperworks::replicated_map::Item;
 use caperworks::replicated_map::MapName;
 use caperworks::replicated_map::Put;
+use caperworks::replicated_map::RecentChange;
 use caperworks::replicated_map::ReplicatedMap;
 use caperworks::replicated_map::Written;
 use caperworks::slots::DiskImage;
@@ -86,15 +86,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// As builds wrote them whose connections carried messages one way.
-const ONE_WAY_MESSAGES: &str = include_str!("fixtures/messages.hex");
-/// With the members that came with connections that carry answers.
+/// Messages of builds whose connections carried messages in one direction only.
+const ONE_DIRECTION_MESSAGES: &str = include_str!("fixtures/messages.hex");
+/// Messages with the fields that were added together with bidirectional connections.
 const MESSAGES: &str = include_str!("fixtures/messages-2.hex");
 const CONSENSUS_MESSAGES: &str = include_str!("fixtures/consensus_messages.hex");
 const LOG_RECORDS: &str = include_str!("fixtures/log_records.hex");
 const FRAMES: &str = include_str!("fixtures/frames.hex");
 
-/// The fixtures of one file: on each line a name and the bytes in hexadecimal digits.
+/// Parses a fixture file: each line is a name and the bytes in hexadecimal digits.
 fn fixtures(file: &str) -> BTreeMap<&str, Vec<u8>> {
     file.lines()
         .map(|line| line.split_once(' ').expect("a name and its bytes"))
@@ -110,7 +110,8 @@
         .collect()
 }
 
-/// Each fixture of an earlier build decodes to the value of its name, whose later members are as if absent.
+/// Checks that each fixture of an earlier build decodes to the value of its name, in which fields that
+/// were added later have their defaults.
 fn check_decodes<T>(file: &str, values: Vec<(&str, T)>)
 where
     T: for<'bytes> Decode<'bytes, ()> + PartialEq + fmt::Debug,
@@ -126,7 +127,8 @@
     assert!(stored.is_empty(), "fixtures without a value: {stored:?}");
 }
 
-/// Each value against the fixture of its name, and no fixture left over.
+/// Checks that each fixture decodes to the value of its name and the value encodes to the fixture, and
+/// that every fixture has a value.
 fn check<T>(file: &str, values: Vec<(&str, T)>)
 where
     T: Encode<()> + for<'bytes> Decode<'bytes, ()> + PartialEq + fmt::Debug,
@@ -175,7 +177,7 @@
         }],
         target_latency: millis(90),
         priority: 2,
-        most_attempts: 4,
+        max_attempts: 4,
     }
 }
 
@@ -186,7 +188,7 @@
         instance_cap: 100,
         key_cap: 10,
         slow_start_rate_milli: 1500,
-        warm_up_span: millis(30_000),
+        warm_up_period: millis(30_000),
         key_space: KeySpace::Ranges,
         connection_limit: 40,
         health_path: "/health".to_string(),
@@ -235,7 +237,7 @@
     }
 }
 
-/// One value of each kind that an item can have.
+/// Returns one value of each variant.
 fn item_values() -> Vec<Value> {
     vec![
         Value::Route { route: route() },
@@ -267,8 +269,8 @@
             limits: CallerLimits {
                 head_bytes: 8192,
                 body_bytes: 1_000_000,
-                head_span: millis(5000),
-                idle_span: millis(60_000),
+                header_timeout: millis(5000),
+                idle_timeout: millis(60_000),
             },
         },
         Value::Dropped,
@@ -308,8 +310,8 @@
     }
 }
 
-fn numbered_change() -> NumberedChange {
-    NumberedChange {
+fn numbered_change() -> CommittedChange {
+    CommittedChange {
         version: Version(18),
         change: change(),
     }
@@ -329,7 +331,7 @@
                 (format!("key-{index}"), item)
             })
             .collect(),
-        answered: vec![AnsweredChange {
+        answered: vec![RecentChange {
             id: ChangeId::from("change-0"),
             version: Version(16),
             digest: 0x0102_0304_0506_0708,
@@ -437,7 +439,7 @@
                     version: Version(40),
                     offset: 65_536,
                     form: FeedForm::Reduced,
-                    most_bytes: 4096,
+                    max_bytes: 4096,
                 }),
             },
         ),
@@ -501,7 +503,7 @@
     }
 }
 
-fn heard_heartbeats() -> Vec<ReceivedHeartbeat> {
+fn received_heartbeats() -> Vec<ReceivedHeartbeat> {
     [
         InstanceState::Warming,
         InstanceState::Serving,
@@ -546,7 +548,7 @@
     }
 }
 
-fn heard_members() -> Vec<ReceivedMember> {
+fn received_members() -> Vec<ReceivedMember> {
     [Role::Proxy, Role::Directory]
         .into_iter()
         .map(|role| ReceivedMember {
@@ -570,7 +572,7 @@
     }
 }
 
-fn hold(key_range: u32) -> KeyRangeLease {
+fn key_range_lease(key_range: u32) -> KeyRangeLease {
     KeyRangeLease {
         key_range,
         epoch: Epoch(4),
@@ -581,8 +583,8 @@
 
 fn heartbeat_response() -> HeartbeatResponse {
     HeartbeatResponse {
-        leases: vec![hold(1)],
-        release: vec![hold(5)],
+        leases: vec![key_range_lease(1)],
+        release: vec![key_range_lease(5)],
         by_owner_manager: true,
         owner_manager: Some(address(5, 7000)),
         fence: Epoch(6),
@@ -621,9 +623,9 @@
                     number: 71,
                     quorum_read_age: millis(41),
                     versions: vec![Version(17), Version(18)],
-                    instances: heard_heartbeats(),
+                    instances: received_heartbeats(),
                     instances_offset: 301,
-                    members: heard_members(),
+                    members: received_members(),
                     members_offset: 201,
                     updates: vec![consensus_message()],
                     assured: true,
@@ -719,8 +721,8 @@
         (
             "7",
             Message::Facts {
-                instances: heard_heartbeats(),
-                members: heard_members(),
+                instances: received_heartbeats(),
+                members: received_members(),
                 gone: vec![InstanceId::from("cart-2")],
             },
         ),
@@ -728,7 +730,7 @@
             "10",
             Message::HeartbeatForward {
                 ticket: 81,
-                heard: heard_heartbeats().remove(1),
+                heard: received_heartbeats().remove(1),
             },
         ),
         (
@@ -744,7 +746,7 @@
                 ask: FallbackRequest {
                     number: 91,
                     versions: vec![Version(17)],
-                    heartbeats: heard_heartbeats(),
+                    heartbeats: received_heartbeats(),
                 },
             },
         ),
@@ -764,7 +766,7 @@
             "16",
             Message::ConfirmFact {
                 number: 92,
-                heartbeat: Some(heard_heartbeats().remove(2)),
+                heartbeat: Some(received_heartbeats().remove(2)),
                 ended: Some(InstanceId::from("cart-2")),
             },
         ),
@@ -772,7 +774,7 @@
     ]
 }
 
-/// The wire number of a message. A variant that is added must be added here, and gets a fixture.
+/// Returns the wire number of a message. A new variant must be added here and needs a fixture.
 fn number_of(message: &Message) -> u32 {
     match message {
         Message::ConsensusMessage { .. } => 0,
@@ -828,7 +830,7 @@
         assert_eq!(name, number_of(&message).to_string());
     }
     let envelopes = || messages().map(|(name, message)| (name, envelope(message)));
-    check_decodes(ONE_WAY_MESSAGES, envelopes().collect());
+    check_decodes(ONE_DIRECTION_MESSAGES, envelopes().collect());
     check(MESSAGES, envelopes().collect());
 }
 
@@ -913,7 +915,7 @@
     let stored = fixtures(FRAMES);
     let old_frame = |name: &str, kind| {
         let bytes = stored.get(name).expect("a frame");
-        let frame = read_frame(kind, bytes).expect("an old frame is read");
+        let frame = read_frame(kind, bytes).expect("the old frame is intact");
         assert_eq!(
             (frame.generation, frame.synced_before),
             (Generation(3), None)
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -7,7 +7,7 @@
 
 use crate::state::options::ControllerOptions;
 use crate::state::ControllerState;
-use caperworks::catch_up::{BrokenCatchUp, CatchUpReceiver};
+use caperworks::catch_up::{CatchUpFault, CatchUpReceiver};
 use caperworks::consensus::proposer::ProposerOptions;
 use caperworks::ownership::OwnerManager;
 
@@ -55,13 +55,13 @@
         if self == Self::SingleVoteMajority {
             options.majority_override = Some(1);
         }
-        options.applies_partially = self == Self::PartialChangeSets;
+        options.applies_valid_part = self == Self::PartialChangeSets;
     }
 
     /// Disables the safeguard in the receiver of snapshots.
     pub(crate) fn apply_to_catch_up(self, receiver: &mut CatchUpReceiver) {
         if self == Self::UncheckedSnapshot {
-            receiver.broken = BrokenCatchUp::SkipsDigest;
+            receiver.broken = CatchUpFault::SkipsDigest;
         }
     }
 
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -11,12 +11,12 @@
 use crate::state::ControllerState;
 use crate::state_machine::operator_messages::{ControllerStatus, OperatorCall, OperatorResponse};
 use crate::{agents, reads};
+use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::Version;
 use caperworks::leadership::LEADERSHIPS;
 use caperworks::map_items::Value;
-use caperworks::map_weighing::Standpoint;
 use caperworks::replicated_map::{Change, Guard, MapName, Put};
 
 /// Age from which a change without a version is rejected. Callers switch to another controller when there is
@@ -187,15 +187,15 @@
             state.propose(MapName::Membership, origin, change);
             proposals::tick(state);
         }
-        Err(faults) => respond_with_outcome(state, ticket, ProposalOutcome::Faulty(faults)),
+        Err(faults) => respond_with_outcome(state, ticket, ProposalOutcome::Invalid(faults)),
     }
 }
 
 /// Returns whether a change has not been accepted before.
 fn is_new(state: &ControllerState, change: &Change) -> bool {
     !matches!(
-        state.map(MapName::Configuration).weigh(change),
-        Standpoint::Repeat(_)
+        state.map(MapName::Configuration).check_change(change),
+        ChangeCheck::Repeat(_)
     )
 }
 
--- a/crates/controller/src/operator_json/reading/service.rs
+++ b/crates/controller/src/operator_json/reading/service.rs
@@ -34,7 +34,7 @@
             DEFAULT_SLOW_START_RATE,
             errors,
         ),
-        warm_up_span: reader.milliseconds("warm_ms", DEFAULT_WARM_UP_MS, errors),
+        warm_up_period: reader.milliseconds("warm_ms", DEFAULT_WARM_UP_MS, errors),
         key_space: read_key_space(&mut reader, errors),
         connection_limit: reader.small_number("connection_limit", 0, errors),
         health_path: reader.text("health_path", errors).unwrap_or_default(),
--- a/crates/controller/src/operator_json/writing/items.rs
+++ b/crates/controller/src/operator_json/writing/items.rs
@@ -82,8 +82,8 @@
     if route.priority > 0 {
         json["priority"] = route.priority.into();
     }
-    if route.most_attempts > 0 {
-        json["most_attempts"] = route.most_attempts.into();
+    if route.max_attempts > 0 {
+        json["most_attempts"] = route.max_attempts.into();
     }
 }
 
@@ -94,7 +94,7 @@
         instance_cap: service.instance_cap,
         key_cap: service.key_cap,
         gentle_per_second: service.slow_start_rate(),
-        warm_ms: service.warm_up_span.as_millis() as u64,
+        warm_ms: service.warm_up_period.as_millis() as u64,
         key_space: match service.key_space {
             KeySpace::Hashed => "hashed",
             KeySpace::Ranges => "ranges",
--- a/crates/controller/src/state_machine/storage.rs
+++ b/crates/controller/src/state_machine/storage.rs
@@ -101,7 +101,7 @@
     fn fail_writes(&mut self, ticket: u64) {
         let lost_slot = self.unsynced_slot.take_if(|slot| *slot >= ticket);
         if lost_slot.is_some() {
-            self.disk.same_slot_again();
+            self.disk.retry_same_slot();
         }
         self.pending.clear();
         self.last_ticket += 1;
@@ -157,7 +157,7 @@
     /// The disk then counts as failing, and the outputs are dropped.
     pub fn write_slot(&mut self, outputs: Vec<ControllerOutput>) {
         let encoded = self.encode_state();
-        if !self.storage.disk.slot_fits(encoded.len()) {
+        if !self.storage.disk.fits_slot(encoded.len()) {
             self.storage.is_failing = true;
             let event = Event::StateTooLarge {
                 bytes: encoded.len() as u64,
@@ -207,7 +207,7 @@
         let storage = &mut self.storage;
         storage.last_ticket += 1;
         let ticket = storage.last_ticket;
-        storage.disk.wrote(ticket);
+        storage.disk.record_write(ticket);
         self.outputs
             .push(ControllerOutput::Write { ticket, writes });
         if skips_sync {
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::support::controllers::{address, apply_write, policy, STEP};
-use caperworks::catch_up::{ChunkError, SnapshotChunk, CHUNK_BYTES, SNAPSHOT_IDLE_SPAN};
+use caperworks::catch_up::{ChunkError, SnapshotChunk, CHUNK_BYTES, SNAPSHOT_IDLE_TIMEOUT};
 use caperworks::consensus::messages::{ConsensusMessage, ProposalNumber};
 use caperworks::feed::MAX_HISTORY_WEIGHT;
 use caperworks::identifiers::{ChangeId, ServiceName, Zone};
@@ -442,7 +442,7 @@
         if index == 2 {
             fleet.nodes[2].image = image.clone();
         }
-        fleet.run(SNAPSHOT_IDLE_SPAN);
+        fleet.run(SNAPSHOT_IDLE_TIMEOUT);
         fleet.limit_bandwidth(rate);
         fleet.start(index);
         let duration = fleet.run_until_up_to_date(index);
@@ -457,11 +457,11 @@
         assert!(messages <= 2 * chunks + 12, "{traffic:?}");
         assert!(traffic.bytes <= full_map + full_map / 4, "{traffic:?}");
         assert!(traffic.largest <= CHUNK_BYTES + 512, "{traffic:?}");
-        assert_eq!(fleet.state(index).catch_up.held_bytes(), 0);
+        assert_eq!(fleet.state(index).catch_up.buffered_bytes(), 0);
     }
-    fleet.run(SNAPSHOT_IDLE_SPAN);
+    fleet.run(SNAPSHOT_IDLE_TIMEOUT);
     for index in 0..4 {
-        assert_eq!(fleet.state(index).snapshots.held_bytes(), 0);
+        assert_eq!(fleet.state(index).snapshots.buffered_bytes(), 0);
     }
 }
 
--- a/crates/controller/tests/operator_api.rs
+++ b/crates/controller/tests/operator_api.rs
@@ -1,9 +1,11 @@
 //! The native API: how old a change set may be, and which response its caller gets.
 
+use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version};
-use caperworks::map_weighing::Standpoint;
-use caperworks::replicated_map::{ReplicatedMap, TakenVersion, MAP_READ, REMEMBERED_CHANGES};
+use caperworks::replicated_map::{
+    ReplicatedMap, TakenVersion, MAP_VERSION_GUARD, REMEMBERED_CHANGES,
+};
 use caperworks::version_history::ConfirmedVersion;
 use controller::operator_json::{proposal_outcome_json, read_form};
 
@@ -14,7 +16,7 @@
     change
         .guards
         .iter()
-        .find(|guard| guard.key == MAP_READ)
+        .find(|guard| guard.key == MAP_VERSION_GUARD)
         .map(|guard| guard.expected.0)
 }
 
@@ -59,15 +61,15 @@
     for number in 0..REMEMBERED_CHANGES {
         let (mut later, _) = read_form(&change_set(r#""edition": 1,"#, &[""]));
         later.id = ChangeId::new(format!("later-{number}"));
-        assert_eq!(map.weigh(&later), Standpoint::Fits, "{number}");
+        assert_eq!(map.check_change(&later), ChangeCheck::Fits, "{number}");
         map.apply(&later);
     }
-    let standpoint = map.weigh(&first);
-    assert_eq!(standpoint, Standpoint::IdForgotten(map.version));
+    let standpoint = map.check_change(&first);
+    assert_eq!(standpoint, ChangeCheck::IdForgotten(map.version));
     let read = format!(r#""edition": {},"#, map.version);
     let (mut new, _) = read_form(&change_set(&read, &[""]));
     new.id = ChangeId::new("new");
-    assert_eq!(map.weigh(&new), Standpoint::Fits);
+    assert_eq!(map.check_change(&new), ChangeCheck::Fits);
 }
 
 #[test]
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -4,10 +4,10 @@
 
 use crate::observers::lines::Line;
 use crate::observers::Observers;
+use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version, Zone};
 use caperworks::map_items::Value;
-use caperworks::map_weighing::Standpoint;
 use caperworks::replicated_map::{Change, ReplicatedMap, REMEMBERED_CHANGES};
 
 #[derive(Debug, Clone)]
@@ -53,7 +53,7 @@
             | ProposalOutcome::VersionsTaken(_)
             | ProposalOutcome::VersionsForgotten(_)
             | ProposalOutcome::IdForgotten(_)
-            | ProposalOutcome::Faulty(_)
+            | ProposalOutcome::Invalid(_)
             | ProposalOutcome::IdTaken(_)
             | ProposalOutcome::TooFewAgents => {
                 self.tally.refused_changes += 1;
@@ -178,7 +178,7 @@
                     format!("{name} holds refused {}", answered.id),
                 );
             }
-            if replayed.weigh(&change) != Standpoint::Fits {
+            if replayed.check_change(&change) != ChangeCheck::Fits {
                 let what = format!("{name}: {} does not fit where it stands", answered.id);
                 self.breach(Line::ForkedMap, at, what);
             }
