--- a/crates/caperctl/src/main.rs
+++ b/crates/caperctl/src/main.rs
@@ -9,13 +9,14 @@
 use anyhow::{anyhow, bail};
 use bpaf::{construct, long, positional, OptionParser, Parser};
 
-use crate::usage::{read_hour, rows, write, Range};
+use crate::usage::{parse_hour, summed_rows, write_export, HourRange};
 use runtime::actor::fresh_seed;
 use runtime::http::{Fetch, Fetched};
 use runtime::options::{end_over, read_flags, OptionsFault};
 
-const HELP: &str = "Drives a caperworks fleet: applies change sets, reads and watches resources, \
-closes and opens zones, and shows the state of the core";
+const HELP: &str =
+    "Operates a caperworks fleet: applies change sets, reads and watches resources, \
+closes and opens zones, and shows the state of the control plane";
 
 #[derive(Debug, Clone)]
 enum Command {
@@ -54,56 +55,63 @@
 
 fn flags() -> OptionParser<Flags> {
     let controllers = long("ledger")
-        .help("HTTP address of a controller; give several and they are tried in turn")
+        .help("HTTP address of a controller; may be repeated, the controllers are tried in turn")
         .argument::<SocketAddr>("ADDRESS")
         .many();
-    let file = positional::<PathBuf>("FILE").help("A change set in JSON");
+    let file = positional::<PathBuf>("FILE").help("Change set as a JSON file");
     let apply = construct!(Command::Apply { file })
         .to_options()
-        .descr("Apply a change set, whole or not at all")
+        .descr("Apply a change set atomically")
         .command("apply");
     let resource = positional::<String>("KIND/NAME")
-        .help("Such as rule/lookups")
+        .help("Resource to read, such as rule/lookups; all resources if left out")
         .optional();
     let get = construct!(Command::Get { resource })
         .to_options()
-        .descr("Read one resource, or all of them")
+        .descr("Read one resource or all resources")
         .command("get");
     let after = long("after")
-        .help("Follow changes after this version; without it, from the present one on")
+        .help("Print changes after this version; by default after the current version")
         .argument::<u64>("EDITION")
         .fallback(u64::MAX);
     let watch = construct!(Command::Watch { after })
         .to_options()
-        .descr("Follow accepted changes as they come")
+        .descr("Print changes as they are committed")
         .command("watch");
     let zone = positional::<String>("AREA");
     let close = construct!(Command::Close { zone })
         .to_options()
-        .descr("Empty a zone: no orders go there until it is opened")
+        .descr("Close a zone: it gets no requests until it is opened again")
         .command("close");
     let zone = positional::<String>("AREA");
     let open = construct!(Command::Open { zone })
         .to_options()
-        .descr("Give a zone back")
+        .descr("Open a closed zone")
         .command("open");
     let agents = positional::<SocketAddr>("AGENT")
-        .help("Control address of an agent that is gone for good")
-        .some("name at least one agent");
+        .help("Control address of an agent that was permanently removed")
+        .some("give at least one agent");
     let retire = construct!(Command::Retire { agents })
         .to_options()
-        .descr("Take agents that are gone for good off the roster")
+        .descr("Remove decommissioned agents from the fallback members")
         .command("retire");
     let agents = long("agent")
-        .help("HTTP address of an agent; give all of them")
+        .help("HTTP address of an agent; repeat for every agent")
         .argument::<SocketAddr>("ADDRESS")
         .some("give at least one --agent");
     let hour = |name: &'static str, help: &'static str| {
         long(name).help(help).argument::<String>("HOUR").optional()
     };
-    let from = hour("from", "The first hour, such as 2026-12-02T13 (UTC)");
-    let to = hour("to", "The hour after the last");
-    let file = positional::<PathBuf>("FILE").help("CSV file to write; its schema goes beside it");
+    let from = hour(
+        "from",
+        "First hour to export, such as 2026-12-02T13 (UTC); by default the oldest",
+    );
+    let to = hour(
+        "to",
+        "Hour after the last one to export; by default all hours",
+    );
+    let file =
+        positional::<PathBuf>("FILE").help("CSV file to write; the schema is written next to it");
     let usage = construct!(Command::Usage {
         agents,
         from,
@@ -111,11 +119,11 @@
         file
     })
     .to_options()
-    .descr("Export orders, outcomes and bytes by hour, rule, service and zone as CSV with a schema")
+    .descr("Export requests, outcomes and bytes per hour, route, service and zone as CSV with a schema")
     .command("usage");
     let status = bpaf::pure(Command::Status)
         .to_options()
-        .descr("Show voters, leadership roles, members, lag and unplaced demand")
+        .descr("Show voters, leadership roles, members, replication lag and unplaced demand")
         .command("status");
     let command = construct!([apply, get, watch, close, open, retire, usage, status]);
     construct!(Flags {
@@ -126,33 +134,33 @@
     .descr(HELP)
 }
 
-/// Asks the controllers in turn until one gives an answer that settles the matter.
+/// Sends a request to the controllers in turn until one gives a final response.
 ///
-/// Why it is safe to send a change to the next: every repeat carries the same change id, and the
-/// core answers a repeat with the first answer.
-async fn ask(
+/// A change can safely be sent to the next controller: every attempt carries the same change id, and
+/// controllers respond to a repeated id with the first result.
+async fn send_to_any(
     controllers: &[SocketAddr],
-    make: impl Fn(SocketAddr) -> Fetch,
+    new_request: impl Fn(SocketAddr) -> Fetch,
 ) -> anyhow::Result<Fetched> {
-    let mut last = None;
+    let mut last_result = None;
     for controller in controllers {
-        match make(*controller)
+        match new_request(*controller)
             .timeout(Duration::from_secs(35))
             .send()
             .await
         {
-            Ok(fetched) if fetched.status == 503 => last = Some(Ok(fetched)),
+            Ok(fetched) if fetched.status == 503 => last_result = Some(Ok(fetched)),
             Ok(fetched) => return Ok(fetched),
-            Err(failure) => {
-                eprintln!("{controller}: {failure}");
-                last = last.or(Some(Err(failure.into())));
+            Err(error) => {
+                eprintln!("request to controller {controller} failed: {error}");
+                last_result = last_result.or(Some(Err(error.into())));
             }
         }
     }
-    last.unwrap_or_else(|| Err(anyhow!("no controller was named")))
+    last_result.unwrap_or_else(|| Err(anyhow!("no controller address was given")))
 }
 
-fn show(fetched: &Fetched) -> i32 {
+fn print_response(fetched: &Fetched) -> i32 {
     println!("{}", fetched.json().pretty(2));
     match fetched.status {
         200 => 0,
@@ -163,26 +171,30 @@
 }
 
 async fn apply(controllers: &[SocketAddr], text: String) -> anyhow::Result<i32> {
-    let fetched = ask(controllers, |controller| {
+    let fetched = send_to_any(controllers, |controller| {
         Fetch::post(controller, "/v1/standing", text.clone())
     })
     .await?;
-    Ok(show(&fetched))
+    Ok(print_response(&fetched))
 }
 
-async fn turn_zone(controllers: &[SocketAddr], zone: &str, closed: bool) -> anyhow::Result<i32> {
+async fn set_zone_closed(
+    controllers: &[SocketAddr],
+    zone: &str,
+    closed: bool,
+) -> anyhow::Result<i32> {
     let path = format!("/v1/standing/area/{zone}");
-    let present = ask(controllers, |controller| {
+    let current_response = send_to_any(controllers, |controller| {
         Fetch::get(controller, path.clone())
     })
     .await?;
-    if present.status != 200 {
-        return Ok(show(&present));
+    if current_response.status != 200 {
+        return Ok(print_response(&current_response));
     }
-    let json = present.json();
+    let json = current_response.json();
     let mut request = json["area"].clone();
     request["closed"] = closed.into();
-    let word = if closed { "close" } else { "open" };
+    let verb = if closed { "close" } else { "open" };
     let put = jzon::object! {
         kind: "area",
         name: zone,
@@ -190,7 +202,7 @@
         area: request,
     };
     let change = jzon::object! {
-        id: format!("{word}-{zone}-{:x}", fresh_seed()),
+        id: format!("{verb}-{zone}-{:x}", fresh_seed()),
         put: [put],
     };
     apply(controllers, change.dump()).await
@@ -199,18 +211,18 @@
 async fn watch(controllers: &[SocketAddr], after: u64) -> anyhow::Result<i32> {
     let mut after = after;
     if after == u64::MAX {
-        let now = ask(controllers, |controller| {
+        let latest = send_to_any(controllers, |controller| {
             Fetch::get(controller, "/v1/standing")
         })
         .await?;
-        if now.status != 200 {
-            return Ok(show(&now));
+        if latest.status != 200 {
+            return Ok(print_response(&latest));
         }
-        after = now.json()["edition"].as_u64().unwrap_or(0);
+        after = latest.json()["edition"].as_u64().unwrap_or(0);
     }
     loop {
         let path = format!("/v1/changes?after={after}&wait_ms=20000");
-        let fetched = match ask(controllers, |controller| {
+        let fetched = match send_to_any(controllers, |controller| {
             Fetch::get(controller, path.clone())
         })
         .await
@@ -222,7 +234,7 @@
             }
         };
         let json = fetched.json();
-        // Why never back: another controller may be a little behind the one that answered before.
+        // The version never goes back: this controller may lag behind the one that responded before.
         let version = json["edition"].as_u64().unwrap_or(0);
         if version <= after {
             continue;
@@ -237,8 +249,8 @@
     }
 }
 
-/// Asks every agent for what was carried beside it, and writes the export.
-async fn export(
+/// Requests the usage counts from every agent and writes the export.
+async fn export_usage(
     agents: &[SocketAddr],
     from: Option<&str>,
     to: Option<&str>,
@@ -249,14 +261,15 @@
         field: field.to_string(),
         remedy,
     };
-    let read = |field: &str, text: Option<&str>, otherwise: u64| match text.map(read_hour) {
-        None => otherwise,
-        Some(Ok(hour)) => hour,
-        Some(Err(why)) => end_over(&[fault(field, why)]),
-    };
-    let range = Range {
-        from: read("--from", from, 0),
-        to: read("--to", to, u64::MAX),
+    let parse_hour_flag =
+        |field: &str, text: Option<&str>, default_hour: u64| match text.map(parse_hour) {
+            None => default_hour,
+            Some(Ok(hour)) => hour,
+            Some(Err(reason)) => end_over(&[fault(field, reason)]),
+        };
+    let range = HourRange {
+        from: parse_hour_flag("--from", from, 0),
+        to: parse_hour_flag("--to", to, u64::MAX),
     };
     if range.from >= range.to {
         end_over(&[fault("--to", "must be later than --from".to_string())]);
@@ -266,14 +279,17 @@
         let fetched = Fetch::get(*agent, "/usage").send().await;
         match fetched {
             Ok(fetched) if fetched.status == 200 => responses.push(fetched.json()),
-            // Why all or nothing: an export that lacks a machine looks like one that does not.
-            Ok(fetched) => bail!("{agent} answered {}: nothing was written", fetched.status),
-            Err(failure) => bail!("{agent}: {failure}: nothing was written"),
+            // All or nothing: an export without one machine's counts could not be told from a complete one.
+            Ok(fetched) => bail!(
+                "{agent} responded with status {}: no file was written",
+                fetched.status
+            ),
+            Err(error) => bail!("request to {agent} failed: {error}: no file was written"),
         }
     }
-    let rows = rows(&responses, range);
-    if let Err(failure) = write(file, &rows) {
-        let remedy = format!("cannot be written ({failure}): give a path that can");
+    let rows = summed_rows(&responses, range);
+    if let Err(error) = write_export(file, &rows) {
+        let remedy = format!("cannot be written ({error}): give a writable path");
         end_over(&[fault(&file.display().to_string(), remedy)]);
     }
     println!("{} rows", rows.len());
@@ -288,16 +304,16 @@
         end_over(&[OptionsFault {
             file: "the command line".to_string(),
             field: "--ledger".to_string(),
-            remedy: "give at least one".to_string(),
+            remedy: "give at least one controller address".to_string(),
         }]);
     }
     let code = match &flags.command {
         Command::Apply { file } => match std::fs::read_to_string(file) {
             Ok(text) => apply(controllers, text).await?,
-            Err(failure) => end_over(&[OptionsFault {
+            Err(error) => end_over(&[OptionsFault {
                 file: file.display().to_string(),
                 field: "file".to_string(),
-                remedy: format!("cannot be read ({failure}): give a file that exists"),
+                remedy: format!("cannot be read ({error}): give a file that exists"),
             }]),
         },
         Command::Get { resource } => {
@@ -305,21 +321,21 @@
                 Some(resource) => format!("/v1/standing/{resource}"),
                 None => "/v1/standing".to_string(),
             };
-            show(
-                &ask(controllers, |controller| {
+            print_response(
+                &send_to_any(controllers, |controller| {
                     Fetch::get(controller, path.clone())
                 })
                 .await?,
             )
         }
         Command::Watch { after } => watch(controllers, *after).await?,
-        Command::Close { zone } => turn_zone(controllers, zone, true).await?,
-        Command::Open { zone } => turn_zone(controllers, zone, false).await?,
+        Command::Close { zone } => set_zone_closed(controllers, zone, true).await?,
+        Command::Open { zone } => set_zone_closed(controllers, zone, false).await?,
         Command::Retire { agents } => {
             let dropped: Vec<String> = agents.iter().map(ToString::to_string).collect();
             let body = jzon::object! { drop: dropped }.dump();
-            show(
-                &ask(controllers, |controller| {
+            print_response(
+                &send_to_any(controllers, |controller| {
                     Fetch::post(controller, "/v1/roster", body.clone())
                 })
                 .await?,
@@ -330,9 +346,9 @@
             from,
             to,
             file,
-        } => export(agents, from.as_deref(), to.as_deref(), file).await?,
-        Command::Status => show(
-            &ask(controllers, |controller| {
+        } => export_usage(agents, from.as_deref(), to.as_deref(), file).await?,
+        Command::Status => print_response(
+            &send_to_any(controllers, |controller| {
                 Fetch::get(controller, "/v1/status")
             })
             .await?,
--- a/crates/caperctl/src/usage.rs
+++ b/crates/caperctl/src/usage.rs
@@ -1,4 +1,4 @@
-//! The export of usage: CSV with a schema beside it.
+//! The usage export: a CSV file with a schema file next to it.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -6,9 +6,9 @@
 use chrono::{DateTime, NaiveDateTime};
 use jzon::JsonValue;
 
-/// Which hours to export, as hours since the epoch.
+/// The hours to export, from `from` to before `to`, in hours since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Range {
+pub struct HourRange {
     pub from: u64,
     pub to: u64,
 }
@@ -17,44 +17,52 @@
     (
         "hour",
         "datetime",
-        "the hour in UTC in which the orders came in",
+        "the hour in UTC in which the requests arrived",
     ),
-    ("rule", "string", "the rule that they matched"),
-    ("pool", "string", "the service that the rule leads to"),
+    ("rule", "string", "the route that the requests matched"),
+    ("pool", "string", "the service of the route"),
     (
         "zone",
         "string",
-        "the zone of the proxies that carried them",
+        "the zone of the proxies that handled the requests",
+    ),
+    ("orders", "integer", "number of requests received"),
+    (
+        "served",
+        "integer",
+        "number of requests answered by an instance",
     ),
-    ("orders", "integer", "how many came in"),
-    ("served", "integer", "how many were answered by an instance"),
     (
         "not_run",
         "integer",
-        "how many were refused, surely not run",
+        "number of requests rejected and certainly not run",
+    ),
+    (
+        "unknown",
+        "integer",
+        "number of requests with unknown outcome, which may have run",
     ),
-    ("unknown", "integer", "how many were lost, and may have run"),
-    ("bytes_in", "integer", "bytes of the callers' bodies"),
-    ("bytes_out", "integer", "bytes of the answers' bodies"),
+    ("bytes_in", "integer", "bytes of the request bodies"),
+    ("bytes_out", "integer", "bytes of the response bodies"),
 ];
 
-/// Reads an hour such as `2026-12-02T13`.
-pub fn read_hour(text: &str) -> Result<u64, String> {
-    let wrong = || format!("{text} is no hour: give it as 2026-12-02T13, in UTC");
-    let moment = NaiveDateTime::parse_from_str(&format!("{text}:00"), "%Y-%m-%dT%H:%M");
-    let seconds = moment.map_err(|_| wrong())?.and_utc().timestamp();
-    u64::try_from(seconds / 3600).map_err(|_| wrong())
+/// Parses an hour such as `2026-12-02T13` into hours since the Unix epoch.
+pub fn parse_hour(text: &str) -> Result<u64, String> {
+    let invalid = || format!("{text} is not a valid hour: give it as 2026-12-02T13, in UTC");
+    let hour_start = NaiveDateTime::parse_from_str(&format!("{text}:00"), "%Y-%m-%dT%H:%M");
+    let seconds = hour_start.map_err(|_| invalid())?.and_utc().timestamp();
+    u64::try_from(seconds / 3600).map_err(|_| invalid())
 }
 
 fn hour_text(hour: u64) -> String {
-    let moment = DateTime::from_timestamp(hour as i64 * 3600, 0);
-    moment.map_or_else(String::new, |moment| {
-        moment.format("%Y-%m-%dT%H:00:00Z").to_string()
+    let hour_start = DateTime::from_timestamp(hour as i64 * 3600, 0);
+    hour_start.map_or_else(String::new, |hour_start| {
+        hour_start.format("%Y-%m-%dT%H:00:00Z").to_string()
     })
 }
 
-/// The rows of all agents' answers, summed by hour, route, service and zone.
-pub fn rows(responses: &[JsonValue], range: Range) -> Vec<Vec<String>> {
+/// Returns the rows from all agents' responses, summed by hour, route, service and zone.
+pub fn summed_rows(responses: &[JsonValue], range: HourRange) -> Vec<Vec<String>> {
     let mut sums: BTreeMap<(u64, String, String, String), [u64; 6]> = BTreeMap::new();
     for response in responses {
         let zone = response["area"].as_str().unwrap_or_default();
@@ -85,48 +93,48 @@
 fn schema() -> String {
     let fields: Vec<JsonValue> = COLUMNS
         .iter()
-        .map(|(name, kind, about)| {
-            jzon::object! { name: *name, type: *kind, description: *about }
+        .map(|(name, column_type, column_description)| {
+            jzon::object! { name: *name, type: *column_type, description: *column_description }
         })
         .collect();
     jzon::object! { fields: fields, missingValues: [""] }.pretty(2)
 }
 
-/// Writes the rows and their schema; nothing is left behind when either cannot be written.
-pub fn write(file: &Path, rows: &[Vec<String>]) -> anyhow::Result<()> {
-    let beside = |ending: &str| {
+/// Writes the rows and their schema; removes partial files if either cannot be written.
+pub fn write_export(file: &Path, rows: &[Vec<String>]) -> anyhow::Result<()> {
+    let with_suffix = |suffix: &str| {
         let mut name = file.as_os_str().to_os_string();
-        name.push(ending);
+        name.push(suffix);
         PathBuf::from(name)
     };
-    let (half, half_schema) = (beside(".part"), beside(".schema.json.part"));
+    let (partial_file, partial_schema) = (with_suffix(".part"), with_suffix(".schema.json.part"));
     let written = (|| {
-        let mut writer = csv::Writer::from_path(&half)?;
+        let mut writer = csv::Writer::from_path(&partial_file)?;
         writer.write_record(COLUMNS.iter().map(|(name, _, _)| name))?;
         for row in rows {
             writer.write_record(row)?;
         }
         writer.flush()?;
-        std::fs::write(&half_schema, schema())?;
-        std::fs::rename(&half_schema, beside(".schema.json"))?;
-        std::fs::rename(&half, file)?;
+        std::fs::write(&partial_schema, schema())?;
+        std::fs::rename(&partial_schema, with_suffix(".schema.json"))?;
+        std::fs::rename(&partial_file, file)?;
         Ok(())
     })();
     if written.is_err() {
-        // Why ignored: what was not written cannot be removed either.
-        let _ = std::fs::remove_file(&half);
-        let _ = std::fs::remove_file(&half_schema);
+        // Errors are ignored: a file that was not created cannot be removed.
+        let _ = std::fs::remove_file(&partial_file);
+        let _ = std::fs::remove_file(&partial_schema);
     }
     written
 }
 
 #[cfg(test)]
 mod tests {
-    use crate::usage::{read_hour, rows, write, Range};
+    use crate::usage::{parse_hour, summed_rows, write_export, HourRange};
 
     #[test]
-    fn given_two_agents_of_a_zone_when_exported_then_their_counts_are_one_row() {
-        let hour = read_hour("2026-12-02T13").expect("an hour");
+    fn export_sums_the_counts_of_agents_in_one_zone() {
+        let hour = parse_hour("2026-12-02T13").expect("an hour");
         let line = |hour: u64, served: u64| {
             jzon::object! { hour: hour, rule: "progress", pool: "records", orders: 10, served: served,
             not_run: 1, unknown: 0, bytes_in: 5, bytes_out: 700 }
@@ -134,11 +142,11 @@
         let response = |served: u64| {
             jzon::object! { area: "east-1", lines: [line(hour, served), line(hour + 1, 3)] }
         };
-        let range = Range {
+        let range = HourRange {
             from: hour,
             to: hour + 1,
         };
-        let rows = rows(&[response(9), response(8)], range);
+        let rows = summed_rows(&[response(9), response(8)], range);
         let row = [
             "2026-12-02T13:00:00Z",
             "progress",
@@ -155,12 +163,12 @@
     }
 
     #[test]
-    fn given_a_folder_that_is_not_there_when_exported_then_nothing_is_left_behind() {
+    fn failed_export_leaves_no_files_and_invalid_hours_are_rejected() {
         let folder = std::env::temp_dir().join(format!("no-such-folder-{}", std::process::id()));
-        assert!(write(&folder.join("usage.csv"), &[]).is_err());
+        assert!(write_export(&folder.join("usage.csv"), &[]).is_err());
         assert!(!folder.exists());
-        for wrong in ["yesterday", "2026-13-01T00", "2026-12-02"] {
-            assert!(read_hour(wrong).is_err(), "{wrong}");
+        for invalid in ["yesterday", "2026-13-01T00", "2026-12-02"] {
+            assert!(parse_hour(invalid).is_err(), "{invalid}");
         }
     }
 }
