--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -1,4 +1,5 @@
-//! `load-generator`: generated clients that ask the directory, send requests, and check what they get.
+//! `load-generator`: clients that resolve addresses at the directory, send requests and check the
+//! responses.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -23,8 +24,8 @@
 use runtime::scenario::{Scenario, Traffic};
 
 const HELP: &str =
-    "Stand-in callers: asks the directory where to go, sends the scenario's traffic, \
-checks every answer, and prints what came of it as JSON";
+    "Load generator: resolves addresses at the directory, sends the scenario's traffic, \
+checks every response, and prints the results as JSON";
 
 #[derive(Debug, Clone)]
 struct Flags {
@@ -38,29 +39,29 @@
 
 fn flags() -> OptionParser<Flags> {
     let directories = long("directory")
-        .help("HTTP address of a directory; give each of them")
+        .help("HTTP address of a directory; repeat for every directory")
         .argument::<SocketAddr>("ADDRESS")
         .some("give at least one --directory");
     let scenario = long("scenario")
-        .help("Scenario file whose traffic to send")
+        .help("Scenario file with the traffic to send")
         .argument::<PathBuf>("FILE");
     let seconds = long("seconds")
-        .help("For how long")
+        .help("Duration of the run in seconds")
         .argument::<u64>("NUMBER")
         .fallback(10)
         .guard(|seconds| (1..=3600).contains(seconds), "give 1 to 3600");
     let percent = long("percent")
-        .help("Part of the scenario's rate")
+        .help("Request rate in percent of the scenario's rate")
         .argument::<u32>("NUMBER")
         .fallback(100)
         .guard(|percent| (1..=1000).contains(percent), "give 1 to 1000");
     let groups = long("groups")
-        .help("How many client groups to call from, each with a loopback network of its own")
+        .help("Number of client groups, each with its own loopback network")
         .argument::<u8>("NUMBER")
         .fallback(12)
         .guard(|groups| *groups > 0, "give at least 1");
     let record = long("record")
-        .help("File to record every write and what was told of it")
+        .help("File to append the id and outcome of every write to")
         .argument::<PathBuf>("FILE")
         .optional();
     construct!(Flags {
@@ -75,9 +76,9 @@
     .descr(HELP)
 }
 
-/// What came of the requests of one kind.
+/// The outcomes of the requests of one kind.
 #[derive(Debug, Default)]
-struct Count {
+struct Counters {
     sent: u64,
     served: u64,
     not_run: u64,
@@ -88,40 +89,41 @@
     slowest_ms: u64,
 }
 
-/// A directory's answer, and until when it is good.
-type Known = (Duration, Vec<SocketAddr>);
+/// The time at which a directory's response expires, and its addresses.
+type CachedResolution = (Duration, Vec<SocketAddr>);
 
-struct Callers {
+struct LoadGenerator {
     flags: Flags,
     traffic: Vec<Traffic>,
     bodies: Vec<Bytes>,
     clock: Clock,
-    run: u64,
-    numbers: AtomicU64,
-    counts: Vec<Mutex<Count>>,
-    known: Mutex<HashMap<(String, u8), Known>>,
+    run_id: u64,
+    next_number: AtomicU64,
+    counts: Vec<Mutex<Counters>>,
+    cache: Mutex<HashMap<(String, u8), CachedResolution>>,
     record: Option<Mutex<std::fs::File>>,
 }
 
-impl Callers {
-    /// Asks a directory, or goes by its last answer while that is good.
-    async fn whereabouts(&self, traffic: &Traffic, group: u8) -> Vec<SocketAddr> {
-        let key = (traffic.path.clone(), group);
-        if let Some((until, addresses)) = locked(&self.known).get(&key) {
-            if self.clock.now() < *until {
+impl LoadGenerator {
+    /// Returns the addresses from the last directory response, or requests them again if it has expired.
+    async fn resolve(&self, traffic: &Traffic, client_group: u8) -> Vec<SocketAddr> {
+        let key = (traffic.path.clone(), client_group);
+        if let Some((expires_at, addresses)) = locked(&self.cache).get(&key) {
+            if self.clock.now() < *expires_at {
                 return addresses.clone();
             }
         }
         let path = format!("/where?host={}&path={}", traffic.host, traffic.path);
-        let start = usize::from(group) % self.flags.directories.len();
-        for turn in 0..self.flags.directories.len() {
-            let directory = self.flags.directories[(start + turn) % self.flags.directories.len()];
-            let asked = Fetch::get(directory, path.clone())
-                .from(IpAddr::from([127, 10, group, 1]))
+        let start = usize::from(client_group) % self.flags.directories.len();
+        for attempt in 0..self.flags.directories.len() {
+            let directory =
+                self.flags.directories[(start + attempt) % self.flags.directories.len()];
+            let result = Fetch::get(directory, path.clone())
+                .from(IpAddr::from([127, 10, client_group, 1]))
                 .timeout(Duration::from_millis(500))
                 .send()
                 .await;
-            let Ok(fetched) = asked else {
+            let Ok(fetched) = result else {
                 continue;
             };
             if fetched.status != 200 {
@@ -133,8 +135,8 @@
                 .filter_map(|address| address.as_str()?.parse().ok())
                 .collect();
             let lifetime = Duration::from_millis(json["lifetime_ms"].as_u64().unwrap_or(0));
-            let until = self.clock.now() + lifetime;
-            locked(&self.known).insert(key, (until, addresses.clone()));
+            let expires_at = self.clock.now() + lifetime;
+            locked(&self.cache).insert(key, (expires_at, addresses.clone()));
             return addresses;
         }
         Vec::new()
@@ -142,10 +144,10 @@
 
     async fn request(self: Arc<Self>, kind: usize, number: u64) {
         let traffic = &self.traffic[kind];
-        let group = (number % u64::from(self.flags.groups)) as u8;
-        let id = format!("{:x}-{number}", self.run);
-        let addresses = self.whereabouts(traffic, group).await;
-        let write = traffic.method != Method::GET;
+        let client_group = (number % u64::from(self.flags.groups)) as u8;
+        let id = format!("{:x}-{number}", self.run_id);
+        let addresses = self.resolve(traffic, client_group).await;
+        let is_write = traffic.method != Method::GET;
         if addresses.is_empty() {
             let mut count = locked(&self.counts[kind]);
             count.sent += 1;
@@ -153,23 +155,23 @@
             return;
         }
         let started = self.clock.now();
-        let mut reported = "not-opened";
+        let mut outcome = "not-opened";
         for address in &addresses {
-            // Why the next address: a connection that never opened cannot have carried the request.
+            // Trying the next address is safe: without a connection, the request cannot have been sent.
             if tokio::net::TcpStream::connect(address).await.is_err() {
                 continue;
             }
             let mut fetch = Fetch::get(*address, traffic.path.clone())
                 .header("host", traffic.host.clone())
                 .header("x-caller-order", id.clone())
-                .from(IpAddr::from([127, 10, group, 1]))
+                .from(IpAddr::from([127, 10, client_group, 1]))
                 .timeout(Duration::from_secs(6));
             fetch.method = traffic.method.clone();
             fetch.body = self.bodies[kind].clone();
             if traffic.keys > 0 {
                 fetch = fetch.header("x-key", format!("key-{}", mix(number) % traffic.keys));
             }
-            reported = match fetch.send().await {
+            outcome = match fetch.send().await {
                 Ok(fetched) if fetched.status == 200 => {
                     if fetched.json()["order"].as_str() == Some(id.as_str()) {
                         "served"
@@ -185,11 +187,11 @@
             };
             break;
         }
-        let took = self.clock.now().saturating_sub(started).as_millis() as u64;
+        let elapsed_ms = self.clock.now().saturating_sub(started).as_millis() as u64;
         let mut count = locked(&self.counts[kind]);
         count.sent += 1;
-        count.slowest_ms = count.slowest_ms.max(took);
-        match reported {
+        count.slowest_ms = count.slowest_ms.max(elapsed_ms);
+        match outcome {
             "served" => count.served += 1,
             "not-run" => count.not_run += 1,
             "wrong" => count.wrong += 1,
@@ -197,21 +199,21 @@
             _ => count.unknown += 1,
         }
         drop(count);
-        if let Some(record) = self.record.as_ref().filter(|_| write) {
-            if let Err(failure) = writeln!(locked(record), "{id} {reported}") {
-                log::error!("the record cannot be written: {failure}");
+        if let Some(record) = self.record.as_ref().filter(|_| is_write) {
+            if let Err(error) = writeln!(locked(record), "{id} {outcome}") {
+                log::error!("cannot write to the record file: {error}");
             }
         }
     }
 
-    async fn send_kind(self: Arc<Self>, kind: usize) {
+    async fn send_traffic(self: Arc<Self>, kind: usize) {
         let rate = (self.traffic[kind].per_second * u64::from(self.flags.percent)).max(1);
-        let mut heartbeat = tokio::time::interval(Duration::from_nanos(100_000_000_000 / rate));
-        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Burst);
-        let until = self.clock.now() + Duration::from_secs(self.flags.seconds);
-        while self.clock.now() < until {
-            heartbeat.tick().await;
-            let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let mut ticker = tokio::time::interval(Duration::from_nanos(100_000_000_000 / rate));
+        ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Burst);
+        let deadline = self.clock.now() + Duration::from_secs(self.flags.seconds);
+        while self.clock.now() < deadline {
+            ticker.tick().await;
+            let number = self.next_number.fetch_add(1, Ordering::Relaxed);
             tokio::spawn(self.clone().request(kind, number));
         }
     }
@@ -256,7 +258,7 @@
                 .open(path)?,
         )),
     };
-    let callers = Arc::new(Callers {
+    let generator = Arc::new(LoadGenerator {
         counts: traffic.iter().map(|_| Mutex::default()).collect(),
         bodies: traffic
             .iter()
@@ -264,27 +266,31 @@
             .collect(),
         traffic,
         clock: Clock::start(),
-        run: fresh_seed() >> 32,
-        numbers: AtomicU64::new(0),
-        known: Mutex::default(),
+        run_id: fresh_seed() >> 32,
+        next_number: AtomicU64::new(0),
+        cache: Mutex::default(),
         record,
         flags,
     });
-    let sending: Vec<_> = (0..callers.traffic.len())
-        .map(|kind| tokio::spawn(callers.clone().send_kind(kind)))
+    let senders: Vec<_> = (0..generator.traffic.len())
+        .map(|kind| tokio::spawn(generator.clone().send_traffic(kind)))
         .collect();
-    for sender in sending {
+    for sender in senders {
         sender.await?;
     }
-    let numbered = callers.numbers.load(Ordering::Relaxed);
-    let until = callers.clock.now() + Duration::from_secs(8);
+    let started_requests = generator.next_number.load(Ordering::Relaxed);
+    let deadline = generator.clock.now() + Duration::from_secs(8);
     loop {
-        let counted: u64 = callers.counts.iter().map(|count| locked(count).sent).sum();
-        if counted >= numbered || callers.clock.now() >= until {
+        let finished_requests: u64 = generator
+            .counts
+            .iter()
+            .map(|count| locked(count).sent)
+            .sum();
+        if finished_requests >= started_requests || generator.clock.now() >= deadline {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    println!("{}", callers.summary().pretty(2));
+    println!("{}", generator.summary().pretty(2));
     Ok(())
 }
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -1,4 +1,4 @@
-//! `test-instance`: a stand-in instance that keeps a record of what it ran.
+//! `test-instance`: a simulated instance that records the requests it ran.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -35,9 +35,9 @@
 use runtime::options::read_flags;
 
 const HELP: &str =
-    "A stand-in instance: announces itself by heartbeats, runs orders, and records what it ran";
-const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
-const MOST_BODY: usize = 128 * 1024 * 1024;
+    "Simulated instance: sends heartbeats, runs requests, and records the requests it ran";
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_BODY_BYTES: usize = 128 * 1024 * 1024;
 
 #[derive(Debug, Clone)]
 struct Flags {
@@ -55,35 +55,39 @@
 
 fn flags() -> OptionParser<Flags> {
     let id = long("id")
-        .help("The instance's name")
+        .help("Id of the instance")
+        .argument::<String>("NAME");
+    let service = long("pool")
+        .help("Service of the instance")
+        .argument::<String>("NAME");
+    let zone = long("area")
+        .help("Zone of the instance")
         .argument::<String>("NAME");
-    let service = long("pool").help("Its service").argument::<String>("NAME");
-    let zone = long("area").help("Its zone").argument::<String>("NAME");
     let serving = long("serving")
-        .help("Address for orders")
+        .help("Address to listen on for requests")
         .argument::<SocketAddr>("ADDRESS");
     let advertise = long("advertise")
-        .help("Address that heartbeats tell, if orders come by another way")
+        .help("Address to send in heartbeats, if different from the listen address")
         .argument::<SocketAddr>("ADDRESS")
         .optional();
     let agents = long("agent")
-        .help("Where to send heartbeats: HTTP addresses of agents or controllers")
+        .help("HTTP address of an agent or controller to send heartbeats to; may be repeated")
         .argument::<SocketAddr>("ADDRESS")
         .some("give at least one --agent");
     let capacity = long("capacity")
-        .help("Orders a second")
+        .help("Capacity in requests per second")
         .argument::<u32>("NUMBER")
         .fallback(50);
     let work_ms = long("work-ms")
-        .help("How long an order takes")
+        .help("Processing time of a request in milliseconds")
         .argument::<u64>("MILLISECONDS")
         .fallback(3);
     let warm_ms = long("warm-ms")
-        .help("How long it says that it warms up")
+        .help("Time in milliseconds for which heartbeats report warming up")
         .argument::<u64>("MILLISECONDS")
         .fallback(0);
     let journal = long("journal")
-        .help("File to record runs in")
+        .help("File to append a line to for every request that was run")
         .argument::<PathBuf>("FILE")
         .optional();
     construct!(Flags {
@@ -102,13 +106,13 @@
     .descr(HELP)
 }
 
-/// The faults that may be asked of it, each for a number of requests.
+/// The faults to inject, each with the number of requests that it still applies to.
 #[derive(Default)]
-struct Ailments {
-    lose_responses: AtomicU32,
-    garbage: AtomicU32,
-    truncate: AtomicU32,
-    refuse: AtomicU32,
+struct InjectedFaults {
+    lost_responses: AtomicU32,
+    mismatched_responses: AtomicU32,
+    truncated_responses: AtomicU32,
+    rejected_requests: AtomicU32,
 }
 
 struct TestInstance {
@@ -119,13 +123,14 @@
     load: AtomicU32,
     draining: AtomicBool,
     held_leases: Mutex<HeldLeases>,
-    /// The last stamp of each agent, and since when we have it.
+    /// The last stamp from each agent, and when it was received.
     stamps: Mutex<HashMap<SocketAddr, (Stamp, Duration)>>,
-    ailments: Ailments,
+    injected_faults: InjectedFaults,
     journal: Option<Mutex<std::fs::File>>,
 }
 
-fn take_one(count: &AtomicU32) -> bool {
+/// Decrements a count above zero; returns whether it did.
+fn decrement(count: &AtomicU32) -> bool {
     count
         .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
             left.checked_sub(1)
@@ -135,14 +140,14 @@
 
 impl TestInstance {
     fn heartbeat(&self) -> Heartbeat {
-        let up = self.clock.now();
-        let (held_key_ranges, let_go) = {
+        let uptime = self.clock.now();
+        let (held_key_ranges, released) = {
             let held_leases = locked(&self.held_leases);
-            (held_leases.held_key_ranges(up), held_leases.let_go())
+            (held_leases.held_key_ranges(uptime), held_leases.let_go())
         };
         let state = if self.draining.load(Ordering::SeqCst) {
             InstanceState::Draining
-        } else if up < Duration::from_millis(self.flags.warm_ms) {
+        } else if uptime < Duration::from_millis(self.flags.warm_ms) {
             InstanceState::Warming
         } else {
             InstanceState::Serving
@@ -157,56 +162,58 @@
             capacity: self.flags.capacity,
             state,
             load: self.load.load(Ordering::SeqCst),
-            up,
+            up: uptime,
             held_key_ranges,
-            let_go,
+            let_go: released,
             warm_up_left: Duration::ZERO,
         }
     }
 
-    /// Heartbeats at an agent, and again at once if it has no stamp from us to date the heartbeat by.
+    /// Sends a heartbeat to an agent, and a second one at once if the agent had no echoed stamp to determine
+    /// the age of the first.
     async fn send_heartbeat(&self, agent: SocketAddr) -> bool {
-        match self.heartbeat_once(agent).await {
-            Some(true) => self.heartbeat_once(agent).await == Some(false),
+        match self.send_one_heartbeat(agent).await {
+            Some(true) => self.send_one_heartbeat(agent).await == Some(false),
             once => once.is_some(),
         }
     }
 
-    /// Heartbeats at an agent; says whether it wants another heartbeat at once.
-    async fn heartbeat_once(&self, agent: SocketAddr) -> Option<bool> {
+    /// Sends one heartbeat to an agent. Returns whether the agent requests another at once, or `None` if the
+    /// heartbeat failed.
+    async fn send_one_heartbeat(&self, agent: SocketAddr) -> Option<bool> {
         let sent_at = self.clock.now();
         let mut json = heartbeats::write(&self.heartbeat());
-        if let Some((stamp, since)) = locked(&self.stamps).get(&agent) {
-            let held = sent_at.saturating_sub(*since);
+        if let Some((stamp, received_at)) = locked(&self.stamps).get(&agent) {
+            let held = sent_at.saturating_sub(*received_at);
             json["stamp"] = heartbeats::write_echo(&Echo {
                 stamp: *stamp,
                 held,
             });
         }
         let body = json.dump();
-        let sent = Fetch::post(agent, "/beats", body)
+        let result = Fetch::post(agent, "/beats", body)
             .timeout(Duration::from_millis(1200))
             .send()
             .await;
-        match sent {
+        match result {
             Ok(fetched) if fetched.status == 200 => {
-                let dated = heartbeats::read_timestamped_response(&fetched.json())?;
-                locked(&self.held_leases).answered(sent_at, &dated.response);
+                let timestamped = heartbeats::read_timestamped_response(&fetched.json())?;
+                locked(&self.held_leases).answered(sent_at, &timestamped.response);
                 let now = self.clock.now();
-                locked(&self.stamps).insert(agent, (dated.stamp, now));
-                Some(dated.again)
+                locked(&self.stamps).insert(agent, (timestamped.stamp, now));
+                Some(timestamped.again)
             }
             _ => None,
         }
     }
 
-    async fn keep_beating(self: Arc<Self>) {
+    async fn run_heartbeats(self: Arc<Self>) {
         let mut index = (steady_hash(&self.flags.id) % self.flags.agents.len() as u64) as usize;
-        let mut heartbeat = tokio::time::interval(HEARTBEAT_PERIOD);
-        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut ticker = tokio::time::interval(HEARTBEAT_INTERVAL);
+        ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            heartbeat.tick().await;
-            // Why at most all of them once: a heartbeat that nobody takes waits for the next turn.
+            ticker.tick().await;
+            // At most four agents are tried, each once; if all fail, the heartbeat waits for the next tick.
             for _ in 0..self.flags.agents.len().min(4) {
                 if self.send_heartbeat(self.flags.agents[index]).await {
                     break;
@@ -219,15 +226,15 @@
     fn record(&self, line: &str) {
         if let Some(journal) = &self.journal {
             let written = writeln!(locked(journal), "{line}");
-            if let Err(failure) = written {
-                log::error!("the journal cannot be written: {failure}");
+            if let Err(error) = written {
+                log::error!("cannot write to the journal file: {error}");
             }
         }
     }
 
-    fn may_run(&self, key_range: Option<(u32, Epoch)>, need: Duration) -> bool {
+    fn has_lease(&self, key_range: Option<(u32, Epoch)>, remaining: Duration) -> bool {
         key_range.is_none_or(|(key_range, epoch)| {
-            locked(&self.held_leases).may_start(self.clock.now(), key_range, epoch, need)
+            locked(&self.held_leases).may_start(self.clock.now(), key_range, epoch, remaining)
         })
     }
 
@@ -237,7 +244,7 @@
     ) -> Result<Response<Body>, std::io::Error> {
         let path = request.uri().path().to_string();
         if path == "/understudy/ail" {
-            return Ok(self.ail(request).await);
+            return Ok(self.inject_fault(request).await);
         }
         let header = |name: &str| {
             request
@@ -246,38 +253,41 @@
                 .and_then(|value| value.to_str().ok())
                 .map(str::to_string)
         };
-        let meant_for_us = header(INSTANCE_HEADER).as_deref() == Some(self.flags.id.as_str())
+        let is_addressee = header(INSTANCE_HEADER).as_deref() == Some(self.flags.id.as_str())
             && header(INCARNATION_HEADER) == Some(self.incarnation.to_string());
         let key_range = match (header(KEY_RANGE_HEADER), header(EPOCH_HEADER)) {
             (Some(key_range), Some(epoch)) => match (key_range.parse(), epoch.parse()) {
                 (Ok(key_range), Ok(epoch)) => Some((key_range, Epoch(epoch))),
-                _ => return Ok(self.not_run("the key range is malformed")),
+                _ => return Ok(self.not_run("malformed key range or epoch header")),
             },
             _ => None,
         };
         let request_id = header(REQUEST_HEADER).unwrap_or_default();
         let caller_id = header("x-caller-order").unwrap_or_default();
         let key = header("x-key").unwrap_or_default();
-        let wanted: Option<usize> = header("x-answer-bytes").and_then(|text| text.parse().ok());
-        let need = header(DEADLINE_HEADER)
+        let response_bytes: Option<usize> =
+            header("x-answer-bytes").and_then(|text| text.parse().ok());
+        let remaining = header(DEADLINE_HEADER)
             .and_then(|text| text.parse().ok())
             .map_or(Duration::from_secs(3), Duration::from_millis);
-        if !meant_for_us {
-            let mut response = self.not_run("this order is for another instance");
-            // Why told: whoever sent it need not wait for our heartbeat to know that a life is over.
+        if !is_addressee {
+            let mut response =
+                self.not_run("the request is addressed to another instance or incarnation");
+            // The incarnation in the response tells the sender at once that the addressed incarnation has
+            // ended, before the next heartbeat does.
             response
                 .headers_mut()
                 .insert(INCARNATION_HEADER, HeaderValue::from(self.incarnation.0));
             return Ok(response);
         }
-        if !self.may_run(key_range, need) {
-            return Ok(self.not_run("the key range is not held here under this epoch"));
+        if !self.has_lease(key_range, remaining) {
+            return Ok(self.not_run("no sufficient lease for the key range under this epoch"));
         }
-        if take_one(&self.ailments.refuse) {
-            return Ok(self.not_run("asked to refuse"));
+        if decrement(&self.injected_faults.rejected_requests) {
+            return Ok(self.not_run("injected fault: request rejected"));
         }
         let method = request.method().clone();
-        let started = wall_millis();
+        let started_at = wall_clock_ms();
         self.load.fetch_add(1, Ordering::SeqCst);
         if let Some((key_range, _)) = key_range {
             locked(&self.held_leases).started(key_range);
@@ -289,20 +299,24 @@
         let load = self.load.fetch_sub(1, Ordering::SeqCst) - 1;
         let digest = match outcome {
             Ok(digest) => digest,
-            // Why an error: a request that never arrived whole gets no answer.
-            Err(None) => return Err(std::io::Error::other("the order broke off")),
-            Err(Some(why)) => return Ok(self.not_run(why)),
+            // A request whose body did not arrive in full, or is too large, gets no response.
+            Err(None) => {
+                return Err(std::io::Error::other(
+                    "request body is incomplete or too large",
+                ))
+            }
+            Err(Some(reason)) => return Ok(self.not_run(reason)),
         };
         self.record(&format!(
             "ran {caller_id} {method} {path} key={key} slice={} digest={digest:x} from={} to={}",
             key_range.map_or("-".to_string(), |(key_range, epoch)| format!(
                 "{key_range}/{epoch}"
             )),
-            started,
-            wall_millis(),
+            started_at,
+            wall_clock_ms(),
         ));
-        if take_one(&self.ailments.lose_responses) {
-            return Err(std::io::Error::other("asked to lose the answer"));
+        if decrement(&self.injected_faults.lost_responses) {
+            return Err(std::io::Error::other("injected fault: response dropped"));
         }
         let json = jzon::object! {
             order: caller_id.as_str(),
@@ -310,27 +324,27 @@
             digest: format!("{digest:x}"),
         };
         let mut response = json_response(200, &json);
-        if take_one(&self.ailments.garbage) {
-            // Why this: an answer to some other request must never reach the client.
+        if decrement(&self.injected_faults.mismatched_responses) {
+            // A wrong request id: the proxy must never forward the response to another request to a client.
             response
                 .headers_mut()
                 .insert(REQUEST_HEADER, HeaderValue::from_static("other"));
             return Ok(response);
         }
-        if let Some(length) = wanted.filter(|length| *length <= MOST_BODY) {
+        if let Some(length) = response_bytes.filter(|length| *length <= MAX_BODY_BYTES) {
             *response.body_mut() = full_body(vec![b'a'; length]);
         }
-        if take_one(&self.ailments.truncate) {
-            let promised = wanted.unwrap_or(1000);
-            *response.body_mut() = CutShort {
+        if decrement(&self.injected_faults.truncated_responses) {
+            let content_length = response_bytes.unwrap_or(1000);
+            *response.body_mut() = TruncatedBody {
                 chunks: 2,
-                chunk: Bytes::from(vec![b'a'; promised / 3]),
-                paused: false,
+                chunk: Bytes::from(vec![b'a'; content_length / 3]),
+                has_yielded: false,
             }
             .boxed();
             response
                 .headers_mut()
-                .insert("content-length", HeaderValue::from(promised));
+                .insert("content-length", HeaderValue::from(content_length));
         }
         let headers = response.headers_mut();
         if let Ok(value) = HeaderValue::from_str(&request_id) {
@@ -340,70 +354,72 @@
         Ok(response)
     }
 
-    /// Takes the whole request in, works, and looks again whether it may take effect.
+    /// Reads the complete body, waits for the processing time, and checks the lease again before the request
+    /// takes effect.
     async fn work(
         &self,
         body: Incoming,
         key_range: Option<(u32, Epoch)>,
     ) -> Result<u64, Option<&'static str>> {
-        let bytes = small_body(body, MOST_BODY).await.map_err(|_| None)?;
+        let bytes = small_body(body, MAX_BODY_BYTES).await.map_err(|_| None)?;
         tokio::time::sleep(Duration::from_millis(self.flags.work_ms)).await;
-        if !self.may_run(key_range, Duration::ZERO) {
-            return Err(Some("the hold passed before the work took effect"));
+        if !self.has_lease(key_range, Duration::ZERO) {
+            return Err(Some("the lease expired before the request took effect"));
         }
-        Ok(digest_of(&bytes))
+        Ok(body_digest(&bytes))
     }
 
-    fn not_run(&self, why: &str) -> Response<Body> {
-        let mut response = json_response(421, &jzon::object! { outcome: "not-run", why: why });
+    fn not_run(&self, reason: &str) -> Response<Body> {
+        let mut response = json_response(421, &jzon::object! { outcome: "not-run", why: reason });
         response
             .headers_mut()
             .insert(OUTCOME_HEADER, HeaderValue::from_static("not-run"));
         response
     }
 
-    async fn ail(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn inject_fault(&self, request: Request<Incoming>) -> Response<Body> {
         let body = small_body(request.into_body(), 4096)
             .await
             .unwrap_or_default();
         let value = jzon::parse(&String::from_utf8_lossy(&body)).unwrap_or(JsonValue::Null);
         let count = value["count"].as_u32().unwrap_or(1);
-        let ailment = match value["kind"].as_str() {
-            Some("lose-answers") => &self.ailments.lose_responses,
-            Some("garbage") => &self.ailments.garbage,
-            Some("truncate") => &self.ailments.truncate,
-            Some("refuse") => &self.ailments.refuse,
+        let injected_fault = match value["kind"].as_str() {
+            Some("lose-answers") => &self.injected_faults.lost_responses,
+            Some("garbage") => &self.injected_faults.mismatched_responses,
+            Some("truncate") => &self.injected_faults.truncated_responses,
+            Some("refuse") => &self.injected_faults.rejected_requests,
             _ => {
-                let why = "kind must be lose-answers, garbage, truncate or refuse";
-                return json_response(400, &jzon::object! { why: why });
+                let reason = "kind must be lose-answers, garbage, truncate or refuse";
+                return json_response(400, &jzon::object! { why: reason });
             }
         };
-        ailment.store(count, Ordering::SeqCst);
+        injected_fault.store(count, Ordering::SeqCst);
         json_response(200, &jzon::object! { count: count })
     }
 }
 
-/// Why the wall clock here: the records of many stand-ins on one machine are laid side by side.
-fn wall_millis() -> u128 {
+/// Returns the wall clock time in milliseconds since the Unix epoch: the journals of several instances on
+/// one machine are compared with each other.
+fn wall_clock_ms() -> u128 {
     std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |span| span.as_millis())
 }
 
-fn digest_of(bytes: &[u8]) -> u64 {
+fn body_digest(bytes: &[u8]) -> u64 {
     bytes.iter().fold(bytes.len() as u64, |digest, byte| {
         mix(digest ^ u64::from(*byte))
     })
 }
 
-/// A body that breaks off before the length its head promised.
-struct CutShort {
+/// A response body that ends before the announced content length.
+struct TruncatedBody {
     chunks: u32,
     chunk: Bytes,
-    paused: bool,
+    has_yielded: bool,
 }
 
-impl HttpBody for CutShort {
+impl HttpBody for TruncatedBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -415,13 +431,15 @@
             self.chunks -= 1;
             return std::task::Poll::Ready(Some(Ok(Frame::data(self.chunk.clone()))));
         }
-        if !self.paused {
-            // Why a pause: what was given so far leaves before the body breaks.
-            self.paused = true;
+        if !self.has_yielded {
+            // Yields once, so that the chunks so far are sent before the error.
+            self.has_yielded = true;
             context.waker().wake_by_ref();
             return std::task::Poll::Pending;
         }
-        std::task::Poll::Ready(Some(Err(std::io::Error::other("cut short"))))
+        std::task::Poll::Ready(Some(Err(std::io::Error::other(
+            "injected fault: response truncated",
+        ))))
     }
 }
 
@@ -439,8 +457,8 @@
                 .open(path)?,
         )),
     };
-    // Why this: a stand-in needs a number that grows from life to life.
-    let incarnation = wall_millis() as u64;
+    // The wall clock gives every restart a higher incarnation without stored state.
+    let incarnation = wall_clock_ms() as u64;
     event(
         STARTED,
         format!(
@@ -457,14 +475,14 @@
         draining: AtomicBool::new(false),
         held_leases: Mutex::default(),
         stamps: Mutex::default(),
-        ailments: Ailments::default(),
+        injected_faults: InjectedFaults::default(),
         journal,
     });
-    tokio::spawn(test_instance.clone().keep_beating());
+    tokio::spawn(test_instance.clone().run_heartbeats());
     let stop = Arc::new(AtomicBool::new(false));
-    let answering = test_instance.clone();
+    let handler = test_instance.clone();
     tokio::spawn(serve_http(listener, stop.clone(), move |_, request| {
-        answering.clone().respond(request)
+        handler.clone().respond(request)
     }));
     asked_to_stop().await;
     event(STOPPING, "");
@@ -472,16 +490,16 @@
     test_instance
         .send_heartbeat(test_instance.flags.agents[0])
         .await;
-    // Why so long: requests may still arrive for as long as the news travels, and held key ranges are
-    // let go of one heartbeat after the owner manager asks for them.
-    let until = Instant::now() + Duration::from_secs(8);
-    let earliest = Instant::now() + Duration::from_millis(3500);
-    while Instant::now() < until {
+    // Requests can arrive until the draining state has reached all proxies, and key ranges are released
+    // one heartbeat after the owner manager requests them.
+    let stop_deadline = Instant::now() + Duration::from_secs(8);
+    let earliest_stop = Instant::now() + Duration::from_millis(3500);
+    while Instant::now() < stop_deadline {
         let held_key_ranges = !locked(&test_instance.held_leases)
             .held_key_ranges(test_instance.clock.now())
             .is_empty();
-        let idle = test_instance.load.load(Ordering::SeqCst) == 0 && !held_key_ranges;
-        if idle && Instant::now() > earliest {
+        let is_idle = test_instance.load.load(Ordering::SeqCst) == 0 && !held_key_ranges;
+        if is_idle && Instant::now() > earliest_stop {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
