--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -403,7 +403,7 @@
 fn wall_clock_ms() -> u128 {
     std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
-        .map_or(0, |span| span.as_millis())
+        .map_or(0, |duration| duration.as_millis())
 }
 
 fn body_digest(bytes: &[u8]) -> u64 {
