--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -83,8 +83,11 @@
     served: u64,
     not_run: u64,
     unknown: u64,
+    /// No directory returned an address.
     nowhere: u64,
+    /// None of the addresses accepted a connection.
     not_opened: u64,
+    /// The response belonged to another request.
     wrong: u64,
     slowest_ms: u64,
 }
