--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -67,9 +67,9 @@
                     AgentEvent::ControlLinkSlow { figures } => {
                         event(CONTROL_LINK_SLOW, format!("agent: {figures}"));
                     }
-                    AgentEvent::ChunkRejected { refused, from } => {
-                        let RejectedChunk { map, why } = refused;
-                        event(PIECE_REFUSED, format!("{map} from {from}: {why}"));
+                    AgentEvent::ChunkRejected { rejected, from } => {
+                        let RejectedChunk { map, error } = rejected;
+                        event(PIECE_REFUSED, format!("{map} from {from}: {error}"));
                     }
                 },
                 AgentOutput::RespondToUsage { ticket, lines } => self.usage.respond(ticket, lines),
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -138,7 +138,7 @@
     },
     /// A chunk of a map was rejected; nothing of it was kept.
     ChunkRejected {
-        refused: RejectedChunk,
+        rejected: RejectedChunk,
         from: SocketAddr,
     },
 }
@@ -330,7 +330,7 @@
 
     fn tick(&mut self, now: Duration, outputs: &mut Vec<AgentOutput>) {
         self.snapshots.tick(now);
-        if self.link.due(now) {
+        if self.link.check_renewal_due(now) {
             let member = self.member(now);
             let (to, message) = self.link.renew(now, member);
             outputs.push(AgentOutput::Send { to, message });
@@ -414,7 +414,7 @@
         granted: &Granted,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        let advanced = self.link.granted(now, responder, granted);
+        let advanced = self.link.handle_grant(now, responder, granted);
         let requests = self.link.fetch_in_chunks(now, responder.address, granted);
         self.request_chunks(requests, outputs);
         if advanced.iter().any(|map| FALLBACK_MAPS.contains(map)) {
@@ -434,11 +434,11 @@
     ) {
         let step = self.link.handle_catch_up(now, from, vote);
         self.request_chunks(step.request, outputs);
-        if let Some(refused) = step.refused {
-            let event = AgentEvent::ChunkRejected { refused, from };
+        if let Some(rejected) = step.rejected {
+            let event = AgentEvent::ChunkRejected { rejected, from };
             outputs.push(AgentOutput::LogEvent { event });
         }
-        self.handle_map_updates(step.moved.as_slice(), outputs);
+        self.handle_map_updates(step.advanced.as_slice(), outputs);
     }
 
     pub(crate) fn request_chunks(
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -52,18 +52,18 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CatchUpStep {
     /// The map that advanced.
-    pub moved: Option<MapName>,
+    pub advanced: Option<MapName>,
     /// The next request to send.
     pub request: Option<CatchUpRequest>,
     /// The chunk, if it was rejected.
-    pub refused: Option<RejectedChunk>,
+    pub rejected: Option<RejectedChunk>,
 }
 
 /// A chunk that was rejected; nothing of it was kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RejectedChunk {
     pub map: MapName,
-    pub why: ChunkError,
+    pub error: ChunkError,
 }
 
 /// The controller that sent a response, and its incarnation.
@@ -102,7 +102,7 @@
     quorum_since: Option<Duration>,
     controller: SocketAddr,
     state: LinkState,
-    /// Whether [`due`](Self::due) has been called.
+    /// Whether [`check_renewal_due`](Self::check_renewal_due) has been called.
     has_started: bool,
     /// When the controller was last polled, and whether it has been unreachable since.
     polled_at: Duration,
@@ -289,7 +289,7 @@
 
     /// Returns whether a renewal is due. Switches to another controller if the current one does not respond in
     /// time, cannot be reached or does not bring the follower up to date.
-    pub fn due(&mut self, now: Duration) -> bool {
+    pub fn check_renewal_due(&mut self, now: Duration) -> bool {
         if !self.has_started {
             self.has_started = true;
             // Nothing is known of the link yet. It counts as slow until the first response, so that a proxy
@@ -313,7 +313,7 @@
         self.is_unreachable = false;
         self.reporter.figures.polls += 1;
         let number = self.lease.renew(now);
-        self.pacer.asked(now, number);
+        self.pacer.record_poll(now, number);
         let facts_age = |complete_at| now.saturating_sub(complete_at);
         let renewal = Renewal {
             number,
@@ -348,7 +348,7 @@
     }
 
     /// Applies a controller's response; returns the maps that advanced.
-    pub fn granted(
+    pub fn handle_grant(
         &mut self,
         now: Duration,
         responder: Responder,
@@ -358,14 +358,14 @@
         let took = sent_at.map(|sent_at| now.saturating_sub(sent_at));
         let follower = self.feed_cache.follower();
         self.reporter.figures.count(granted, took, follower);
-        self.pacer.answered(granted.number, took);
-        let moved: Vec<MapName> = granted
+        self.pacer.record_response(granted.number, took);
+        let advanced: Vec<MapName> = granted
             .updates
             .iter()
             .filter_map(|updates| self.feed_cache.take(updates))
             .collect();
         if granted.assured {
-            self.apply_lease(now, responder, granted, !moved.is_empty());
+            self.apply_lease(now, responder, granted, !advanced.is_empty());
         }
         if let Some(sent_at) = sent_at {
             self.apply_facts(now, sent_at, responder, granted);
@@ -373,7 +373,7 @@
         if granted.more && responder.address == self.controller {
             self.renew_at = now;
         }
-        moved
+        advanced
     }
 
     /// Applies the instances and members that a response reports.
@@ -462,7 +462,7 @@
             if controller != self.controller {
                 self.controller = controller;
                 // Responses of the others to requests in flight come too late to matter.
-                self.pacer.forget();
+                self.pacer.stop_waiting();
             }
         }
     }
@@ -514,12 +514,12 @@
             | ConsensusMessage::ReducedUpdates { map, .. }
                 if self.catch_up.is_receiving(*map) =>
             {
-                let moved = self.feed_cache.take(vote);
+                let advanced = self.feed_cache.take(vote);
                 let local_version = self.local_version(*map);
                 let request =
                     self.catch_up
-                        .handle_changes(now, *map, local_version, moved.is_some());
-                self.handle_progress(now, from, moved, request)
+                        .handle_changes(now, *map, local_version, advanced.is_some());
+                self.handle_progress(now, from, advanced, request)
             }
             _ => CatchUpStep::default(),
         }
@@ -537,15 +537,15 @@
             ChunkOutcome::Next(request) => self.handle_progress(now, from, None, Some(request)),
             ChunkOutcome::Snapshot(full_map) => {
                 let updates = ConsensusMessage::Snapshot { map, full_map };
-                let moved = self.feed_cache.take(&updates);
+                let advanced = self.feed_cache.take(&updates);
                 let local_version = self.local_version(map);
                 let request =
                     self.catch_up
-                        .handle_changes(now, map, local_version, moved.is_some());
-                self.handle_progress(now, from, moved, request)
+                        .handle_changes(now, map, local_version, advanced.is_some());
+                self.handle_progress(now, from, advanced, request)
             }
-            ChunkOutcome::Refused(why) => CatchUpStep {
-                refused: Some(RejectedChunk { map, why }),
+            ChunkOutcome::Refused(error) => CatchUpStep {
+                rejected: Some(RejectedChunk { map, error }),
                 ..CatchUpStep::default()
             },
         }
@@ -556,19 +556,19 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        moved: Option<MapName>,
+        advanced: Option<MapName>,
         request: Option<CatchUpRequest>,
     ) -> CatchUpStep {
         // A controller that sends chunks is useful, though the versions that its grant names are not here yet.
         self.follow(now, from);
-        if moved.is_some() {
+        if advanced.is_some() {
             // The lease of the grant that named the version may have expired by now.
             self.renew_at = now;
         }
         CatchUpStep {
-            moved,
+            advanced,
             request,
-            refused: None,
+            rejected: None,
         }
     }
 
--- a/crates/caperworks/src/poll_pacer.rs
+++ b/crates/caperworks/src/poll_pacer.rs
@@ -53,12 +53,12 @@
     }
 
     /// Stops waiting for the response to the poll in flight.
-    pub fn forget(&mut self) {
+    pub fn stop_waiting(&mut self) {
         self.pending = None;
     }
 
     /// Records that a poll was sent; an earlier one without a response counts as lost.
-    pub fn asked(&mut self, now: Duration, number: u64) {
+    pub fn record_poll(&mut self, now: Duration, number: u64) {
         let waits_since = now;
         let lost = self.pending.replace(PendingPoll {
             number,
@@ -70,7 +70,7 @@
     }
 
     /// Records a response; `took` is the time since its poll, if that is still known.
-    pub fn answered(&mut self, number: u64, took: Option<Duration>) {
+    pub fn record_response(&mut self, number: u64, took: Option<Duration>) {
         if let Some(took) = took {
             self.rtt.record_response(took);
         }
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -100,7 +100,7 @@
     loop {
         now += STEP;
         assert!(now < after + millis(5000), "no renewal is due any more");
-        if link.due(now) {
+        if link.check_renewal_due(now) {
             let (to, message) = link.renew(now, member());
             let Message::Renew { renewal } = message else {
                 panic!("{message:?} is not a renewal");
@@ -116,7 +116,7 @@
     for offset in 1..10 {
         let (polled_at, to, renewal) = next_renewal(link, now);
         now = polled_at + STEP;
-        link.granted(now, responder(to), &grant(renewal.number, offset));
+        link.handle_grant(now, responder(to), &grant(renewal.number, offset));
     }
     (now, link.controller())
 }
@@ -159,7 +159,7 @@
     assert!(![second, third, fourth].contains(&unresponsive));
     // The link is saturated: the response to the second request arrives after two others were polled.
     let now = fourth_at + millis(100);
-    link.granted(now, responder(second), &grant(second_renewal.number, 70));
+    link.handle_grant(now, responder(second), &grant(second_renewal.number, 70));
     assert_eq!(link.controller(), second);
     let (_, to, renewal) = next_renewal(&mut link, now);
     assert_eq!(to, second);
@@ -176,12 +176,12 @@
     let (polled_at, other, renewal) = next_renewal(&mut link, started_at);
     assert_ne!(other, left);
     let now = polled_at + STEP;
-    link.granted(now, responder(other), &grant(renewal.number, 55));
+    link.handle_grant(now, responder(other), &grant(renewal.number, 55));
     let reported = Granted {
         instances: vec![received_heartbeat("one", 1)],
         ..grant(late.number, 1234)
     };
-    link.granted(now + STEP, responder(left), &reported);
+    link.handle_grant(now + STEP, responder(left), &reported);
     assert_eq!(link.controller(), other);
     let known: Vec<&Heartbeat> = link.instances.iter().collect();
     assert_eq!(known.len(), 1, "the facts in it are applied nevertheless");
@@ -214,7 +214,7 @@
         more: true,
         ..grant(renewal.number, 40)
     };
-    link.granted(polled_at + STEP, responder(followed), &part);
+    link.handle_grant(polled_at + STEP, responder(followed), &part);
     let (next_at, _, renewal) = next_renewal(&mut link, polled_at + STEP);
     assert_eq!(renewal.facts_age, Some(next_at - started_at + STEP));
 }
@@ -257,7 +257,7 @@
     let mut link = new_link();
     let (now, to, renewal) = next_renewal(&mut link, Duration::ZERO);
     assert_eq!(link.slow_link_remaining(now), SLOW_LINK_WINDOW);
-    link.granted(now + STEP, responder(to), &grant(renewal.number, 1));
+    link.handle_grant(now + STEP, responder(to), &grant(renewal.number, 1));
     assert_eq!(link.slow_link_remaining(now + STEP), Duration::ZERO);
 }
 
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -395,7 +395,7 @@
             address: SocketAddr::from(([127, 0, 0, 1], 6000)),
             incarnation: NodeId(1),
         };
-        link.granted(millis(now), responder, &granted);
+        link.handle_grant(millis(now), responder, &granted);
         link.proxies()
     };
     for (now, proxies, expected) in [
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -250,7 +250,7 @@
                     address: from,
                     incarnation: NodeId(controller as u64),
                 };
-                self.link.granted(self.now, responder, granted);
+                self.link.handle_grant(self.now, responder, granted);
                 let requests = self.link.fetch_in_chunks(self.now, from, granted);
                 self.send_requests(requests);
             }
@@ -258,7 +258,7 @@
                 let from = address(controller);
                 let step = self.link.handle_catch_up(self.now, from, vote);
                 self.rejected
-                    .extend(step.refused.map(|refused| refused.why));
+                    .extend(step.rejected.map(|rejected| rejected.error));
                 self.send_requests(step.request);
             }
             _ => {}
@@ -283,7 +283,7 @@
         }
         let requests = self.link.tick_catch_up(self.now);
         self.send_requests(requests);
-        if self.link.due(self.now) {
+        if self.link.check_renewal_due(self.now) {
             let member = self.member();
             let (to, message) = self.link.renew(self.now, member);
             self.send(to, message);
@@ -398,7 +398,7 @@
         .sender
         .respond(world.now, &controller.voter, MAP, Version(0), position);
     let step = world.link.handle_catch_up(world.now, address(0), &vote);
-    let error = step.refused.map(|refused| refused.why);
+    let error = step.rejected.map(|rejected| rejected.error);
     assert_eq!(error, Some(ChunkError::NotRequested));
     assert_eq!(world.held().version, before);
 }
@@ -417,7 +417,7 @@
             now < millis(1500),
             "the follower stays with a controller that is behind"
         );
-        if !link.due(now) || link.controller() != first {
+        if !link.check_renewal_due(now) || link.controller() != first {
             continue;
         }
         let world = World::new(vec![Controller::with_routes(FEW)], STEP);
@@ -441,6 +441,6 @@
             address: to,
             incarnation: NodeId(0),
         };
-        link.granted(now, responder, &granted);
+        link.handle_grant(now, responder, &granted);
     }
 }
--- a/crates/caperworks/tests/instance_termination.rs
+++ b/crates/caperworks/tests/instance_termination.rs
@@ -152,7 +152,7 @@
         gone: vec![InstanceId::new("one")],
         ..grant(number, true)
     };
-    link.granted(millis(120), responder(1), &reported);
+    link.handle_grant(millis(120), responder(1), &reported);
     let names = |link: &CoreLink| -> Vec<String> {
         let known = link.instances.iter();
         known.map(|heartbeat| heartbeat.id.to_string()).collect()
@@ -164,7 +164,7 @@
         instances: vec![heartbeat("one", 7)],
         ..grant(number, true)
     };
-    link.granted(millis(420), responder(2), &reported);
+    link.handle_grant(millis(420), responder(2), &reported);
     assert_eq!(
         names(&link),
         ["two"],
@@ -174,10 +174,10 @@
 
 /// Ticks as a daemon does: renews the lease if that is due, then marks overdue instances as suspected.
 fn tick(link: &mut CoreLink, now: Duration, responses: Option<bool>) -> Vec<InstanceId> {
-    if link.due(now) {
+    if link.check_renewal_due(now) {
         let number = renewal_number(link, now);
         if let Some(assured) = responses {
-            link.granted(now, responder(1), &grant(number, assured));
+            link.handle_grant(now, responder(1), &grant(number, assured));
         }
     }
     link.update_suspected_instances(now)
--- a/crates/controller/tests/fleet/follower.rs
+++ b/crates/controller/tests/fleet/follower.rs
@@ -55,7 +55,7 @@
     pub fn tick(&mut self, now: Duration) -> Vec<(SocketAddr, Envelope)> {
         let requests = self.link.tick_catch_up(now);
         let mut sent: Vec<(SocketAddr, Message)> = requests.iter().map(request_message).collect();
-        if self.link.due(now) {
+        if self.link.check_renewal_due(now) {
             let member = self.member(now);
             sent.push(self.link.renew(now, member));
         }
@@ -72,7 +72,7 @@
                     address: from,
                     incarnation: envelope.sender_incarnation(),
                 };
-                self.link.granted(now, responder, granted);
+                self.link.handle_grant(now, responder, granted);
                 self.link.fetch_in_chunks(now, from, granted)
             }
             Message::ConsensusMessage { vote } => {
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -46,9 +46,9 @@
                     let envelope = locked(&self.machine).seal(now, to, message);
                     self.port.forward(to, &envelope);
                 }
-                DirectoryOutput::ChunkRejected { refused, from } => {
-                    let RejectedChunk { map, why } = refused;
-                    event(PIECE_REFUSED, format!("{map} from {from}: {why}"));
+                DirectoryOutput::ChunkRejected { rejected, from } => {
+                    let RejectedChunk { map, error } = rejected;
+                    event(PIECE_REFUSED, format!("{map} from {from}: {error}"));
                 }
                 DirectoryOutput::ControlLinkSlow { figures } => {
                     event(CONTROL_LINK_SLOW, format!("directory: {figures}"));
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -67,7 +67,7 @@
     ControlLinkSlow { figures: LinkFigures },
     /// A chunk of a map snapshot was rejected; nothing of it is kept.
     ChunkRejected {
-        refused: RejectedChunk,
+        rejected: RejectedChunk,
         from: SocketAddr,
     },
 }
@@ -178,7 +178,7 @@
         outputs.extend(figures.map(|figures| DirectoryOutput::ControlLinkSlow { figures }));
         let requests = self.link.tick_catch_up(now);
         request_chunks(requests, outputs);
-        if self.link.due(now) {
+        if self.link.check_renewal_due(now) {
             let member = self.member();
             let (to, message) = self.link.renew(now, member);
             outputs.push(DirectoryOutput::Send { to, message });
@@ -219,7 +219,7 @@
         };
         match envelope.message {
             Message::Grant { granted } => {
-                let updated = self.link.granted(now, responder, &granted);
+                let updated = self.link.handle_grant(now, responder, &granted);
                 self.handle_map_updates(updated, outputs);
                 let requests = self.link.fetch_in_chunks(now, from, &granted);
                 request_chunks(requests, outputs);
@@ -227,10 +227,10 @@
             }
             Message::ConsensusMessage { vote } => {
                 let step = self.link.handle_catch_up(now, from, &vote);
-                self.handle_map_updates(step.moved, outputs);
+                self.handle_map_updates(step.advanced, outputs);
                 request_chunks(step.request, outputs);
-                if let Some(refused) = step.refused {
-                    outputs.push(DirectoryOutput::ChunkRejected { refused, from });
+                if let Some(rejected) = step.rejected {
+                    outputs.push(DirectoryOutput::ChunkRejected { rejected, from });
                 }
             }
             // All other messages are for agents and controllers.
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -284,7 +284,7 @@
         }
         self.renew_at = now + RENEW_INTERVAL;
         let member = self.member();
-        self.pace.asked(now, self.counter);
+        self.pace.record_poll(now, self.counter);
         let renewal = Renewal {
             number: self.counter,
             member,
@@ -393,7 +393,7 @@
     }
 
     fn granted(&mut self, now: Duration, process: NodeId, granted: &Granted) {
-        self.pace.answered(granted.number, None);
+        self.pace.record_response(granted.number, None);
         self.controller_incarnation = process;
         self.instances_offset = granted.instances_offset;
         self.members_offset = granted.members_offset;
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -138,7 +138,7 @@
                 .sort_by(|one, other| (&one.group, &one.route).cmp(&(&other.group, &other.route)));
         }
         self.pull_number += 1;
-        self.pace.asked(now, self.pull_number);
+        self.pace.record_poll(now, self.pull_number);
         self.pulls.push_back((self.pull_number, now));
         if self.pulls.len() > 16 {
             self.pulls.pop_front();
@@ -170,7 +170,7 @@
         };
         let asked_at = *asked_at;
         let took = now.saturating_sub(asked_at);
-        self.pace.answered(view.number, Some(took));
+        self.pace.record_response(view.number, Some(took));
         if self.broken == BrokenProxy::GoesBack && view.number.is_multiple_of(40) {
             self.knowledge.maps = Arc::default();
         }
