--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -18,13 +18,13 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        ask: &FallbackRequest,
+        request: &FallbackRequest,
         max_age: Option<Duration>,
         outputs: &mut Vec<AgentOutput>,
     ) {
         // Facts of unknown age may be old, and are ignored.
         if let Some(max_age) = max_age {
-            for heartbeat in &ask.heartbeats {
+            for heartbeat in &request.heartbeats {
                 self.link
                     .instances
                     .handle(now, &heartbeat.clone().aged(max_age));
@@ -32,21 +32,21 @@
         }
         let (feed_cache, limit) = (&self.link.feed_cache, &mut self.agent_map_limit);
         let updates = FALLBACK_MAPS.iter().filter_map(|name| {
-            let held = ask.versions.get(name.index()).copied();
+            let held = request.versions.get(name.index()).copied();
             feed_cache
                 .updates_after(*name, held.unwrap_or_default())
                 .filter(|updates| limit.admits(now, from, updates))
         });
-        let tell = FallbackResponse {
-            number: ask.number,
+        let response = FallbackResponse {
+            number: request.number,
             versions: self.link.versions(),
             updates: updates.collect(),
             qualified_under: self.fallback_quorum.qualified_under(),
             draining: self.link.instances.draining(now),
         };
-        let message = Message::FallbackResponse { tell };
+        let message = Message::FallbackResponse { response };
         outputs.push(AgentOutput::Send { to: from, message });
-        self.request_maps_from(now, from, ask, outputs);
+        self.request_maps_from(now, from, request, outputs);
     }
 
     /// Handles the response of another agent.
@@ -54,7 +54,7 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        tell: &FallbackResponse,
+        response: &FallbackResponse,
         max_age: Option<Duration>,
         outputs: &mut Vec<AgentOutput>,
     ) {
@@ -62,13 +62,13 @@
         let Some(max_age) = max_age else {
             return;
         };
-        for heartbeat in &tell.draining {
+        for heartbeat in &response.draining {
             self.link
                 .instances
                 .handle(now, &heartbeat.clone().aged(max_age));
         }
         let applies_updates = self.fallback_quorum.broken != BrokenFallback::NoPooling;
-        let advanced: Vec<MapName> = tell
+        let advanced: Vec<MapName> = response
             .updates
             .iter()
             .filter(|_| applies_updates)
@@ -80,7 +80,8 @@
         self.fallback_quorum
             .update_membership(now, membership, self.link.fresh_until());
         let follower = self.link.feed_cache.follower();
-        self.fallback_quorum.handle_response(from, tell, follower);
+        self.fallback_quorum
+            .handle_response(from, response, follower);
     }
 
     /// Requests the maps of an agent that is ahead, when the control plane cannot send them.
@@ -88,23 +89,23 @@
         &mut self,
         now: Duration,
         to: SocketAddr,
-        ask: &FallbackRequest,
+        request: &FallbackRequest,
         outputs: &mut Vec<AgentOutput>,
     ) {
         let versions = self.link.versions();
         let is_behind = versions[MapName::Membership.index()] == Version(0)
-            && ask.versions.get(MapName::Membership.index()) > Some(&Version(0));
+            && request.versions.get(MapName::Membership.index()) > Some(&Version(0));
         if is_behind
             && self
                 .fallback_quorum
                 .should_request_maps(now, self.link.fresh_until())
         {
-            let ask = FallbackRequest {
+            let request = FallbackRequest {
                 number: 0,
                 versions,
                 heartbeats: Vec::new(),
             };
-            let message = Message::FallbackRequest { ask };
+            let message = Message::FallbackRequest { request };
             outputs.push(AgentOutput::Send { to, message });
         }
     }
@@ -124,12 +125,12 @@
             .filter_map(|id| self.link.instances.heard(now, id))
             .collect();
         for to in others {
-            let ask = FallbackRequest {
+            let request = FallbackRequest {
                 number,
                 versions: self.link.versions(),
                 heartbeats: heartbeats.clone(),
             };
-            let message = Message::FallbackRequest { ask };
+            let message = Message::FallbackRequest { request };
             outputs.push(AgentOutput::Send { to, message });
         }
     }
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -385,11 +385,11 @@
                 };
                 self.handle_grant(now, responder, &granted, outputs);
             }
-            Message::FallbackRequest { ask } => {
-                self.handle_fallback_request(now, from, &ask, max_age, outputs)
+            Message::FallbackRequest { request } => {
+                self.handle_fallback_request(now, from, &request, max_age, outputs)
             }
-            Message::FallbackResponse { tell } => {
-                self.handle_fallback_response(now, from, &tell, max_age, outputs)
+            Message::FallbackResponse { response } => {
+                self.handle_fallback_response(now, from, &response, max_age, outputs)
             }
             Message::HeartbeatReply { ticket, response } => {
                 self.handle_heartbeat_reply(now, from, ticket, response, outputs);
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -492,19 +492,22 @@
     );
     let mut sent = 0;
     for step in 0..50 {
-        let ask = FallbackRequest {
+        let request = FallbackRequest {
             number: step,
             versions: vec![Version(0); ALL_MAPS.len()],
             heartbeats: Vec::new(),
         };
-        let outputs = fixture.receive(millis(1000 + step * 100), Message::FallbackRequest { ask });
+        let outputs = fixture.receive(
+            millis(1000 + step * 100),
+            Message::FallbackRequest { request },
+        );
         for output in outputs {
             if let AgentOutput::Send {
-                message: Message::FallbackResponse { tell },
+                message: Message::FallbackResponse { response },
                 ..
             } = output
             {
-                sent += full_maps(&tell.updates);
+                sent += full_maps(&response.updates);
             }
         }
     }
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -150,8 +150,8 @@
         11 HeartbeatReply { 0 ticket: u64, 1 response: HeartbeatResponse },
         12 Pull { 0 pull: Pull },
         13 View { 0 view: ProxyView },
-        14 FallbackRequest { 0 ask: FallbackRequest },
-        15 FallbackResponse { 0 tell: FallbackResponse },
+        14 FallbackRequest { 0 request: FallbackRequest },
+        15 FallbackResponse { 0 response: FallbackResponse },
         /// A drain or a deregistration, acknowledged once a majority of the voters has it.
         16 ConfirmFact { 0 number: u64, 1 heartbeat: Option<ReceivedHeartbeat>, 2 ended: Option<InstanceId> },
         17 FactConfirmed { 0 number: u64 },
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -154,14 +154,14 @@
     pub fn handle_response(
         &mut self,
         from: SocketAddr,
-        tell: &FallbackResponse,
+        response: &FallbackResponse,
         follower: &Follower,
     ) {
-        let is_qualified = tell.qualified_under == Some(self.fallback_members_version);
+        let is_qualified = response.qualified_under == Some(self.fallback_members_version);
         let mut requests = self.requests.iter_mut();
-        let request = requests.find(|request| request.number == tell.number);
+        let request = requests.find(|request| request.number == response.number);
         if let Some(request) = request.filter(|_| is_qualified) {
-            request.responses.insert(from, tell.versions.clone());
+            request.responses.insert(from, response.versions.clone());
         }
         self.extend_freshness(follower);
     }
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -743,7 +743,7 @@
         (
             "14",
             Message::FallbackRequest {
-                ask: FallbackRequest {
+                request: FallbackRequest {
                     number: 91,
                     versions: vec![Version(17)],
                     heartbeats: received_heartbeats(),
@@ -753,7 +753,7 @@
         (
             "15",
             Message::FallbackResponse {
-                tell: FallbackResponse {
+                response: FallbackResponse {
                     number: 91,
                     versions: vec![Version(17)],
                     updates: vec![consensus_message()],
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -316,16 +316,16 @@
             Message::ConsensusMessage {
                 vote: ConsensusMessage::Chunk { chunk },
             } => self.take_chunk(now, envelope.reply_to, &chunk),
-            Message::FallbackRequest { ask } => {
+            Message::FallbackRequest { request } => {
                 // Why no word under any roster: hollow agents are to keep nobody fresh.
-                let tell = FallbackResponse {
-                    number: ask.number,
+                let response = FallbackResponse {
+                    number: request.number,
                     versions: self.versions.clone(),
                     updates: Vec::new(),
                     qualified_under: None,
                     draining: Vec::new(),
                 };
-                self.send(envelope.reply_to, Message::FallbackResponse { tell });
+                self.send(envelope.reply_to, Message::FallbackResponse { response });
             }
             _ => {}
         }
