--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -91,8 +91,8 @@
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/ready") => ready_response(ready),
         (&Method::GET, "/usage") => {
-            let (ticket, lines) = usage.draw();
-            inbox.give(AgentInput::Usage { ticket });
+            let (ticket, lines) = usage.issue();
+            inbox.push(AgentInput::Usage { ticket });
             match lines.await {
                 Ok(lines) => json_response(200, &usage_json(&zone, &lines)),
                 Err(_) => json_response(503, &jzon::object! { why: "this agent is shutting down" }),
@@ -108,13 +108,13 @@
                 Ok(heartbeat_and_echo) => heartbeat_and_echo,
                 Err(why) => return json_response(400, &jzon::object! { why: why }),
             };
-            let (ticket, response) = tickets.draw();
-            if !inbox.give(AgentInput::Heartbeat {
+            let (ticket, response) = tickets.issue();
+            if !inbox.push(AgentInput::Heartbeat {
                 ticket,
                 heartbeat,
                 echo,
             }) {
-                tickets.forget(ticket);
+                tickets.discard(ticket);
                 return json_response(
                     503,
                     &jzon::object! { why: "this agent is overloaded: its inbox is full" },
@@ -143,16 +143,16 @@
         control: node_settings.advertise,
         zone: node_settings.zone.clone(),
         seeds: node_settings.seeds.clone(),
-        feed_form: node_settings.terms.core.agents_feed_form(),
-        proxy_serves_stale: node_settings.terms.proxy.serves_stale,
-        instance_timeout: node_settings.terms.core.instance_timeout,
+        feed_form: node_settings.tuning.core.agents_feed_form(),
+        proxy_serves_stale: node_settings.tuning.proxy.serves_stale,
+        instance_timeout: node_settings.tuning.core.instance_timeout,
         lease_duration: node_settings
-            .terms
+            .tuning
             .proxy
             .lease_duration
             .unwrap_or(LEASE_DURATION),
-        heartbeat_refresh: node_settings.terms.core.heartbeat_refresh,
-        demand_report_interval: node_settings.terms.core.member_refresh,
+        heartbeat_refresh: node_settings.tuning.core.heartbeat_refresh,
+        demand_report_interval: node_settings.tuning.core.member_refresh,
     };
     let machine = AgentMachine::start(options, random_seed());
     let (inbox, receiver) = Inbox::open();
@@ -162,7 +162,7 @@
         node_settings.control,
         node_settings.advertise,
         move |event| {
-            events.give(match event {
+            events.push(match event {
                 PortEvent::Received(envelope) => AgentInput::Received {
                     envelope: *envelope,
                 },
@@ -196,7 +196,7 @@
         ready_until: ready_until.clone(),
         stopped: stopped.clone(),
     };
-    spawn_actor(worker, clock, receiver, node_settings.terms.tick);
+    spawn_actor(worker, clock, receiver, node_settings.tuning.tick);
     if serves_http {
         let listener = listen(node_settings.serving).await?;
         let stop = Arc::new(AtomicBool::new(false));
@@ -216,7 +216,7 @@
     }
     let settings_inbox = worker_inbox.clone();
     follow_settings(reload_settings, move |seeds| {
-        settings_inbox.give(AgentInput::Seeds { seeds });
+        settings_inbox.push(AgentInput::Seeds { seeds });
     });
     shutdown_signal().await;
     event(STOPPING, "");
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -19,7 +19,7 @@
     start_log()?;
     let reload_settings: ReloadSettings = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
-        node_settings.terms.workers,
+        node_settings.tuning.workers,
         agent::daemon::run(node_settings, reload_settings, true),
     )
 }
--- a/crates/agent/src/proxy_calls.rs
+++ b/crates/agent/src/proxy_calls.rs
@@ -88,7 +88,7 @@
             proxies: proxies.max(1),
             configuration: follower.map(MapName::Configuration).version,
             ownership: follower.map(MapName::Ownership).version,
-            link_slow_for: self.link.slow_link_remaining(now),
+            slow_link_remaining: self.link.slow_link_remaining(now),
         }
     }
 
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -264,11 +264,14 @@
 fn link_with_prompt_responses_is_not_slow_when_controllers_stop_responding() {
     let mut fixture = AgentFixture::new(true);
     fixture.run(0, 6000, Controllers::Responding, &["one"]);
-    assert_eq!(fixture.view(millis(6000)).link_slow_for, Duration::ZERO);
+    assert_eq!(
+        fixture.view(millis(6000)).slow_link_remaining,
+        Duration::ZERO
+    );
     fixture.run(6000, 9000, Controllers::Unresponsive, &[]);
     let stale = fixture.view(millis(9000));
     assert_eq!(stale.left, Duration::ZERO);
-    assert_eq!(stale.link_slow_for, Duration::ZERO);
+    assert_eq!(stale.slow_link_remaining, Duration::ZERO);
 }
 
 /// Returns the response of a controller with a quorum to a renewal that was sent long ago.
@@ -303,9 +306,12 @@
     );
     let view = fixture.view(millis(9500));
     assert_eq!(view.left, Duration::ZERO);
-    assert_eq!(view.link_slow_for, SLOW_LINK_WINDOW);
+    assert_eq!(view.slow_link_remaining, SLOW_LINK_WINDOW);
     let partitioned_at = millis(9500) + SLOW_LINK_WINDOW;
-    assert_eq!(fixture.view(partitioned_at).link_slow_for, Duration::ZERO);
+    assert_eq!(
+        fixture.view(partitioned_at).slow_link_remaining,
+        Duration::ZERO
+    );
 }
 
 #[test]
@@ -318,9 +324,15 @@
             granted: grant_for_an_old_renewal(),
         },
     );
-    assert_eq!(fixture.view(millis(6000)).link_slow_for, SLOW_LINK_WINDOW);
+    assert_eq!(
+        fixture.view(millis(6000)).slow_link_remaining,
+        SLOW_LINK_WINDOW
+    );
     fixture.run(6000, 6500, Controllers::Responding, &[]);
-    assert_eq!(fixture.view(millis(6500)).link_slow_for, Duration::ZERO);
+    assert_eq!(
+        fixture.view(millis(6500)).slow_link_remaining,
+        Duration::ZERO
+    );
 }
 
 #[test]
@@ -595,7 +607,7 @@
         renewals += outputs.iter().filter(|output| is_renewal(output)).count();
     }
     let last_part = millis(11_800);
-    let slow_link_remaining = fixture.view(millis(12_000)).link_slow_for;
+    let slow_link_remaining = fixture.view(millis(12_000)).slow_link_remaining;
     assert_eq!(
         slow_link_remaining,
         last_part + SLOW_LINK_WINDOW - millis(12_000)
@@ -605,7 +617,10 @@
         "it sent {renewals} renewals while a response was arriving"
     );
     // Then nothing more arrives, which is a partition.
-    assert_eq!(fixture.view(millis(18_000)).link_slow_for, Duration::ZERO);
+    assert_eq!(
+        fixture.view(millis(18_000)).slow_link_remaining,
+        Duration::ZERO
+    );
 }
 
 fn is_renewal(output: &AgentOutput) -> bool {
--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -90,7 +90,7 @@
         agent: NodeId(1),
         instances_offset: 1,
         all_instances: true,
-        link_slow_for: Duration::ZERO,
+        slow_link_remaining: Duration::ZERO,
         silent: Vec::new(),
         number: 1,
         left: Duration::from_secs(3600),
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -52,7 +52,7 @@
         agent: NodeId(1),
         instances_offset: 0,
         all_instances: false,
-        link_slow_for: Duration::ZERO,
+        slow_link_remaining: Duration::ZERO,
         silent: Vec::new(),
     }
 }
--- a/crates/caperworks/src/dispatch/proxy_state.rs
+++ b/crates/caperworks/src/dispatch/proxy_state.rs
@@ -122,7 +122,7 @@
         });
         // Both maps must be current: a fresh proxy acts on at least what the agent held when it
         // sent the view.
-        self.link_slow_until = polled_at + view.link_slow_for;
+        self.link_slow_until = polled_at + view.slow_link_remaining;
         let is_caught_up = self.maps.map(MapName::Configuration).version >= view.configuration
             && self.maps.map(MapName::Ownership).version >= view.ownership;
         if is_caught_up {
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -128,7 +128,7 @@
         9 all_instances: bool,
         /// For how much longer an agent without a lease takes missing responses of the control plane for a
         /// slow link.
-        10 link_slow_for: Duration,
+        10 slow_link_remaining: Duration,
         /// Those of the instances in this message that are suspected because of missing heartbeats.
         11 silent: Vec<InstanceId>,
     }
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -305,7 +305,7 @@
         agent: NodeId(1),
         instances_offset: number,
         all_instances: all,
-        link_slow_for: Duration::ZERO,
+        slow_link_remaining: Duration::ZERO,
         silent: Vec::new(),
         number,
         left: millis(3000),
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -96,7 +96,7 @@
 struct Bench {
     known: ProxyState,
     /// How long the agent attributes missing responses of the controllers to a slow link.
-    link_slow_for: Duration,
+    slow_link_remaining: Duration,
     configuration: ReplicatedMap,
     views: u64,
 }
@@ -124,7 +124,7 @@
         };
         Self {
             known,
-            link_slow_for: Duration::ZERO,
+            slow_link_remaining: Duration::ZERO,
             configuration,
             views: 0,
         }
@@ -143,7 +143,7 @@
             agent: NodeId(1),
             instances_offset: 1,
             all_instances: true,
-            link_slow_for: self.link_slow_for,
+            slow_link_remaining: self.slow_link_remaining,
             silent: Vec::new(),
             number: self.views,
             left: millis(3000),
@@ -231,7 +231,7 @@
         serves_stale: true,
         ..ProxyPolicy::default()
     });
-    bench.link_slow_for = millis(4000);
+    bench.slow_link_remaining = millis(4000);
     bench.send_view(Duration::ZERO, &one_in_each_zone());
     assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
     assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -76,7 +76,7 @@
         agent: NodeId(agent),
         instances_offset: 0,
         all_instances: true,
-        link_slow_for: Duration::ZERO,
+        slow_link_remaining: Duration::ZERO,
         silent: Vec::new(),
     }
 }
--- a/crates/caperworks/tests/suspected_instances.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -118,7 +118,7 @@
             agent: NodeId(1),
             instances_offset: self.views,
             all_instances: all,
-            link_slow_for: Duration::ZERO,
+            slow_link_remaining: Duration::ZERO,
             silent: suspected
                 .iter()
                 .map(|name| InstanceId::new(*name))
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -668,7 +668,7 @@
                     agent: NodeId(32),
                     instances_offset: 303,
                     all_instances: true,
-                    link_slow_for: millis(1100),
+                    slow_link_remaining: millis(1100),
                     silent: vec![InstanceId::from("cart-3")],
                 },
             },
--- a/crates/controller/src/daemon/handle.rs
+++ b/crates/controller/src/daemon/handle.rs
@@ -50,7 +50,7 @@
         let now = self.clock.now();
         Self {
             received_at: now,
-            may_be_old: self.freeze_guard.look(now),
+            may_be_old: self.freeze_guard.check(now),
             ..self.clone()
         }
     }
@@ -60,9 +60,9 @@
         &self,
         input: impl FnOnce(u64) -> ControllerInput,
     ) -> Option<OperatorResponse> {
-        let (ticket, response) = self.tickets.draw();
-        if !self.inbox.give(input(ticket)) {
-            self.tickets.forget(ticket);
+        let (ticket, response) = self.tickets.issue();
+        if !self.inbox.push(input(ticket)) {
+            self.tickets.discard(ticket);
             return None;
         }
         response.await.ok()
--- a/crates/controller/src/daemon/host.rs
+++ b/crates/controller/src/daemon/host.rs
@@ -71,7 +71,7 @@
     }
 
     fn take(&mut self, now: Duration, input: ControllerInput) {
-        self.freeze_guard.look(now);
+        self.freeze_guard.check(now);
         let mut next = VecDeque::from([input]);
         while let Some(input) = next.pop_front() {
             let outputs = self.machine.input(now, input);
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -99,12 +99,12 @@
     host.act(outputs, &mut next);
     next.into_iter()
         .for_each(|input| host.take(clock.now(), input));
-    spawn_actor(host, clock, receiver, node_settings.terms.tick);
+    spawn_actor(host, clock, receiver, node_settings.tuning.tick);
     let stopping = handle.stopping.clone();
     serve_calls(&node_settings, handle, interface).await?;
     let settings_inbox = inbox.clone();
     follow_settings(reread, move |seeds| {
-        settings_inbox.give(ControllerInput::SeedsChanged { seeds });
+        settings_inbox.push(ControllerInput::SeedsChanged { seeds });
     });
     shutdown_signal().await;
     event(STOPPING, "");
@@ -132,7 +132,7 @@
         node_settings.seeds.clone(),
     )
     .disk_capacity(slot_bytes, log_bytes)
-    .core(node_settings.terms.core.clone());
+    .core(node_settings.tuning.core.clone());
     let (machine, outputs) = ControllerMachine::start(options, &image, random_seed());
     Ok((folder, machine, outputs))
 }
@@ -143,7 +143,7 @@
     inbox: Inbox<ControllerInput>,
 ) -> Result<ControlPort, StartError> {
     let handle = move |envelope| {
-        inbox.give(ControllerInput::MessageReceived { envelope });
+        inbox.push(ControllerInput::MessageReceived { envelope });
     };
     ControlPort::open(node, node_settings.control, node_settings.advertise, handle)
         .await
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -20,7 +20,7 @@
     start_log()?;
     let reread: ReloadSettings =
         Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
-    run_daemon(node_settings.terms.workers, async move {
+    run_daemon(node_settings.tuning.workers, async move {
         Ok(controller::daemon::run(node_settings, reread, native_interface()).await?)
     })
 }
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -133,7 +133,7 @@
         serving: node_settings.serving,
         zone: node_settings.zone.clone(),
         seeds: node_settings.seeds.clone(),
-        member_refresh: node_settings.terms.core.member_refresh,
+        member_refresh: node_settings.tuning.core.member_refresh,
     };
     let machine = DirectoryMachine::start(options, random_seed());
     let node = machine.node();
@@ -149,7 +149,7 @@
             PortEvent::Opened { peer, took } => DirectoryInput::ConnectionOpened { peer, took },
             PortEvent::Lost { peer } => DirectoryInput::ConnectionLost { peer },
         };
-        inbox.give(input);
+        inbox.push(input);
     };
     let port = ControlPort::open_with_events(
         node,
@@ -169,7 +169,7 @@
         machine: machine.clone(),
         port,
     };
-    spawn_actor(worker, clock, receiver, node_settings.terms.tick);
+    spawn_actor(worker, clock, receiver, node_settings.tuning.tick);
     let listener = listen(node_settings.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
     let stopping = stop.clone();
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -18,7 +18,7 @@
     let reread: ReloadSettings =
         Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
     run_daemon(
-        node_settings.terms.workers,
+        node_settings.tuning.workers,
         directory::daemon::run(node_settings, reread, directory::daemon::native_interface()),
     )
 }
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -150,7 +150,7 @@
         port,
         agent,
         poll_tracker,
-        node_settings.terms.pull,
+        node_settings.tuning.poll_interval,
     );
     let listener = listen(node_settings.serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
@@ -158,7 +158,7 @@
     tokio::spawn(serve_http(listener, stop, move |peer, request| {
         http_handler.clone().handle(peer, request)
     }));
-    if let Some(readiness) = node_settings.terms.readiness {
+    if let Some(readiness) = node_settings.tuning.readiness {
         let listener = listen(readiness).await?;
         let readiness_handler = request_handler.clone();
         tokio::spawn(serve_http(listener, Arc::default(), move |_, _| {
@@ -170,9 +170,9 @@
     event(STOPPING, "");
     request_handler.stopping.store(true, Ordering::SeqCst);
     stopping.store(true, Ordering::Relaxed);
-    tokio::time::sleep(node_settings.terms.shutdown_grace_period).await;
+    tokio::time::sleep(node_settings.tuning.shutdown_grace_period).await;
     request_handler.closed.store(true, Ordering::SeqCst);
-    let drain_deadline = Instant::now() + node_settings.terms.max_drain_wait;
+    let drain_deadline = Instant::now() + node_settings.tuning.max_drain_wait;
     while request_handler.in_flight.load(Ordering::SeqCst) > 0 && Instant::now() < drain_deadline {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -84,7 +84,7 @@
         protocol_adapter: ProtocolAdapter,
     ) -> Self {
         let proxy_state = ProxyState {
-            policy: node_settings.terms.proxy,
+            policy: node_settings.tuning.proxy,
             ..ProxyState::default()
         };
         Self {
@@ -93,7 +93,7 @@
             zone: node_settings.zone.clone(),
             serving: node_settings.serving,
             capacity: node_settings.capacity,
-            max_buffered_body: node_settings.terms.max_buffered_body,
+            max_buffered_body: node_settings.tuning.max_buffered_body,
             stopping: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             in_flight: AtomicU32::new(0),
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -174,7 +174,7 @@
         log_megabytes: 1,
         capacity: 100,
         agent: Some(nowhere),
-        terms: TuningOptions::default(),
+        tuning: TuningOptions::default(),
     }
 }
 
@@ -199,7 +199,7 @@
         agent: NodeId(1),
         instances_offset: number,
         all_instances: true,
-        link_slow_for: Duration::ZERO,
+        slow_link_remaining: Duration::ZERO,
         silent: Vec::new(),
         number,
         left: LEASE,
--- a/crates/runtime/src/actor/inbox.rs
+++ b/crates/runtime/src/actor/inbox.rs
@@ -44,7 +44,7 @@
     /// Queues an input unless the queue is full; returns whether it was queued.
     ///
     /// An event is logged when the queue becomes full, and when it accepts inputs again, not for each input.
-    pub fn give(&self, input: Input) -> bool {
+    pub fn push(&self, input: Input) -> bool {
         let is_queued = self.sender.try_send(input).is_ok();
         if self.is_full.swap(!is_queued, Ordering::Relaxed) == is_queued {
             let kind = if is_queued { INBOX_DRAINED } else { INBOX_FULL };
--- a/crates/runtime/src/actor/tickets.rs
+++ b/crates/runtime/src/actor/tickets.rs
@@ -31,7 +31,7 @@
 
 impl<Respond> Tickets<Respond> {
     /// Issues a ticket; returns it with the receiver of its response.
-    pub fn draw(&self) -> (u64, oneshot::Receiver<Respond>) {
+    pub fn issue(&self) -> (u64, oneshot::Receiver<Respond>) {
         let (sender, receiver) = oneshot::channel();
         let mut waiting = locked(&self.waiting);
         waiting.last_ticket += 1;
@@ -41,7 +41,7 @@
     }
 
     /// Removes a ticket whose caller no longer waits, or to which there will be no response.
-    pub fn forget(&self, ticket: u64) {
+    pub fn discard(&self, ticket: u64) {
         locked(&self.waiting).senders.remove(&ticket);
     }
 
--- a/crates/runtime/src/freeze_guard.rs
+++ b/crates/runtime/src/freeze_guard.rs
@@ -31,7 +31,7 @@
     }
 
     /// Records a clock read; returns whether input that is read now may be from before the end of a freeze.
-    pub fn look(&self, now: Duration) -> bool {
+    pub fn check(&self, now: Duration) -> bool {
         let now_micros = micros_of(now);
         let before = self
             .checked_at_micros
--- a/crates/runtime/src/options/node_settings.rs
+++ b/crates/runtime/src/options/node_settings.rs
@@ -34,7 +34,7 @@
     /// The control address of a proxy's agent.
     pub agent: Option<SocketAddr>,
     /// Settings that have defaults, and may be tuned.
-    pub terms: TuningOptions,
+    pub tuning: TuningOptions,
 }
 
 impl NodeSettings {
@@ -54,7 +54,7 @@
         let slot_megabytes = reader.number("slot_mb", 16, 1024);
         let log_megabytes = reader.number("log_mb", 8, 1024);
         let capacity = reader.number("capacity", 100, 1_000_000) as u32;
-        let terms = reader.tuning();
+        let tuning = reader.tuning();
         reader.finish()?;
         Ok(Self {
             control: control.unwrap_or(placeholder),
@@ -67,7 +67,7 @@
             log_megabytes,
             capacity: flags.capacity.unwrap_or(capacity),
             agent,
-            terms,
+            tuning,
         })
     }
 
--- a/crates/runtime/src/options/tuning.rs
+++ b/crates/runtime/src/options/tuning.rs
@@ -15,7 +15,7 @@
     /// The number of worker threads.
     pub workers: usize,
     /// The interval at which a proxy polls its agent for updates.
-    pub pull: Duration,
+    pub poll_interval: Duration,
     /// Request bodies up to this size in bytes are buffered completely, so that the request can be retried.
     pub max_buffered_body: u64,
     /// The interval between ticks of the state machine.
@@ -34,7 +34,7 @@
             core: CorePolicy::default(),
             proxy: ProxyPolicy::default(),
             workers: 2,
-            pull: Duration::from_millis(150),
+            poll_interval: Duration::from_millis(150),
             max_buffered_body: 64 * 1024,
             tick: Duration::from_millis(25),
             // Responses of directories that name a proxy are valid for two seconds.
