--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -46,7 +46,7 @@
         AgentInput::Tick
     }
 
-    fn take(&mut self, now: Duration, input: AgentInput) {
+    fn handle(&mut self, now: Duration, input: AgentInput) {
         for output in self.machine.input(now, input) {
             match output {
                 AgentOutput::Send { to, message } => {
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -177,9 +177,14 @@
     /// Starts an agent; `seed` is for its random choices.
     pub fn start(options: AgentOptions, seed: u64) -> Self {
         let mut chance = RandomSource::seeded(seed);
-        let node = NodeId(chance.draw() >> 1);
-        let mut link = CoreLink::new(node, &FOLLOWED_MAPS, options.seeds.clone(), chance.draw())
-            .with_form(options.feed_form);
+        let node = NodeId(chance.next_u64() >> 1);
+        let mut link = CoreLink::new(
+            node,
+            &FOLLOWED_MAPS,
+            options.seeds.clone(),
+            chance.next_u64(),
+        )
+        .with_form(options.feed_form);
         link.instances.span = options.instance_timeout;
         link.lease.span = options.lease_duration;
         link.instances.refresh = options.heartbeat_refresh;
--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -104,7 +104,7 @@
         ownership: Version(0),
     };
     let mut proxy_state = ProxyState::default();
-    proxy_state.take(Duration::ZERO, &view);
+    proxy_state.apply_view(Duration::ZERO, &view);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let mut done = 0;
@@ -115,7 +115,7 @@
         let (_, route) = found.expect("the route exists");
         lifecycle.matched(now, route);
         proxy_state
-            .admits(now, &own, route)
+            .check_admission(now, &own, route)
             .expect("the proxy is fresh and its zone is open");
         lifecycle.admitted(true);
         shard.first_attempt(now);
@@ -130,7 +130,7 @@
         lifecycle.begin_attempt();
         lifecycle.sent();
         shard.end(now, &target, true, Some(0));
-        let step = lifecycle.attempt_ended(now, AttemptEnd::Answered, || false);
+        let step = lifecycle.attempt_ended(now, AttemptEnd::Responded, || false);
         done += u64::from(step == NextStep::ForwardResponse);
     }
     println!("{done} responses forwarded");
--- a/crates/caperworks/src/configuration.rs
+++ b/crates/caperworks/src/configuration.rs
@@ -16,7 +16,7 @@
 /// time between two renewals of it.
 pub const MAX_KEYED_DEADLINE: Duration = Duration::from_millis(4500);
 /// The maximum size in bytes of the encoded configuration map, and of a change set.
-pub const MOST_BYTES: usize = 6 * 1024 * 1024;
+pub const MAX_CONFIGURATION_BYTES: usize = 6 * 1024 * 1024;
 
 messages! {
     /// One error in a change set.
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -5,7 +5,7 @@
 
 use crate::configuration::route_table::normalized_host;
 use crate::configuration::{
-    Fault, MAX_CONFIGURATION_ITEMS, MAX_DEADLINE, MAX_KEYED_DEADLINE, MOST_BYTES,
+    Fault, MAX_CONFIGURATION_BYTES, MAX_CONFIGURATION_ITEMS, MAX_DEADLINE, MAX_KEYED_DEADLINE,
 };
 use crate::identifiers::{Region, RouteName, ServiceName};
 use crate::map_items::{KeySpace, Route, Service, SplitTarget, Value};
@@ -92,9 +92,10 @@
         faults.push(Fault::new("items", why));
     }
     let bytes = encoded_bytes(after);
-    if bytes > MOST_BYTES {
-        let why =
-            format!("the configuration would take {bytes} bytes; the maximum is {MOST_BYTES}");
+    if bytes > MAX_CONFIGURATION_BYTES {
+        let why = format!(
+            "the configuration would take {bytes} bytes; the maximum is {MAX_CONFIGURATION_BYTES}"
+        );
         faults.push(Fault::new("items", why));
     }
 }
--- a/crates/caperworks/src/configuration/route_table.rs
+++ b/crates/caperworks/src/configuration/route_table.rs
@@ -25,12 +25,12 @@
 impl RouteTable {
     /// Builds the table of a configuration map.
     pub fn of(map: &ReplicatedMap) -> Self {
-        Self::default().after(map)
+        Self::default().updated_to(map)
     }
 
     /// Returns the table of a later configuration. The cost is proportional to the changes between
     /// the two.
-    pub fn after(&self, map: &ReplicatedMap) -> Self {
+    pub fn updated_to(&self, map: &ReplicatedMap) -> Self {
         let mut table = self.clone();
         let mut added = Vec::new();
         for change in self.items.diff(&map.items) {
--- a/crates/caperworks/src/dispatch/link_monitor.rs
+++ b/crates/caperworks/src/dispatch/link_monitor.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns whether the link is considered congested.
-    pub fn is_full(&self, now: Duration) -> bool {
+    pub fn is_congested(&self, now: Duration) -> bool {
         (now.as_micros() as u64) < self.congested_until_micros.load(Ordering::Relaxed)
     }
 }
--- a/crates/caperworks/src/dispatch/proxy_state.rs
+++ b/crates/caperworks/src/dispatch/proxy_state.rs
@@ -53,15 +53,15 @@
     /// Older views are ignored: a response that was overtaken on its way contains instances that
     /// have left since, and requests would go to them for as long as the newer response keeps this
     /// proxy fresh.
-    pub fn take(&mut self, polled_at: Duration, view: &ProxyView) {
+    pub fn apply_view(&mut self, polled_at: Duration, view: &ProxyView) {
         if view.number <= self.last_view {
             return;
         }
         self.last_view = view.number;
         for updates in &view.updates {
-            if Arc::make_mut(&mut self.maps).take(updates) == Some(MapName::Configuration) {
+            if Arc::make_mut(&mut self.maps).apply(updates) == Some(MapName::Configuration) {
                 let configuration = self.maps.map(MapName::Configuration);
-                self.table = Arc::new(self.table.after(configuration));
+                self.table = Arc::new(self.table.updated_to(configuration));
                 let closed: BTreeSet<Zone> = configuration
                     .zones()
                     .filter(|(_, zone_settings)| zone_settings.closed)
@@ -165,7 +165,7 @@
     /// old configuration, while one that receives updates late has to follow them in time.
     pub fn is_usable(&self, now: Duration) -> bool {
         let has_configuration = self.maps.map(MapName::Configuration).version > Version(0);
-        let is_partitioned = now >= self.link_slow_until && !self.link_monitor.is_full(now);
+        let is_partitioned = now >= self.link_slow_until && !self.link_monitor.is_congested(now);
         now < self.fresh_until || (self.policy.serves_stale && has_configuration && is_partitioned)
     }
 
@@ -182,7 +182,12 @@
     }
 
     /// Returns an error if this proxy may not handle requests of the route now.
-    pub fn admits(&self, now: Duration, own_zone: &Zone, route: &Route) -> Result<(), Failure> {
+    pub fn check_admission(
+        &self,
+        now: Duration,
+        own_zone: &Zone,
+        route: &Route,
+    ) -> Result<(), Failure> {
         if !self.is_usable(now) {
             return Err(Failure::Stale);
         }
@@ -203,7 +208,7 @@
         route: &Route,
         target: &Target,
     ) -> Result<(), Failure> {
-        self.admits(now, own_zone, route)?;
+        self.check_admission(now, own_zone, route)?;
         let is_current = self
             .instances
             .get(&target.instance)
--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -18,9 +18,11 @@
     Chosen,
     Sending,
     Sent,
-    Answering,
+    Responding,
     Done,
-    Refused,
+    /// The request was rejected, and nothing ran.
+    Rejected,
+    /// The request failed, and may have run.
     Unknown,
 }
 
@@ -32,12 +34,13 @@
     /// The instance stated that it ran nothing.
     RejectedByInstance,
     /// The connection broke after bytes were sent.
-    Lost,
+    ConnectionLost,
     /// The deadline passed after bytes were sent.
     DeadlineExceeded,
     /// The response was malformed or belonged to another request.
     MalformedResponse,
-    Answered,
+    /// The instance responded.
+    Responded,
 }
 
 /// The next step of a request.
@@ -152,9 +155,9 @@
     }
 
     /// Ends the request with a failure.
-    pub fn refuse(&mut self, failure: Failure) -> NextStep {
+    pub fn fail(&mut self, failure: Failure) -> NextStep {
         self.state = match self.reported_outcome(failure) {
-            ReportedOutcome::NotRun => RequestState::Refused,
+            ReportedOutcome::NotRun => RequestState::Rejected,
             ReportedOutcome::Unknown => RequestState::Unknown,
         };
         NextStep::Respond(failure)
@@ -169,14 +172,14 @@
         take_retry: impl FnOnce() -> bool,
     ) -> NextStep {
         let has_not_run = match end {
-            AttemptEnd::Answered => {
-                self.state = RequestState::Answering;
+            AttemptEnd::Responded => {
+                self.state = RequestState::Responding;
                 return NextStep::ForwardResponse;
             }
             AttemptEnd::NotOpened | AttemptEnd::RejectedByInstance => true,
-            AttemptEnd::Lost | AttemptEnd::DeadlineExceeded | AttemptEnd::MalformedResponse => {
-                false
-            }
+            AttemptEnd::ConnectionLost
+            | AttemptEnd::DeadlineExceeded
+            | AttemptEnd::MalformedResponse => false,
         };
         self.is_outcome_unknown |= !has_not_run;
         let may_retry = (has_not_run || self.idempotent)
@@ -193,8 +196,8 @@
             AttemptEnd::RejectedByInstance => Failure::InstanceRejected,
             AttemptEnd::DeadlineExceeded => Failure::DeadlineAfterSending,
             AttemptEnd::MalformedResponse => Failure::MalformedResponse,
-            AttemptEnd::Lost | AttemptEnd::Answered => Failure::LostAfterSending,
+            AttemptEnd::ConnectionLost | AttemptEnd::Responded => Failure::LostAfterSending,
         };
-        self.refuse(failure)
+        self.fail(failure)
     }
 }
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -128,7 +128,7 @@
     ///
     /// It may have restarted and be warming up, which only a heartbeat shows. The block is limited
     /// in time, since the instance may be unreachable from this proxy alone.
-    pub fn not_opened(&mut self, now: Duration, target: &Target, counter: u64) {
+    pub fn record_connect_failure(&mut self, now: Duration, target: &Target, counter: u64) {
         let stats = self.instance_stats.get_mut(&target.instance);
         if let Some(stats) = stats.filter(|stats| stats.incarnation == target.incarnation) {
             stats.unreachable_until = Some((counter, now + UNREACHABLE_PERIOD));
--- a/crates/caperworks/src/feed/cache.rs
+++ b/crates/caperworks/src/feed/cache.rs
@@ -21,23 +21,23 @@
         &self.follower
     }
 
-    /// Applies changes or a snapshot as [`Follower::take`] does, and keeps the history up to date.
-    pub fn take(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
+    /// Applies changes or a snapshot as [`Follower::apply`] does, and keeps the history up to date.
+    pub fn apply(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
         let Some(message) = updates.follower_updates() else {
-            let moved = self.follower.take(updates)?;
-            self.histories.entry(moved).or_default().clear();
-            return Some(moved);
+            let advanced = self.follower.apply(updates)?;
+            self.histories.entry(advanced).or_default().clear();
+            return Some(advanced);
         };
         let before = self.follower.map(message.map).version;
-        let moved = self.follower.take(updates)?;
-        let after = self.follower.map(moved).version;
-        let history = self.histories.entry(moved).or_default();
+        let advanced = self.follower.apply(updates)?;
+        let after = self.follower.map(advanced).version;
+        let history = self.histories.entry(advanced).or_default();
         let is_new =
             |numbered: &&CommittedChange| numbered.version > before && numbered.version <= after;
         for numbered in message.changes.iter().filter(is_new) {
             history.push(numbered.clone());
         }
-        Some(moved)
+        Some(advanced)
     }
 
     /// Returns the updates for a follower at version `after`: changes, or a full snapshot. Returns `None` if
--- a/crates/caperworks/src/home_bounds.rs
+++ b/crates/caperworks/src/home_bounds.rs
@@ -26,7 +26,7 @@
 
     /// Returns whether proxies in region `proxy` may handle requests of a client in region
     /// `client`, if the region of the client is known.
-    pub fn allow(&self, proxy: Option<&Region>, client: Option<&Region>) -> bool {
+    pub fn allows(&self, proxy: Option<&Region>, client: Option<&Region>) -> bool {
         let is_client_region = proxy.is_some() && proxy == client;
         let is_home_region =
             |homes: &Vec<Region>| proxy.is_some_and(|region| homes.contains(region));
--- a/crates/caperworks/src/identifiers.rs
+++ b/crates/caperworks/src/identifiers.rs
@@ -115,7 +115,7 @@
     }
 
     /// Returns the next random number.
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mix(self.state)
     }
@@ -125,7 +125,7 @@
         if limit == 0 {
             0
         } else {
-            self.draw() % limit
+            self.next_u64() % limit
         }
     }
 
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -362,7 +362,7 @@
         let advanced: Vec<MapName> = granted
             .updates
             .iter()
-            .filter_map(|updates| self.feed_cache.take(updates))
+            .filter_map(|updates| self.feed_cache.apply(updates))
             .collect();
         if granted.assured {
             self.apply_lease(now, responder, granted, !advanced.is_empty());
@@ -514,7 +514,7 @@
             | ConsensusMessage::ReducedUpdates { map, .. }
                 if self.catch_up.is_receiving(*map) =>
             {
-                let advanced = self.feed_cache.take(vote);
+                let advanced = self.feed_cache.apply(vote);
                 let local_version = self.local_version(*map);
                 let request =
                     self.catch_up
@@ -537,7 +537,7 @@
             ChunkOutcome::Next(request) => self.handle_progress(now, from, None, Some(request)),
             ChunkOutcome::Snapshot(full_map) => {
                 let updates = ConsensusMessage::Snapshot { map, full_map };
-                let advanced = self.feed_cache.take(&updates);
+                let advanced = self.feed_cache.apply(&updates);
                 let local_version = self.local_version(map);
                 let request =
                     self.catch_up
--- a/crates/caperworks/src/placement/problem.rs
+++ b/crates/caperworks/src/placement/problem.rs
@@ -175,7 +175,7 @@
         let client_region = location.region();
         let list = rank_sites(group, sites, &last, |zone| {
             let region = self.regions.get(zone);
-            let is_allowed = bounds.is_none_or(|bounds| bounds.allow(region, client_region));
+            let is_allowed = bounds.is_none_or(|bounds| bounds.allows(region, client_region));
             is_allowed.then(|| location.distance_to(zone))
         });
         ClientGroup {
--- a/crates/caperworks/tests/disk_slots.rs
+++ b/crates/caperworks/tests/disk_slots.rs
@@ -64,7 +64,7 @@
 
 fn state(seed: u64, length: usize) -> Vec<u8> {
     let mut random = RandomSource::seeded(seed);
-    (0..length).map(|_| random.draw() as u8).collect()
+    (0..length).map(|_| random.next_u64() as u8).collect()
 }
 
 fn line(number: u64, length: usize) -> Vec<u8> {
--- a/crates/caperworks/tests/operator_versions.rs
+++ b/crates/caperworks/tests/operator_versions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use caperworks::change_check::ChangeCheck;
-use caperworks::configuration::{check_configuration, RouteTable, MOST_BYTES};
+use caperworks::configuration::{check_configuration, RouteTable, MAX_CONFIGURATION_BYTES};
 use caperworks::identifiers::{ChangeId, RandomSource, Region, ServiceName, Version};
 use caperworks::map_items::{Route, Service, SplitTarget, Value, ZoneSettings};
 use caperworks::replicated_map::{
@@ -596,7 +596,7 @@
 #[test]
 fn version_histories_do_not_count_towards_the_configuration_size() {
     let mut map = ReplicatedMap::empty();
-    let text = "x".repeat(MOST_BYTES - 2000);
+    let text = "x".repeat(MAX_CONFIGURATION_BYTES - 2000);
     for version in 1..=2 * REMEMBERED_VERSIONS as u64 {
         let change = call(
             &format!("call-{version}"),
--- a/crates/caperworks/tests/placement.rs
+++ b/crates/caperworks/tests/placement.rs
@@ -678,7 +678,7 @@
     let listed = |client: &str, alive: &[(Zone, SocketAddr)]| {
         let client = Zone::new(client);
         let route = RouteName::new("progress");
-        let may_carry = |zone: &Zone| bounds.allow(Some(&region(zone)), Some(&region(&client)));
+        let may_carry = |zone: &Zone| bounds.allows(Some(&region(zone)), Some(&region(&client)));
         let found = resolve_host(
             Some(&mapping),
             &[&route],
@@ -722,13 +722,16 @@
     );
     let routes = [bound(&["east", "west"]), bound(&[]), bound(&["east"])];
     let bounds = HomeBounds::of(routes.iter());
-    assert!(bounds.allow(Some(&east), Some(&north)), "home of all");
-    assert!(!bounds.allow(Some(&west), Some(&north)), "home of one only");
-    assert!(bounds.allow(Some(&north), Some(&north)), "the client's");
-    assert!(!bounds.allow(None, None), "both regions are unknown");
+    assert!(bounds.allows(Some(&east), Some(&north)), "home of all");
+    assert!(
+        !bounds.allows(Some(&west), Some(&north)),
+        "home of one only"
+    );
+    assert!(bounds.allows(Some(&north), Some(&north)), "the client's");
+    assert!(!bounds.allows(None, None), "both regions are unknown");
     let unbound = HomeBounds::of([bound(&[])].iter());
     assert!(
-        unbound.allow(Some(&west), None) && unbound.allow(None, None),
+        unbound.allows(Some(&west), None) && unbound.allows(None, None),
         "no bound"
     );
 }
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -156,11 +156,11 @@
             proxies: 1,
             ownership: Version(0),
         };
-        self.known.take(now, &view);
+        self.known.apply_view(now, &view);
     }
 
-    fn admits(&self, now: Duration, route: &Route) -> Result<(), Failure> {
-        self.known.admits(now, &Zone::new("e1"), route)
+    fn check_admission(&self, now: Duration, route: &Route) -> Result<(), Failure> {
+        self.known.check_admission(now, &Zone::new("e1"), route)
     }
 
     /// Returns which instances are chosen in many attempts.
@@ -207,7 +207,7 @@
             ..ProxyPolicy::default()
         });
         bench.send_view(Duration::ZERO, &one_in_each_zone());
-        assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
+        assert_eq!(bench.check_admission(millis(2999), &route()), Ok(()));
         let found = bench.known.find(LONG_AFTER, "a.example", "/x");
         assert!(
             found.is_ok(),
@@ -218,7 +218,7 @@
         } else {
             Err(Failure::Stale)
         };
-        assert_eq!(bench.admits(LONG_AFTER, &route()), expected);
+        assert_eq!(bench.check_admission(LONG_AFTER, &route()), expected);
         if serves_stale {
             assert!(bench.chosen(LONG_AFTER, &route()).contains("in-e1"));
         }
@@ -233,10 +233,16 @@
     });
     bench.slow_link_remaining = millis(4000);
     bench.send_view(Duration::ZERO, &one_in_each_zone());
-    assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
-    assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
-    assert_eq!(bench.admits(millis(3999), &route()), Err(Failure::Stale));
-    assert_eq!(bench.admits(millis(4000), &route()), Ok(()));
+    assert_eq!(bench.check_admission(millis(2999), &route()), Ok(()));
+    assert_eq!(
+        bench.check_admission(millis(3000), &route()),
+        Err(Failure::Stale)
+    );
+    assert_eq!(
+        bench.check_admission(millis(3999), &route()),
+        Err(Failure::Stale)
+    );
+    assert_eq!(bench.check_admission(millis(4000), &route()), Ok(()));
 }
 
 #[test]
@@ -248,13 +254,19 @@
     bench.send_view(Duration::ZERO, &one_in_each_zone());
     bench.known.link_monitor.record_congestion(millis(2000));
     // A valid lease takes precedence, and later views do not clear what the proxy itself has observed.
-    assert_eq!(bench.admits(millis(2999), &route()), Ok(()));
-    assert_eq!(bench.admits(millis(3000), &route()), Err(Failure::Stale));
+    assert_eq!(bench.check_admission(millis(2999), &route()), Ok(()));
+    assert_eq!(
+        bench.check_admission(millis(3000), &route()),
+        Err(Failure::Stale)
+    );
     bench.send_view(millis(3500), &one_in_each_zone());
-    assert_eq!(bench.admits(millis(3600), &route()), Ok(()));
-    assert_eq!(bench.admits(millis(6500), &route()), Err(Failure::Stale));
+    assert_eq!(bench.check_admission(millis(3600), &route()), Ok(()));
+    assert_eq!(
+        bench.check_admission(millis(6500), &route()),
+        Err(Failure::Stale)
+    );
     let window_end = millis(2000) + SLOW_LINK_WINDOW;
-    assert_eq!(bench.admits(window_end, &route()), Ok(()));
+    assert_eq!(bench.check_admission(window_end, &route()), Ok(()));
 }
 
 #[test]
@@ -288,7 +300,7 @@
         },
         ..ProxyState::default()
     };
-    let admitted = known.admits(millis(10), &Zone::new("e1"), &route());
+    let admitted = known.check_admission(millis(10), &Zone::new("e1"), &route());
     assert_eq!(admitted, Err(Failure::Stale));
     let found = known.find(millis(10), "a.example", "/").map(|_| ());
     assert_eq!(
@@ -310,12 +322,12 @@
         bench.apply(vec![zone_put("e1", "east", true)]);
         bench.send_view(millis(100), &one_in_each_zone());
         if forwards {
-            assert_eq!(bench.admits(millis(200), &route()), Ok(()));
+            assert_eq!(bench.check_admission(millis(200), &route()), Ok(()));
             let chosen = bench.chosen(millis(200), &route());
             assert_eq!(chosen, names(&["in-e2", "in-n1", "in-w1"]));
         } else {
             let rejected = Err(Failure::ZoneClosed);
-            assert_eq!(bench.admits(millis(200), &route()), rejected);
+            assert_eq!(bench.check_admission(millis(200), &route()), rejected);
         }
     }
 }
@@ -351,7 +363,7 @@
         });
         bench.send_view(Duration::ZERO, &one_in_each_zone());
         if forwards_to_home {
-            assert_eq!(bench.admits(millis(1), &bound), Ok(()));
+            assert_eq!(bench.check_admission(millis(1), &bound), Ok(()));
             assert_eq!(bench.chosen(millis(1), &bound), names(&["in-w1"]));
             let absent: Vec<Heartbeat> = one_in_each_zone()
                 .into_iter()
@@ -365,7 +377,7 @@
             );
         } else {
             assert_eq!(
-                bench.admits(millis(1), &bound),
+                bench.check_admission(millis(1), &bound),
                 Err(Failure::OutsideHomeRegion)
             );
         }
@@ -378,12 +390,12 @@
     bench.send_view(Duration::ZERO, &one_in_each_zone());
     let mut bound = route();
     bound.homes = vec![Region::new("north"), Region::new("east")];
-    assert_eq!(bench.admits(millis(1), &bound), Ok(()));
+    assert_eq!(bench.check_admission(millis(1), &bound), Ok(()));
     let chosen = bench.chosen(millis(1), &bound);
     assert_eq!(chosen, names(&["in-e1", "in-e2", "in-n1"]));
     bound.homes = vec![Region::new("north"), Region::new("west")];
     assert_eq!(
-        bench.admits(millis(1), &bound),
+        bench.check_admission(millis(1), &bound),
         Err(Failure::OutsideHomeRegion)
     );
 }
@@ -400,7 +412,7 @@
     let mut random = RandomSource::seeded(5);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..100_000 {
-        let service = split.service_for(random.draw()).to_string();
+        let service = split.service_for(random.next_u64()).to_string();
         *counts.entry(service).or_default() += 1;
     }
     let listed: Vec<&str> = counts.keys().map(String::as_str).collect();
@@ -425,7 +437,7 @@
 fn route_without_split_uses_its_own_service() {
     let mut random = RandomSource::seeded(6);
     for _ in 0..100 {
-        assert_eq!(route().service_for(random.draw()).as_str(), "records");
+        assert_eq!(route().service_for(random.next_u64()).as_str(), "records");
     }
 }
 
@@ -457,7 +469,7 @@
         (RequestKind::Upload, true, false),
         (RequestKind::Upload, false, false),
     ] {
-        for end in [AttemptEnd::Lost, AttemptEnd::MalformedResponse] {
+        for end in [AttemptEnd::ConnectionLost, AttemptEnd::MalformedResponse] {
             let mut chart = sent(kind, reads, 0);
             let step = chart.attempt_ended(millis(10), end, || true);
             let has_retry = step == NextStep::Retry;
@@ -484,7 +496,7 @@
     assert_eq!(step, NextStep::Retry);
     chart.chosen();
     chart.begin_attempt();
-    let step = chart.attempt_ended(millis(20), AttemptEnd::Lost, || true);
+    let step = chart.attempt_ended(millis(20), AttemptEnd::ConnectionLost, || true);
     assert_eq!(step, NextStep::Respond(Failure::LostAfterSending));
     assert_eq!(
         chart.reported_outcome(Failure::LostAfterSending),
@@ -506,7 +518,7 @@
         }
         assert_eq!(attempts, expected, "limit {limit}");
         assert_eq!(chart.attempts(), expected);
-        assert_eq!(chart.state(), RequestState::Refused);
+        assert_eq!(chart.state(), RequestState::Rejected);
     }
 }
 
@@ -646,7 +658,7 @@
     };
     let target = choose(&mut shard, &bench, millis(1)).expect("it has capacity");
     shard.begin(millis(1), &target);
-    shard.not_opened(millis(2), &target, one.counter);
+    shard.record_connect_failure(millis(2), &target, one.counter);
     shard.end(millis(2), &target, false, None);
     for now in [3, 100, 1000, 2900] {
         let chosen = choose(&mut shard, &bench, millis(now));
@@ -692,7 +704,7 @@
         }],
     };
     assert!(Arc::make_mut(&mut bench.known.maps)
-        .take(&updates)
+        .apply(&updates)
         .is_some());
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -538,23 +538,23 @@
         changes: (from..=to).map(committed).collect(),
     };
     assert_eq!(
-        feed_cache.take(&updates(1, 3)),
+        feed_cache.apply(&updates(1, 3)),
         Some(MapName::Configuration)
     );
     assert_eq!(
-        feed_cache.take(&updates(5, 6)),
+        feed_cache.apply(&updates(5, 6)),
         None,
         "changes after a gap are ignored"
     );
     assert_eq!(
-        feed_cache.take(&updates(2, 4)),
+        feed_cache.apply(&updates(2, 4)),
         Some(MapName::Configuration)
     );
     let old = ConsensusMessage::Snapshot {
         map: MapName::Configuration,
         full_map: ReplicatedMap::empty(),
     };
-    assert_eq!(feed_cache.take(&old), None, "a lower version is ignored");
+    assert_eq!(feed_cache.apply(&old), None, "a lower version is ignored");
     assert_eq!(
         feed_cache.follower().map(MapName::Configuration).version,
         Version(4)
@@ -565,7 +565,7 @@
         Some(ConsensusMessage::Updates { changes, .. }) if changes.len() == 1
     ));
     for version in 5..MAX_HISTORY_WEIGHT as u64 {
-        feed_cache.take(&updates(version, version));
+        feed_cache.apply(&updates(version, version));
     }
     assert!(matches!(
         feed_cache.updates_after(MapName::Configuration, Version(3)),
@@ -621,7 +621,7 @@
         vec![Version(1), Version(0), Version(0), Version(0)],
     );
     assert_eq!(lease.fresh_until(&follower, &ALL_MAPS), Duration::ZERO);
-    follower.take(&ConsensusMessage::Updates {
+    follower.apply(&ConsensusMessage::Updates {
         map: MapName::Configuration,
         changes: vec![CommittedChange {
             version: Version(1),
@@ -784,7 +784,7 @@
         let mut garbled = bytes.clone();
         for _ in 0..=chance.below(4) {
             let index = chance.below(garbled.len() as u64) as usize;
-            garbled[index] = chance.draw() as u8;
+            garbled[index] = chance.next_u64() as u8;
         }
         let _ = minicbor::decode::<Envelope>(&garbled);
     }
--- a/crates/controller/src/consensus/founding.rs
+++ b/crates/controller/src/consensus/founding.rs
@@ -75,7 +75,7 @@
 
 fn propose_founding(state: &mut ControllerState, voters: VoterSet) {
     let founding = Founding {
-        attempt: state.random.draw(),
+        attempt: state.random.next_u64(),
         voters,
     };
     state.founding.accepted_by.clear();
--- a/crates/controller/src/daemon/host.rs
+++ b/crates/controller/src/daemon/host.rs
@@ -70,7 +70,7 @@
         ControllerInput::Tick
     }
 
-    fn take(&mut self, now: Duration, input: ControllerInput) {
+    fn handle(&mut self, now: Duration, input: ControllerInput) {
         self.freeze_guard.check(now);
         let mut next = VecDeque::from([input]);
         while let Some(input) = next.pop_front() {
--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -16,7 +16,7 @@
 use crate::operator_json::writing::outcome::proposal_outcome_json;
 use crate::operator_json::writing::status::status_json;
 use crate::state_machine::operator_messages::{OperatorCall, OperatorResponse};
-use caperworks::configuration::{Fault, MOST_BYTES};
+use caperworks::configuration::{Fault, MAX_CONFIGURATION_BYTES};
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::envelope_clock::Echo;
 use caperworks::facts::Heartbeat;
@@ -32,7 +32,7 @@
 /// The reason why the body of a change set cannot be read.
 #[derive(Debug, PartialEq, Eq, Error)]
 enum ChangeSetBodyError {
-    #[error("a change set must not be larger than {MOST_BYTES} bytes")]
+    #[error("a change set must not be larger than {MAX_CONFIGURATION_BYTES} bytes")]
     TooLarge,
     #[error("the connection failed before the complete body arrived")]
     Interrupted,
@@ -190,7 +190,7 @@
 }
 
 async fn read_change_set(request: Request<Incoming>) -> Result<String, ChangeSetBodyError> {
-    match read_limited_body(request.into_body(), MOST_BYTES).await {
+    match read_limited_body(request.into_body(), MAX_CONFIGURATION_BYTES).await {
         Ok(body) => Ok(String::from_utf8_lossy(&body).into_owned()),
         Err(BodyError::TooLarge) => Err(ChangeSetBodyError::TooLarge),
         Err(BodyError::Interrupted) => Err(ChangeSetBodyError::Interrupted),
--- a/crates/controller/src/daemon/mod.rs
+++ b/crates/controller/src/daemon/mod.rs
@@ -75,7 +75,7 @@
 /// usable.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: ReloadSettings,
+    reload_settings: ReloadSettings,
     interface: Interface,
 ) -> Result<(), StartError> {
     let clock = Clock::start();
@@ -98,12 +98,12 @@
     let mut next = VecDeque::new();
     host.act(outputs, &mut next);
     next.into_iter()
-        .for_each(|input| host.take(clock.now(), input));
+        .for_each(|input| host.handle(clock.now(), input));
     spawn_actor(host, clock, receiver, node_settings.tuning.tick);
     let stopping = handle.stopping.clone();
     serve_calls(&node_settings, handle, interface).await?;
     let settings_inbox = inbox.clone();
-    follow_settings(reread, move |seeds| {
+    follow_settings(reload_settings, move |seeds| {
         settings_inbox.push(ControllerInput::SeedsChanged { seeds });
     });
     shutdown_signal().await;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -18,9 +18,9 @@
     let flags = read_flags(&node_flags().to_options().descr(HELP));
     let node_settings = NodeSettings::read_or_exit(&flags, &REQUIRED_SETTINGS);
     start_log()?;
-    let reread: ReloadSettings =
+    let reload_settings: ReloadSettings =
         Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
     run_daemon(node_settings.tuning.workers, async move {
-        Ok(controller::daemon::run(node_settings, reread, native_interface()).await?)
+        Ok(controller::daemon::run(node_settings, reload_settings, native_interface()).await?)
     })
 }
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -162,7 +162,7 @@
     ) -> Self {
         // A proposal number must never be used for two different changes, and the local voter need not have
         // seen all numbers that the previous incarnation used. So proposers use the ID of this incarnation.
-        let incarnation = NodeId(mix(node.0 ^ random.clone().draw()) >> 1);
+        let incarnation = NodeId(mix(node.0 ^ random.clone().next_u64()) >> 1);
         let proposers = ALL_MAPS
             .iter()
             .map(|name| Proposer::new(*name, incarnation, options.proposer.clone()))
@@ -306,7 +306,7 @@
 
     /// Returns an ID for one of this controller's own changes that no other incarnation of any node will use.
     pub fn own_change_id(&mut self, what: &str) -> ChangeId {
-        let suffix = self.random.draw();
+        let suffix = self.random.next_u64();
         ChangeId::new(format!("{what}-{}-{suffix:x}", self.node))
     }
 
--- a/crates/controller/src/state_machine/startup.rs
+++ b/crates/controller/src/state_machine/startup.rs
@@ -29,7 +29,7 @@
 impl RecoveredState {
     fn empty(options: &ControllerOptions, random: &mut RandomSource) -> Self {
         Self {
-            node: NodeId(random.draw() >> 1),
+            node: NodeId(random.next_u64() >> 1),
             founding: None,
             voter: Voter::default(),
             disk: SlotDisk::new(options.slot_capacity, options.log_capacity),
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -38,7 +38,7 @@
         DirectoryInput::Tick
     }
 
-    fn take(&mut self, now: Duration, input: DirectoryInput) {
+    fn handle(&mut self, now: Duration, input: DirectoryInput) {
         let outputs = locked(&self.machine).input(now, input);
         for output in outputs {
             match output {
@@ -124,7 +124,7 @@
 /// Runs a directory until it is asked to stop.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: ReloadSettings,
+    reload_settings: ReloadSettings,
     interface: Interface,
 ) -> anyhow::Result<()> {
     let clock = Clock::start();
@@ -178,7 +178,9 @@
         let response = interface(&responder, peer.address, &request);
         async move { Ok(response) }
     }));
-    follow_settings(reread, move |seeds| locked(&recipient).follow_seeds(seeds));
+    follow_settings(reload_settings, move |seeds| {
+        locked(&recipient).follow_seeds(seeds)
+    });
     shutdown_signal().await;
     event(STOPPING, "");
     locked(&machine).shut_down_gracefully();
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -114,8 +114,8 @@
     /// Creates a directory; `seed` is the seed of its random numbers.
     pub fn start(options: DirectoryOptions, seed: u64) -> Self {
         let mut random = RandomSource::seeded(seed);
-        let node = NodeId(random.draw() >> 1);
-        let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), random.draw())
+        let node = NodeId(random.next_u64() >> 1);
+        let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), random.next_u64())
             .with_form(FeedForm::Reduced);
         link.members.refresh = options.member_refresh;
         Self {
@@ -247,7 +247,7 @@
             let follower = self.link.feed_cache.follower();
             if map == MapName::Configuration {
                 let configuration = follower.map(map);
-                self.table = self.table.after(configuration);
+                self.table = self.table.updated_to(configuration);
                 self.regions = configuration
                     .zones()
                     .map(|(zone, settings)| (zone, settings.region.clone()))
@@ -297,7 +297,7 @@
         if self.client_zones.len() < MAX_CLIENT_ZONES || self.client_zones.contains_key(&group) {
             self.client_zones.insert(group.clone(), zone.clone());
         }
-        let random = self.random.draw();
+        let random = self.random.next_u64();
         let feed_cache = self.link.feed_cache.follower();
         let routes: Vec<&RouteName> = self
             .table
@@ -310,7 +310,7 @@
                 .map(|(_, route)| route.as_ref()),
         );
         let client_region = self.regions.get(zone);
-        let may_carry = |proxy: &Zone| bounds.allow(self.regions.get(proxy), client_region);
+        let may_carry = |proxy: &Zone| bounds.allows(self.regions.get(proxy), client_region);
         let mapping = feed_cache.map(MapName::Placement).mapping();
         let proxies = &self.proxies;
         resolve_host(mapping, &routes, &group, zone, proxies, may_carry, random)
@@ -331,7 +331,7 @@
             _ => ResolveError::NoRoute,
         };
         let (route, _) = self.table.find(host, path).ok_or(error_without_route)?;
-        let random = self.random.draw();
+        let random = self.random.next_u64();
         self.link
             .feed_cache
             .follower()
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -15,10 +15,14 @@
     let flags = read_flags(&node_flags().to_options().descr(HELP));
     let node_settings = NodeSettings::read_or_exit(&flags, &REQUIRED_SETTINGS);
     start_log()?;
-    let reread: ReloadSettings =
+    let reload_settings: ReloadSettings =
         Arc::new(move || NodeSettings::read(&flags, &REQUIRED_SETTINGS).ok());
     run_daemon(
         node_settings.tuning.workers,
-        directory::daemon::run(node_settings, reread, directory::daemon::native_interface()),
+        directory::daemon::run(
+            node_settings,
+            reload_settings,
+            directory::daemon::native_interface(),
+        ),
     )
 }
--- a/crates/model-check/tests/random_schedules.rs
+++ b/crates/model-check/tests/random_schedules.rs
@@ -69,7 +69,7 @@
     let bound = large_bound().with_injected_bug(InjectedBug::VotesBeforeSync);
     let mut random = RandomSource::seeded(1);
     let found = (0..300).any(|_| {
-        let picks: Vec<u16> = (0..400).map(|_| random.draw() as u16).collect();
+        let picks: Vec<u16> = (0..400).map(|_| random.next_u64() as u16).collect();
         run_schedule(&bound, &picks).is_err()
     });
     assert!(found);
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -79,7 +79,7 @@
             RequestBody::Buffered(bytes) => full_body(bytes.clone()),
             RequestBody::Streaming(stream) => match stream.take() {
                 Some(stream) => stream,
-                None => return AttemptResponse::Ended(AttemptEnd::Lost),
+                None => return AttemptResponse::Ended(AttemptEnd::ConnectionLost),
             },
         };
         // Check again, right before the first byte is sent, everything that may have changed since
@@ -147,7 +147,7 @@
         let target = &guard.target;
         if let Some(heartbeat) = self.proxy_state().instances.get(&target.instance) {
             let shard = self.shard(&target.service);
-            locked(&shard).not_opened(now, target, heartbeat.counter);
+            locked(&shard).record_connect_failure(now, target, heartbeat.counter);
         }
         guard.result = AttemptResult::Failed;
         AttemptResponse::Ended(AttemptEnd::NotOpened)
@@ -216,14 +216,15 @@
         response: &Response<Incoming>,
         request: &hyper::http::request::Parts,
     ) -> bool {
-        let seal = self.protocol_adapter.seal.as_ref();
+        let required_header = self.protocol_adapter.required_success_header.as_ref();
         let is_unsealed = response.status().is_success()
-            && seal.is_some_and(|seal| !response.headers().contains_key(seal));
+            && required_header
+                .is_some_and(|required_header| !response.headers().contains_key(required_header));
         // These statuses tell clients that the request did not run, which the instance has not
         // stated.
         let claims_not_run = self
             .protocol_adapter
-            .promises
+            .not_run_statuses
             .contains(&response.status().as_u16());
         !is_unsealed && !claims_not_run && is_unambiguously_framed(response, &request.method)
     }
@@ -281,7 +282,7 @@
             }
             // Says nothing about the instance: the client aborted its body.
             (SendState::Started, Ok(Err(failure))) if failure.error().is_user() => {
-                AttemptResponse::Ended(AttemptEnd::Lost)
+                AttemptResponse::Ended(AttemptEnd::ConnectionLost)
             }
             (SendState::Started, Ok(Err(failure))) if failure.error().is_parse() => {
                 guard.result = AttemptResult::Failed;
@@ -293,7 +294,7 @@
                     // Most likely the instance closed the idle connection just as it was reused.
                     event(REUSED_CONNECTION_LOST, &guard.target.instance);
                 }
-                AttemptResponse::Ended(AttemptEnd::Lost)
+                AttemptResponse::Ended(AttemptEnd::ConnectionLost)
             }
         }
     }
@@ -333,7 +334,7 @@
             };
         }
         let Some(in_flight) = in_flight.take() else {
-            return AttemptResponse::Ended(AttemptEnd::Lost);
+            return AttemptResponse::Ended(AttemptEnd::ConnectionLost);
         };
         let stream = ResponseStream {
             inner: body,
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -114,11 +114,11 @@
 /// Runs a proxy until the process receives a stop signal.
 pub async fn run(
     node_settings: NodeSettings,
-    reread: ReloadSettings,
+    reload_settings: ReloadSettings,
     protocol_adapter: ProtocolAdapter,
 ) -> anyhow::Result<()> {
     // No setting is reloaded: the proxy has no connections other than to its agent.
-    follow_settings(reread, |_| {});
+    follow_settings(reload_settings, |_| {});
     let agent = node_settings.agent.context("agent")?;
     let clock = Clock::start();
     let request_handler = Arc::new(RequestHandler::new(clock, &node_settings, protocol_adapter));
--- a/crates/proxy/src/error_response.rs
+++ b/crates/proxy/src/error_response.rs
@@ -26,7 +26,7 @@
         // When the outcome is unknown the status must not be one that tells the client that nothing
         // ran.
         let status = match (reported, failure.status()) {
-            ("unknown", status) if self.protocol_adapter.promises.contains(&status) => 502,
+            ("unknown", status) if self.protocol_adapter.not_run_statuses.contains(&status) => 502,
             (_, status) => status,
         };
         self.outcome_response(status, reported, failure.word(), failure.retry_after())
@@ -49,7 +49,7 @@
         let Some(delay) = retry_after else {
             return response;
         };
-        let value = match self.protocol_adapter.fractions {
+        let value = match self.protocol_adapter.fractional_retry_after {
             // A fifth of the delay, in fractions of a second: these clients accept tenths of a
             // second, and a shortage of capacity seldom lasts longer.
             true => HeaderValue::from_str(&format!("{}", delay.as_secs_f64() / 5.0)).ok(),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -17,9 +17,9 @@
     let flags = read_flags(&node_flags().to_options().descr(HELP));
     let node_settings = NodeSettings::read_or_exit(&flags, &NEEDS);
     start_log()?;
-    let reread: ReloadSettings = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
+    let reload_settings: ReloadSettings = Arc::new(move || NodeSettings::read(&flags, &NEEDS).ok());
     run_daemon(
         node_settings.tuning.workers,
-        proxy::daemon::run(node_settings, reread, ProtocolAdapter::own()),
+        proxy::daemon::run(node_settings, reload_settings, ProtocolAdapter::native()),
     )
 }
--- a/crates/proxy/src/protocol_adapter.rs
+++ b/crates/proxy/src/protocol_adapter.rs
@@ -28,7 +28,7 @@
     pub key_range: Option<HeaderName>,
     pub epoch: Option<HeaderName>,
     /// Header without which a success from an instance is not accepted.
-    pub seal: Option<HeaderName>,
+    pub required_success_header: Option<HeaderName>,
     /// Header in error responses of the proxy that says whether the request ran.
     pub outcome: Option<HeaderName>,
     /// Header with the client address, sent to instances.
@@ -36,11 +36,11 @@
     /// Prefix of internal headers, which are forwarded in neither direction.
     pub internal_header_prefix: Option<&'static str>,
     /// Whether `Retry-After` may have fractions of a second.
-    pub fractions: bool,
+    pub fractional_retry_after: bool,
     /// Path that reports readiness to anyone who can reach the proxy.
     pub ready_path: &'static str,
     /// Statuses that tell clients that nothing ran; never forwarded from an instance.
-    pub promises: &'static [u16],
+    pub not_run_statuses: &'static [u16],
     /// Returns whether a response states that the instance did not run the request.
     pub reports_not_run: fn(StatusCode, &HeaderMap) -> bool,
     /// Returns the load that an instance reports with its response.
@@ -59,7 +59,7 @@
 
 impl ProtocolAdapter {
     /// Returns the default protocol.
-    pub fn own() -> Self {
+    pub fn native() -> Self {
         let name = HeaderName::from_static;
         Self {
             request_id: name(REQUEST_HEADER),
@@ -71,13 +71,13 @@
             incarnation: Some(name(INCARNATION_HEADER)),
             key_range: Some(name(KEY_RANGE_HEADER)),
             epoch: Some(name(EPOCH_HEADER)),
-            seal: None,
+            required_success_header: None,
             outcome: Some(name(OUTCOME_HEADER)),
             forwarded_for: Some(name("x-forwarded-for")),
             internal_header_prefix: Some("caperworks-"),
-            fractions: false,
+            fractional_retry_after: false,
             ready_path: "/caperworks/ready",
-            promises: &[],
+            not_run_statuses: &[],
             reports_not_run: default_reports_not_run,
             load: default_load,
         }
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -142,7 +142,7 @@
     /// ended.
     pub fn apply_view(&self, asked_at: Duration, view: &ProxyView) {
         let mut next = (*self.proxy_state()).clone();
-        next.take(asked_at, view);
+        next.apply_view(asked_at, view);
         self.connections.retain_current(&next.instances);
         let shards = self
             .shards
@@ -203,7 +203,7 @@
             }
             Ok(response) => (response, UsageOutcome::Served),
             Err(failure) => {
-                lifecycle.refuse(failure);
+                lifecycle.fail(failure);
                 let reported = lifecycle.reported_outcome(failure);
                 let end = match reported {
                     ReportedOutcome::NotRun => UsageOutcome::NotRun,
@@ -253,7 +253,7 @@
         let usage_key = UsageKey::of(&name, &service);
         *usage_key_slot = Some(usage_key.clone());
         self.meter.record_request(now, &peer, &name);
-        proxy_state.admits(now, &self.zone, &route)?;
+        proxy_state.check_admission(now, &self.zone, &route)?;
         // Keys apply to keyed services only: a route can split its requests between keyed services
         // and others.
         let keyed = proxy_state
@@ -293,7 +293,7 @@
                 return Err(Failure::DeadlineBeforeSending);
             }
             let proxy_state = self.proxy_state();
-            proxy_state.admits(now, &self.zone, &route)?;
+            proxy_state.check_admission(now, &self.zone, &route)?;
             let target = {
                 let mut shard = locked(&shard);
                 let target = shard.choose_in_service(
@@ -330,7 +330,7 @@
                 .await;
             let end = match attempt {
                 AttemptResponse::Responded(response) => {
-                    lifecycle.attempt_ended(self.clock.now(), AttemptEnd::Answered, || false);
+                    lifecycle.attempt_ended(self.clock.now(), AttemptEnd::Responded, || false);
                     lifecycle.done();
                     return Ok(response);
                 }
@@ -340,7 +340,7 @@
             if limit_exceeded.load(Ordering::SeqCst) {
                 // Unknown, since some bytes were sent, although the instance cannot have received
                 // the complete request.
-                lifecycle.refuse(Failure::LostAfterSending);
+                lifecycle.fail(Failure::LostAfterSending);
                 return Ok(self.outcome_response(
                     413,
                     "unknown",
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -143,7 +143,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn each_client_gets_its_own_response_without_client_request_ids() {
-    assert_no_violations(10_000..10_000 + SCHEDULES, Protocol::Own).await;
+    assert_no_violations(10_000..10_000 + SCHEDULES, Protocol::Native).await;
 }
 
 /// Runs a proxy with an injected fault; violations of each of these kinds must be found.
@@ -257,7 +257,7 @@
 
 #[tokio::test]
 async fn connection_is_not_reused_after_a_response_without_id() {
-    let scripted = scripted(200_003, Protocol::Own, &[|_| Behaviour::NoRequestId]).await;
+    let scripted = scripted(200_003, Protocol::Native, &[|_| Behaviour::NoRequestId]).await;
     for number in 0..3 {
         let seen = scripted.get(&format!("unnamed-{number}")).await;
         assert_eq!(status_of(&seen), Some(200));
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -49,11 +49,11 @@
         instance: name("meant-instance"),
         instance_header: Some(name("actual-instance")),
         incarnation: None,
-        seal: Some(name("body-seal")),
+        required_success_header: Some(name("body-seal")),
         outcome: None,
-        promises: &NOT_RUN_STATUSES,
+        not_run_statuses: &NOT_RUN_STATUSES,
         reports_not_run,
-        ..ProtocolAdapter::own()
+        ..ProtocolAdapter::native()
     }
 }
 
@@ -64,14 +64,14 @@
     /// request ran.
     Strict,
     /// The default: the proxy assigns request ids, and a header says whether a request ran.
-    Own,
+    Native,
 }
 
 impl Protocol {
     pub fn protocol_adapter(self) -> ProtocolAdapter {
         match self {
             Protocol::Strict => strict_adapter(),
-            Protocol::Own => ProtocolAdapter::own(),
+            Protocol::Native => ProtocolAdapter::native(),
         }
     }
 
@@ -79,7 +79,7 @@
     pub fn request_id_header(self) -> &'static str {
         match self {
             Protocol::Strict => "request-name",
-            Protocol::Own => REQUEST_HEADER,
+            Protocol::Native => REQUEST_HEADER,
         }
     }
 
@@ -87,7 +87,7 @@
     pub fn not_run_header(self) -> &'static str {
         match self {
             Protocol::Strict => "Nothing-Ran: full",
-            Protocol::Own => "caperworks-outcome: not-run",
+            Protocol::Native => "caperworks-outcome: not-run",
         }
     }
 
@@ -95,7 +95,7 @@
     pub fn states_not_run(self, status: u16, outcome: Option<&str>) -> bool {
         match self {
             Protocol::Strict => NOT_RUN_STATUSES.contains(&status),
-            Protocol::Own => outcome == Some("not-run"),
+            Protocol::Native => outcome == Some("not-run"),
         }
     }
 }
--- a/crates/proxy/tests/support/journal.rs
+++ b/crates/proxy/tests/support/journal.rs
@@ -300,7 +300,7 @@
             let is_success = (200..300).contains(status);
             let is_own = match named {
                 Some(named) => named == id,
-                None => !is_success || protocol == Protocol::Own,
+                None => !is_success || protocol == Protocol::Native,
             };
             if !is_own {
                 violations.push(format!("{id}: got a response that names {named:?}"));
@@ -320,7 +320,7 @@
             let was_sent_by_server = served.complete_responses > 0 || is_complete_by_head;
             let response = CheckedResponse {
                 status: *status,
-                sealed: *sealed || protocol == Protocol::Own,
+                sealed: *sealed || protocol == Protocol::Native,
                 reports_unknown: outcome.as_deref() == Some("unknown"),
                 states_not_run: protocol.states_not_run(*status, outcome.as_deref()),
                 has_own_body,
--- a/crates/proxy/tests/support/server.rs
+++ b/crates/proxy/tests/support/server.rs
@@ -194,7 +194,7 @@
     /// Records a response without a seal or a request id; it counts as complete only where the
     /// protocol needs neither.
     fn record_unverified_response(&self, id: &str) {
-        if self.server.protocol == Protocol::Own {
+        if self.server.protocol == Protocol::Native {
             self.server.journal.respond_completely(id);
         }
     }
--- a/crates/runtime/src/actor/host.rs
+++ b/crates/runtime/src/actor/host.rs
@@ -18,7 +18,7 @@
     /// Returns the input for a tick of the timer.
     fn tick() -> Self::Input;
     /// Handles an input that arrived at `now`.
-    fn take(&mut self, now: Duration, input: Self::Input);
+    fn handle(&mut self, now: Duration, input: Self::Input);
 }
 
 /// The actor that runs a [`Host`].
@@ -47,7 +47,7 @@
         message: InputMessage<Worker::Input>,
         _context: &mut kameo::message::Context<Self, Self::Reply>,
     ) {
-        self.worker.take(self.clock.now(), message.0);
+        self.worker.handle(self.clock.now(), message.0);
     }
 }
 
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -183,7 +183,7 @@
         if self.broken == BrokenProxy::FullSlowStartRate {
             view.proxies = 1;
         }
-        self.knowledge.take(asked_at, &view);
+        self.knowledge.apply_view(asked_at, &view);
         if self.broken == BrokenProxy::IgnoresStaleness {
             self.knowledge.fresh_until = asked_at + Duration::from_secs(600);
         }
@@ -242,7 +242,7 @@
         let metered = self.measured.entry((group, name)).or_insert((0, locality));
         metered.0 += 1;
         metered.1 = metered.1.min(locality);
-        if let Err(failure) = self.knowledge.admits(now, &self.zone, &route) {
+        if let Err(failure) = self.knowledge.check_admission(now, &self.zone, &route) {
             return vec![self.answered(request, &mut chart, failure, true)];
         }
         chart.admitted(true);
@@ -283,7 +283,7 @@
         failure: Failure,
         unsent: bool,
     ) -> ProxyWish {
-        chart.refuse(failure);
+        chart.fail(failure);
         let reported = match chart.reported_outcome(failure) {
             ReportedOutcome::NotRun => CallerOutcome::NotRun,
             ReportedOutcome::Unknown if self.broken == BrokenProxy::SaysNotRun => {
@@ -322,7 +322,7 @@
         };
         let chosen = self
             .knowledge
-            .admits(now, &self.zone, &carried.route)
+            .check_admission(now, &self.zone, &carried.route)
             .and_then(|()| {
                 let key = carried.request.key.as_deref();
                 shard.choose(
@@ -421,13 +421,13 @@
             return Vec::new();
         };
         let mut end = end;
-        if end == AttemptEnd::Answered
+        if end == AttemptEnd::Responded
             && answered != Some(number)
             && self.broken != BrokenProxy::TakesAnyResponse
         {
             end = AttemptEnd::MalformedResponse;
         }
-        let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RejectedByInstance);
+        let good = matches!(end, AttemptEnd::Responded | AttemptEnd::RejectedByInstance);
         let no_budget = self.broken == BrokenProxy::NoBudget;
         let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -176,9 +176,9 @@
             response = response_of(instance, done.request);
         }
         let end = if response.is_some() {
-            AttemptEnd::Answered
+            AttemptEnd::Responded
         } else {
-            AttemptEnd::Lost
+            AttemptEnd::ConnectionLost
         };
         let ended = Happening::Ended {
             request: done.request,
--- a/crates/simulator/src/world/lifecycle.rs
+++ b/crates/simulator/src/world/lifecycle.rs
@@ -18,7 +18,7 @@
         if self.nodes[index].body.is_some() || self.nodes[index].left_for_good {
             return;
         }
-        let seed = self.chance.draw();
+        let seed = self.chance.next_u64();
         let (body, outputs) = self.body_of(index, seed);
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -65,7 +65,7 @@
                         let ended = Happening::Ended {
                             request,
                             attempt,
-                            end: AttemptEnd::Lost,
+                            end: AttemptEnd::ConnectionLost,
                             response: None,
                         };
                         self.send(index, work.proxy, ended);
--- a/crates/simulator/src/world/schedule.rs
+++ b/crates/simulator/src/world/schedule.rs
@@ -184,7 +184,7 @@
                 *attempt,
                 *proxy,
                 *proxy_incarnation,
-                AttemptEnd::Lost,
+                AttemptEnd::ConnectionLost,
             ),
             _ => return,
         };
