--- a/crates/caperworks/src/dispatch/proxy_state.rs
+++ b/crates/caperworks/src/dispatch/proxy_state.rs
@@ -59,7 +59,8 @@
         }
         self.last_view = view.number;
         for updates in &view.updates {
-            if Arc::make_mut(&mut self.maps).apply(updates) == Some(MapName::Configuration) {
+            if Arc::make_mut(&mut self.maps).apply_updates(updates) == Some(MapName::Configuration)
+            {
                 let configuration = self.maps.map(MapName::Configuration);
                 self.table = Arc::new(self.table.updated_to(configuration));
                 let closed: BTreeSet<Zone> = configuration
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -313,7 +313,7 @@
         self.is_unreachable = false;
         self.reporter.figures.polls += 1;
         let number = self.lease.renew(now);
-        self.pacer.record_poll(now, number);
+        self.pacer.record_request(now, number);
         let facts_age = |complete_at| now.saturating_sub(complete_at);
         let renewal = Renewal {
             number,
@@ -362,7 +362,7 @@
         let advanced: Vec<MapName> = granted
             .updates
             .iter()
-            .filter_map(|updates| self.feed_cache.apply(updates))
+            .filter_map(|updates| self.feed_cache.apply_updates(updates))
             .collect();
         if granted.assured {
             self.apply_lease(now, responder, granted, !advanced.is_empty());
@@ -514,7 +514,7 @@
             | ConsensusMessage::ReducedUpdates { map, .. }
                 if self.catch_up.is_receiving(*map) =>
             {
-                let advanced = self.feed_cache.apply(vote);
+                let advanced = self.feed_cache.apply_updates(vote);
                 let local_version = self.local_version(*map);
                 let request =
                     self.catch_up
@@ -537,7 +537,7 @@
             ChunkOutcome::Next(request) => self.handle_progress(now, from, None, Some(request)),
             ChunkOutcome::Snapshot(full_map) => {
                 let updates = ConsensusMessage::Snapshot { map, full_map };
-                let advanced = self.feed_cache.apply(&updates);
+                let advanced = self.feed_cache.apply_updates(&updates);
                 let local_version = self.local_version(map);
                 let request =
                     self.catch_up
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -375,7 +375,7 @@
             change,
         }];
         assert!(Arc::make_mut(&mut known.maps)
-            .apply(&ConsensusMessage::Updates { map, changes })
+            .apply_updates(&ConsensusMessage::Updates { map, changes })
             .is_some());
     }
     known
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -704,7 +704,7 @@
         }],
     };
     assert!(Arc::make_mut(&mut bench.known.maps)
-        .apply(&updates)
+        .apply_updates(&updates)
         .is_some());
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -538,23 +538,27 @@
         changes: (from..=to).map(committed).collect(),
     };
     assert_eq!(
-        feed_cache.apply(&updates(1, 3)),
+        feed_cache.apply_updates(&updates(1, 3)),
         Some(MapName::Configuration)
     );
     assert_eq!(
-        feed_cache.apply(&updates(5, 6)),
+        feed_cache.apply_updates(&updates(5, 6)),
         None,
         "changes after a gap are ignored"
     );
     assert_eq!(
-        feed_cache.apply(&updates(2, 4)),
+        feed_cache.apply_updates(&updates(2, 4)),
         Some(MapName::Configuration)
     );
     let old = ConsensusMessage::Snapshot {
         map: MapName::Configuration,
         full_map: ReplicatedMap::empty(),
     };
-    assert_eq!(feed_cache.apply(&old), None, "a lower version is ignored");
+    assert_eq!(
+        feed_cache.apply_updates(&old),
+        None,
+        "a lower version is ignored"
+    );
     assert_eq!(
         feed_cache.follower().map(MapName::Configuration).version,
         Version(4)
@@ -565,7 +569,7 @@
         Some(ConsensusMessage::Updates { changes, .. }) if changes.len() == 1
     ));
     for version in 5..MAX_HISTORY_WEIGHT as u64 {
-        feed_cache.apply(&updates(version, version));
+        feed_cache.apply_updates(&updates(version, version));
     }
     assert!(matches!(
         feed_cache.updates_after(MapName::Configuration, Version(3)),
@@ -621,7 +625,7 @@
         vec![Version(1), Version(0), Version(0), Version(0)],
     );
     assert_eq!(lease.fresh_until(&follower, &ALL_MAPS), Duration::ZERO);
-    follower.apply(&ConsensusMessage::Updates {
+    follower.apply_updates(&ConsensusMessage::Updates {
         map: MapName::Configuration,
         changes: vec![CommittedChange {
             version: Version(1),
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -138,7 +138,7 @@
                 .sort_by(|one, other| (&one.group, &one.route).cmp(&(&other.group, &other.route)));
         }
         self.pull_number += 1;
-        self.pace.record_poll(now, self.pull_number);
+        self.pace.record_request(now, self.pull_number);
         self.pulls.push_back((self.pull_number, now));
         if self.pulls.len() > 16 {
             self.pulls.pop_front();
