--- a/crates/agent/src/heartbeats.rs
+++ b/crates/agent/src/heartbeats.rs
@@ -17,7 +17,7 @@
 pub(crate) struct PendingHeartbeat {
     pub(crate) ticket: u64,
     pub(crate) number: u64,
-    pub(crate) until: Duration,
+    pub(crate) expires_at: Duration,
     /// The response of a controller that is not the owner manager, which only confirms that it received the
     /// heartbeat.
     pub(crate) controller_response: Option<HeartbeatResponse>,
@@ -60,7 +60,7 @@
         self.pending_heartbeats.push(PendingHeartbeat {
             ticket,
             number: self.next_heartbeat,
-            until: now + HEARTBEAT_TIMEOUT,
+            expires_at: now + HEARTBEAT_TIMEOUT,
             controller_response: None,
         });
         let owner_manager = self.link.owner_manager();
@@ -126,7 +126,7 @@
         let in_fallback = now < self.fallback_quorum.fresh_until();
         let (expired, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_heartbeats)
             .into_iter()
-            .partition(|heartbeat| now >= heartbeat.until);
+            .partition(|heartbeat| now >= heartbeat.expires_at);
         self.pending_heartbeats = waiting;
         for late in expired {
             let local_response = in_fallback.then(HeartbeatResponse::default);
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -176,13 +176,13 @@
 impl AgentMachine {
     /// Starts an agent; `seed` is for its random choices.
     pub fn start(options: AgentOptions, seed: u64) -> Self {
-        let mut chance = RandomSource::seeded(seed);
-        let node = NodeId(chance.next_u64() >> 1);
+        let mut random = RandomSource::seeded(seed);
+        let node = NodeId(random.next_u64() >> 1);
         let mut link = CoreLink::new(
             node,
             &FOLLOWED_MAPS,
             options.seeds.clone(),
-            chance.next_u64(),
+            random.next_u64(),
         )
         .with_form(options.feed_form);
         link.instances.span = options.instance_timeout;
--- a/crates/agent/src/proxy_calls.rs
+++ b/crates/agent/src/proxy_calls.rs
@@ -67,7 +67,7 @@
             .filter(|id| self.link.instances.is_silent(id))
             .cloned()
             .collect();
-        let reported = self.link.proxies() as usize;
+        let reported = self.link.proxy_count() as usize;
         // While the control plane is unreachable, all fallback members count: which of them still serve is
         // unknown, and shared limits must not be divided among fewer proxies than there are.
         let fallback_members = follower.map(MapName::Membership).fallback_members();
--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -118,18 +118,18 @@
             .check_admission(now, &own, route)
             .expect("the proxy is fresh and its zone is open");
         lifecycle.admitted(true);
-        shard.first_attempt(now);
+        shard.record_first_attempt(now);
         let target = shard
             .choose(now, &proxy_state, &own, route, None, &[])
             .expect("an instance has capacity");
-        shard.begin(now, &target);
+        shard.begin_attempt(now, &target);
         lifecycle.chosen();
         proxy_state
             .check_before_send(now, &own, route, &target)
             .expect("nothing has changed");
         lifecycle.begin_attempt();
         lifecycle.sent();
-        shard.end(now, &target, true, Some(0));
+        shard.end_attempt(now, &target, true, Some(0));
         let step = lifecycle.attempt_ended(now, AttemptEnd::Responded, || false);
         done += u64::from(step == NextStep::ForwardResponse);
     }
--- a/crates/caperworks/src/directory_responses.rs
+++ b/crates/caperworks/src/directory_responses.rs
@@ -40,7 +40,7 @@
 /// units of all its routes as weights; without a mapping those of the client's own zone, or else all.
 ///
 /// There is a response even without any mapping or route, as every live proxy can at least reject the
-/// client. Only proxies in zones that `may_carry` accepts for this client are listed; returns `None`
+/// client. Only proxies in zones that `may_handle` accepts for this client are listed; returns `None`
 /// when there is none.
 pub fn resolve_host(
     mapping: Option<&Mapping>,
@@ -48,7 +48,7 @@
     group: &str,
     client_zone: &Zone,
     proxies: &[(Zone, SocketAddr)],
-    may_carry: impl Fn(&Zone) -> bool,
+    may_handle: impl Fn(&Zone) -> bool,
     random: u64,
 ) -> Option<DirectoryResponse> {
     let mut units: BTreeMap<&Zone, u64> = BTreeMap::new();
@@ -59,7 +59,8 @@
             }
         }
     }
-    let is_usable = |zone: &Zone| may_carry(zone) && proxies.iter().any(|(known, _)| known == zone);
+    let is_usable =
+        |zone: &Zone| may_handle(zone) && proxies.iter().any(|(known, _)| known == zone);
     let placed: Vec<(&Zone, u64)> = units
         .into_iter()
         .filter(|(zone, units)| *units > 0 && is_usable(zone))
@@ -69,7 +70,7 @@
     let chosen = chosen.or_else(|| Some(client_zone).filter(|zone| is_usable(zone)));
     let addresses: Vec<SocketAddr> = proxies
         .iter()
-        .filter(|(zone, _)| chosen.is_none_or(|chosen| chosen == zone) && may_carry(zone))
+        .filter(|(zone, _)| chosen.is_none_or(|chosen| chosen == zone) && may_handle(zone))
         .map(|(_, address)| *address)
         .collect();
     (!addresses.is_empty()).then(|| DirectoryResponse {
--- a/crates/caperworks/src/dispatch.rs
+++ b/crates/caperworks/src/dispatch.rs
@@ -18,7 +18,7 @@
 pub use self::passive_health::RECENT_RESPONSE_WINDOW;
 pub use self::proxy_state::ProxyState;
 pub use self::request_lifecycle::{AttemptEnd, NextStep, RequestLifecycle, RequestState};
-pub use self::retry_budget::{RetryBudget, RETRY_FLOOR, RETRY_PERCENT};
+pub use self::retry_budget::{RetryBudget, MIN_RETRIES_PER_WINDOW, RETRY_PERCENT};
 pub use self::service_shard::ServiceShard;
 pub(crate) use self::target::target_of;
 pub use self::target::Target;
--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -74,7 +74,7 @@
         let mut fallback_tiers: DistanceTiers<'_> = Default::default();
         for heartbeat in heartbeats {
             if heartbeat.state == InstanceState::Draining
-                || proxy_state.closed.contains(&heartbeat.zone)
+                || proxy_state.closed_zones.contains(&heartbeat.zone)
                 || excluded.contains(&heartbeat.id)
             {
                 continue;
@@ -180,12 +180,16 @@
             let candidate = *tier.get(self.random_source.below(tier.len() as u64) as usize)?;
             if is_warming_up(candidate)
                 || !self.has_capacity(now, candidate, service, proxies)
-                || self.weight(now, candidate) > load_limit
+                || self.relative_load(now, candidate) > load_limit
             {
                 continue;
             }
             best = match best {
-                Some(best) if self.weight(now, best) <= self.weight(now, candidate) => Some(best),
+                Some(best)
+                    if self.relative_load(now, best) <= self.relative_load(now, candidate) =>
+                {
+                    Some(best)
+                }
                 _ => Some(candidate),
             };
         }
@@ -198,7 +202,7 @@
             .find(|heartbeat| {
                 !is_warming_up(heartbeat)
                     && self.has_capacity(now, heartbeat, service, proxies)
-                    && self.weight(now, heartbeat) <= load_limit
+                    && self.relative_load(now, heartbeat) <= load_limit
             })
     }
 
@@ -227,7 +231,7 @@
             .get(&owner.instance)
             .filter(|heartbeat| heartbeat.incarnation == owner.incarnation)
             .filter(|heartbeat| proxy_state.owner_serves(now, heartbeat))
-            .filter(|heartbeat| !proxy_state.closed.contains(&heartbeat.zone))
+            .filter(|heartbeat| !proxy_state.closed_zones.contains(&heartbeat.zone))
             .filter(|heartbeat| route.allows_region(proxy_state.regions.get(&heartbeat.zone)))
             // An owner that stated that it does not hold the key range will not hold it a moment
             // later, so another attempt would be wasted.
--- a/crates/caperworks/src/dispatch/failure.rs
+++ b/crates/caperworks/src/dispatch/failure.rs
@@ -1,4 +1,4 @@
-//! The reasons why a request is rejected or lost, and what its client is told.
+//! The reasons why a request is rejected or lost, and what is reported to its client.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     MalformedResponse,
 }
 
-/// What the client is told about whether the request ran.
+/// What is reported to the client: that the request did not run, or that this is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedOutcome {
     NotRun,
@@ -70,7 +70,7 @@
     }
 
     /// Returns the reason in the body of the response.
-    pub fn word(self) -> &'static str {
+    pub fn reason(self) -> &'static str {
         match self {
             Failure::NoRoute => "no rule matches",
             Failure::Stale => "this proxy has lost touch with the core",
--- a/crates/caperworks/src/dispatch/proxy_state.rs
+++ b/crates/caperworks/src/dispatch/proxy_state.rs
@@ -22,6 +22,7 @@
 pub struct ProxyState {
     /// The number of the last view applied.
     pub last_view: u64,
+    /// Until when the agent guarantees that this state is fresh.
     pub fresh_until: Duration,
     /// Until when the agent attributes missing responses of the controllers to a slow link.
     pub link_slow_until: Duration,
@@ -33,8 +34,9 @@
     pub by_service: HashMap<ServiceName, Vec<Heartbeat>>,
     /// Instances without a recent heartbeat, which may still respond to requests.
     pub silent: BTreeSet<InstanceId>,
-    pub closed: BTreeSet<Zone>,
+    pub closed_zones: BTreeSet<Zone>,
     pub regions: BTreeMap<Zone, Region>,
+    /// The number of proxies that share the limits of instances, keys and slow start.
     pub proxies: u32,
     /// The agent, and its offset, up to which the instances are current.
     pub agent: NodeId,
@@ -68,12 +70,13 @@
                     .filter(|(_, zone_settings)| zone_settings.closed)
                     .map(|(zone, _)| zone)
                     .collect();
-                let reopened: BTreeSet<Zone> = self.closed.difference(&closed).cloned().collect();
+                let reopened: BTreeSet<Zone> =
+                    self.closed_zones.difference(&closed).cloned().collect();
                 let affected = self.instances.values();
                 let affected = affected.filter(|heartbeat| reopened.contains(&heartbeat.zone));
                 self.maybe_warming_up
                     .extend(affected.map(|heartbeat| (heartbeat.id.clone(), heartbeat.counter)));
-                self.closed = closed;
+                self.closed_zones = closed;
                 self.regions = configuration
                     .zones()
                     .map(|(zone, zone_settings)| (zone, zone_settings.region.clone()))
@@ -172,7 +175,7 @@
 
     /// Returns the route for a host and path.
     pub fn find(&self, now: Duration, host: &str, path: &str) -> Result<NamedRoute, Failure> {
-        // A stale proxy does not answer "no route": the route may have been added since its last
+        // A stale proxy does not respond "no route": the route may have been added since its last
         // update.
         let failure = if !self.is_usable(now) {
             Failure::Stale
@@ -192,7 +195,7 @@
         if !self.is_usable(now) {
             return Err(Failure::Stale);
         }
-        if self.closed.contains(own_zone) && !self.policy.closed_zone_forwards {
+        if self.closed_zones.contains(own_zone) && !self.policy.closed_zone_forwards {
             return Err(Failure::ZoneClosed);
         }
         if !self.policy.forwards_to_home && !route.allows_region(self.regions.get(own_zone)) {
@@ -219,7 +222,7 @@
                     && (heartbeat.state != InstanceState::Draining
                         || (target.key_range.is_some() && self.owner_serves(now, heartbeat)))
             });
-        if !is_current || self.closed.contains(&target.zone) {
+        if !is_current || self.closed_zones.contains(&target.zone) {
             return Err(Failure::NoInstance);
         }
         if let Some((key_range, epoch)) = target.key_range {
--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -92,7 +92,7 @@
     }
 
     /// Returns whether the request is idempotent.
-    pub fn is_read(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         self.idempotent
     }
 
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -1,4 +1,4 @@
-//! The view that one proxy has of one service: capacity, load, health and the retry budget.
+//! What one proxy knows of one service: the load and health of its instances, and the retry budget.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// The longest pause between two requests for a hot key.
 const MAX_KEY_PAUSE: Duration = Duration::from_secs(1);
 
-/// The view that one proxy has of one service. In the daemon each service has a lock of its own.
+/// What one proxy knows of one service. In the daemon each service has a lock of its own.
 #[derive(Debug, Clone)]
 pub struct ServiceShard {
     pub(crate) instance_stats: HashMap<InstanceId, InstanceStats>,
@@ -54,8 +54,8 @@
     }
 
     /// Counts a first attempt for the retry budget.
-    pub fn first_attempt(&mut self, now: Duration) {
-        self.budget.first_attempt(now);
+    pub fn record_first_attempt(&mut self, now: Duration) {
+        self.budget.record_first_attempt(now);
     }
 
     /// Takes a retry from the budget and returns whether there was one.
@@ -164,7 +164,7 @@
     }
 
     /// Returns the load of the instance in relation to its capacity.
-    pub(crate) fn weight(&mut self, now: Duration, heartbeat: &Heartbeat) -> f64 {
+    pub(crate) fn relative_load(&mut self, now: Duration, heartbeat: &Heartbeat) -> f64 {
         let stats = self.stats_for(heartbeat);
         // Old reports are ignored: otherwise an instance that once reported a high load would never
         // be chosen again, and so never report a lower one.
@@ -179,7 +179,7 @@
 
     /// Starts an attempt at the target, and spends a slow-start token if the instance is warming
     /// up.
-    pub fn begin(&mut self, now: Duration, target: &Target) {
+    pub fn begin_attempt(&mut self, now: Duration, target: &Target) {
         if let Some(stats) = self
             .instance_stats
             .get_mut(&target.instance)
@@ -217,7 +217,7 @@
 
     /// Ends an attempt that shows nothing about the instance: the client disconnected or aborted
     /// its body.
-    pub fn abandon(&mut self, now: Duration, target: &Target) {
+    pub fn abandon_attempt(&mut self, now: Duration, target: &Target) {
         self.end_key_request(now, target, None);
         let stats = self.instance_stats.get_mut(&target.instance);
         if let Some(stats) = stats.filter(|stats| stats.incarnation == target.incarnation) {
@@ -226,7 +226,13 @@
     }
 
     /// Ends an attempt; `load` is what the instance reported with its response.
-    pub fn end(&mut self, now: Duration, target: &Target, has_succeeded: bool, load: Option<u32>) {
+    pub fn end_attempt(
+        &mut self,
+        now: Duration,
+        target: &Target,
+        has_succeeded: bool,
+        load: Option<u32>,
+    ) {
         self.end_key_request(now, target, load);
         let Some(stats) = self
             .instance_stats
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -342,7 +342,7 @@
     ///
     /// A limit may be divided among more proxies at once, but among fewer only later: a controller that has
     /// just started has not received heartbeats of all of them yet.
-    pub fn proxies(&self) -> u32 {
+    pub fn proxy_count(&self) -> u32 {
         let counts = self.proxy_counts.iter().map(|(_, proxies)| *proxies);
         counts.max().unwrap_or(0).max(1)
     }
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -26,13 +26,13 @@
     #[default]
     Nothing,
     /// Sends no requests.
-    Silent,
+    SendsNoRequests,
     /// Counts as fresh even if the others have later versions.
-    NoPooling,
+    IgnoresVersions,
     /// Any response is enough, instead of those of a majority of the members.
-    CountsTheLiving,
+    AcceptsAnyResponse,
     /// Counts its own response from the start, although it may have lost state.
-    Forgetful,
+    QualifiesAtOnce,
 }
 
 /// A request in flight, with the responses so far.
@@ -113,7 +113,7 @@
         let is_confirmed = now < lease_until
             && lease_until >= self.fallback_members_since + MEMBERS_SETTLE_TIME + LEASE_DURATION
             && version > Version(0);
-        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::Forgetful;
+        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::QualifiesAtOnce;
     }
 
     /// Returns the number of the next request and the members to send it to, if it is due.
@@ -129,7 +129,7 @@
         let left = lease_until.saturating_sub(now);
         let fallback_members = membership.fallback_members()?;
         let mut others = fallback_members.all_members();
-        let is_disabled = self.broken == BrokenFallback::Silent;
+        let is_disabled = self.broken == BrokenFallback::SendsNoRequests;
         let is_early = left >= FALLBACK_REQUEST_LEAD || now < self.next_request_at;
         if !others.remove(&self.own) || is_early || is_disabled {
             return None;
@@ -178,7 +178,7 @@
                 (is_qualified && *address == own) || request.responses.contains_key(address)
             };
             let has_quorum = match broken {
-                BrokenFallback::CountsTheLiving => !request.responses.is_empty(),
+                BrokenFallback::AcceptsAnyResponse => !request.responses.is_empty(),
                 _ => fallback_members.enough(has_responded, majority_of),
             };
             let is_up_to_date = request.responses.values().all(|versions| {
@@ -189,7 +189,7 @@
                         .is_none_or(|version| *version <= present)
                 })
             });
-            if has_quorum && (is_up_to_date || broken == BrokenFallback::NoPooling) {
+            if has_quorum && (is_up_to_date || broken == BrokenFallback::IgnoresVersions) {
                 let until = request.sent_at + FALLBACK_LIFETIME - DRIFT_MARGIN;
                 self.fresh_until = self.fresh_until.max(until);
             }
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -131,7 +131,7 @@
         };
         if busy {
             let budget = &mut budgets[(step % 12) as usize];
-            budget.first_attempt(now);
+            budget.record_first_attempt(now);
             first.push_back(step);
             for _ in 0..2 {
                 if budget.take(now) {
@@ -233,8 +233,8 @@
         let now = millis(step);
         let shard = &mut shards[(step % 12) as usize];
         if let Ok(target) = shard.choose(now, &known, &own, &route(), None, &[]) {
-            shard.begin(now, &target);
-            shard.end(now, &target, true, Some(0));
+            shard.begin_attempt(now, &target);
+            shard.end_attempt(now, &target, true, Some(0));
             sent += u32::from(target.instance.as_str() == "cold");
         }
     }
@@ -258,7 +258,7 @@
     bound.homes = vec![Region::new("east")];
     let mut request = Vec::new();
     while let Ok(target) = shard.choose(millis(1), &known, &own, &bound, None, &[]) {
-        shard.begin(millis(1), &target);
+        shard.begin_attempt(millis(1), &target);
         request.push(target.instance.to_string());
     }
     let expected: Vec<String> = ["near"; 4]
@@ -288,8 +288,8 @@
         let target = shard
             .choose(millis(step), &known, &own, &route(), None, &[])
             .expect("some instance is always chosen");
-        shard.begin(millis(step), &target);
-        shard.end(millis(step), &target, false, None);
+        shard.begin_attempt(millis(step), &target);
+        shard.end_attempt(millis(step), &target, false, None);
     }
 }
 
@@ -322,7 +322,7 @@
         Err(Failure::NoInstance)
     );
     let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
-    known.closed.insert(own.clone());
+    known.closed_zones.insert(own.clone());
     assert_eq!(
         known.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::ZoneClosed)
@@ -389,7 +389,7 @@
     let own = Zone::new("e1");
     let mut choose = |key: &str| {
         let target = shard.choose(millis(1), &known, &own, &route(), Some(key), &[]);
-        target.inspect(|target| shard.begin(millis(1), target))
+        target.inspect(|target| shard.begin_attempt(millis(1), target))
     };
     assert!(choose("hot").is_ok() && choose("hot").is_ok());
     assert_eq!(
@@ -415,11 +415,11 @@
         let load = in_flight.iter().flatten().count() as u32;
         for (shard, request) in shards.iter_mut().zip(&mut in_flight) {
             if let Some((_, target)) = request.take_if(|(since, _)| step - *since >= 20) {
-                shard.end(now, &target, true, Some(load));
+                shard.end_attempt(now, &target, true, Some(load));
             }
             let chosen = shard.choose(now, &known, &own, &route(), Some("hot"), &[]);
             if let (None, Ok(target)) = (&request, chosen) {
-                shard.begin(now, &target);
+                shard.begin_attempt(now, &target);
                 *request = Some((step, target));
             }
         }
@@ -437,8 +437,8 @@
     let target = shard
         .choose(millis(1), &known, &own, &route(), None, &[])
         .expect("the instance has capacity");
-    shard.begin(millis(1), &target);
-    shard.end(millis(2), &target, true, None);
+    shard.begin_attempt(millis(1), &target);
+    shard.end_attempt(millis(2), &target, true, None);
     shard.mark_incarnation_ended(&target);
     let again = shard.choose(millis(3), &known, &own, &route(), None, &[]);
     assert_eq!(again, Err(Failure::NoInstance));
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -367,7 +367,7 @@
     let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 6000))];
     let mut link = CoreLink::new(NodeId(9), &[MapName::Configuration], seeds, 0);
     assert_eq!(
-        link.proxies(),
+        link.proxy_count(),
         1,
         "no count was received yet; there is at least one proxy"
     );
@@ -396,7 +396,7 @@
             incarnation: NodeId(1),
         };
         link.handle_grant(millis(now), responder, &granted);
-        link.proxies()
+        link.proxy_count()
     };
     for (now, proxies, expected) in [
         (1000, 4, 4),
--- a/crates/caperworks/tests/placement.rs
+++ b/crates/caperworks/tests/placement.rs
@@ -678,14 +678,14 @@
     let listed = |client: &str, alive: &[(Zone, SocketAddr)]| {
         let client = Zone::new(client);
         let route = RouteName::new("progress");
-        let may_carry = |zone: &Zone| bounds.allows(Some(&region(zone)), Some(&region(&client)));
+        let may_handle = |zone: &Zone| bounds.allows(Some(&region(zone)), Some(&region(&client)));
         let found = resolve_host(
             Some(&mapping),
             &[&route],
             group,
             &client,
             alive,
-            may_carry,
+            may_handle,
             5,
         );
         found.map(|found| found.addresses).unwrap_or_default()
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -173,7 +173,7 @@
                 let checked = self.known.check_before_send(now, &own, route, &target);
                 assert_eq!(checked, Ok(()));
                 // The request is not ended: instances at their limit leave the choice to all others.
-                shard.begin(now, &target);
+                shard.begin_attempt(now, &target);
                 names.insert(target.instance.to_string());
             }
         }
@@ -551,8 +551,8 @@
     for step in 0..seconds * 1000 {
         let now = from + millis(step);
         if let Ok(target) = shard.choose(now, &bench.known, &own, &route(), None, &[]) {
-            shard.begin(now, &target);
-            shard.end(now, &target, true, Some(0));
+            shard.begin_attempt(now, &target);
+            shard.end_attempt(now, &target, true, Some(0));
             count += u32::from(target.instance.as_str() == name);
         }
     }
@@ -598,8 +598,8 @@
     for _ in 0..50 {
         let now = millis(2900);
         if let Ok(target) = shard.choose(now, &bench.known, &own, &route(), None, &[]) {
-            shard.begin(now, &target);
-            shard.end(now, &target, true, Some(0));
+            shard.begin_attempt(now, &target);
+            shard.end_attempt(now, &target, true, Some(0));
             count += 1;
         }
     }
@@ -657,9 +657,9 @@
         shard.choose(now, &bench.known, &own, &route(), None, &[])
     };
     let target = choose(&mut shard, &bench, millis(1)).expect("it has capacity");
-    shard.begin(millis(1), &target);
+    shard.begin_attempt(millis(1), &target);
     shard.record_connect_failure(millis(2), &target, one.counter);
-    shard.end(millis(2), &target, false, None);
+    shard.end_attempt(millis(2), &target, false, None);
     for now in [3, 100, 1000, 2900] {
         let chosen = choose(&mut shard, &bench, millis(now));
         assert_eq!(chosen, Err(Failure::NoInstance), "after {now}");
@@ -715,8 +715,8 @@
         let chosen = shard.choose(now, &bench.known, &own, &route(), Some(&key), &[]);
         if let Ok(target) = chosen {
             assert_eq!(target.key_range, Some((0, Epoch(1))));
-            shard.begin(now, &target);
-            shard.end(now, &target, true, Some(0));
+            shard.begin_attempt(now, &target);
+            shard.end_attempt(now, &target, true, Some(0));
             count += 1;
         }
     }
@@ -745,8 +745,8 @@
         let now = millis(step * 10);
         for shard in &mut shards {
             if let Ok(target) = shard.choose(now, &bench.known, &own, &route(), None, &[]) {
-                shard.begin(now, &target);
-                shard.end(now, &target, true, Some(0));
+                shard.begin_attempt(now, &target);
+                shard.end_attempt(now, &target, true, Some(0));
                 sent.push(step * 10);
             }
         }
--- a/crates/caperworks/tests/suspected_instances.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -141,13 +141,13 @@
     fn send_request(&mut self, now: Duration, name: &str, succeeds: bool) {
         for _ in 0..1000 {
             let target = self.choose_target(now).expect("an instance is chosen");
-            self.shard.begin(now, &target);
+            self.shard.begin_attempt(now, &target);
             let is_intended = target.instance.as_str() == name;
             if is_intended {
-                self.shard.end(now, &target, succeeds, None);
+                self.shard.end_attempt(now, &target, succeeds, None);
                 return;
             }
-            self.shard.abandon(now, &target);
+            self.shard.abandon_attempt(now, &target);
         }
         panic!("{name} was never chosen");
     }
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -310,10 +310,10 @@
                 .map(|(_, route)| route.as_ref()),
         );
         let client_region = self.regions.get(zone);
-        let may_carry = |proxy: &Zone| bounds.allows(self.regions.get(proxy), client_region);
+        let may_handle = |proxy: &Zone| bounds.allows(self.regions.get(proxy), client_region);
         let mapping = feed_cache.map(MapName::Placement).mapping();
         let proxies = &self.proxies;
-        resolve_host(mapping, &routes, &group, zone, proxies, may_carry, random)
+        resolve_host(mapping, &routes, &group, zone, proxies, may_handle, random)
             .ok_or(ResolveError::NoProxy)
     }
 
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -10,7 +10,7 @@
 
 use crate::forwarding::{AttemptGuard, AttemptResult, InFlightGuard, ResponseStream};
 use crate::framing::{
-    header_text, is_unambiguously_framed, keep_alive, match_request_id, strip_hop_by_hop,
+    header_text, is_unambiguously_framed, keep_alive_timeout, match_request_id, strip_hop_by_hop,
     strip_internal, RequestIdMatch,
 };
 use crate::instance_connections::{Connection, InstanceKey};
@@ -69,7 +69,7 @@
         let timeout = lifecycle.deadline().saturating_sub(started_at);
         let connection = self
             .connections
-            .acquire(&key, timeout, lifecycle.is_read())
+            .acquire(&key, timeout, lifecycle.is_idempotent())
             .await;
         self.record_connect(started_at, connection.as_ref());
         let Some(mut connection) = connection else {
@@ -108,7 +108,7 @@
         if lifecycle.attempts() == 1 {
             // Counted only here: requests that were rejected without an attempt must not add to the
             // retry budget.
-            locked(&self.shard(&target.service)).first_attempt(now);
+            locked(&self.shard(&target.service)).record_first_attempt(now);
         }
         let sent =
             tokio::time::timeout(remaining, connection.sender.try_send_request(request)).await;
@@ -169,7 +169,7 @@
             &protocol_adapter.request_id,
             upstream_request.request_id,
         );
-        let is_own = match id_match {
+        let is_for_this_request = match id_match {
             RequestIdMatch::Same => true,
             RequestIdMatch::Different => false,
             // Not on a reused connection: a response without an id may be a surplus response to the
@@ -178,13 +178,13 @@
                 !protocol_adapter.clients_send_request_id && !attempt.connection.reused
             }
         };
-        if !is_own && self.injected_bug != InjectedBug::AcceptsAnyResponse {
+        if !is_for_this_request && self.injected_bug != InjectedBug::AcceptsAnyResponse {
             return attempt.malformed();
         }
         attempt.connection.is_reusable = id_match == RequestIdMatch::Same;
         attempt
             .connection
-            .set_keep_alive_timeout(keep_alive(response.headers()));
+            .set_keep_alive_timeout(keep_alive_timeout(response.headers()));
         attempt.guard.load = (protocol_adapter.load)(response.headers());
         if (protocol_adapter.reports_not_run)(response.status(), response.headers()) {
             attempt.guard.result = AttemptResult::Succeeded;
@@ -217,16 +217,17 @@
         request: &hyper::http::request::Parts,
     ) -> bool {
         let required_header = self.protocol_adapter.required_success_header.as_ref();
-        let is_unsealed = response.status().is_success()
-            && required_header
-                .is_some_and(|required_header| !response.headers().contains_key(required_header));
+        let lacks_required_header = response.status().is_success()
+            && required_header.is_some_and(|name| !response.headers().contains_key(name));
         // These statuses tell clients that the request did not run, which the instance has not
         // stated.
         let claims_not_run = self
             .protocol_adapter
             .not_run_statuses
             .contains(&response.status().as_u16());
-        !is_unsealed && !claims_not_run && is_unambiguously_framed(response, &request.method)
+        !lacks_required_header
+            && !claims_not_run
+            && is_unambiguously_framed(response, &request.method)
     }
 
     /// Returns the check that is made right before the first byte of a request is written.
--- a/crates/proxy/src/error_response.rs
+++ b/crates/proxy/src/error_response.rs
@@ -17,7 +17,7 @@
         reported: ReportedOutcome,
     ) -> Response<Body> {
         if self.injected_bug == InjectedBug::ReportsUnknownAsNotRun {
-            return self.outcome_response(503, "not-run", failure.word(), failure.retry_after());
+            return self.outcome_response(503, "not-run", failure.reason(), failure.retry_after());
         }
         let reported = match reported {
             ReportedOutcome::NotRun => "not-run",
@@ -29,7 +29,7 @@
             ("unknown", status) if self.protocol_adapter.not_run_statuses.contains(&status) => 502,
             (_, status) => status,
         };
-        self.outcome_response(status, reported, failure.word(), failure.retry_after())
+        self.outcome_response(status, reported, failure.reason(), failure.retry_after())
     }
 
     /// Returns a JSON response with this status, the outcome of the request and the reason.
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -45,9 +45,9 @@
         let shard = self.proxy.shard(&self.service);
         let mut shard = locked(&shard);
         match self.result {
-            AttemptResult::Succeeded => shard.end(now, &self.target, true, self.load),
-            AttemptResult::Failed => shard.end(now, &self.target, false, self.load),
-            AttemptResult::Inconclusive => shard.abandon(now, &self.target),
+            AttemptResult::Succeeded => shard.end_attempt(now, &self.target, true, self.load),
+            AttemptResult::Failed => shard.end_attempt(now, &self.target, false, self.load),
+            AttemptResult::Inconclusive => shard.abandon_attempt(now, &self.target),
         }
         if self.incarnation_ended {
             shard.mark_incarnation_ended(&self.target);
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -120,7 +120,7 @@
 }
 
 /// Returns the keep-alive timeout that an instance announced.
-pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = header_text(headers, "keep-alive")?;
     let timeout = text
         .split(',')
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -17,11 +17,11 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
-/// Writes do not reuse a connection that has been idle for longer.
+/// Requests that are not idempotent do not reuse a connection that has been idle for longer.
 ///
 /// An instance may close an idle connection just as it is reused, and a request lost that way
-/// cannot be told from one that ran. A read can be retried; a write cannot.
-const MAX_IDLE_TIME_FOR_WRITES: Duration = Duration::from_secs(1);
+/// cannot be told from one that ran. An idempotent request can be retried all the same.
+const MAX_IDLE_TIME_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
 /// The fraction of the keep-alive timeout of an instance within which an idle connection is reused.
 /// It is less than one because the request must arrive before the instance closes the connection.
 const KEEP_ALIVE_FRACTION: f64 = 0.75;
@@ -85,12 +85,12 @@
         &self,
         key: &InstanceKey,
         timeout: Duration,
-        is_read: bool,
+        is_idempotent: bool,
     ) -> Option<Connection> {
-        let idle_timeout = if is_read {
+        let idle_timeout = if is_idempotent {
             MAX_IDLE_TIME
         } else {
-            MAX_IDLE_TIME_FOR_WRITES
+            MAX_IDLE_TIME_NON_IDEMPOTENT
         };
         let pooled = locked(&self.idle).get_mut(key).and_then(|idle| {
             while let Some(connection) = idle.pop() {
@@ -121,7 +121,7 @@
                 .await
                 .ok()?;
             let driver = tokio::spawn(async move {
-                // Ignored: the holder of the sender sees the same error.
+                // Ignored: whoever uses the sender gets the same error.
                 let _ = connection.await;
             });
             Some(Connection {
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -140,16 +140,16 @@
 
     /// Applies an update from the agent, and closes connections to instance incarnations that have
     /// ended.
-    pub fn apply_view(&self, asked_at: Duration, view: &ProxyView) {
+    pub fn apply_view(&self, polled_at: Duration, view: &ProxyView) {
         let mut next = (*self.proxy_state()).clone();
-        next.apply_view(asked_at, view);
+        next.apply_view(polled_at, view);
         self.connections.retain_current(&next.instances);
         let shards = self
             .shards
             .read()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         for shard in shards.values() {
-            locked(shard).keep_only(asked_at, &next.instances);
+            locked(shard).keep_only(polled_at, &next.instances);
         }
         drop(shards);
         *self
@@ -163,7 +163,8 @@
         let proxy_state = self.proxy_state();
         !self.stopping.load(Ordering::SeqCst)
             && proxy_state.is_usable(self.clock.now())
-            && (proxy_state.policy.closed_zone_forwards || !proxy_state.closed.contains(&self.zone))
+            && (proxy_state.policy.closed_zone_forwards
+                || !proxy_state.closed_zones.contains(&self.zone))
     }
 
     /// Returns the recently measured demand: requests per second by client group and route, and the
@@ -305,7 +306,7 @@
                     key.as_deref(),
                     &excluded,
                 )?;
-                shard.begin(now, &target);
+                shard.begin_attempt(now, &target);
                 target
             };
             lifecycle.chosen();
@@ -344,7 +345,7 @@
                 return Ok(self.outcome_response(
                     413,
                     "unknown",
-                    Failure::BodyTooLarge.word(),
+                    Failure::BodyTooLarge.reason(),
                     None,
                 ));
             }
--- a/crates/proxy/tests/support/journal.rs
+++ b/crates/proxy/tests/support/journal.rs
@@ -8,7 +8,7 @@
 use crate::support::behaviour::Behaviour;
 use crate::support::fixture::Protocol;
 use crate::support::wire::{is_complete_body_of, WireHead};
-use caperworks::dispatch::{RETRY_FLOOR, RETRY_PERCENT};
+use caperworks::dispatch::{MIN_RETRIES_PER_WINDOW, RETRY_PERCENT};
 use caperworks::identifiers::RandomSource;
 use runtime::locks::locked;
 
@@ -262,7 +262,7 @@
         // of ten seconds.
         let windows = 1 + took.as_secs() / 10;
         let share = self.sent.len() as u64 * u64::from(RETRY_PERCENT) / 100;
-        let allowed = share + u64::from(RETRY_FLOOR) * windows;
+        let allowed = share + u64::from(MIN_RETRIES_PER_WINDOW) * windows;
         let retries = self.retry_arrivals();
         (retries > allowed)
             .then(|| format!("{retries} retries arrived, though the budget allows {allowed}"))
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -208,10 +208,10 @@
 }
 
 /// Writes the response to a heartbeat.
-pub fn write_with_stamp(dated: &TimestampedResponse) -> JsonValue {
-    let mut json = write_response(&dated.response);
-    json["stamp"] = write_stamp(&dated.stamp);
-    json["again"] = dated.again.into();
+pub fn write_with_stamp(timestamped: &TimestampedResponse) -> JsonValue {
+    let mut json = write_response(&timestamped.response);
+    json["stamp"] = write_stamp(&timestamped.stamp);
+    json["again"] = timestamped.again.into();
     json
 }
 
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -188,7 +188,7 @@
             self.knowledge.fresh_until = asked_at + Duration::from_secs(600);
         }
         if self.broken == BrokenProxy::IgnoresClosed {
-            self.knowledge.closed.clear();
+            self.knowledge.closed_zones.clear();
         }
         for shard in self.shards.values_mut() {
             shard.keep_only(asked_at, &self.knowledge.instances);
@@ -336,7 +336,7 @@
             });
         match chosen {
             Ok(target) => {
-                shard.begin(now, &target);
+                shard.begin_attempt(now, &target);
                 carried.chart.chosen();
                 carried.attempt += 1;
                 carried.stage = Stage::Opening;
@@ -374,7 +374,7 @@
             .check_before_send(now, &self.zone, &carried.route, &target);
         if let Err(failure) = good {
             if let Some(shard) = self.shards.get_mut(&carried.route.service) {
-                shard.end(now, &target, true, None);
+                shard.end_attempt(now, &target, true, None);
             }
             return self.finish(number, failure);
         }
@@ -382,7 +382,7 @@
         carried.chart.sent();
         if carried.chart.attempts() == 1 {
             if let Some(shard) = self.shards.get_mut(&carried.route.service) {
-                shard.first_attempt(now);
+                shard.record_first_attempt(now);
             }
         }
         carried.stage = Stage::Sent;
@@ -432,7 +432,7 @@
         let Some(shard) = self.shards.get_mut(&carried.route.service) else {
             return Vec::new();
         };
-        shard.end(now, &target, good, load);
+        shard.end_attempt(now, &target, good, load);
         if response == Some(InstanceResponse::Misdirected) {
             shard.mark_incarnation_ended(&target);
         }
@@ -472,7 +472,7 @@
             Stage::Opening if late => {
                 if let Some(target) = carried.target.clone() {
                     if let Some(shard) = self.shards.get_mut(&carried.route.service.clone()) {
-                        shard.end(now, &target, false, None);
+                        shard.end_attempt(now, &target, false, None);
                     }
                 }
                 self.finish(number, Failure::DeadlineBeforeSending)
--- a/crates/simulator/src/world/proxies.rs
+++ b/crates/simulator/src/world/proxies.rs
@@ -84,7 +84,7 @@
                             .observers
                             .tally
                             .failures
-                            .entry(failure.word())
+                            .entry(failure.reason())
                             .or_default() += 1;
                     }
                     self.observers
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -232,7 +232,7 @@
 #[test]
 fn given_agents_that_fall_silent_with_the_core_when_it_is_cut_off_then_it_is_seen() {
     is_caught("island", Line::NotRecovered, |day| {
-        day.broken_fallback = BrokenFallback::Silent
+        day.broken_fallback = BrokenFallback::SendsNoRequests
     });
 }
 
@@ -246,21 +246,21 @@
 #[test]
 fn given_an_island_that_does_not_pool_when_the_core_is_cut_off_then_old_orders_are_seen() {
     is_caught("island-after-yes", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::NoPooling
+        day.broken_fallback = BrokenFallback::IgnoresVersions
     });
 }
 
 #[test]
 fn given_an_island_of_those_that_answer_when_the_regions_are_cut_then_old_orders_are_seen() {
     is_caught("regions-cut", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::CountsTheLiving
+        day.broken_fallback = BrokenFallback::AcceptsAnyResponse
     });
 }
 
 #[test]
 fn given_agents_that_forget_when_they_restart_on_an_island_then_old_orders_are_seen() {
     is_caught("island-after-yes", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::Forgetful
+        day.broken_fallback = BrokenFallback::QualifiesAtOnce
     });
 }
 
