--- a/crates/caperctl/src/main.rs
+++ b/crates/caperctl/src/main.rs
@@ -134,7 +134,7 @@
     .descr(HELP)
 }
 
-/// Sends a request to the controllers in turn until one gives a final response.
+/// Sends a request to the controllers in turn until one sends a final response.
 ///
 /// A change can safely be sent to the next controller: every attempt carries the same change id, and
 /// controllers respond to a repeated id with the first result.
--- a/crates/caperworks/src/dispatch/choice.rs
+++ b/crates/caperworks/src/dispatch/choice.rs
@@ -105,7 +105,7 @@
                 return Ok(target_of(heartbeat, None, None));
             }
         }
-        if proxy_state.most_lack_heartbeats(service_name) {
+        if proxy_state.majority_lacks_heartbeats(service_name) {
             for tier in &mut fallback_tiers {
                 tier.retain(|heartbeat| self.is_fallback_candidate(heartbeat));
             }
@@ -246,7 +246,7 @@
             .get(&key)
             .is_some_and(|stats| stats.in_flight >= max_in_flight || now < stats.paused_until);
         let may_serve = self.is_presumed_alive(now, heartbeat, proxy_state)
-            || (proxy_state.most_lack_heartbeats(service_name)
+            || (proxy_state.majority_lacks_heartbeats(service_name)
                 && self.is_fallback_candidate(heartbeat));
         if !may_serve {
             return Err(Failure::NoOwner);
--- a/crates/caperworks/src/dispatch/instance_stats.rs
+++ b/crates/caperworks/src/dispatch/instance_stats.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InstanceStats {
     pub(crate) incarnation: Incarnation,
-    /// Set when another incarnation answered at its address: this one has ended, even if it still
+    /// Set when another incarnation responded at its address: this one has ended, even if it still
     /// sends heartbeats.
     pub(crate) has_ended: bool,
     pub(crate) in_flight: u32,
@@ -42,7 +42,7 @@
     /// or before this time.
     pub(crate) unreachable_until: Option<(u64, Duration)>,
     /// When it last responded to a request.
-    pub(crate) answered_at: Option<Duration>,
+    pub(crate) responded_at: Option<Duration>,
     pub(crate) failures: u32,
     pub(crate) ejections: u32,
     pub(crate) ejected_until: Duration,
--- a/crates/caperworks/src/dispatch/passive_health.rs
+++ b/crates/caperworks/src/dispatch/passive_health.rs
@@ -19,7 +19,7 @@
 
 impl ProxyState {
     /// Returns whether more than half of the instances of a service have no recent heartbeat.
-    pub(crate) fn most_lack_heartbeats(&self, service: &ServiceName) -> bool {
+    pub(crate) fn majority_lacks_heartbeats(&self, service: &ServiceName) -> bool {
         let heartbeats = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         let lacks_heartbeats = |heartbeat: &&Heartbeat| self.silent.contains(&heartbeat.id);
         heartbeats.iter().filter(lacks_heartbeats).count() * 2 > heartbeats.len()
@@ -41,8 +41,8 @@
         // Looked up last, since nearly always no instance is without heartbeats.
         !proxy_state.silent.contains(&heartbeat.id) || {
             let stats = self.stats_for(heartbeat);
-            let has_responded = stats.answered_at.is_some_and(|answered_at| {
-                now.saturating_sub(answered_at) < RECENT_RESPONSE_WINDOW
+            let has_responded = stats.responded_at.is_some_and(|responded_at| {
+                now.saturating_sub(responded_at) < RECENT_RESPONSE_WINDOW
             });
             has_responded && stats.failures == 0
         }
--- a/crates/caperworks/src/dispatch/request_lifecycle.rs
+++ b/crates/caperworks/src/dispatch/request_lifecycle.rs
@@ -1,5 +1,5 @@
-//! The state machine of one request: when a retry is allowed, and which outcome the client may be
-//! told.
+//! The state machine of one request: when a retry is allowed, and which outcome may be reported to
+//! the client.
 
 use std::time::Duration;
 
@@ -12,10 +12,15 @@
 /// The states of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
+    /// The request was received, and no route has been looked up yet.
     Received,
+    /// A route matches the host and path.
     Matched,
+    /// The proxy may handle the request, and no instance is chosen for the next attempt.
     Admitted,
+    /// An instance is chosen, and nothing has been sent to it.
     Chosen,
+    /// Bytes of the request may have been sent.
     Sending,
     Sent,
     Responding,
@@ -123,7 +128,7 @@
         self.deadline = self.deadline.min(client_deadline);
     }
 
-    /// Records that the proxy admitted the request; `replayable` tells whether the body can be sent
+    /// Records that the proxy admitted the request; `replayable` says whether the body can be sent
     /// again.
     pub fn admitted(&mut self, replayable: bool) {
         self.state = RequestState::Admitted;
--- a/crates/caperworks/src/dispatch/service_shard.rs
+++ b/crates/caperworks/src/dispatch/service_shard.rs
@@ -92,7 +92,7 @@
             .retain(|_, stats| stats.in_flight > 0 || now < stats.paused_until);
     }
 
-    /// Records that another incarnation answered at the address of the target: the target gets no
+    /// Records that another incarnation responded at the address of the target: the target gets no
     /// more requests.
     pub fn mark_incarnation_ended(&mut self, target: &Target) {
         let stats = self.instance_stats.get_mut(&target.instance);
@@ -247,7 +247,7 @@
             stats.load_reported_at = now;
         }
         if has_succeeded {
-            stats.answered_at = Some(now);
+            stats.responded_at = Some(now);
             stats.failures = 0;
             stats.ejections = 0;
             return;
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -62,8 +62,8 @@
         reaches_back.then(|| self.changes.iter().filter(is_later).cloned().collect())
     }
 
-    /// Returns the first changes after a version: as many as fit into the given number of bytes, and at least one. Returns
-    /// `None` if the history does not reach back that far.
+    /// Returns the first changes after a version: as many as fit into the given number of bytes, and at
+    /// least one. Returns `None` if the history does not reach back that far.
     pub fn first_changes_after(
         &self,
         after: Version,
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -73,7 +73,7 @@
     pub incarnation: NodeId,
 }
 
-/// Whether one controller is followed, or several are asked at once.
+/// Whether one controller is followed, or several are polled at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LinkState {
     Following,
@@ -579,7 +579,7 @@
     /// Returns the address to which heartbeats for the owner manager are sent, if the membership names one.
     pub fn owner_manager(&self) -> Option<SocketAddr> {
         let membership = self.feed_cache.follower().map(MapName::Membership);
-        let holder = membership.leadership(OWNERSHIP)?.holder;
-        Some(membership.voters()?.holder(holder)?.address)
+        let leader = membership.leadership(OWNERSHIP)?.holder;
+        Some(membership.voters()?.holder(leader)?.address)
     }
 }
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -44,7 +44,7 @@
 
 /// One agent's side of the fallback quorum.
 pub struct FallbackQuorum {
-    own: SocketAddr,
+    own_address: SocketAddr,
     fallback_members_version: Version,
     fallback_members_since: Duration,
     /// Whether its own response counts.
@@ -59,9 +59,9 @@
 
 impl FallbackQuorum {
     /// Returns the state of the agent at this address, before it knows any members.
-    pub fn new(own: SocketAddr) -> Self {
+    pub fn new(own_address: SocketAddr) -> Self {
         Self {
-            own,
+            own_address,
             fallback_members_version: Version(0),
             fallback_members_since: Duration::ZERO,
             is_qualified: false,
@@ -131,7 +131,7 @@
         let mut others = fallback_members.all_members();
         let is_disabled = self.broken == BrokenFallback::SendsNoRequests;
         let is_early = left >= FALLBACK_REQUEST_LEAD || now < self.next_request_at;
-        if !others.remove(&self.own) || is_early || is_disabled {
+        if !others.remove(&self.own_address) || is_early || is_disabled {
             return None;
         }
         self.next_request_at = now + REQUEST_INTERVAL;
@@ -172,14 +172,15 @@
         let Some(fallback_members) = follower.map(MapName::Membership).fallback_members() else {
             return;
         };
-        let (own, is_qualified, broken) = (self.own, self.is_qualified, self.broken);
+        let (own_address, is_qualified, broken) =
+            (self.own_address, self.is_qualified, self.broken);
         for request in &self.requests {
             let has_responded = |address: &SocketAddr| {
-                (is_qualified && *address == own) || request.responses.contains_key(address)
+                (is_qualified && *address == own_address) || request.responses.contains_key(address)
             };
             let has_quorum = match broken {
                 BrokenFallback::AcceptsAnyResponse => !request.responses.is_empty(),
-                _ => fallback_members.enough(has_responded, majority_of),
+                _ => fallback_members.has_enough(has_responded, majority_of),
             };
             let is_up_to_date = request.responses.values().all(|versions| {
                 FALLBACK_MAPS.iter().all(|name| {
--- a/crates/caperworks/src/partition_fallback/messages.rs
+++ b/crates/caperworks/src/partition_fallback/messages.rs
@@ -40,7 +40,7 @@
 impl FallbackMembers {
     /// Returns whether enough members of both sets are among these addresses; `required` returns how many
     /// members of a set of a given size are enough.
-    pub fn enough(
+    pub fn has_enough(
         &self,
         is_among: impl Fn(&SocketAddr) -> bool,
         required: fn(usize) -> usize,
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -47,7 +47,7 @@
         .map(MapName::Membership)
         .fallback_members()
         .is_none_or(|fallback_members| {
-            fallback_members.enough(|address| agents.contains_key(address), confirmation_quorum)
+            fallback_members.has_enough(|address| agents.contains_key(address), confirmation_quorum)
         })
 }
 
@@ -145,7 +145,7 @@
             .get(address)
             .is_some_and(|member| member.versions[MapName::Membership.index()] >= version)
     };
-    fallback_members.enough(knows, confirmation_quorum)
+    fallback_members.has_enough(knows, confirmation_quorum)
 }
 
 /// Returns the next set of fallback members if a change is due. Agents join automatically, one step at a
@@ -223,7 +223,7 @@
             .collect(),
         before: fallback_members.members.clone(),
     };
-    if !next.enough(|address| agents.contains_key(address), majority_of) {
+    if !next.has_enough(|address| agents.contains_key(address), majority_of) {
         let why = "fewer than a majority of the old or of the new roster are reachable";
         return reject("drop", why.to_string());
     }
--- a/crates/controller/src/daemon/host.rs
+++ b/crates/controller/src/daemon/host.rs
@@ -42,7 +42,7 @@
             match output {
                 ControllerOutput::Send { to, message } => {
                     let envelope = self.machine.seal(to, message);
-                    if to == self.port.own() {
+                    if to == self.port.advertised() {
                         next.push_back(ControllerInput::MessageReceived { envelope });
                     } else {
                         self.port.forward(to, &envelope);
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -23,18 +23,18 @@
 use runtime::locks::locked;
 use runtime::options::NodeSettings;
 
-/// Spawns a task that polls the agent for updates in regular intervals.
+/// Spawns a task that polls the agent for updates at regular intervals.
 fn spawn_polling(
     request_handler: Arc<RequestHandler>,
     port: ControlPort,
     agent: SocketAddr,
     poll_tracker: SharedPollTracker,
-    period: Duration,
+    poll_interval: Duration,
 ) {
     tokio::spawn(async move {
         let mut number = 0;
         let incarnation = random_seed();
-        let mut interval = tokio::time::interval(period);
+        let mut interval = tokio::time::interval(poll_interval);
         interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut was_ready = false;
         loop {
@@ -55,7 +55,7 @@
                 ownership: proxy_state.maps.map(MapName::Ownership).version,
                 serving: request_handler.serving,
                 // Not the readiness itself: a stale proxy must be able to become fresh again, and
-                // the controllers judge staleness by the lease.
+                // the controllers determine staleness by the lease.
                 ready: !request_handler.stopping.load(Ordering::SeqCst),
                 capacity: request_handler.capacity,
                 demand: request_handler.demand(),
--- a/crates/proxy/src/forwarding.rs
+++ b/crates/proxy/src/forwarding.rs
@@ -34,7 +34,7 @@
     pub target: Target,
     pub result: AttemptResult,
     pub load: Option<u32>,
-    /// Set when another incarnation answered than the one the request was sent to.
+    /// Set when an incarnation responded other than the one that the request was sent to.
     pub incarnation_ended: bool,
     pub usage_key: UsageKey,
 }
--- a/crates/runtime/src/actor/settings.rs
+++ b/crates/runtime/src/actor/settings.rs
@@ -12,12 +12,13 @@
 /// keeps its current ones.
 pub type ReloadSettings = Arc<dyn Fn() -> Option<NodeSettings> + Send + Sync>;
 
-/// Calls `take` with the seeds each time that the platform reports by `SIGHUP` that the settings have changed.
+/// Calls `handler` with the seeds each time that the platform reports by `SIGHUP` that the settings have
+/// changed.
 ///
 /// The signal handler is installed before the task starts: a signal without a handler ends the process.
 pub fn follow_settings(
     reload_settings: ReloadSettings,
-    take: impl Fn(Vec<SocketAddr>) + Send + 'static,
+    handler: impl Fn(Vec<SocketAddr>) + Send + 'static,
 ) {
     let Ok(mut changed) = signal(SignalKind::hangup()) else {
         return;
@@ -27,7 +28,7 @@
             match reload_settings() {
                 Some(settings) => {
                     event(SETTINGS_READ, "");
-                    take(settings.seeds);
+                    handler(settings.seeds);
                 }
                 None => event(SETTINGS_FAULTY, ""),
             }
--- a/crates/runtime/src/connection_opening.rs
+++ b/crates/runtime/src/connection_opening.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// How long a peer may take to answer a SYN packet: longer than the queuing delay of a saturated link.
+/// How long a peer may take to respond to a SYN packet: longer than the queuing delay of a saturated link.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval at which further attempts are started beside those in progress.
 pub const ATTEMPT_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns the advertised address of this port.
-    pub fn own(&self) -> SocketAddr {
+    pub fn advertised(&self) -> SocketAddr {
         self.advertised
     }
 
--- a/crates/runtime/src/frames.rs
+++ b/crates/runtime/src/frames.rs
@@ -40,7 +40,7 @@
 /// read.
 pub async fn read_frames(
     stream: OwnedReadHalf,
-    mut take: impl FnMut(FrameRead),
+    mut handler: impl FnMut(FrameRead),
 ) -> Result<(), FrameError> {
     let mut reader = BufReader::new(stream);
     loop {
@@ -53,10 +53,10 @@
             return Err(FrameError::Length(length));
         }
         let mut bytes = vec![0; length];
-        if !fill(&mut reader, &mut bytes, &mut take).await {
+        if !fill(&mut reader, &mut bytes, &mut handler).await {
             return Ok(());
         }
-        take(FrameRead::Envelope(Box::new(decode(&bytes)?)));
+        handler(FrameRead::Envelope(Box::new(decode(&bytes)?)));
     }
 }
 
@@ -73,7 +73,7 @@
 async fn fill(
     reader: &mut BufReader<OwnedReadHalf>,
     bytes: &mut [u8],
-    take: &mut impl FnMut(FrameRead),
+    handler: &mut impl FnMut(FrameRead),
 ) -> bool {
     let mut watch = ProgressWatch::begin(Instant::now());
     let mut filled = 0;
@@ -83,7 +83,7 @@
             Ok(count) => filled += count,
         }
         if filled < bytes.len() && watch.bytes_received(Instant::now()) {
-            take(FrameRead::Partial);
+            handler(FrameRead::Partial);
         }
     }
     true
