--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -26,7 +26,7 @@
     #[default]
     Nothing,
     /// Sends no requests.
-    SendsNoRequests,
+    Silent,
     /// Counts as fresh even if the others have later versions.
     IgnoresVersions,
     /// Any response is enough, instead of those of a majority of the members.
@@ -129,7 +129,7 @@
         let left = lease_until.saturating_sub(now);
         let fallback_members = membership.fallback_members()?;
         let mut others = fallback_members.all_members();
-        let is_disabled = self.broken == BrokenFallback::SendsNoRequests;
+        let is_disabled = self.broken == BrokenFallback::Silent;
         let is_early = left >= FALLBACK_REQUEST_LEAD || now < self.next_request_at;
         if !others.remove(&self.own_address) || is_early || is_disabled {
             return None;
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -232,7 +232,7 @@
 #[test]
 fn given_agents_that_fall_silent_with_the_core_when_it_is_cut_off_then_it_is_seen() {
     is_caught("island", Line::NotRecovered, |day| {
-        day.broken_fallback = BrokenFallback::SendsNoRequests
+        day.broken_fallback = BrokenFallback::Silent
     });
 }
 
