--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -67,7 +67,7 @@
                 .instances
                 .handle(now, &heartbeat.clone().aged(max_age));
         }
-        let applies_updates = self.fallback_quorum.broken != BrokenFallback::IgnoresVersions;
+        let applies_updates = self.fallback_quorum.broken != BrokenFallback::NoPooling;
         let advanced: Vec<MapName> = response
             .updates
             .iter()
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -28,11 +28,11 @@
     /// Sends no requests.
     Silent,
     /// Counts as fresh even if the others have later versions.
-    IgnoresVersions,
+    NoPooling,
     /// Any response is enough, instead of those of a majority of the members.
-    AcceptsAnyResponse,
+    CountsTheLiving,
     /// Counts its own response from the start, although it may have lost state.
-    QualifiesAtOnce,
+    Forgetful,
 }
 
 /// A request in flight, with the responses so far.
@@ -113,7 +113,7 @@
         let is_confirmed = now < lease_until
             && lease_until >= self.fallback_members_since + MEMBERS_SETTLE_TIME + LEASE_DURATION
             && version > Version(0);
-        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::QualifiesAtOnce;
+        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::Forgetful;
     }
 
     /// Returns the number of the next request and the members to send it to, if it is due.
@@ -179,7 +179,7 @@
                 (is_qualified && *address == own_address) || request.responses.contains_key(address)
             };
             let has_quorum = match broken {
-                BrokenFallback::AcceptsAnyResponse => !request.responses.is_empty(),
+                BrokenFallback::CountsTheLiving => !request.responses.is_empty(),
                 _ => fallback_members.has_enough(has_responded, majority_of),
             };
             let is_up_to_date = request.responses.values().all(|versions| {
@@ -190,7 +190,7 @@
                         .is_none_or(|version| *version <= present)
                 })
             });
-            if has_quorum && (is_up_to_date || broken == BrokenFallback::IgnoresVersions) {
+            if has_quorum && (is_up_to_date || broken == BrokenFallback::NoPooling) {
                 let until = request.sent_at + FALLBACK_LIFETIME - DRIFT_MARGIN;
                 self.fresh_until = self.fresh_until.max(until);
             }
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -246,21 +246,21 @@
 #[test]
 fn given_an_island_that_does_not_pool_when_the_core_is_cut_off_then_old_orders_are_seen() {
     is_caught("island-after-yes", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::IgnoresVersions
+        day.broken_fallback = BrokenFallback::NoPooling
     });
 }
 
 #[test]
 fn given_an_island_of_those_that_answer_when_the_regions_are_cut_then_old_orders_are_seen() {
     is_caught("regions-cut", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::AcceptsAnyResponse
+        day.broken_fallback = BrokenFallback::CountsTheLiving
     });
 }
 
 #[test]
 fn given_agents_that_forget_when_they_restart_on_an_island_then_old_orders_are_seen() {
     is_caught("island-after-yes", Line::OldConfiguration, |day| {
-        day.broken_fallback = BrokenFallback::QualifiesAtOnce
+        day.broken_fallback = BrokenFallback::Forgetful
     });
 }
 
