--- a/crates/caperworks/src/configuration.rs
+++ b/crates/caperworks/src/configuration.rs
@@ -25,16 +25,16 @@
         /// The item and the field, under the names that the operator documentation uses.
         0 field: String,
         /// What is wrong, or which value is expected.
-        1 why: String,
+        1 reason: String,
     }
 }
 
 impl Fault {
     /// Creates an error for a field.
-    pub fn new(field: impl Into<String>, why: impl Into<String>) -> Self {
+    pub fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self {
             field: field.into(),
-            why: why.into(),
+            reason: reason.into(),
         }
     }
 }
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -41,8 +41,8 @@
         }
         let (kind, name) = put.key.split_once('/').unwrap_or((&put.key, ""));
         if !is_valid_name(name) {
-            let why = "names have 1 to 64 letters, digits, dashes, dots or underscores";
-            faults.push(Fault::new(&put.key, why));
+            let reason = "names have 1 to 64 letters, digits, dashes, dots or underscores";
+            faults.push(Fault::new(&put.key, reason));
         }
         check_put(map, kind, put, faults);
     }
@@ -64,15 +64,15 @@
         }
         (Some(Value::Limits { limits }), "limits") => {
             if limits.head_bytes == 0 || limits.header_timeout.is_zero() {
-                let why = "request heads need a size limit and a timeout above 0";
-                faults.push(Fault::new(&put.key, why));
+                let reason = "request heads need a size limit and a timeout above 0";
+                faults.push(Fault::new(&put.key, reason));
             }
         }
         (None, "rule" | "pool" | "area" | "limits") if put.written.is_some() => {}
         (None, "rule" | "pool" | "area") => {
             if !map.items.contains_key(&put.key) {
-                let why = "cannot be dropped: there is no such item";
-                faults.push(Fault::new(&put.key, why));
+                let reason = "cannot be dropped: there is no such item";
+                faults.push(Fault::new(&put.key, reason));
             }
         }
         _ => faults.push(Fault::new(
@@ -86,17 +86,17 @@
 fn check_size(after: &ReplicatedMap, faults: &mut Vec<Fault>) {
     let items = after.items.len();
     if items > MAX_CONFIGURATION_ITEMS {
-        let why = format!(
+        let reason = format!(
             "the configuration would have {items} items; the maximum is {MAX_CONFIGURATION_ITEMS}"
         );
-        faults.push(Fault::new("items", why));
+        faults.push(Fault::new("items", reason));
     }
     let bytes = encoded_bytes(after);
     if bytes > MAX_CONFIGURATION_BYTES {
-        let why = format!(
+        let reason = format!(
             "the configuration would take {bytes} bytes; the maximum is {MAX_CONFIGURATION_BYTES}"
         );
-        faults.push(Fault::new("items", why));
+        faults.push(Fault::new("items", reason));
     }
 }
 
@@ -107,20 +107,20 @@
     let services: BTreeMap<ServiceName, &Service> = after.services().collect();
     let zones = after.zones();
     let regions: BTreeSet<Region> = zones.map(|(_, zone)| zone.region.clone()).collect();
-    let mut matches: BTreeMap<(String, &str), RouteName> = BTreeMap::new();
+    let mut routes_by_path: BTreeMap<(String, &str), RouteName> = BTreeMap::new();
     for (name, route) in after.routes() {
         for service_name in route.services() {
             let service = services.get(service_name);
             check_route_service(&name, route, service_name, service, faults);
         }
         for home in route.homes.iter().filter(|home| !regions.contains(home)) {
-            let why = format!("no zone is in region {home}");
-            faults.push(Fault::new(format!("rule/{name}.home"), why));
+            let reason = format!("no zone is in region {home}");
+            faults.push(Fault::new(format!("rule/{name}.home"), reason));
         }
         let host = normalized_host(&route.host);
-        if let Some(other) = matches.insert((host, &route.path), name.clone()) {
-            let why = format!("has the same host and path as rule {other}");
-            faults.push(Fault::new(format!("rule/{name}"), why));
+        if let Some(other) = routes_by_path.insert((host, &route.path), name.clone()) {
+            let reason = format!("has the same host and path as rule {other}");
+            faults.push(Fault::new(format!("rule/{name}"), reason));
         }
     }
 }
@@ -171,8 +171,8 @@
             .chain([&route.service])
             .filter(|name| !service_exists(name))
         {
-            let why = format!("there is no service {name}");
-            let fault = Fault::new(format!("{key}.pool"), why);
+            let reason = format!("there is no service {name}");
+            let fault = Fault::new(format!("{key}.pool"), reason);
             if !faults.contains(&fault) {
                 faults.push(fault);
             }
@@ -181,8 +181,8 @@
         match routes_by_path.insert(host_and_path, (key, is_superseded)) {
             // Two routes that both take effect are reported by the check of the resulting map.
             Some((other, other_is_superseded)) if is_superseded || other_is_superseded => {
-                let why = format!("has the same host and path as {other} of this call");
-                faults.push(Fault::new(key, why));
+                let reason = format!("has the same host and path as {other} of this call");
+                faults.push(Fault::new(key, reason));
             }
             _ => {}
         }
@@ -231,7 +231,8 @@
 /// Checks the fields of one route.
 fn check_route(put: &Put, route: &Route, faults: &mut Vec<Fault>) {
     let key = &put.key;
-    let mut fault = |field: &str, why: &str| faults.push(Fault::new(format!("{key}.{field}"), why));
+    let mut fault =
+        |field: &str, reason: &str| faults.push(Fault::new(format!("{key}.{field}"), reason));
     if route.host.is_empty() || route.host.len() > 253 {
         fault("host", "give a host name, or * for any");
     }
@@ -253,7 +254,8 @@
 
 /// Checks the fields of one service.
 fn check_service(key: &str, service: &Service, faults: &mut Vec<Fault>) {
-    let mut fault = |field: &str, why: &str| faults.push(Fault::new(format!("{key}.{field}"), why));
+    let mut fault =
+        |field: &str, reason: &str| faults.push(Fault::new(format!("{key}.{field}"), reason));
     if service.keyed && !(1..=1024).contains(&service.key_ranges) {
         fault("slices", "a keyed service has 1 to 1024 key ranges");
     }
@@ -285,12 +287,12 @@
 ) {
     match service {
         None => {
-            let why = format!("there is no service {service_name}");
-            faults.push(Fault::new(format!("rule/{name}.pool"), why));
+            let reason = format!("there is no service {service_name}");
+            faults.push(Fault::new(format!("rule/{name}.pool"), reason));
         }
         Some(service) if service.keyed && route.key_header.is_none() => {
-            let why = format!("service {service_name} is keyed: name the header with the key");
-            faults.push(Fault::new(format!("rule/{name}.key_header"), why));
+            let reason = format!("service {service_name} is keyed: name the header with the key");
+            faults.push(Fault::new(format!("rule/{name}.key_header"), reason));
         }
         Some(service)
             if service.keyed
@@ -298,10 +300,10 @@
                 && route.deadline > MAX_KEYED_DEADLINE =>
         {
             let max_deadline = MAX_KEYED_DEADLINE.as_millis();
-            let why = format!(
+            let reason = format!(
                 "service {service_name} is keyed: no order may take longer than its owner's hold; give at most {max_deadline}"
             );
-            faults.push(Fault::new(format!("rule/{name}.deadline_ms"), why));
+            faults.push(Fault::new(format!("rule/{name}.deadline_ms"), reason));
         }
         Some(_) => {}
     }
--- a/crates/controller/src/operator_json/writing/outcome.rs
+++ b/crates/controller/src/operator_json/writing/outcome.rs
@@ -14,7 +14,7 @@
 pub fn faults_json(faults: &[Fault]) -> JsonValue {
     faults
         .iter()
-        .map(|fault| jzon::object! { field: fault.field.as_str(), why: fault.why.as_str() })
+        .map(|fault| jzon::object! { field: fault.field.as_str(), why: fault.reason.as_str() })
         .collect::<Vec<JsonValue>>()
         .into()
 }
--- a/crates/controller/tests/operator_json.rs
+++ b/crates/controller/tests/operator_json.rs
@@ -8,7 +8,7 @@
     errors
         .into_iter()
         .map(Fault::from)
-        .map(|fault| (fault.field, fault.why))
+        .map(|fault| (fault.field, fault.reason))
         .collect()
 }
 
