--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -29,10 +29,10 @@
 /// The limit for waiting on a condition, generous enough for slow machines.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until the condition holds.
-async fn wait_until(holds: impl Fn() -> bool) {
+/// Waits until the condition is met.
+async fn wait_until(condition: impl Fn() -> bool) {
     let clock = Clock::start();
-    while !holds() {
+    while !condition() {
         assert!(
             clock.now() < TIMEOUT,
             "the condition was not met within the timeout"
--- a/crates/proxy/tests/support/interruptions.rs
+++ b/crates/proxy/tests/support/interruptions.rs
@@ -77,12 +77,12 @@
 }
 
 impl Outcome {
-    /// Returns whether nothing reached the instance and the client was told so.
+    /// Returns whether nothing reached the instance and the request was reported as not run.
     fn is_blocked(self) -> bool {
         self.arrivals == 0 && self.status == Some(503)
     }
 
-    /// Returns whether the request reached the instance once and the client was not told otherwise.
+    /// Returns whether the request reached the instance once and was not reported as not run.
     fn is_sent(self) -> bool {
         self.arrivals == 1
             && self
--- a/crates/runtime/src/actor.rs
+++ b/crates/runtime/src/actor.rs
@@ -4,7 +4,6 @@
 mod daemon;
 mod host;
 mod inbox;
-
 mod readiness;
 mod seed;
 mod settings;
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -39,13 +39,13 @@
 /// `handler` is called for each request, with the peer. While `stop` is set, each response closes its
 /// connection: a process that is shutting down accepts no further requests on it. An error of the handler
 /// aborts the connection.
-pub async fn serve_http<Handler, Answering>(
+pub async fn serve_http<Handler, ResponseFuture>(
     listener: TcpListener,
     stop: Arc<AtomicBool>,
     handler: Handler,
 ) where
-    Handler: Fn(Peer, Request<Incoming>) -> Answering + Clone + Send + Sync + 'static,
-    Answering: Future<Output = Result<Response<Body>, std::io::Error>> + Send + 'static,
+    Handler: Fn(Peer, Request<Incoming>) -> ResponseFuture + Clone + Send + Sync + 'static,
+    ResponseFuture: Future<Output = Result<Response<Body>, std::io::Error>> + Send + 'static,
 {
     loop {
         match listener.accept().await {
@@ -66,14 +66,14 @@
 }
 
 /// Serves the requests of one connection until it is closed.
-async fn serve_connection<Handler, Answering>(
+async fn serve_connection<Handler, ResponseFuture>(
     stream: TcpStream,
     address: SocketAddr,
     stop: Arc<AtomicBool>,
     handler: Handler,
 ) where
-    Handler: Fn(Peer, Request<Incoming>) -> Answering + Clone + Send + Sync + 'static,
-    Answering: Future<Output = Result<Response<Body>, std::io::Error>> + Send + 'static,
+    Handler: Fn(Peer, Request<Incoming>) -> ResponseFuture + Clone + Send + Sync + 'static,
+    ResponseFuture: Future<Output = Result<Response<Body>, std::io::Error>> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
     let peer = Peer {
@@ -88,10 +88,10 @@
     let service = hyper::service::service_fn(move |mut request: Request<Incoming>| {
         locked(&record).check(&mut request);
         let record = record.clone();
-        let answering = handler(peer, request);
+        let response_future = handler(peer, request);
         let stop = stop.clone();
         async move {
-            let mut response = answering.await?;
+            let mut response = response_future.await?;
             locked(&record).expect_next();
             if stop.load(Ordering::Relaxed) {
                 response
