--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -225,14 +225,14 @@
 
 #[test]
 fn twelve_proxies_together_keep_the_slow_start_rate() {
-    let known = proxy_state(&[heartbeat("cold", "e1", 0), heartbeat("warm", "e2", 60_000)]);
+    let state = proxy_state(&[heartbeat("cold", "e1", 0), heartbeat("warm", "e2", 60_000)]);
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
     let mut sent = 0;
     for step in 0..5000_u64 {
         let now = millis(step);
         let shard = &mut shards[(step % 12) as usize];
-        if let Ok(target) = shard.choose(now, &known, &own, &route(), None, &[]) {
+        if let Ok(target) = shard.choose(now, &state, &own, &route(), None, &[]) {
             shard.begin_attempt(now, &target);
             shard.end_attempt(now, &target, true, Some(0));
             sent += u32::from(target.instance.as_str() == "cold");
@@ -250,14 +250,14 @@
     let near = heartbeat("near", "e1", 60_000);
     let same_region = heartbeat("region", "e2", 60_000);
     let far = heartbeat("far", "w1", 60_000);
-    let mut known = proxy_state(&[near, same_region, far]);
-    known.proxies = 1;
+    let mut state = proxy_state(&[near, same_region, far]);
+    state.proxies = 1;
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let mut bound = route();
     bound.homes = vec![Region::new("east")];
     let mut request = Vec::new();
-    while let Ok(target) = shard.choose(millis(1), &known, &own, &bound, None, &[]) {
+    while let Ok(target) = shard.choose(millis(1), &state, &own, &bound, None, &[]) {
         shard.begin_attempt(millis(1), &target);
         request.push(target.instance.to_string());
     }
@@ -271,7 +271,7 @@
         "four requests each, and none in the other region"
     );
     let target = shard
-        .choose(millis(1), &known, &own, &route(), None, &[])
+        .choose(millis(1), &state, &own, &route(), None, &[])
         .expect("the route has no home region");
     assert_eq!(target.instance.as_str(), "far");
 }
@@ -281,12 +281,12 @@
     let heartbeats: Vec<Heartbeat> = (0..4)
         .map(|number| heartbeat(&format!("i{number}"), "e1", 60_000))
         .collect();
-    let known = proxy_state(&heartbeats);
+    let state = proxy_state(&heartbeats);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     for step in 0..200 {
         let target = shard
-            .choose(millis(step), &known, &own, &route(), None, &[])
+            .choose(millis(step), &state, &own, &route(), None, &[])
             .expect("some instance is always chosen");
         shard.begin_attempt(millis(step), &target);
         shard.end_attempt(millis(step), &target, false, None);
@@ -295,43 +295,43 @@
 
 #[test]
 fn check_before_sending_detects_changes_since_the_choice() {
-    let known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
+    let state = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(1), &known, &own, &route(), None, &[])
+        .choose(millis(1), &state, &own, &route(), None, &[])
         .expect("the instance has capacity");
     assert_eq!(
-        known.check_before_send(millis(1), &own, &route(), &target),
+        state.check_before_send(millis(1), &own, &route(), &target),
         Ok(())
     );
-    let late = known.check_before_send(millis(3000), &own, &route(), &target);
+    let late = state.check_before_send(millis(3000), &own, &route(), &target);
     assert_eq!(late, Err(Failure::Stale));
     let mut draining = heartbeat("one", "e1", 60_000);
     draining.state = InstanceState::Draining;
-    let known = proxy_state(&[draining]);
+    let state = proxy_state(&[draining]);
     assert_eq!(
-        known.check_before_send(millis(1), &own, &route(), &target),
+        state.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
     );
     let mut restarted = heartbeat("one", "e1", 60_000);
     restarted.incarnation = Incarnation(2);
-    let known = proxy_state(&[restarted]);
+    let state = proxy_state(&[restarted]);
     assert_eq!(
-        known.check_before_send(millis(1), &own, &route(), &target),
+        state.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::NoInstance)
     );
-    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
-    known.closed_zones.insert(own.clone());
+    let mut state = proxy_state(&[heartbeat("one", "e1", 60_000)]);
+    state.closed_zones.insert(own.clone());
     assert_eq!(
-        known.check_before_send(millis(1), &own, &route(), &target),
+        state.check_before_send(millis(1), &own, &route(), &target),
         Err(Failure::ZoneClosed)
     );
 }
 
 /// The state of a proxy that knows a keyed service with one key range and one owner.
 fn keyed_proxy_state() -> ProxyState {
-    let mut known = proxy_state(&[heartbeat("owner", "e1", 60_000)]);
+    let mut state = proxy_state(&[heartbeat("owner", "e1", 60_000)]);
     let mut keyed = service();
     keyed.keyed = true;
     keyed.key_ranges = 1;
@@ -374,21 +374,21 @@
             version: Version(version),
             change,
         }];
-        assert!(Arc::make_mut(&mut known.maps)
+        assert!(Arc::make_mut(&mut state.maps)
             .apply_updates(&ConsensusMessage::Updates { map, changes })
             .is_some());
     }
-    known
+    state
 }
 
 #[test]
 fn hot_key_leaves_owner_capacity_for_other_keys() {
-    let mut known = keyed_proxy_state();
-    known.proxies = 1;
+    let mut state = keyed_proxy_state();
+    state.proxies = 1;
     let mut shard = ServiceShard::new(1);
     let own = Zone::new("e1");
     let mut choose = |key: &str| {
-        let target = shard.choose(millis(1), &known, &own, &route(), Some(key), &[]);
+        let target = shard.choose(millis(1), &state, &own, &route(), Some(key), &[]);
         target.inspect(|target| shard.begin_attempt(millis(1), target))
     };
     assert!(choose("hot").is_ok() && choose("hot").is_ok());
@@ -405,7 +405,7 @@
 
 #[test]
 fn twelve_proxies_together_stay_near_the_key_cap() {
-    let known = keyed_proxy_state();
+    let state = keyed_proxy_state();
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..12).map(ServiceShard::new).collect();
     let mut in_flight: Vec<Option<(u64, Target)>> = vec![None; 12];
@@ -417,7 +417,7 @@
             if let Some((_, target)) = request.take_if(|(since, _)| step - *since >= 20) {
                 shard.end_attempt(now, &target, true, Some(load));
             }
-            let chosen = shard.choose(now, &known, &own, &route(), Some("hot"), &[]);
+            let chosen = shard.choose(now, &state, &own, &route(), Some("hot"), &[]);
             if let (None, Ok(target)) = (&request, chosen) {
                 shard.begin_attempt(now, &target);
                 *request = Some((step, target));
@@ -431,22 +431,22 @@
 
 #[test]
 fn ended_incarnation_gets_no_more_requests() {
-    let known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
+    let state = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(1), &known, &own, &route(), None, &[])
+        .choose(millis(1), &state, &own, &route(), None, &[])
         .expect("the instance has capacity");
     shard.begin_attempt(millis(1), &target);
     shard.end_attempt(millis(2), &target, true, None);
     shard.mark_incarnation_ended(&target);
-    let again = shard.choose(millis(3), &known, &own, &route(), None, &[]);
+    let again = shard.choose(millis(3), &state, &own, &route(), None, &[]);
     assert_eq!(again, Err(Failure::NoInstance));
 }
 
 #[test]
 fn overtaken_agent_response_is_ignored() {
-    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
+    let mut state = proxy_state(&[heartbeat("one", "e1", 60_000)]);
     let view = |number: u64, state: InstanceState| ProxyView {
         agent: NodeId(1),
         instances_offset: 1,
@@ -464,16 +464,16 @@
         configuration: Version(1),
         ownership: Version(0),
     };
-    known.apply_view(millis(200), &view(3, InstanceState::Draining));
-    known.apply_view(millis(100), &view(2, InstanceState::Serving));
-    let one = &known.instances[&InstanceId::new("one")];
+    state.apply_view(millis(200), &view(3, InstanceState::Draining));
+    state.apply_view(millis(100), &view(2, InstanceState::Serving));
+    let one = &state.instances[&InstanceId::new("one")];
     assert_eq!(one.state, InstanceState::Draining);
 }
 
 /// The state of a proxy that knows one owner of all keys, which serves at first.
 fn proxy_state_with_owner(policy: ProxyPolicy) -> ProxyState {
-    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
-    known.policy = policy;
+    let mut state = proxy_state(&[heartbeat("one", "e1", 60_000)]);
+    state.policy = policy;
     let maps = [
         (
             MapName::Configuration,
@@ -505,7 +505,7 @@
         ),
     ];
     let updates = maps.map(|(name, key, value)| {
-        let mut full_map = known.maps.map(name).clone();
+        let mut full_map = state.maps.map(name).clone();
         full_map.apply(&Change {
             id: ChangeId::new("keyed"),
             puts: vec![Put {
@@ -521,11 +521,11 @@
             full_map,
         }
     });
-    known.apply_view(
+    state.apply_view(
         millis(50),
         &state_view(2, InstanceState::Serving, updates.to_vec()),
     );
-    known
+    state
 }
 
 /// A view in which the owner is in this state.
@@ -552,10 +552,10 @@
 
 /// Returns whether a key goes to its owner now, after checking that the choice and the check before
 /// sending agree.
-fn is_key_routed(known: &ProxyState, now: Duration, target: &Target) -> bool {
+fn is_key_routed(state: &ProxyState, now: Duration, target: &Target) -> bool {
     let own = Zone::new("e1");
-    let chosen = ServiceShard::new(1).choose(now, known, &own, &route(), Some("k"), &[]);
-    let still = known.check_before_send(now, &own, &route(), target);
+    let chosen = ServiceShard::new(1).choose(now, state, &own, &route(), Some("k"), &[]);
+    let still = state.check_before_send(now, &own, &route(), target);
     assert_eq!(chosen.is_ok(), still.is_ok(), "{chosen:?} {still:?}");
     if chosen.is_err() {
         assert_eq!(chosen, Err(Failure::NoOwner));
@@ -576,13 +576,13 @@
         ),
         (0, ProxyPolicy::default()),
     ] {
-        let mut known = proxy_state_with_owner(policy);
+        let mut state = proxy_state_with_owner(policy);
         let own = Zone::new("e1");
         let target = ServiceShard::new(1)
-            .choose(millis(60), &known, &own, &route(), Some("k"), &[])
+            .choose(millis(60), &state, &own, &route(), Some("k"), &[])
             .expect("the instance is serving");
-        assert!(is_key_routed(&known, millis(90), &target));
-        known.apply_view(
+        assert!(is_key_routed(&state, millis(90), &target));
+        state.apply_view(
             millis(100),
             &state_view(3, InstanceState::Draining, Vec::new()),
         );
@@ -594,50 +594,50 @@
         ] {
             let now = millis(100 + after);
             assert_eq!(
-                is_key_routed(&known, now, &target),
+                is_key_routed(&state, now, &target),
                 is_expected,
                 "{period} {after}"
             );
         }
         // Another draining heartbeat does not start a new period.
-        known.apply_view(
+        state.apply_view(
             millis(3000),
             &state_view(4, InstanceState::Draining, Vec::new()),
         );
-        assert_eq!(is_key_routed(&known, millis(4099), &target), period > 0);
-        assert!(!is_key_routed(&known, millis(4100), &target));
+        assert_eq!(is_key_routed(&state, millis(4099), &target), period > 0);
+        assert!(!is_key_routed(&state, millis(4100), &target));
         // An instance that serves again gets keys without limit, and a period of its own when it
         // drains later.
-        known.apply_view(
+        state.apply_view(
             millis(5000),
             &state_view(5, InstanceState::Serving, Vec::new()),
         );
-        assert!(is_key_routed(&known, millis(20_000), &target));
-        known.apply_view(
+        assert!(is_key_routed(&state, millis(20_000), &target));
+        state.apply_view(
             millis(21_000),
             &state_view(6, InstanceState::Draining, Vec::new()),
         );
-        assert_eq!(is_key_routed(&known, millis(24_999), &target), period > 0);
-        assert!(!is_key_routed(&known, millis(25_000), &target));
+        assert_eq!(is_key_routed(&state, millis(24_999), &target), period > 0);
+        assert!(!is_key_routed(&state, millis(25_000), &target));
     }
 }
 
 #[test]
 fn draining_instance_of_an_unkeyed_service_gets_nothing() {
-    let mut known = proxy_state(&[heartbeat("one", "e1", 60_000)]);
-    known.policy.draining_owner = millis(4000);
+    let mut state = proxy_state(&[heartbeat("one", "e1", 60_000)]);
+    state.policy.draining_owner = millis(4000);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(60), &known, &own, &route(), None, &[])
+        .choose(millis(60), &state, &own, &route(), None, &[])
         .expect("the instance is serving");
-    known.apply_view(
+    state.apply_view(
         millis(100),
         &state_view(2, InstanceState::Draining, Vec::new()),
     );
-    let chosen = shard.choose(millis(110), &known, &own, &route(), None, &[]);
+    let chosen = shard.choose(millis(110), &state, &own, &route(), None, &[]);
     assert_eq!(chosen, Err(Failure::NoInstance));
-    let still = known.check_before_send(millis(110), &own, &route(), &target);
+    let still = state.check_before_send(millis(110), &own, &route(), &target);
     assert_eq!(still, Err(Failure::NoInstance));
 }
 
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -319,10 +319,10 @@
 
 /// Returns the names and counters of the instances that a proxy knows; checks that both of its indexes
 /// agree.
-fn known(knowledge: &ProxyState) -> Vec<(String, u64)> {
+fn known(proxy_state: &ProxyState) -> Vec<(String, u64)> {
     let pair = |heartbeat: &Heartbeat| (heartbeat.id.to_string(), heartbeat.counter);
-    let by_name: Vec<(String, u64)> = knowledge.instances.values().map(pair).collect();
-    let by_service = knowledge.by_service.values().flatten().map(pair);
+    let by_name: Vec<(String, u64)> = proxy_state.instances.values().map(pair).collect();
+    let by_service = proxy_state.by_service.values().flatten().map(pair);
     let mut by_service: Vec<(String, u64)> = by_service.collect();
     by_service.sort();
     assert_eq!(by_name, by_service);
@@ -331,7 +331,7 @@
 
 #[test]
 fn partial_proxy_view_keeps_unchanged_instances() {
-    let mut knowledge = ProxyState::default();
+    let mut proxy_state = ProxyState::default();
     let named = |pairs: &[(&str, u64)]| -> Vec<(String, u64)> {
         let pairs = pairs.iter();
         pairs
@@ -339,27 +339,27 @@
             .collect()
     };
     let all = vec![heartbeat("a", 1), heartbeat("b", 1), heartbeat("c", 1)];
-    knowledge.apply_view(millis(100), &view(1, true, all));
-    assert_eq!(known(&knowledge), named(&[("a", 1), ("b", 1), ("c", 1)]));
+    proxy_state.apply_view(millis(100), &view(1, true, all));
+    assert_eq!(known(&proxy_state), named(&[("a", 1), ("b", 1), ("c", 1)]));
     let moved = Heartbeat {
         service: ServiceName::new("other"),
         ..heartbeat("b", 2)
     };
-    knowledge.apply_view(millis(200), &view(2, false, vec![moved, heartbeat("d", 1)]));
+    proxy_state.apply_view(millis(200), &view(2, false, vec![moved, heartbeat("d", 1)]));
     let expected = named(&[("a", 1), ("b", 2), ("c", 1), ("d", 1)]);
-    assert_eq!(known(&knowledge), expected);
-    assert_eq!(knowledge.by_service[&ServiceName::new("other")].len(), 1);
-    assert_eq!(knowledge.instances_offset, 2);
+    assert_eq!(known(&proxy_state), expected);
+    assert_eq!(proxy_state.by_service[&ServiceName::new("other")].len(), 1);
+    assert_eq!(proxy_state.instances_offset, 2);
     // Nothing has changed, but the lease is extended.
-    knowledge.apply_view(millis(300), &view(3, false, Vec::new()));
-    assert_eq!(known(&knowledge), expected);
-    assert_eq!(knowledge.instances_offset, 3);
-    assert_eq!(knowledge.fresh_until, millis(3300));
+    proxy_state.apply_view(millis(300), &view(3, false, Vec::new()));
+    assert_eq!(known(&proxy_state), expected);
+    assert_eq!(proxy_state.instances_offset, 3);
+    assert_eq!(proxy_state.fresh_until, millis(3300));
     // A full list removes the instances that it does not contain.
-    knowledge.apply_view(millis(400), &view(4, true, vec![heartbeat("a", 2)]));
-    assert_eq!(known(&knowledge), named(&[("a", 2)]));
-    knowledge.apply_view(millis(500), &view(5, true, Vec::new()));
-    assert_eq!(known(&knowledge), []);
+    proxy_state.apply_view(millis(400), &view(4, true, vec![heartbeat("a", 2)]));
+    assert_eq!(known(&proxy_state), named(&[("a", 2)]));
+    proxy_state.apply_view(millis(500), &view(5, true, Vec::new()));
+    assert_eq!(known(&proxy_state), []);
 }
 
 #[test]
--- a/crates/caperworks/tests/operator_version_races.rs
+++ b/crates/caperworks/tests/operator_version_races.rs
@@ -217,7 +217,7 @@
 
 /// Three nodes and two operators, with lost, repeated and reordered messages, and restarts.
 struct World {
-    chance: RandomSource,
+    random: RandomSource,
     now: Duration,
     options: ProposerOptions,
     nodes: BTreeMap<u64, Node>,
@@ -242,7 +242,7 @@
             nodes.insert(number, Node::started(number, voter, &options));
         }
         Self {
-            chance: RandomSource::seeded(seed),
+            random: RandomSource::seeded(seed),
             now: Duration::ZERO,
             options,
             nodes,
@@ -256,7 +256,7 @@
     }
 
     fn random_node(&mut self) -> u64 {
-        1 + self.chance.below(NODES)
+        1 + self.random.below(NODES)
     }
 
     fn send(&mut self, node: u64, change: Change) {
@@ -269,14 +269,14 @@
 
     /// Proposes a new change of one or two items; the operators write different contents.
     fn new_call(&mut self) {
-        let operator = ["left", "right"][self.chance.below(2) as usize];
-        let count = 1 + self.chance.below(2) as usize;
-        let first = self.chance.below(3) as usize;
+        let operator = ["left", "right"][self.random.below(2) as usize];
+        let count = 1 + self.random.below(2) as usize;
+        let first = self.random.below(3) as usize;
         let puts = (first..first + count)
             .map(|index| {
-                let version = 1 + self.chance.below(self.highest_version);
-                let contents = format!("{operator} {}", self.chance.below(2));
-                let drops = self.chance.below(6) == 0;
+                let version = 1 + self.random.below(self.highest_version);
+                let contents = format!("{operator} {}", self.random.below(2));
+                let drops = self.random.below(6) == 0;
                 let contents = (!drops).then_some(contents.as_str());
                 put(ITEM_KEYS[index % 3], version, contents)
             })
@@ -292,8 +292,8 @@
         if self.calls.is_empty() {
             return;
         }
-        let index = self.chance.below(self.calls.len() as u64) as usize;
-        let change = match self.chance.below(3) {
+        let index = self.random.below(self.calls.len() as u64) as usize;
+        let change = match self.random.below(3) {
             0 => under_another_id(&self.calls[index], self.next_ticket),
             _ => self.calls[index].clone(),
         };
@@ -318,12 +318,12 @@
     }
 
     fn tick(&mut self, number: u64) {
-        self.now += Duration::from_millis(10 + self.chance.below(90));
+        self.now += Duration::from_millis(10 + self.random.below(90));
         let node = self.nodes.get_mut(&number).expect("a node");
-        if self.chance.below(4) == 0 {
+        if self.random.below(4) == 0 {
             node.proposer.finish();
         }
-        let outcome = node.proposer.tick(self.now, &node.voter, &mut self.chance);
+        let outcome = node.proposer.tick(self.now, &node.voter, &mut self.random);
         self.act(number, outcome);
     }
 
@@ -345,13 +345,13 @@
         if self.in_flight.is_empty() {
             return;
         }
-        let index = self.chance.below(self.in_flight.len() as u64) as usize;
-        let (from, to, message) = match self.chance.below(20) {
+        let index = self.random.below(self.in_flight.len() as u64) as usize;
+        let (from, to, message) = match self.random.below(20) {
             // A message may be delivered twice.
             0 => self.in_flight[index].clone(),
             _ => self.in_flight.swap_remove(index),
         };
-        if self.chance.below(12) > 0 {
+        if self.random.below(12) > 0 {
             self.deliver(from, to, message);
         }
     }
@@ -376,10 +376,10 @@
     }
 
     fn step(&mut self) {
-        match self.chance.below(100) {
+        match self.random.below(100) {
             0..=1 => self.new_call(),
             2..=3 => self.repeat_call(),
-            4 if self.chance.below(3) == 0 => {
+            4 if self.random.below(3) == 0 => {
                 let node = self.random_node();
                 self.restart(node);
             }
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -94,7 +94,7 @@
 /// A proxy in zone e1 and the state that its agent sends: e1 and e2 are in the east, w1 in the west, n1 in
 /// the north.
 struct Bench {
-    known: ProxyState,
+    proxy_state: ProxyState,
     /// How long the agent attributes missing responses of the controllers to a slow link.
     slow_link_remaining: Duration,
     configuration: ReplicatedMap,
@@ -118,12 +118,12 @@
         puts.push(put("rule/any", Value::Route { route: route() }));
         let mut configuration = ReplicatedMap::empty();
         configuration.apply(&change("first", puts));
-        let known = ProxyState {
+        let proxy_state = ProxyState {
             policy,
             ..ProxyState::default()
         };
         Self {
-            known,
+            proxy_state,
             slow_link_remaining: Duration::ZERO,
             configuration,
             views: 0,
@@ -156,11 +156,12 @@
             proxies: 1,
             ownership: Version(0),
         };
-        self.known.apply_view(now, &view);
+        self.proxy_state.apply_view(now, &view);
     }
 
     fn check_admission(&self, now: Duration, route: &Route) -> Result<(), Failure> {
-        self.known.check_admission(now, &Zone::new("e1"), route)
+        self.proxy_state
+            .check_admission(now, &Zone::new("e1"), route)
     }
 
     /// Returns which instances are chosen in many attempts.
@@ -169,8 +170,10 @@
         let mut names = BTreeSet::new();
         let own = Zone::new("e1");
         for _ in 0..300 {
-            if let Ok(target) = shard.choose(now, &self.known, &own, route, None, &[]) {
-                let checked = self.known.check_before_send(now, &own, route, &target);
+            if let Ok(target) = shard.choose(now, &self.proxy_state, &own, route, None, &[]) {
+                let checked = self
+                    .proxy_state
+                    .check_before_send(now, &own, route, &target);
                 assert_eq!(checked, Ok(()));
                 // The request is not ended: instances at their limit leave the choice to all others.
                 shard.begin_attempt(now, &target);
@@ -208,7 +211,7 @@
         });
         bench.send_view(Duration::ZERO, &one_in_each_zone());
         assert_eq!(bench.check_admission(millis(2999), &route()), Ok(()));
-        let found = bench.known.find(LONG_AFTER, "a.example", "/x");
+        let found = bench.proxy_state.find(LONG_AFTER, "a.example", "/x");
         assert!(
             found.is_ok(),
             "routes are found whatever the age of the state"
@@ -252,7 +255,10 @@
         ..ProxyPolicy::default()
     });
     bench.send_view(Duration::ZERO, &one_in_each_zone());
-    bench.known.link_monitor.record_congestion(millis(2000));
+    bench
+        .proxy_state
+        .link_monitor
+        .record_congestion(millis(2000));
     // A valid lease takes precedence, and later views do not clear what the proxy itself has observed.
     assert_eq!(bench.check_admission(millis(2999), &route()), Ok(()));
     assert_eq!(
@@ -293,16 +299,16 @@
 
 #[test]
 fn serve_stale_proxy_without_any_state_rejects_as_stale() {
-    let known = ProxyState {
+    let proxy_state = ProxyState {
         policy: ProxyPolicy {
             serves_stale: true,
             ..ProxyPolicy::default()
         },
         ..ProxyState::default()
     };
-    let admitted = known.check_admission(millis(10), &Zone::new("e1"), &route());
+    let admitted = proxy_state.check_admission(millis(10), &Zone::new("e1"), &route());
     assert_eq!(admitted, Err(Failure::Stale));
-    let found = known.find(millis(10), "a.example", "/").map(|_| ());
+    let found = proxy_state.find(millis(10), "a.example", "/").map(|_| ());
     assert_eq!(
         found,
         Err(Failure::Stale),
@@ -342,12 +348,12 @@
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(1), &bench.known, &own, &route(), None, &[])
+        .choose(millis(1), &bench.proxy_state, &own, &route(), None, &[])
         .expect("it has capacity");
     bench.apply(vec![zone_put("e1", "east", true)]);
     bench.send_view(millis(100), &[heartbeat("in-e1", "e1")]);
     let checked = bench
-        .known
+        .proxy_state
         .check_before_send(millis(101), &own, &route(), &target);
     assert_eq!(checked, Err(Failure::NoInstance));
 }
@@ -443,18 +449,18 @@
 
 /// Returns a request of this kind whose first attempt was sent.
 fn sent(kind: RequestKind, reads: bool, max_attempts: u32) -> RequestLifecycle {
-    let mut chart = RequestLifecycle::received(reads);
+    let mut lifecycle = RequestLifecycle::received(reads);
     let route = Route {
         kind,
         max_attempts,
         ..route()
     };
-    chart.matched(millis(0), &route);
-    chart.admitted(true);
-    chart.chosen();
-    chart.begin_attempt();
-    chart.sent();
-    chart
+    lifecycle.matched(millis(0), &route);
+    lifecycle.admitted(true);
+    lifecycle.chosen();
+    lifecycle.begin_attempt();
+    lifecycle.sent();
+    lifecycle
 }
 
 #[test]
@@ -470,36 +476,36 @@
         (RequestKind::Upload, false, false),
     ] {
         for end in [AttemptEnd::ConnectionLost, AttemptEnd::MalformedResponse] {
-            let mut chart = sent(kind, reads, 0);
-            let step = chart.attempt_ended(millis(10), end, || true);
+            let mut lifecycle = sent(kind, reads, 0);
+            let step = lifecycle.attempt_ended(millis(10), end, || true);
             let has_retry = step == NextStep::Retry;
             assert_eq!(has_retry, is_retried, "{kind:?} reads {reads} {end:?}");
             if let NextStep::Respond(failure) = step {
                 assert_eq!(
-                    chart.reported_outcome(failure),
+                    lifecycle.reported_outcome(failure),
                     ReportedOutcome::Unknown,
                     "{kind:?} {end:?}"
                 );
             }
         }
         // A request that certainly did not run is retried elsewhere, whatever its kind.
-        let mut chart = sent(kind, reads, 0);
-        let step = chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
+        let mut lifecycle = sent(kind, reads, 0);
+        let step = lifecycle.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
         assert_eq!(step, NextStep::Retry, "{kind:?} reads {reads}");
     }
 }
 
 #[test]
 fn once_request_lost_after_a_rejected_attempt_is_unknown() {
-    let mut chart = sent(RequestKind::Once, true, 0);
-    let step = chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
+    let mut lifecycle = sent(RequestKind::Once, true, 0);
+    let step = lifecycle.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true);
     assert_eq!(step, NextStep::Retry);
-    chart.chosen();
-    chart.begin_attempt();
-    let step = chart.attempt_ended(millis(20), AttemptEnd::ConnectionLost, || true);
+    lifecycle.chosen();
+    lifecycle.begin_attempt();
+    let step = lifecycle.attempt_ended(millis(20), AttemptEnd::ConnectionLost, || true);
     assert_eq!(step, NextStep::Respond(Failure::LostAfterSending));
     assert_eq!(
-        chart.reported_outcome(Failure::LostAfterSending),
+        lifecycle.reported_outcome(Failure::LostAfterSending),
         ReportedOutcome::Unknown
     );
 }
@@ -507,36 +513,36 @@
 #[test]
 fn maximum_attempts_bounds_rejected_attempts() {
     for (limit, expected) in [(1, 1), (2, 2), (5, 5), (0, 3)] {
-        let mut chart = sent(RequestKind::Repeatable, true, limit);
+        let mut lifecycle = sent(RequestKind::Repeatable, true, limit);
         let mut attempts = 1;
-        while chart.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true)
+        while lifecycle.attempt_ended(millis(10), AttemptEnd::RejectedByInstance, || true)
             == NextStep::Retry
         {
-            chart.chosen();
-            chart.begin_attempt();
+            lifecycle.chosen();
+            lifecycle.begin_attempt();
             attempts += 1;
         }
         assert_eq!(attempts, expected, "limit {limit}");
-        assert_eq!(chart.attempts(), expected);
-        assert_eq!(chart.state(), RequestState::Rejected);
+        assert_eq!(lifecycle.attempts(), expected);
+        assert_eq!(lifecycle.state(), RequestState::Rejected);
     }
 }
 
 #[test]
 fn no_retry_after_the_client_deadline() {
-    let mut chart = sent(RequestKind::Repeatable, true, 0);
-    chart.limit_deadline(millis(300));
-    assert_eq!(chart.deadline(), millis(300));
-    chart.limit_deadline(millis(5000));
+    let mut lifecycle = sent(RequestKind::Repeatable, true, 0);
+    lifecycle.limit_deadline(millis(300));
+    assert_eq!(lifecycle.deadline(), millis(300));
+    lifecycle.limit_deadline(millis(5000));
     assert_eq!(
-        chart.deadline(),
+        lifecycle.deadline(),
         millis(300),
         "a longer deadline has no effect"
     );
-    let step = chart.attempt_ended(millis(299), AttemptEnd::NotOpened, || true);
+    let step = lifecycle.attempt_ended(millis(299), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Retry);
-    chart.begin_attempt();
-    let step = chart.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
+    lifecycle.begin_attempt();
+    let step = lifecycle.attempt_ended(millis(300), AttemptEnd::NotOpened, || true);
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
     let mut other = sent(RequestKind::Repeatable, true, 0);
     other.limit_deadline(millis(5000));
@@ -550,7 +556,7 @@
     let mut count = 0;
     for step in 0..seconds * 1000 {
         let now = from + millis(step);
-        if let Ok(target) = shard.choose(now, &bench.known, &own, &route(), None, &[]) {
+        if let Ok(target) = shard.choose(now, &bench.proxy_state, &own, &route(), None, &[]) {
             shard.begin_attempt(now, &target);
             shard.end_attempt(now, &target, true, Some(0));
             count += u32::from(target.instance.as_str() == name);
@@ -572,7 +578,7 @@
         "{count} to the warming instance"
     );
     // Several proxies divide the rate between them.
-    bench.known.proxies = 5;
+    bench.proxy_state.proxies = 5;
     let count = count_requests(&bench, Duration::ZERO, 10, "cold");
     assert!((16..=20).contains(&count), "{count} by one proxy of five");
     warming.warm_up_left = Duration::ZERO;
@@ -593,11 +599,18 @@
     bench.send_view(Duration::ZERO, &[warming]);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(3);
-    let _ = shard.choose(Duration::ZERO, &bench.known, &own, &route(), None, &[]);
+    let _ = shard.choose(
+        Duration::ZERO,
+        &bench.proxy_state,
+        &own,
+        &route(),
+        None,
+        &[],
+    );
     let mut count = 0;
     for _ in 0..50 {
         let now = millis(2900);
-        if let Ok(target) = shard.choose(now, &bench.known, &own, &route(), None, &[]) {
+        if let Ok(target) = shard.choose(now, &bench.proxy_state, &own, &route(), None, &[]) {
             shard.begin_attempt(now, &target);
             shard.end_attempt(now, &target, true, Some(0));
             count += 1;
@@ -654,7 +667,7 @@
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let choose = |shard: &mut ServiceShard, bench: &Bench, now: Duration| {
-        shard.choose(now, &bench.known, &own, &route(), None, &[])
+        shard.choose(now, &bench.proxy_state, &own, &route(), None, &[])
     };
     let target = choose(&mut shard, &bench, millis(1)).expect("it has capacity");
     shard.begin_attempt(millis(1), &target);
@@ -703,7 +716,7 @@
             change: key_ranges,
         }],
     };
-    assert!(Arc::make_mut(&mut bench.known.maps)
+    assert!(Arc::make_mut(&mut bench.proxy_state.maps)
         .apply_updates(&updates)
         .is_some());
     let own = Zone::new("e1");
@@ -712,7 +725,7 @@
     for step in 0..2000 {
         let now = millis(step);
         let key = (step % 65_536).to_string();
-        let chosen = shard.choose(now, &bench.known, &own, &route(), Some(&key), &[]);
+        let chosen = shard.choose(now, &bench.proxy_state, &own, &route(), Some(&key), &[]);
         if let Ok(target) = chosen {
             assert_eq!(target.key_range, Some((0, Epoch(1))));
             shard.begin_attempt(now, &target);
@@ -722,10 +735,17 @@
     }
     assert!((16..=20).contains(&count), "{count} in two seconds");
     for key in ["65536", "-1", "x", ""] {
-        let chosen = shard.choose(millis(2000), &bench.known, &own, &route(), Some(key), &[]);
+        let chosen = shard.choose(
+            millis(2000),
+            &bench.proxy_state,
+            &own,
+            &route(),
+            Some(key),
+            &[],
+        );
         assert_eq!(chosen, Err(Failure::BadKey), "{key}");
     }
-    let missing = shard.choose(millis(2000), &bench.known, &own, &route(), None, &[]);
+    let missing = shard.choose(millis(2000), &bench.proxy_state, &own, &route(), None, &[]);
     assert_eq!(missing, Err(Failure::MissingKey));
 }
 
@@ -735,7 +755,7 @@
     let mut warming = heartbeat("cold", "e1");
     warming.warm_up_left = millis(60_000);
     bench.send_view(Duration::ZERO, &[warming]);
-    bench.known.proxies = 24;
+    bench.proxy_state.proxies = 24;
     let own = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..24)
         .map(|seed| ServiceShard::new(seed * 77 + 5))
@@ -744,7 +764,7 @@
     for step in 0..1000 {
         let now = millis(step * 10);
         for shard in &mut shards {
-            if let Ok(target) = shard.choose(now, &bench.known, &own, &route(), None, &[]) {
+            if let Ok(target) = shard.choose(now, &bench.proxy_state, &own, &route(), None, &[]) {
                 shard.begin_attempt(now, &target);
                 shard.end_attempt(now, &target, true, Some(0));
                 sent.push(step * 10);
--- a/crates/caperworks/tests/suspected_instances.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -82,9 +82,9 @@
     configuration
 }
 
-/// A proxy with its knowledge of some instances.
+/// A proxy with its state of some instances.
 struct Proxy {
-    knowledge: ProxyState,
+    proxy_state: ProxyState,
     shard: ServiceShard,
     views: u64,
 }
@@ -92,7 +92,7 @@
 impl Proxy {
     fn new(names: &[&str]) -> Self {
         let mut proxy = Self {
-            knowledge: ProxyState::default(),
+            proxy_state: ProxyState::default(),
             shard: ServiceShard::new(1),
             views: 0,
         };
@@ -124,7 +124,7 @@
                 .map(|name| InstanceId::new(*name))
                 .collect(),
         };
-        self.knowledge.apply_view(Duration::ZERO, &view);
+        self.proxy_state.apply_view(Duration::ZERO, &view);
     }
 
     fn choose_target(&mut self, now: Duration) -> Result<Target, Failure> {
@@ -134,7 +134,7 @@
         };
         let zone = Zone::new(ZONE);
         self.shard
-            .choose(now, &self.knowledge, &zone, &route, None, &[])
+            .choose(now, &self.proxy_state, &zone, &route, None, &[])
     }
 
     /// Sends one request to this instance, which succeeds or fails.
