--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -9,7 +9,7 @@
 use jzon::JsonValue;
 
 use runbook_runner::runbook::{Action, Runbook};
-use runbook_runner::runner::{Runner, Seen, Wish};
+use runbook_runner::runner::{NextAction, Runner, Seen};
 use runtime::actor::fresh_seed;
 use runtime::clock::Clock;
 use runtime::http::Fetch;
@@ -154,20 +154,20 @@
             }
         }
         match runner.next() {
-            Wish::Done => {
+            NextAction::Done => {
                 println!("{name}: done");
                 return Ok(());
             }
-            Wish::Stopped { step, why, remedy } => {
+            NextAction::Stopped { step, why, remedy } => {
                 eprintln!("{name}: stopped at step {step}: {why}");
                 eprintln!("what to do: {remedy}");
                 std::process::exit(1);
             }
-            Wish::Apply { change } => {
+            NextAction::Apply { change } => {
                 let (status, response) = apply(&flags.controllers, &change.dump()).await;
                 runner.applied(clock.now(), status, &response);
             }
-            Wish::ApplyFile { file } => match std::fs::read_to_string(&file) {
+            NextAction::ApplyFile { file } => match std::fs::read_to_string(&file) {
                 Ok(text) => {
                     let (status, response) = apply(&flags.controllers, &text).await;
                     runner.applied(clock.now(), status, &response);
@@ -177,7 +177,7 @@
                     runner.applied(clock.now(), 0, &why);
                 }
             },
-            Wish::Look => {
+            NextAction::Look => {
                 let nothing = (JsonValue::new_object(), JsonValue::new_object());
                 let (status, configuration) = look(&flags.controllers).await.unwrap_or(nothing);
                 let seen = Seen {
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -9,7 +9,7 @@
 
 /// What the runner wants done next.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Wish {
+pub enum NextAction {
     /// Read status and configuration, and hand them in.
     Look,
     /// Apply this change set, and hand the answer in.
@@ -209,26 +209,26 @@
     }
 
     /// What is to be done next.
-    pub fn next(&self) -> Wish {
+    pub fn next(&self) -> NextAction {
         let Some(step) = self.runbook.steps.get(self.index) else {
-            return Wish::Done;
+            return NextAction::Done;
         };
         match (&self.phase, &step.action) {
-            (Phase::Stopped { why }, _) => Wish::Stopped {
+            (Phase::Stopped { why }, _) => NextAction::Stopped {
                 step: self.index + 1,
                 why: why.clone(),
                 remedy: self.filled(&step.otherwise),
             },
-            (Phase::Applying, Action::Apply(file)) => Wish::ApplyFile {
+            (Phase::Applying, Action::Apply(file)) => NextAction::ApplyFile {
                 file: self.filled(file),
             },
             (Phase::Applying, _) => match self.remembered.get("") {
-                Some(change) => Wish::Apply {
+                Some(change) => NextAction::Apply {
                     change: change.clone(),
                 },
-                None => Wish::Look,
+                None => NextAction::Look,
             },
-            _ => Wish::Look,
+            _ => NextAction::Look,
         }
     }
 
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -6,7 +6,7 @@
 
 use caperworks::identifiers::Zone;
 use runbook_runner::runbook::{Action, Runbook};
-use runbook_runner::runner::{Runner, Seen, Wish};
+use runbook_runner::runner::{NextAction, Runner, Seen};
 use simulator::day::{deployment, Act, Day, FaultStep};
 use simulator::world::World;
 
@@ -61,21 +61,21 @@
             }
         }
         match runner.next() {
-            Wish::Done => return Ok(()),
-            Wish::Stopped { step, why, remedy } => return Err((step, why, remedy)),
-            Wish::Apply { change } => {
+            NextAction::Done => return Ok(()),
+            NextAction::Stopped { step, why, remedy } => return Err((step, why, remedy)),
+            NextAction::Apply { change } => {
                 let change =
                     controller::operator_json::read_change(&change.dump()).expect("it reads");
                 let (status, response) = world.apply(change);
                 runner.applied(world.now, status, &response);
             }
-            Wish::ApplyFile { file } => {
+            NextAction::ApplyFile { file } => {
                 let text = std::fs::read_to_string(file).expect("the file reads");
                 let change = controller::operator_json::read_change(&text).expect("it reads");
                 let (status, response) = world.apply(change);
                 runner.applied(world.now, status, &response);
             }
-            Wish::Look => {
+            NextAction::Look => {
                 let next = world.now + Duration::from_millis(250);
                 world.run_until(next);
                 let (status, configuration) = world.look();
