--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -9,7 +9,7 @@
 use jzon::JsonValue;
 
 use runbook_runner::runbook::{Action, Runbook};
-use runbook_runner::runner::{NextAction, Runner, Seen};
+use runbook_runner::runner::{NextAction, Observation, Runner};
 use runtime::actor::fresh_seed;
 use runtime::clock::Clock;
 use runtime::http::Fetch;
@@ -180,7 +180,7 @@
             NextAction::Look => {
                 let nothing = (JsonValue::new_object(), JsonValue::new_object());
                 let (status, configuration) = look(&flags.controllers).await.unwrap_or(nothing);
-                let seen = Seen {
+                let seen = Observation {
                     status: &status,
                     configuration: &configuration,
                 };
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -49,7 +49,7 @@
 }
 
 /// What a controller last told.
-pub struct Seen<'seen> {
+pub struct Observation<'seen> {
     pub status: &'seen JsonValue,
     pub configuration: &'seen JsonValue,
 }
@@ -62,7 +62,7 @@
 }
 
 /// Whether a check holds; if not, what was seen instead.
-pub fn holds(check: &Check, seen: &Seen<'_>) -> Result<(), String> {
+pub fn holds(check: &Check, seen: &Observation<'_>) -> Result<(), String> {
     let status = seen.status;
     let voters = |controllers_only: bool| {
         let count = status["seats"]
@@ -233,7 +233,7 @@
     }
 
     /// Takes what a controller told; the machine may move on.
-    pub fn saw(&mut self, now: Duration, seen: &Seen<'_>) {
+    pub fn saw(&mut self, now: Duration, seen: &Observation<'_>) {
         let Some(step) = self.runbook.steps.get(self.index).cloned() else {
             return;
         };
@@ -273,7 +273,7 @@
         }
     }
 
-    fn enter(&mut self, now: Duration, step: &Step, seen: &Seen<'_>) {
+    fn enter(&mut self, now: Duration, step: &Step, seen: &Observation<'_>) {
         let checking = Phase::Checking {
             since: now,
             held_since: None,
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -6,7 +6,7 @@
 
 use caperworks::identifiers::Zone;
 use runbook_runner::runbook::{Action, Runbook};
-use runbook_runner::runner::{NextAction, Runner, Seen};
+use runbook_runner::runner::{NextAction, Observation, Runner};
 use simulator::day::{deployment, Act, Day, FaultStep};
 use simulator::world::World;
 
@@ -79,7 +79,7 @@
                 let next = world.now + Duration::from_millis(250);
                 world.run_until(next);
                 let (status, configuration) = world.look();
-                let seen = Seen {
+                let seen = Observation {
                     status: &status,
                     configuration: &configuration,
                 };
