--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -177,7 +177,7 @@
                     runner.applied(clock.now(), 0, &why);
                 }
             },
-            NextAction::Look => {
+            NextAction::ReadStatus => {
                 let nothing = (JsonValue::new_object(), JsonValue::new_object());
                 let (status, configuration) = look(&flags.controllers).await.unwrap_or(nothing);
                 let seen = Observation {
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum NextAction {
     /// Read status and configuration, and hand them in.
-    Look,
+    ReadStatus,
     /// Apply this change set, and hand the answer in.
     Apply { change: JsonValue },
     /// Apply the change set in this file, and hand the answer in.
@@ -226,9 +226,9 @@
                 Some(change) => NextAction::Apply {
                     change: change.clone(),
                 },
-                None => NextAction::Look,
+                None => NextAction::ReadStatus,
             },
-            _ => NextAction::Look,
+            _ => NextAction::ReadStatus,
         }
     }
 
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -75,7 +75,7 @@
                 let (status, response) = world.apply(change);
                 runner.applied(world.now, status, &response);
             }
-            NextAction::Look => {
+            NextAction::ReadStatus => {
                 let next = world.now + Duration::from_millis(250);
                 world.run_until(next);
                 let (status, configuration) = world.look();
