--- a/crates/runbook-runner/src/lib.rs
+++ b/crates/runbook-runner/src/lib.rs
@@ -1,4 +1,4 @@
-//! Runbooks that can be executed: read and checked, then run step by step.
+//! Executable runbooks: the file format and its validation, and a state machine that runs the steps.
 
 pub mod runbook;
 pub mod runner;
--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -1,4 +1,4 @@
-//! `runbook-runner`: runs written runbooks step by step.
+//! `runbook-runner`: executes runbook files step by step against a running fleet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,9 +15,10 @@
 use runtime::http::Fetch;
 use runtime::options::{end_over, read_flags, OptionsFault};
 
-const HELP: &str = "Runs a written runbook step by step: does what each step says, checks that it \
-came about, and stops with what to do next when it did not";
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
+const HELP: &str =
+    "Executes a runbook file step by step: performs the action of each step, waits for \
+its checks to hold, and stops with instructions for the operator when they do not";
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Clone)]
 struct Flags {
@@ -29,17 +30,17 @@
 
 fn flags() -> OptionParser<Flags> {
     let controllers = long("ledger")
-        .help("HTTP address of a controller; give several and they are tried in turn")
+        .help("HTTP address of a controller; may be repeated, addresses are tried in order")
         .argument::<SocketAddr>("ADDRESS")
         .many();
     let inputs = long("set")
-        .help("An input of the runbook, NAME=VALUE")
+        .help("Value of a runbook input; may be repeated")
         .argument::<String>("NAME=VALUE")
         .many();
     let dry = long("dry")
-        .help("Read and check the runbook, say what it would do, and change nothing")
+        .help("Validate the runbook and print its steps without executing them")
         .switch();
-    let file = positional::<PathBuf>("RUNBOOK").help("A runbook's file");
+    let file = positional::<PathBuf>("RUNBOOK").help("Runbook file");
     construct!(Flags {
         controllers,
         inputs,
@@ -50,39 +51,45 @@
     .descr(HELP)
 }
 
-/// Reads status and configuration at the first controller that can vouch for them.
-async fn look(controllers: &[SocketAddr]) -> Option<(JsonValue, JsonValue)> {
+/// Reads status and configuration from the first controller that returns both.
+///
+/// If no controller returns its configuration, the result is the last status that was read, with an
+/// empty configuration.
+async fn read_fleet_state(controllers: &[SocketAddr]) -> Option<(JsonValue, JsonValue)> {
     let mut fallback = None;
     for controller in controllers {
-        let ask = |path: &'static str| {
+        let fetch = |path: &'static str| {
             Fetch::get(*controller, path)
                 .timeout(Duration::from_secs(2))
                 .send()
         };
-        let Ok(status) = ask("/v1/status").await else {
+        let Ok(status) = fetch("/v1/status").await else {
             continue;
         };
         let status = status.json();
-        match ask("/v1/standing").await {
+        match fetch("/v1/standing").await {
             Ok(configuration) if configuration.status == 200 => {
                 return Some((status, configuration.json()))
             }
-            // Why kept: a runbook for a lost majority must see what there is.
+            // Controllers without a majority return only their status, and the runbook for a lost
+            // majority needs it.
             _ => fallback = Some((status, JsonValue::new_object())),
         }
     }
     fallback
 }
 
+/// Posts a change set to the controllers in order until one of them accepts or rejects it.
 async fn apply(controllers: &[SocketAddr], change: &str) -> (u16, JsonValue) {
-    let mut last = (503, jzon::object! { why: "no controller could be reached" });
+    let mut last = (503, jzon::object! { why: "no controller is reachable" });
     for controller in controllers {
-        let sent = Fetch::post(*controller, "/v1/standing", change.to_string())
+        let response = Fetch::post(*controller, "/v1/standing", change.to_string())
             .timeout(Duration::from_secs(5))
             .send()
             .await;
-        // Why it is safe to go on: a repeat under the same id gets the first answer.
-        match sent {
+        // Retrying at the next controller is safe: a change set with a known id is not applied again,
+        // and the controller returns the result of the first attempt.
+        match response {
             Ok(fetched) if fetched.status == 503 => last = (503, fetched.json()),
             Ok(fetched) => return (fetched.status, fetched.json()),
             Err(_) => {}
@@ -91,13 +98,13 @@
     last
 }
 
-fn show_plan(runner: &Runner) {
+fn print_steps(runner: &Runner) {
     for (index, step) in runner.steps().iter().enumerate() {
         println!("{}. {}", index + 1, runner.filled(&step.say));
         match &step.action {
             Action::Nothing => {}
-            Action::ByHand(text) => println!("   by hand: {}", runner.filled(text)),
-            action => println!("   do: {}", runner.filled(&format!("{action:?}"))),
+            Action::ByHand(text) => println!("   manual action: {}", runner.filled(text)),
+            action => println!("   action: {}", runner.filled(&format!("{action:?}"))),
         }
         for check in &step.checks {
             println!("   check: {}", runner.filled(&format!("{check:?}")));
@@ -109,7 +116,7 @@
 async fn main() -> anyhow::Result<()> {
     let flags = read_flags(&flags());
     let runbook = Runbook::read(&flags.file).unwrap_or_else(|faults| end_over(&faults));
-    let on_command_line = |field: &str, remedy: String| OptionsFault {
+    let command_line_fault = |field: &str, remedy: String| OptionsFault {
         file: "command line".to_string(),
         field: field.to_string(),
         remedy,
@@ -118,39 +125,42 @@
     for input in &flags.inputs {
         match input.split_once('=') {
             Some((name, value)) => inputs.insert(name.to_string(), value.to_string()),
-            None => end_over(&[on_command_line(
+            None => end_over(&[command_line_fault(
                 "--set",
-                format!("{input}: give NAME=VALUE"),
+                format!("{input} has no '=': expected NAME=VALUE"),
             )]),
         };
     }
     let name = runbook.name.clone();
     println!("{name}: {}", runbook.about);
-    let mut runner = Runner::start(runbook, inputs, fresh_seed()).unwrap_or_else(|wrong| {
-        let faults: Vec<OptionsFault> = wrong
+    let mut runner = Runner::start(runbook, inputs, fresh_seed()).unwrap_or_else(|input_faults| {
+        let faults: Vec<OptionsFault> = input_faults
             .into_iter()
-            .map(|remedy| on_command_line("--set", remedy))
+            .map(|remedy| command_line_fault("--set", remedy))
             .collect();
         end_over(&faults)
     });
     if flags.dry {
-        show_plan(&runner);
+        print_steps(&runner);
         return Ok(());
     }
     if flags.controllers.is_empty() {
-        end_over(&[on_command_line(
+        end_over(&[command_line_fault(
             "--ledger",
-            "is missing: name at least one".to_string(),
+            "is missing: give the address of at least one controller".to_string(),
         )]);
     }
     let clock = Clock::start();
-    let mut shown = 0;
+    let mut last_shown_step = 0;
     loop {
-        if let Some((number, step)) = runner.step().filter(|(number, _)| *number > shown) {
-            shown = number;
+        if let Some((number, step)) = runner
+            .step()
+            .filter(|(number, _)| *number > last_shown_step)
+        {
+            last_shown_step = number;
             println!("{number}. {}", runner.filled(&step.say));
             if let Action::ByHand(text) = &step.action {
-                println!("   now, by hand: {}", runner.filled(text));
+                println!("   manual action: {}", runner.filled(text));
             }
         }
         match runner.next() {
@@ -172,20 +182,23 @@
                     let (status, response) = apply(&flags.controllers, &text).await;
                     runner.applied(clock.now(), status, &response);
                 }
-                Err(failure) => {
-                    let why = jzon::object! { why: format!("{file} cannot be read: {failure}") };
+                Err(error) => {
+                    let why =
+                        jzon::object! { why: format!("cannot read change set {file}: {error}") };
                     runner.applied(clock.now(), 0, &why);
                 }
             },
             NextAction::ReadStatus => {
-                let nothing = (JsonValue::new_object(), JsonValue::new_object());
-                let (status, configuration) = look(&flags.controllers).await.unwrap_or(nothing);
+                let no_state = (JsonValue::new_object(), JsonValue::new_object());
+                let (status, configuration) = read_fleet_state(&flags.controllers)
+                    .await
+                    .unwrap_or(no_state);
                 let seen = Observation {
                     status: &status,
                     configuration: &configuration,
                 };
                 runner.saw(clock.now(), &seen);
-                tokio::time::sleep(LOOK_PERIOD).await;
+                tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             }
         }
     }
--- a/crates/runbook-runner/src/runbook.rs
+++ b/crates/runbook-runner/src/runbook.rs
@@ -1,4 +1,4 @@
-//! A runbook's file: read by hand, with every fault named.
+//! Parsing and validation of runbook files. Validation reports all faults of a file at once.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,24 +7,24 @@
 
 use runtime::options::{read_json_file, OptionsFault};
 
-/// What a step does before it checks.
+/// The action of a step, performed before its checks.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Only looks.
+    /// No action; the step only runs its checks.
     Nothing,
-    /// The operator does something that this tool must not; the check tells when it is done.
+    /// A manual action by the operator; the checks detect when it is complete.
     ByHand(String),
     CloseZone(String),
     OpenZone(String),
-    /// Applies a change set from a file.
+    /// Applies the change set in this file.
     Apply(String),
-    /// Keeps an item as it is now, for a later step back.
+    /// Saves the current value of a configuration item for a later `Restore`.
     Remember(String),
-    /// Puts a remembered item back.
+    /// Writes the value saved by `Remember` back to the configuration.
     Restore(String),
 }
 
-/// One thing that must hold before the next step.
+/// A condition on the fleet that must hold before the next step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Check {
     Current,
@@ -42,22 +42,27 @@
     NoVoterAt(String),
 }
 
+/// One step of a runbook.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
+    /// Description shown to the operator.
     pub say: String,
     pub action: Action,
     pub checks: Vec<Check>,
+    /// How long the checks may take to hold.
     pub within: Duration,
-    /// How long the checks must hold in a row.
+    /// How long the checks must hold without interruption.
     pub steady: Duration,
-    /// What to do when the checks do not hold in time.
-    pub otherwise: String,
+    /// Instructions for the operator if the checks do not hold within `within`.
+    pub on_failure: String,
 }
 
+/// A validated runbook.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Runbook {
     pub name: String,
     pub about: String,
+    /// Input names with their descriptions.
     pub inputs: Vec<(String, String)>,
     pub steps: Vec<Step>,
 }
@@ -85,12 +90,12 @@
 }
 
 fn read_check(name: &str, value: &JsonValue) -> Option<Check> {
-    let truth = || value.as_bool().filter(|truth| *truth);
+    let is_true = || value.as_bool().filter(|value| *value);
     let text = || value.as_str().map(str::to_string);
     Some(match name {
-        "current" => truth().map(|_| Check::Current)?,
-        "disk-well" => truth().map(|_| Check::DiskRecovered)?,
-        "duties-held" => truth().map(|_| Check::LeadershipsHeld)?,
+        "current" => is_true().map(|_| Check::Current)?,
+        "disk-well" => is_true().map(|_| Check::DiskRecovered)?,
+        "duties-held" => is_true().map(|_| Check::LeadershipsHeld)?,
         "living-seats-at-least" => Check::LivingVoters(value.as_u64()?),
         "living-ledgers-at-least" => Check::LivingControllers(value.as_u64()?),
         "ready-proxies-at-least" => Check::ReadyProxies(value.as_u64()?),
@@ -105,8 +110,8 @@
     })
 }
 
-/// The names between `${` and `}` in a text.
-fn names_in(text: &str) -> Vec<String> {
+/// Returns the names of all `${name}` placeholders in a text.
+fn placeholders_in(text: &str) -> Vec<String> {
     text.split("${")
         .skip(1)
         .filter_map(|rest| rest.split_once('}'))
@@ -115,7 +120,7 @@
 }
 
 impl Runbook {
-    /// Reads and checks a runbook's file.
+    /// Reads and validates a runbook file.
     pub fn read(path: &Path) -> Result<Self, Vec<OptionsFault>> {
         let value = read_json_file(path).map_err(|fault| vec![fault])?;
         let mut faults = Vec::new();
@@ -128,35 +133,38 @@
         };
         for (name, _) in value.entries() {
             if !["name", "about", "inputs", "steps"].contains(&name) {
-                fault(name.to_string(), "is not a known field: remove it");
+                fault(name.to_string(), "is an unknown field: remove it");
             }
         }
         let inputs: Vec<(String, String)> = value["inputs"]
             .entries()
-            .map(|(name, meaning)| {
+            .map(|(name, description)| {
                 (
                     name.to_string(),
-                    meaning.as_str().unwrap_or_default().to_string(),
+                    description.as_str().unwrap_or_default().to_string(),
                 )
             })
             .collect();
         let mut steps = Vec::new();
         for (index, item) in value["steps"].members().enumerate() {
-            let at = |field: &str| format!("steps[{index}].{field}");
+            let path_of = |field: &str| format!("steps[{index}].{field}");
             for (name, _) in item.entries() {
                 let known = ["say", "do", "check", "within_ms", "steady_ms", "else"];
                 if !known.contains(&name) {
-                    fault(at(name), "is not a known field: remove it");
+                    fault(path_of(name), "is an unknown field: remove it");
                 }
             }
             let say = item["say"].as_str().unwrap_or_default().to_string();
             if say.is_empty() {
-                fault(at("say"), "is missing: say what the step is for");
+                fault(
+                    path_of("say"),
+                    "is missing: describe the purpose of the step",
+                );
             }
             let action = read_action(&item["do"]).unwrap_or_else(|| {
                 fault(
-                    at("do"),
-                    &format!("must be one of {ACTIONS}, with a string"),
+                    path_of("do"),
+                    &format!("must be one of {ACTIONS}, with a string argument"),
                 );
                 Action::Nothing
             });
@@ -165,33 +173,36 @@
                 match read_check(name, argument) {
                     Some(check) => checks.push(check),
                     None => fault(
-                        at(&format!("check.{name}")),
-                        "is no known check of this type",
+                        path_of(&format!("check.{name}")),
+                        "is an unknown check, or its argument has the wrong type",
                     ),
                 }
             }
             if checks.is_empty() && action == Action::Nothing {
                 fault(
-                    at("check"),
-                    "is missing: a step that does nothing must check something",
+                    path_of("check"),
+                    "is missing: a step without an action needs at least one check",
                 );
             }
             if matches!(action, Action::ByHand(_)) && checks.is_empty() {
                 fault(
-                    at("check"),
-                    "is missing: it tells when the hand's work is done",
+                    path_of("check"),
+                    "is missing: a check must detect when the manual action is complete",
                 );
             }
-            let otherwise = item["else"].as_str().unwrap_or_default().to_string();
-            if !checks.is_empty() && otherwise.is_empty() {
+            let on_failure = item["else"].as_str().unwrap_or_default().to_string();
+            if !checks.is_empty() && on_failure.is_empty() {
                 fault(
-                    at("else"),
-                    "is missing: say what to do when the check fails",
+                    path_of("else"),
+                    "is missing: tell the operator what to do when the checks fail",
                 );
             }
-            for name in names_in(&item.dump()) {
+            for name in placeholders_in(&item.dump()) {
                 if !inputs.iter().any(|(known, _)| *known == name) {
-                    fault(at("say"), &format!("${{{name}}} is not among the inputs"));
+                    fault(
+                        path_of("say"),
+                        &format!("${{{name}}} is not declared in inputs"),
+                    );
                 }
             }
             steps.push(Step {
@@ -200,11 +211,14 @@
                 checks,
                 within: Duration::from_millis(item["within_ms"].as_u64().unwrap_or(10_000)),
                 steady: Duration::from_millis(item["steady_ms"].as_u64().unwrap_or(0)),
-                otherwise,
+                on_failure,
             });
         }
         if steps.is_empty() {
-            fault("steps".to_string(), "is missing: list at least one step");
+            fault(
+                "steps".to_string(),
+                "is missing or empty: give at least one step",
+            );
         }
         if faults.is_empty() {
             Ok(Self {
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -1,4 +1,5 @@
-//! Runs a runbook as a state machine: says what to look at or apply, and takes what came of it.
+//! A state machine that runs a runbook. It does no I/O: it requests status reads and changes from its
+//! caller and advances on their results.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,18 +8,18 @@
 
 use crate::runbook::{Action, Check, Runbook, Step};
 
-/// What the runner wants done next.
+/// What the caller has to do next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NextAction {
-    /// Read status and configuration, and hand them in.
+    /// Read status and configuration, and pass them to [`Runner::saw`].
     ReadStatus,
-    /// Apply this change set, and hand the answer in.
+    /// Apply this change set, and pass the response to [`Runner::applied`].
     Apply { change: JsonValue },
-    /// Apply the change set in this file, and hand the answer in.
+    /// Apply the change set in this file, and pass the response to [`Runner::applied`].
     ApplyFile { file: String },
-    /// The runbook is done.
+    /// All steps are complete.
     Done,
-    /// A check failed: stop, and tell the operator what to do.
+    /// A step failed: stop and show the remedy to the operator.
     Stopped {
         step: usize,
         why: String,
@@ -26,9 +27,10 @@
     },
 }
 
+/// Progress within the current step.
 #[derive(Debug, Clone, PartialEq)]
 enum Phase {
-    Entering,
+    Starting,
     Applying,
     Checking {
         since: Duration,
@@ -39,16 +41,17 @@
     },
 }
 
+/// Runs one runbook.
 pub struct Runner {
     runbook: Runbook,
     inputs: BTreeMap<String, String>,
     index: usize,
     phase: Phase,
-    remembered: BTreeMap<String, JsonValue>,
+    saved_items: BTreeMap<String, JsonValue>,
     seed: u64,
 }
 
-/// What a controller last told.
+/// The last response of a controller to a status and configuration read.
 pub struct Observation<'seen> {
     pub status: &'seen JsonValue,
     pub configuration: &'seen JsonValue,
@@ -61,8 +64,8 @@
         .find(|item| item["kind"] == kind && item["name"] == name)
 }
 
-/// Whether a check holds; if not, what was seen instead.
-pub fn holds(check: &Check, seen: &Observation<'_>) -> Result<(), String> {
+/// Evaluates a check; the error describes the observed state.
+pub fn evaluate_check(check: &Check, seen: &Observation<'_>) -> Result<(), String> {
     let status = seen.status;
     let voters = |controllers_only: bool| {
         let count = status["seats"]
@@ -77,14 +80,14 @@
         if found >= wanted {
             Ok(())
         } else {
-            Err(format!("{what}: {found}, wanted at least {wanted}"))
+            Err(format!("{what}: {found}, expected at least {wanted}"))
         }
     };
     let at_most = |what: &str, found: u64, wanted: u64| {
         if found <= wanted {
             Ok(())
         } else {
-            Err(format!("{what}: {found}, wanted at most {wanted}"))
+            Err(format!("{what}: {found}, expected at most {wanted}"))
         }
     };
     let voter_at = |address: &str| {
@@ -96,15 +99,18 @@
         item(seen.configuration, &format!("area/{zone}"))
             .and_then(|item| item["area"]["closed"].as_bool())
     };
-    let truth = |holds: bool, why: &str| if holds { Ok(()) } else { Err(why.to_string()) };
+    let require = |holds: bool, why: &str| if holds { Ok(()) } else { Err(why.to_string()) };
     match check {
-        Check::Current => truth(status["current"] == true, "no controller hears a majority"),
-        Check::DiskRecovered => truth(
+        Check::Current => require(
+            status["current"] == true,
+            "no controller is connected to a majority",
+        ),
+        Check::DiskRecovered => require(
             status["disk"] == "well",
-            "a controller's disk refuses writes",
+            "the disk of a controller rejects writes",
         ),
         Check::LeadershipsHeld => {
-            let living: Vec<u64> = status["seats"]
+            let live_voters: Vec<u64> = status["seats"]
                 .members()
                 .filter(|voter| voter["alive"] == true)
                 .filter_map(|voter| voter["node"].as_u64())
@@ -113,13 +119,13 @@
                 && status["duties"].members().all(|leadership| {
                     leadership["holder"]
                         .as_u64()
-                        .is_some_and(|node| living.contains(&node))
+                        .is_some_and(|node| live_voters.contains(&node))
                 });
-            truth(held, "a leadership role has no living holder")
+            require(held, "a leadership role is not held by a live voter")
         }
-        Check::LivingVoters(wanted) => at_least("living voters", voters(false), *wanted),
+        Check::LivingVoters(wanted) => at_least("live voters", voters(false), *wanted),
         Check::LivingControllers(wanted) => {
-            at_least("living controllers with a voter", voters(true), *wanted)
+            at_least("live controllers among the voters", voters(true), *wanted)
         }
         Check::ReadyProxies(wanted) => {
             let ready = status["members"]
@@ -143,44 +149,45 @@
         Check::Instances(wanted) => {
             at_least("instances", status["instances"].len() as u64, *wanted)
         }
-        Check::ZoneClosed(zone) => truth(closed(zone) == Some(true), "the zone is not closed"),
-        Check::ZoneOpen(zone) => truth(closed(zone) == Some(false), "the zone is not open"),
-        Check::VoterAt(address) => truth(voter_at(address), "no voter has this address"),
-        Check::NoVoterAt(address) => truth(!voter_at(address), "a voter still has this address"),
+        Check::ZoneClosed(zone) => require(closed(zone) == Some(true), "the zone is not closed"),
+        Check::ZoneOpen(zone) => require(closed(zone) == Some(false), "the zone is not open"),
+        Check::VoterAt(address) => require(voter_at(address), "no voter has this address"),
+        Check::NoVoterAt(address) => require(!voter_at(address), "a voter still has this address"),
     }
 }
 
 impl Runner {
-    /// Takes a runbook and its inputs; lists the inputs that are missing or unknown.
+    /// Creates a runner at the first step; the error lists missing and unknown inputs.
     pub fn start(
         runbook: Runbook,
         inputs: BTreeMap<String, String>,
         seed: u64,
     ) -> Result<Self, Vec<String>> {
-        let mut wrong: Vec<String> = runbook
+        let mut faults: Vec<String> = runbook
             .inputs
             .iter()
             .filter(|(name, _)| !inputs.contains_key(name))
-            .map(|(name, meaning)| format!("{name} is missing: give --set {name}=… ({meaning})"))
+            .map(|(name, about)| format!("{name} is missing: give --set {name}=… ({about})"))
             .collect();
         for name in inputs.keys() {
             if !runbook.inputs.iter().any(|(known, _)| known == name) {
-                wrong.push(format!("{name} is no input of this runbook: remove it"));
+                faults.push(format!("{name} is not an input of this runbook: remove it"));
             }
         }
-        if !wrong.is_empty() {
-            return Err(wrong);
+        if !faults.is_empty() {
+            return Err(faults);
         }
         Ok(Self {
             runbook,
             inputs,
             index: 0,
-            phase: Phase::Entering,
-            remembered: BTreeMap::new(),
+            phase: Phase::Starting,
+            saved_items: BTreeMap::new(),
             seed,
         })
     }
 
+    /// Replaces the `${name}` placeholders in a text with the values of the inputs.
     pub fn filled(&self, text: &str) -> String {
         self.inputs
             .iter()
@@ -203,12 +210,12 @@
         &self.runbook.steps
     }
 
-    /// The step under way, counted from one, if there is one left.
+    /// Returns the current step and its number, counted from one; none after the last step.
     pub fn step(&self) -> Option<(usize, &Step)> {
         Some((self.index + 1, self.runbook.steps.get(self.index)?))
     }
 
-    /// What is to be done next.
+    /// Returns what the caller has to do next.
     pub fn next(&self) -> NextAction {
         let Some(step) = self.runbook.steps.get(self.index) else {
             return NextAction::Done;
@@ -217,12 +224,12 @@
             (Phase::Stopped { why }, _) => NextAction::Stopped {
                 step: self.index + 1,
                 why: why.clone(),
-                remedy: self.filled(&step.otherwise),
+                remedy: self.filled(&step.on_failure),
             },
             (Phase::Applying, Action::Apply(file)) => NextAction::ApplyFile {
                 file: self.filled(file),
             },
-            (Phase::Applying, _) => match self.remembered.get("") {
+            (Phase::Applying, _) => match self.saved_items.get("") {
                 Some(change) => NextAction::Apply {
                     change: change.clone(),
                 },
@@ -232,25 +239,25 @@
         }
     }
 
-    /// Takes what a controller told; the machine may move on.
+    /// Processes an observation: starts the current step, or evaluates its checks.
     pub fn saw(&mut self, now: Duration, seen: &Observation<'_>) {
         let Some(step) = self.runbook.steps.get(self.index).cloned() else {
             return;
         };
         match self.phase.clone() {
-            Phase::Entering => self.enter(now, &step, seen),
+            Phase::Starting => self.start_step(now, &step, seen),
             Phase::Checking { since, held_since } => {
                 let failed = step
                     .checks
                     .iter()
-                    .map(|check| holds(&self.filled_check(check), seen))
+                    .map(|check| evaluate_check(&self.filled_check(check), seen))
                     .find_map(Result::err);
                 match failed {
                     None => {
                         let held = held_since.unwrap_or(now);
                         if now.saturating_sub(held) >= step.steady {
                             self.index += 1;
-                            self.phase = Phase::Entering;
+                            self.phase = Phase::Starting;
                         } else {
                             self.phase = Phase::Checking {
                                 since,
@@ -273,39 +280,39 @@
         }
     }
 
-    fn enter(&mut self, now: Duration, step: &Step, seen: &Observation<'_>) {
+    fn start_step(&mut self, now: Duration, step: &Step, seen: &Observation<'_>) {
         let checking = Phase::Checking {
             since: now,
             held_since: None,
         };
-        let turn = |runner: &mut Self, zone: &str, closed: bool| {
+        let set_zone_closed = |runner: &mut Self, zone: &str, closed: bool| {
             let zone = runner.filled(zone);
             match item(seen.configuration, &format!("area/{zone}")).cloned() {
                 None => Phase::Stopped {
-                    why: format!("there is no zone {zone}"),
+                    why: format!("the configuration has no zone {zone}"),
                 },
                 Some(mut found) => {
                     found["area"]["closed"] = closed.into();
                     let word = if closed { "close" } else { "open" };
                     let read = seen.configuration["edition"].as_u64();
-                    runner.prepare(&format!("{word}-{zone}"), found, read);
+                    runner.prepare_change(&format!("{word}-{zone}"), found, read);
                     Phase::Applying
                 }
             }
         };
         self.phase = match &step.action {
             Action::Nothing | Action::ByHand(_) => checking,
-            Action::CloseZone(zone) => turn(self, zone, true),
-            Action::OpenZone(zone) => turn(self, zone, false),
+            Action::CloseZone(zone) => set_zone_closed(self, zone, true),
+            Action::OpenZone(zone) => set_zone_closed(self, zone, false),
             Action::Apply(_) => Phase::Applying,
             Action::Remember(key) => {
                 let key = self.filled(key);
                 match item(seen.configuration, &key).cloned() {
                     None => Phase::Stopped {
-                        why: format!("there is no {key}"),
+                        why: format!("the configuration has no item {key}"),
                     },
                     Some(found) => {
-                        self.remembered.insert(key, found);
+                        self.saved_items.insert(key, found);
                         checking
                     }
                 }
@@ -313,18 +320,23 @@
             Action::Restore(key) => {
                 let key = self.filled(key);
                 match (
-                    self.remembered.get(&key).cloned(),
+                    self.saved_items.get(&key).cloned(),
                     item(seen.configuration, &key),
                 ) {
                     (None, _) => Phase::Stopped {
-                        why: format!("{key} was not remembered before"),
+                        why: format!("no earlier step saved {key}"),
                     },
                     (Some(mut before), present) => {
-                        // Why the present version: whoever changed it since we looked must win.
+                        // The change set carries the current version, so that a concurrent change made
+                        // after this read wins.
                         let version = present.and_then(|item| item["edition"].as_u64());
                         before["edition"] = version.unwrap_or(0).into();
                         let read = seen.configuration["edition"].as_u64();
-                        self.prepare(&format!("restore-{}", key.replace('/', "-")), before, read);
+                        self.prepare_change(
+                            &format!("restore-{}", key.replace('/', "-")),
+                            before,
+                            read,
+                        );
                         Phase::Applying
                     }
                 }
@@ -332,15 +344,15 @@
         };
     }
 
-    fn prepare(&mut self, word: &str, put: JsonValue, read: Option<u64>) {
+    fn prepare_change(&mut self, word: &str, put: JsonValue, read: Option<u64>) {
         let id = format!("{word}-{:x}-{}", self.seed, self.index);
         let change = jzon::object! { id: id, edition: read, put: [put] };
-        self.remembered.insert(String::new(), change);
+        self.saved_items.insert(String::new(), change);
     }
 
-    /// Takes the answer to an apply.
+    /// Processes the response to an apply request.
     pub fn applied(&mut self, now: Duration, status: u16, response: &JsonValue) {
-        self.remembered.remove("");
+        self.saved_items.remove("");
         self.phase = if status == 200 {
             Phase::Checking {
                 since: now,
@@ -348,7 +360,10 @@
             }
         } else {
             Phase::Stopped {
-                why: format!("the change was answered {status}: {}", response.dump()),
+                why: format!(
+                    "the change was rejected with status {status}: {}",
+                    response.dump()
+                ),
             }
         };
     }
