--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -197,7 +197,7 @@
                     status: &status,
                     configuration: &configuration,
                 };
-                runner.saw(clock.now(), &seen);
+                runner.observe(clock.now(), &seen);
                 tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             }
         }
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -240,7 +240,7 @@
     }
 
     /// Processes an observation: starts the current step, or evaluates its checks.
-    pub fn saw(&mut self, now: Duration, seen: &Observation<'_>) {
+    pub fn observe(&mut self, now: Duration, seen: &Observation<'_>) {
         let Some(step) = self.runbook.steps.get(self.index).cloned() else {
             return;
         };
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -83,7 +83,7 @@
                     status: &status,
                     configuration: &configuration,
                 };
-                runner.saw(world.now, &seen);
+                runner.observe(world.now, &seen);
             }
         }
     }
