--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -11,7 +11,7 @@
 /// What the caller has to do next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NextAction {
-    /// Read status and configuration, and pass them to [`Runner::saw`].
+    /// Read status and configuration, and pass them to [`Runner::observe`].
     ReadStatus,
     /// Apply this change set, and pass the response to [`Runner::applied`].
     Apply { change: JsonValue },
