--- a/crates/local-fleet/src/drill.rs
+++ b/crates/local-fleet/src/drill.rs
@@ -1,4 +1,5 @@
-//! Drills: a written run of faults in a real fleet under load, judged from the records at its end.
+//! Drills: fault schedules run against a real fleet under load. At the end, the records of the clients
+//! and the instances are verified.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,45 +10,51 @@
 use anyhow::{anyhow, Context as AnyhowContext};
 use jzon::JsonValue;
 
-use crate::fleet::{Fleet, Hand, Relayed};
+use crate::fleet::{Fleet, FleetProcess, RelayedTraffic};
 use crate::http_relay::HttpMode;
-use crate::{down, judge, status_of, until, up};
+use crate::{down, status_of, up, verify_records, wait_for};
 use runtime::events::{event, RUN_FAILED, RUN_STEP};
 use runtime::http::Fetch;
 use runtime::locks::locked;
 use runtime::options::{read_json_file, OptionsFault};
 use runtime::scenario::Scenario;
 
+/// A fault, or the end of one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Act {
     Signal(i32),
     Start,
+    /// Partitions the targets from all other processes.
     Cut {
         one_way: bool,
     },
+    /// Removes all partitions and resets all HTTP modes.
     Join,
-    /// What goes over HTTP to these processes is in trouble.
+    /// Sets the mode of the HTTP relay for the targets.
     Http {
         mode: String,
         late: Duration,
     },
-    /// The disk of a running controller refuses every write, until it is mended.
+    /// Makes every disk write of a running controller fail, or permits writes again.
     Disk {
         refuses: bool,
     },
-    /// Killed, and its data folder removed.
+    /// Kills the targets and removes their data folders.
     LoseDisk,
-    /// Killed, and bytes of its data folder changed.
+    /// Kills the targets and corrupts bytes in their data folders.
     DamageDisk,
+    /// Injects a fault into the next `count` requests of test instances.
     Ail {
         kind: String,
         count: u32,
     },
+    /// Opens or closes a zone in the configuration.
     Zone {
         closed: bool,
     },
 }
 
+/// One scheduled fault of a drill.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrillStep {
     pub at: Duration,
@@ -55,14 +62,18 @@
     pub targets: Vec<String>,
 }
 
+/// A validated drill file.
 #[derive(Debug, Clone)]
 pub struct Drill {
     pub scenario: PathBuf,
     pub seconds: u64,
+    /// Load as a percentage of the scenario's traffic.
     pub percent: u32,
+    /// Minimum percentage of requests that must be served.
     pub served_at_least: u64,
     pub steps: Vec<DrillStep>,
-    /// Nothing is lost in this drill, so the counted usage must be what the clients saw.
+    /// Whether the usage counted by the agents must equal the requests served according to the clients:
+    /// set for drills without faults, in which no report is lost.
     pub usage_agrees: bool,
 }
 
@@ -97,7 +108,7 @@
 }
 
 impl Drill {
-    /// Reads and checks a drill's file against its scenario; nothing is started over a faulty one.
+    /// Reads a drill file and validates it against its scenario.
     pub fn read(path: &Path) -> Result<Self, Vec<OptionsFault>> {
         let value = read_json_file(path).map_err(|fault| vec![fault])?;
         let mut faults = Vec::new();
@@ -122,14 +133,14 @@
             if !known.contains(&name) {
                 fault(
                     name.to_string(),
-                    "is not a known field: remove it".to_string(),
+                    "is an unknown field: remove it".to_string(),
                 );
             }
         }
         let folder = path.parent().unwrap_or(Path::new("."));
         let scenario = folder.join(value["scenario"].as_str().unwrap_or_default());
-        let hands: Vec<Hand> = match Scenario::read(&scenario) {
-            Ok(scenario) => Fleet::plan(&scenario, Path::new("/nowhere"), 1).hands,
+        let processes: Vec<FleetProcess> = match Scenario::read(&scenario) {
+            Ok(scenario) => Fleet::plan(&scenario, Path::new("/nowhere"), 1).processes,
             Err(more) => {
                 faults.extend(more);
                 return Err(faults);
@@ -142,11 +153,12 @@
                 .map(|name| name.as_str().unwrap_or_default().to_string())
                 .collect();
             for name in &targets {
-                let found = hands
+                let found = processes
                     .iter()
-                    .any(|hand| hand.name == *name || hand.program == *name || hand.zone == *name);
+                    .any(|proc| proc.name == *name || proc.program == *name || proc.zone == *name);
                 if !found {
-                    let remedy = format!("{name} is no process, program or area of the scenario");
+                    let remedy =
+                        format!("the scenario has no process, program or zone named {name}");
                     fault(format!("steps[{index}].targets"), remedy);
                 }
             }
@@ -158,7 +170,7 @@
                 }),
                 _ => fault(
                     format!("steps[{index}].act"),
-                    "give at_ms and a known act: kill, stop, freeze, wake, start, cut, \
+                    "needs at_ms and one of the acts kill, stop, freeze, wake, start, cut, \
                      cut-one-way, join, http, refuse-disk, mend-disk, lose-disk, damage-disk, ail, \
                      close-area or open-area"
                         .to_string(),
@@ -179,18 +191,20 @@
     }
 }
 
-/// How many requests a second a drill must see at least to count.
-const LEAST_PER_SECOND: u64 = 10;
+/// Minimum average request rate of a drill. A run with fewer requests does not show anything.
+const MIN_REQUESTS_PER_SECOND: u64 = 10;
 
-/// Changes sent all through a drill, and what was accepted of them.
+/// Results of the configuration changes posted during a drill.
 #[derive(Default)]
 struct Changes {
+    /// Configuration version and change number of each accepted change.
     accepted: Vec<(u64, u64)>,
+    /// Number of changes whose outcome is unknown.
     unknown: u64,
 }
 
-/// The configuration's version at the first controller that tells it; 0 if none does.
-async fn map_version(controllers: &[SocketAddr]) -> u64 {
+/// Returns the configuration version of the first controller that responds; 0 if none does.
+async fn configuration_version(controllers: &[SocketAddr]) -> u64 {
     for controller in controllers {
         let Ok(fetched) = Fetch::get(*controller, "/v1/standing").send().await else {
             continue;
@@ -202,8 +216,8 @@
     0
 }
 
-/// Tweaks one route again and again, at one controller after the other.
-async fn keep_changing(
+/// Changes the deadline of one route every 300 ms, at one controller after the other.
+async fn post_changes(
     controllers: Vec<SocketAddr>,
     service: String,
     stop: Arc<AtomicBool>,
@@ -231,7 +245,10 @@
             Ok(fetched) if fetched.status == 400 => {
                 event(
                     RUN_FAILED,
-                    format!("a change of the drill is faulty: {}", fetched.json()),
+                    format!(
+                        "a controller rejected a change of the drill as invalid: {}",
+                        fetched.json()
+                    ),
                 );
             }
             Ok(fetched) if fetched.json()["outcome"] == "refused" => {}
@@ -241,12 +258,13 @@
     }
 }
 
-/// Whether the last accepted change reads back: it, or a later one whose answer was lost.
-async fn reads_back(controllers: &[SocketAddr], changes: &Changes) -> bool {
+/// Checks that every controller that responds returns the last accepted change, or a later one whose
+/// response was lost.
+async fn last_change_is_readable(controllers: &[SocketAddr], changes: &Changes) -> bool {
     let Some((version, number)) = changes.accepted.iter().max().copied() else {
         return false;
     };
-    let mut read = 0;
+    let mut confirmed = 0;
     for controller in controllers {
         let fetch = Fetch::get(*controller, "/v1/standing/rule/drill")
             .send()
@@ -263,22 +281,22 @@
         let same = found == version && value == 1000 + number;
         if !same && (found <= version || changes.unknown == 0) {
             println!(
-                "{controller} reads {value} at {found}, accepted was {} at {version}",
+                "{controller} returned value {value} at version {found}, expected {} at version {version}",
                 1000 + number
             );
             return false;
         }
-        read += 1;
+        confirmed += 1;
     }
-    read > 0
+    confirmed > 0
 }
 
-/// Changes bytes in the middle of what lies in a data folder.
-fn damage(data: &Path) -> anyhow::Result<()> {
+/// Corrupts bytes in each file of a controller's data folder.
+fn corrupt_data(data: &Path) -> anyhow::Result<()> {
     for name in ["slot-1", "slot-2", "log"] {
         let path = data.join(name);
         let mut bytes = std::fs::read(&path)?;
-        // Why near the front: that is where the contents are; the rest is laid-out room.
+        // The contents are at the start of a file; the rest is preallocated space.
         for index in (24..bytes.len().min(600)).step_by(48) {
             bytes[index] ^= 0x55;
         }
@@ -287,49 +305,50 @@
     Ok(())
 }
 
-async fn carry_out(fleet: &mut Fleet, step: &DrillStep) -> anyhow::Result<()> {
-    let places: Vec<usize> = step
+/// Executes one step of a drill.
+async fn execute_step(fleet: &mut Fleet, step: &DrillStep) -> anyhow::Result<()> {
+    let indices: Vec<usize> = step
         .targets
         .iter()
-        .flat_map(|name| fleet.named(name))
+        .flat_map(|name| fleet.select(name))
         .collect();
     match &step.act {
         Act::Signal(signal) => {
-            for index in places {
-                fleet.hands[index].signal(*signal);
+            for index in indices {
+                fleet.processes[index].signal(*signal);
             }
         }
         Act::Start => {
-            for index in places {
+            for index in indices {
                 fleet.start(index)?;
             }
             fleet.save()?;
         }
-        Act::Cut { one_way } => fleet.cut(&places, *one_way).await?,
-        Act::Join => fleet.join().await?,
-        Act::Http { mode, late } => fleet.trouble_http(&places, mode, *late).await?,
+        Act::Cut { one_way } => fleet.partition(&indices, *one_way).await?,
+        Act::Join => fleet.heal().await?,
+        Act::Http { mode, late } => fleet.set_http_mode(&indices, mode, *late).await?,
         Act::Disk { refuses } => {
-            for index in places {
-                fleet.hands[index].limit_writes(*refuses);
+            for index in indices {
+                fleet.processes[index].limit_writes(*refuses);
             }
         }
         Act::LoseDisk => {
-            for index in places {
+            for index in indices {
                 fleet.kill_and_wait(index).await;
-                std::fs::remove_dir_all(fleet.data_of(index))?;
+                std::fs::remove_dir_all(fleet.data_folder(index))?;
             }
         }
         Act::DamageDisk => {
-            for index in places {
+            for index in indices {
                 fleet.kill_and_wait(index).await;
-                damage(&fleet.data_of(index))?;
+                corrupt_data(&fleet.data_folder(index))?;
             }
         }
         Act::Ail { kind, count } => {
-            for index in places {
+            for index in indices {
                 let body = jzon::object! { kind: kind.as_str(), count: *count }.dump();
-                let to = fleet.hands[index].serving;
-                // Why ignored: an instance that is down cannot ail.
+                let to = fleet.processes[index].serving;
+                // Errors are ignored: the instance may be down.
                 let _ = Fetch::post(to, "/understudy/ail", body).send().await;
             }
         }
@@ -343,9 +362,9 @@
                 let request = jzon::object! { region: region.as_str(), closed: *closed };
                 let put = jzon::object! { kind: "area", name: zone.as_str(), area: request };
                 let id = format!("turn-{zone}-{closed}-{}", step.at.as_millis());
-                let read = map_version(&fleet.of("controller")).await;
+                let read = configuration_version(&fleet.addresses_of("controller")).await;
                 let change = jzon::object! { id: id, edition: read, put: [put] }.dump();
-                for controller in fleet.of("controller") {
+                for controller in fleet.addresses_of("controller") {
                     let sent = Fetch::post(controller, "/v1/standing", change.clone())
                         .send()
                         .await;
@@ -359,32 +378,33 @@
     Ok(())
 }
 
-/// Probes a ready proxy, more than once if need be.
+/// Probes a ready proxy, with up to 15 attempts, and returns the faults of the last attempt.
 ///
-/// Why again: after a fault a key range may be between owners for some seconds, and a request for it is
-/// then rightly refused; what is wrong of itself stays wrong.
-async fn probe_with_timeout(fleet: &Fleet, scenario: &Scenario) -> Vec<String> {
-    let mut odd = vec!["no proxy was ready to be probed".to_string()];
+/// After a fault a key range may have no owner for some seconds, and requests for it are then correctly
+/// rejected. A real fault persists over the attempts.
+async fn probe_with_retries(fleet: &Fleet, scenario: &Scenario) -> Vec<String> {
+    let mut faults = vec!["no proxy became ready for the probes".to_string()];
     for _ in 0..15 {
-        for proxy in fleet.of("proxy") {
+        for proxy in fleet.addresses_of("proxy") {
             let ready = status_of(proxy, "/caperworks/ready").await;
             if ready.is_some_and(|fetched| fetched.status == 200) {
-                odd = crate::probe::probe(proxy, scenario, &fleet.of("test-instance")).await;
+                faults = crate::probe::probe(proxy, scenario, &fleet.addresses_of("test-instance"))
+                    .await;
                 break;
             }
         }
-        if odd.is_empty() {
+        if faults.is_empty() {
             break;
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
-    odd
+    faults
 }
 
-/// How many requests all agents together say were served.
-async fn counted_served(fleet: &Fleet) -> u64 {
+/// Returns the number of served requests that all agents report together.
+async fn served_by_agents(fleet: &Fleet) -> u64 {
     let mut served = 0;
-    for agent in fleet.of("agent") {
+    for agent in fleet.addresses_of("agent") {
         if let Some(fetched) = status_of(agent, "/usage").await {
             let json = fetched.json();
             let lines = json["lines"].members();
@@ -396,62 +416,63 @@
     served
 }
 
-/// Runs a drill; says whether the run was good. No process is left behind, however it ends.
+/// Runs a drill and returns whether it passed. Ends all processes of the fleet, also after an error.
 pub async fn run(run: &Path, drill: &Drill, base: u16) -> anyhow::Result<bool> {
-    let outcome = carry_through(run, drill, base).await;
+    let outcome = run_on_new_fleet(run, drill, base).await;
     if let (Err(_), Ok(fleet)) = (&outcome, Fleet::load(run)) {
         down(&fleet).await;
     }
     outcome
 }
 
-async fn carry_through(run: &Path, drill: &Drill, base: u16) -> anyhow::Result<bool> {
+/// Starts a fleet, runs the drill on it, and verifies the records.
+async fn run_on_new_fleet(run: &Path, drill: &Drill, base: u16) -> anyhow::Result<bool> {
     let http = drill
         .steps
         .iter()
         .any(|step| matches!(step.act, Act::Http { .. }));
     let relayed = match http {
-        true => Relayed::MessagesAndHttp,
-        false => Relayed::Messages,
+        true => RelayedTraffic::MessagesAndHttp,
+        false => RelayedTraffic::Messages,
     };
     up(run, &drill.scenario, base, relayed).await?;
     let run = run.canonicalize()?;
     let mut fleet = Fleet::load(&run).map_err(|fault| anyhow!("{fault}"))?;
     let mut before = 0;
     if drill.usage_agrees {
-        // Why until it stands still: the requests by which the fleet was tried count as well, and
-        // proxies tell their agents a moment later.
+        // Waits until the count is stable: the requests sent while starting the fleet are counted too,
+        // and proxies report to their agents with a delay.
         let mut last = 0;
         while before == 0 || last != before {
             last = before;
             tokio::time::sleep(Duration::from_millis(500)).await;
-            before = counted_served(&fleet).await;
+            before = served_by_agents(&fleet).await;
         }
     }
     let record = run.join("told");
-    // Why removed: the record of an earlier run is not of this fleet.
+    // Removes the record of an earlier run in the same folder.
     let _ = std::fs::remove_file(&record);
     let programs = std::env::current_exe()?
         .parent()
-        .context("no folder")?
+        .context("the path of this executable has no parent folder")?
         .to_path_buf();
-    let mut calling = std::process::Command::new(programs.join("load-generator"));
-    for directory in fleet.of("directory") {
-        calling.args(["--directory", &directory.to_string()]);
+    let mut load_command = std::process::Command::new(programs.join("load-generator"));
+    for directory in fleet.addresses_of("directory") {
+        load_command.args(["--directory", &directory.to_string()]);
     }
-    calling.arg("--scenario").arg(&drill.scenario);
-    calling.args(["--seconds", &drill.seconds.to_string()]);
-    calling.args(["--percent", &drill.percent.to_string()]);
-    calling.arg("--record").arg(&record);
-    let mut callers = calling
+    load_command.arg("--scenario").arg(&drill.scenario);
+    load_command.args(["--seconds", &drill.seconds.to_string()]);
+    load_command.args(["--percent", &drill.percent.to_string()]);
+    load_command.arg("--record").arg(&record);
+    let mut load_generator = load_command
         .stdout(std::fs::File::create(run.join("callers.json"))?)
         .spawn()
-        .context("cannot start caller")?;
+        .context("cannot start load-generator")?;
     let stop = Arc::new(AtomicBool::new(false));
     let changes: Arc<Mutex<Changes>> = Arc::default();
-    let controllers = fleet.of("controller");
+    let controllers = fleet.addresses_of("controller");
     let scenario = Scenario::read(&drill.scenario).map_err(|faults| anyhow!("{faults:?}"))?;
-    let changing = tokio::spawn(keep_changing(
+    let change_task = tokio::spawn(post_changes(
         controllers.clone(),
         scenario.services[0].name.clone(),
         stop.clone(),
@@ -464,15 +485,15 @@
             RUN_STEP,
             format!("{:?} {}", step.act, step.targets.join(" ")),
         );
-        carry_out(&mut fleet, step).await?;
+        execute_step(&mut fleet, step).await?;
     }
-    while callers.try_wait()?.is_none() {
+    while load_generator.try_wait()?.is_none() {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     stop.store(true, Ordering::SeqCst);
-    changing.await?;
-    until(
-        "the controllers agree again",
+    change_task.await?;
+    wait_for(
+        "the controllers return the configuration",
         Duration::from_secs(30),
         async || {
             for controller in &controllers {
@@ -489,47 +510,48 @@
     let sent = summary["sent"].as_u64().unwrap_or(0);
     let served = summary["served"].as_u64().unwrap_or(0);
     if drill.usage_agrees {
-        // Why before the probes: they are requests too, and no client's.
-        let what = "the counted usage is what the callers saw";
-        until(what, Duration::from_secs(10), async || {
-            counted_served(&fleet).await == before + served
+        // Compared before the probes, which are counted as requests but are in no client's record.
+        let what = "the usage of the agents equals the requests served to the clients";
+        wait_for(what, Duration::from_secs(10), async || {
+            served_by_agents(&fleet).await == before + served
         })
         .await?;
     }
-    let odd = probe_with_timeout(&fleet, &scenario).await;
-    for odd in &odd {
-        event(RUN_FAILED, odd);
+    let probe_faults = probe_with_retries(&fleet, &scenario).await;
+    for fault in &probe_faults {
+        event(RUN_FAILED, fault);
     }
-    let kept = {
+    let change_kept = {
         let changes = std::mem::take(&mut *locked(&changes));
         println!(
             "changes accepted {}, unknown {}",
             changes.accepted.len(),
             changes.unknown
         );
-        reads_back(&controllers, &changes).await
+        last_change_is_readable(&controllers, &changes).await
     };
-    let wrong: u64 = summary["kinds"]
+    let wrong_responses: u64 = summary["kinds"]
         .members()
         .filter_map(|kind| kind["wrong"].as_u64())
         .sum();
-    println!("served {served} of {sent}, wrong {wrong}, changes read back: {kept}");
-    // Why a floor: a run in which hardly anything was sent shows nothing.
-    let seen = sent >= drill.seconds * LEAST_PER_SECOND;
-    if !seen {
-        event(RUN_FAILED, format!("only {sent} orders were sent"));
+    println!(
+        "served {served} of {sent}, wrong {wrong_responses}, changes read back: {change_kept}"
+    );
+    let enough_sent = sent >= drill.seconds * MIN_REQUESTS_PER_SECOND;
+    if !enough_sent {
+        event(RUN_FAILED, format!("only {sent} requests were sent"));
     }
-    let good = judge(&fleet, &[record])? && seen;
+    let records_valid = verify_records(&fleet, &[record])? && enough_sent;
     down(&fleet).await;
-    let enough = sent > 0 && served * 100 >= sent * drill.served_at_least;
-    let proposal_outcome = good && odd.is_empty() && kept && enough && wrong == 0;
+    let enough_served = sent > 0 && served * 100 >= sent * drill.served_at_least;
+    let passed = records_valid
+        && probe_faults.is_empty()
+        && change_kept
+        && enough_served
+        && wrong_responses == 0;
     event(
-        if proposal_outcome {
-            RUN_STEP
-        } else {
-            RUN_FAILED
-        },
-        format!("drill good: {proposal_outcome}"),
+        if passed { RUN_STEP } else { RUN_FAILED },
+        format!("drill good: {passed}"),
     );
-    Ok(proposal_outcome)
+    Ok(passed)
 }
--- a/crates/local-fleet/src/fleet.rs
+++ b/crates/local-fleet/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of real processes on one machine: started, remembered in a file, and killed, frozen or ended by id.
+//! A fleet of real processes on one machine. The processes are recorded in `fleet.json`, so that later
+//! commands can find and signal them by process id.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,34 +14,37 @@
 use runtime::options::{read_json_file, OptionsFault};
 use runtime::scenario::Scenario;
 
+/// One process of the fleet and how it is started.
 #[derive(Debug, Clone)]
-pub struct Hand {
+pub struct FleetProcess {
     pub name: String,
     pub program: String,
     pub arguments: Vec<String>,
     pub zone: String,
     pub serving: SocketAddr,
-    /// Where others reach its control port when a relay stands before it.
+    /// Address of the relay in front of the control port, if there is one.
     pub advertise: Option<SocketAddr>,
-    /// Where its HTTP connections go by the relay.
+    /// Address of the relay in front of the HTTP port, if there is one.
     pub http: Option<SocketAddr>,
-    pub process: i32,
+    /// Process id; 0 if the process was never started.
+    pub pid: i32,
 }
 
+/// All processes of a fleet, with its run folder and scenario file.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     pub folder: PathBuf,
     pub scenario: PathBuf,
-    pub hands: Vec<Hand>,
+    pub processes: Vec<FleetProcess>,
 }
 
-/// What goes by the relay.
+/// The traffic that passes through the relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Relayed {
+pub enum RelayedTraffic {
     Nothing,
-    /// What our own processes say to each other.
+    /// Control messages between the fleet's processes.
     Messages,
-    /// And what goes over HTTP to instances and agents.
+    /// Control messages, and HTTP requests to instances and agents.
     MessagesAndHttp,
 }
 
@@ -48,65 +52,62 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-impl Hand {
-    /// Whether the process is alive and still the one that was started.
+impl FleetProcess {
+    /// Returns whether the process is alive and still the one that was started: its command line is
+    /// compared, since the process id may have been reused.
     pub fn is_alive(&self) -> bool {
-        let Ok(line) = std::fs::read(format!("/proc/{}/cmdline", self.process)) else {
+        let Ok(command_line) = std::fs::read(format!("/proc/{}/cmdline", self.pid)) else {
             return false;
         };
-        let state = std::fs::read_to_string(format!("/proc/{}/stat", self.process));
-        let ended = state.is_ok_and(|stat| stat.contains(") Z "));
-        let line = String::from_utf8_lossy(&line);
-        let mut parts = line.split('\0');
-        !ended
+        let state = std::fs::read_to_string(format!("/proc/{}/stat", self.pid));
+        let is_zombie = state.is_ok_and(|stat| stat.contains(") Z "));
+        let command_line = String::from_utf8_lossy(&command_line);
+        let mut parts = command_line.split('\0');
+        !is_zombie
             && parts
                 .next()
                 .is_some_and(|first| first.ends_with(&format!("/{}", self.program)))
             && parts.eq(self.arguments.iter().map(String::as_str).chain([""]))
     }
 
-    /// Sends a signal, but only to a process that is surely ours.
+    /// Sends a signal, but only if the process id still belongs to this process; returns whether it was
+    /// sent.
     pub fn signal(&self, signal: i32) -> bool {
-        // Why this is sound: it passes two numbers and touches no memory.
-        self.is_alive() && unsafe { libc::kill(self.process, signal) } == 0
+        // SAFETY: the call takes two numbers and touches no memory.
+        self.is_alive() && unsafe { libc::kill(self.pid, signal) } == 0
     }
 
-    /// Lets a process write no more to any file, or lets it again.
+    /// Makes every file write of the process fail, or permits writes again, through `RLIMIT_FSIZE`.
     pub fn limit_writes(&self, refuses: bool) -> bool {
-        let most = if refuses { 0 } else { libc::RLIM_INFINITY };
+        let max_file_size = if refuses { 0 } else { libc::RLIM_INFINITY };
         let limit = libc::rlimit {
-            rlim_cur: most,
+            rlim_cur: max_file_size,
             rlim_max: libc::RLIM_INFINITY,
         };
-        // Why this is sound: it reads one struct that lives until the call returns.
+        // SAFETY: the call reads one struct that lives until the call returns.
         self.is_alive()
-            && unsafe {
-                libc::prlimit(
-                    self.process,
-                    libc::RLIMIT_FSIZE,
-                    &limit,
-                    std::ptr::null_mut(),
-                )
-            } == 0
+            && unsafe { libc::prlimit(self.pid, libc::RLIMIT_FSIZE, &limit, std::ptr::null_mut()) }
+                == 0
     }
 }
 
 impl Fleet {
-    /// Where a controller keeps its data.
-    pub fn data_of(&self, index: usize) -> PathBuf {
-        self.folder.join(&self.hands[index].name)
+    /// Returns the data folder of a controller.
+    pub fn data_folder(&self, index: usize) -> PathBuf {
+        self.folder.join(&self.processes[index].name)
     }
 
-    /// Kills a process and waits until it is gone.
+    /// Kills a process and waits up to 5 s until it has exited.
     pub async fn kill_and_wait(&self, index: usize) {
-        let hand = &self.hands[index];
-        hand.signal(libc::SIGKILL);
+        let process = &self.processes[index];
+        process.signal(libc::SIGKILL);
         let start = Instant::now();
-        while hand.is_alive() && start.elapsed() < Duration::from_secs(5) {
+        while process.is_alive() && start.elapsed() < Duration::from_secs(5) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
+    /// Lays out the processes of a scenario, with ports from `base` up; starts nothing.
     pub fn plan(scenario: &Scenario, folder: &Path, base: u16) -> Self {
         let mut next = base;
         let mut port = || {
@@ -123,7 +124,7 @@
             .take(3)
             .flat_map(|(control, _, _)| ["--seed".to_string(), loopback(*control).to_string()])
             .collect();
-        let index = |control: u16, serving: u16, zone: &str| -> Vec<String> {
+        let common_arguments = |control: u16, serving: u16, zone: &str| -> Vec<String> {
             let mut arguments = vec![
                 "--control".to_string(),
                 loopback(control).to_string(),
@@ -135,9 +136,9 @@
             arguments.extend(seeds.iter().cloned());
             arguments
         };
-        let mut hands = Vec::new();
+        let mut processes = Vec::new();
         let mut add = |name: String, program: &str, zone: &str, serving: u16, arguments| {
-            hands.push(Hand {
+            processes.push(FleetProcess {
                 name,
                 program: program.to_string(),
                 arguments,
@@ -145,12 +146,12 @@
                 serving: loopback(serving),
                 advertise: None,
                 http: None,
-                process: 0,
+                pid: 0,
             });
         };
         for (node_index, (control, serving, zone)) in controllers.iter().enumerate() {
             let name = format!("controller-{}", node_index + 1);
-            let mut arguments = index(*control, *serving, zone);
+            let mut arguments = common_arguments(*control, *serving, zone);
             arguments.push("--data".to_string());
             arguments.push(folder.join(&name).display().to_string());
             add(name, "controller", zone, *serving, arguments);
@@ -161,7 +162,13 @@
                 let (control, serving) = (port(), port());
                 agents.push(("--agent".to_string(), loopback(serving).to_string()));
                 let name = format!("agent-{zone}-{number}");
-                add(name, "agent", zone, serving, index(control, serving, zone));
+                add(
+                    name,
+                    "agent",
+                    zone,
+                    serving,
+                    common_arguments(control, serving, zone),
+                );
                 let (own_control, own_serving) = (port(), port());
                 let name = format!("proxy-{zone}-{number}");
                 let options = folder.join(format!("{name}.json"));
@@ -172,7 +179,7 @@
                     agent: loopback(control).to_string(),
                     capacity: scenario.proxy_capacity,
                 };
-                // Why ignored here: the process that reads it says what is wrong.
+                // A write error is ignored: the proxy reports the missing file when it starts.
                 let _ = std::fs::write(&options, json.pretty(2));
                 let arguments = vec!["--options".to_string(), options.display().to_string()];
                 add(name, "proxy", zone, own_serving, arguments);
@@ -186,7 +193,7 @@
                 "directory",
                 zone,
                 serving,
-                index(control, serving, zone),
+                common_arguments(control, serving, zone),
             );
         }
         for service in &scenario.services {
@@ -203,7 +210,7 @@
                 arguments.extend(["--work-ms".to_string(), service.work_ms.to_string()]);
                 let journal = folder.join(format!("{name}.journal"));
                 arguments.extend(["--journal".to_string(), journal.display().to_string()]);
-                // Why three of them in turn: an instance knows a few agents, not all.
+                // Each instance knows four agents, not all.
                 for turn in 0..4 {
                     let (flag, agent) = &agents[(number as usize + turn * 3) % agents.len()];
                     arguments.extend([flag.clone(), agent.clone()]);
@@ -214,42 +221,44 @@
         Self {
             folder: folder.to_path_buf(),
             scenario: scenario.file.clone(),
-            hands,
+            processes,
         }
     }
 
-    /// Puts a relay before every control port that others reach; seeds are the relay's addresses.
-    pub fn put_relay(&mut self, base: u16, relayed: Relayed) {
+    /// Adds a relay process in front of every control port that other processes connect to, and points
+    /// the seed arguments to the relay's addresses.
+    pub fn add_relay(&mut self, base: u16, relayed: RelayedTraffic) {
         let mut next = base + 500;
-        let mut moved: BTreeMap<String, String> = BTreeMap::new();
+        let mut relay_addresses: BTreeMap<String, String> = BTreeMap::new();
         let mut pairs = Vec::new();
-        for hand in &mut self.hands {
-            if !["controller", "agent", "directory"].contains(&hand.program.as_str()) {
+        for process in &mut self.processes {
+            if !["controller", "agent", "directory"].contains(&process.program.as_str()) {
                 continue;
             }
-            // Why the second: the first two arguments are --control and its address.
-            let control = hand.arguments[1].clone();
+            // The first two arguments are --control and its address.
+            let control = process.arguments[1].clone();
             next += 1;
             let advertise = loopback(next);
-            hand.advertise = Some(advertise);
-            hand.arguments
+            process.advertise = Some(advertise);
+            process
+                .arguments
                 .extend(["--advertise".to_string(), advertise.to_string()]);
             pairs.extend(["--pair".to_string(), format!("{advertise}={control}")]);
-            moved.insert(control, advertise.to_string());
+            relay_addresses.insert(control, advertise.to_string());
         }
-        for hand in &mut self.hands {
-            let mut seed = false;
-            for argument in &mut hand.arguments {
-                if seed {
-                    if let Some(advertised) = moved.get(argument) {
+        for process in &mut self.processes {
+            let mut follows_seed_flag = false;
+            for argument in &mut process.arguments {
+                if follows_seed_flag {
+                    if let Some(advertised) = relay_addresses.get(argument) {
                         argument.clone_from(advertised);
                     }
                 }
-                seed = argument == "--seed";
+                follows_seed_flag = argument == "--seed";
             }
         }
-        if relayed == Relayed::MessagesAndHttp {
-            pairs.extend(self.put_http_relay(&mut next));
+        if relayed == RelayedTraffic::MessagesAndHttp {
+            pairs.extend(self.add_http_relay(&mut next));
         }
         let serving = loopback(base + 500);
         let mut arguments = vec![
@@ -260,7 +269,7 @@
             serving.to_string(),
         ];
         arguments.extend(pairs);
-        let relay = Hand {
+        let relay = FleetProcess {
             name: "relay".to_string(),
             program: "local-fleet".to_string(),
             arguments,
@@ -268,37 +277,38 @@
             serving,
             advertise: None,
             http: None,
-            process: 0,
+            pid: 0,
         };
-        // Why first: the others reach each other through it from the start.
-        self.hands.insert(0, relay);
+        // The relay is started first, because all other processes connect through it.
+        self.processes.insert(0, relay);
     }
 
-    /// Puts the relay between proxies and instances, and between instances and agents.
-    fn put_http_relay(&mut self, next: &mut u16) -> Vec<String> {
+    /// Adds relay addresses in front of the HTTP ports of instances and agents; returns the relay's
+    /// arguments for them.
+    fn add_http_relay(&mut self, next: &mut u16) -> Vec<String> {
         let mut pairs = Vec::new();
         let mut agents: BTreeMap<String, String> = BTreeMap::new();
-        for hand in &mut self.hands {
-            if !["test-instance", "agent"].contains(&hand.program.as_str()) {
+        for process in &mut self.processes {
+            if !["test-instance", "agent"].contains(&process.program.as_str()) {
                 continue;
             }
             *next += 1;
             let advertise = loopback(*next);
-            hand.http = Some(advertise);
+            process.http = Some(advertise);
             pairs.extend([
                 "--http".to_string(),
-                format!("{advertise}={}", hand.serving),
+                format!("{advertise}={}", process.serving),
             ]);
-            if hand.program == "agent" {
-                agents.insert(hand.serving.to_string(), advertise.to_string());
+            if process.program == "agent" {
+                agents.insert(process.serving.to_string(), advertise.to_string());
             } else {
                 let advertise = ["--advertise".to_string(), advertise.to_string()];
-                hand.arguments.extend(advertise);
+                process.arguments.extend(advertise);
             }
         }
-        for hand in &mut self.hands {
-            if hand.program == "test-instance" {
-                for argument in &mut hand.arguments {
+        for process in &mut self.processes {
+            if process.program == "test-instance" {
+                for argument in &mut process.arguments {
                     if let Some(advertised) = agents.get(argument) {
                         argument.clone_from(advertised);
                     }
@@ -308,157 +318,165 @@
         pairs
     }
 
-    /// Sets what happens to the HTTP connections of these processes.
-    pub async fn trouble_http(
+    /// Sets the mode of the HTTP relay for these processes.
+    pub async fn set_http_mode(
         &self,
-        places: &[usize],
+        indices: &[usize],
         mode: &str,
         late: Duration,
     ) -> anyhow::Result<()> {
-        let at: Vec<String> = places
+        let addresses: Vec<String> = indices
             .iter()
-            .filter_map(|index| self.hands[*index].http)
+            .filter_map(|index| self.processes[*index].http)
             .map(|address| address.to_string())
             .collect();
         let late = late.as_millis() as u64;
-        let body = jzon::object! { at: at, mode: mode, late_ms: late };
-        self.tell_relay("/http", body).await
+        let body = jzon::object! { at: addresses, mode: mode, late_ms: late };
+        self.post_to_relay("/http", body).await
     }
 
-    async fn tell_relay(&self, path: &str, body: JsonValue) -> anyhow::Result<()> {
+    async fn post_to_relay(&self, path: &str, body: JsonValue) -> anyhow::Result<()> {
         let relay = self
-            .hands
+            .processes
             .iter()
-            .find(|hand| hand.name == "relay")
-            .context("this fleet has no relay: start it with up --relay")?;
+            .find(|process| process.name == "relay")
+            .context("this fleet has no relay: start it with `up --relay`")?;
         Fetch::post(relay.serving, path, body.dump()).send().await?;
         Ok(())
     }
 
-    /// Cuts what these processes and all others say to each other.
-    pub async fn cut(&self, places: &[usize], one_way: bool) -> anyhow::Result<()> {
-        let side = |inside: bool| -> Vec<String> {
-            (0..self.hands.len())
-                .filter(|index| places.contains(index) == inside)
-                .filter_map(|index| self.hands[index].advertise)
+    /// Partitions these processes from all others; if `one_way`, only the messages that they send are
+    /// dropped.
+    pub async fn partition(&self, indices: &[usize], one_way: bool) -> anyhow::Result<()> {
+        let addresses_on_side = |inside: bool| -> Vec<String> {
+            (0..self.processes.len())
+                .filter(|index| indices.contains(index) == inside)
+                .filter_map(|index| self.processes[index].advertise)
                 .map(|address| address.to_string())
                 .collect()
         };
-        let (inside, outside) = (side(true), side(false));
-        let way = jzon::object! { from: inside.clone(), to: outside.clone() };
-        self.tell_relay("/cut", way).await?;
+        let (inside, outside) = (addresses_on_side(true), addresses_on_side(false));
+        let direction = jzon::object! { from: inside.clone(), to: outside.clone() };
+        self.post_to_relay("/cut", direction).await?;
         if !one_way {
-            let way = jzon::object! { from: outside, to: inside };
-            self.tell_relay("/cut", way).await?;
+            let direction = jzon::object! { from: outside, to: inside };
+            self.post_to_relay("/cut", direction).await?;
         }
         Ok(())
     }
 
-    pub async fn join(&self) -> anyhow::Result<()> {
-        self.tell_relay("/join", JsonValue::new_object()).await
+    /// Removes all partitions and resets all HTTP modes.
+    pub async fn heal(&self) -> anyhow::Result<()> {
+        self.post_to_relay("/join", JsonValue::new_object()).await
     }
 
-    fn file(folder: &Path) -> PathBuf {
+    fn file_in(folder: &Path) -> PathBuf {
         folder.join("fleet.json")
     }
 
+    /// Writes `fleet.json`.
     pub fn save(&self) -> anyhow::Result<()> {
-        let hands: Vec<JsonValue> = self
-            .hands
+        let processes: Vec<JsonValue> = self
+            .processes
             .iter()
-            .map(|hand| {
+            .map(|process| {
                 jzon::object! {
-                    name: hand.name.as_str(),
-                    program: hand.program.as_str(),
-                    arguments: hand.arguments.clone(),
-                    area: hand.zone.as_str(),
-                    serving: hand.serving.to_string(),
-                    advertise: hand.advertise.map(|address| address.to_string()),
-                    http: hand.http.map(|address| address.to_string()),
-                    process: hand.process,
+                    name: process.name.as_str(),
+                    program: process.program.as_str(),
+                    arguments: process.arguments.clone(),
+                    area: process.zone.as_str(),
+                    serving: process.serving.to_string(),
+                    advertise: process.advertise.map(|address| address.to_string()),
+                    http: process.http.map(|address| address.to_string()),
+                    process: process.pid,
                 }
             })
             .collect();
         let json = jzon::object! {
             scenario: self.scenario.display().to_string(),
-            hands: hands,
+            hands: processes,
         };
-        std::fs::write(Self::file(&self.folder), json.pretty(2))?;
+        std::fs::write(Self::file_in(&self.folder), json.pretty(2))?;
         Ok(())
     }
 
+    /// Reads `fleet.json` from a run folder.
     pub fn load(folder: &Path) -> Result<Self, OptionsFault> {
-        let path = Self::file(folder);
+        let path = Self::file_in(folder);
         let value = read_json_file(&path)?;
-        let hands = value["hands"]
+        let processes = value["hands"]
             .members()
-            .filter_map(|hand| {
-                Some(Hand {
-                    name: hand["name"].as_str()?.to_string(),
-                    program: hand["program"].as_str()?.to_string(),
-                    arguments: hand["arguments"]
+            .filter_map(|process| {
+                Some(FleetProcess {
+                    name: process["name"].as_str()?.to_string(),
+                    program: process["program"].as_str()?.to_string(),
+                    arguments: process["arguments"]
                         .members()
                         .filter_map(|argument| Some(argument.as_str()?.to_string()))
                         .collect(),
-                    zone: hand["area"].as_str()?.to_string(),
-                    serving: hand["serving"].as_str()?.parse().ok()?,
-                    advertise: hand["advertise"]
+                    zone: process["area"].as_str()?.to_string(),
+                    serving: process["serving"].as_str()?.parse().ok()?,
+                    advertise: process["advertise"]
                         .as_str()
                         .and_then(|address| address.parse().ok()),
-                    http: hand["http"]
+                    http: process["http"]
                         .as_str()
                         .and_then(|address| address.parse().ok()),
-                    process: hand["process"].as_i32()?,
+                    pid: process["process"].as_i32()?,
                 })
             })
             .collect();
         Ok(Self {
             folder: folder.to_path_buf(),
             scenario: PathBuf::from(value["scenario"].as_str().unwrap_or_default()),
-            hands,
+            processes,
         })
     }
 
-    /// The hands that a name means: one hand, a whole program, or a zone.
-    pub fn named(&self, name: &str) -> Vec<usize> {
-        (0..self.hands.len())
+    /// Returns the indices of the processes that a name selects: one process, all of a program, or all of a
+    /// zone.
+    pub fn select(&self, name: &str) -> Vec<usize> {
+        (0..self.processes.len())
             .filter(|index| {
-                let hand = &self.hands[*index];
-                hand.name == name || hand.program == name || hand.zone == name
+                let process = &self.processes[*index];
+                process.name == name || process.program == name || process.zone == name
             })
             .collect()
     }
 
+    /// Starts a process unless it is alive; its standard error is appended to a log file in the run
+    /// folder.
     pub fn start(&mut self, index: usize) -> anyhow::Result<()> {
         let folder = self.folder.clone();
-        let hand = &mut self.hands[index];
-        if hand.is_alive() {
+        let process = &mut self.processes[index];
+        if process.is_alive() {
             return Ok(());
         }
         let programs = std::env::current_exe()?
             .parent()
-            .context("this program has no folder")?
+            .context("the path of this executable has no parent folder")?
             .to_path_buf();
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(folder.join(format!("{}.log", hand.name)))?;
-        let child = Command::new(programs.join(&hand.program))
-            .args(&hand.arguments)
+            .open(folder.join(format!("{}.log", process.name)))?;
+        let child = Command::new(programs.join(&process.program))
+            .args(&process.arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .with_context(|| format!("cannot start {}", hand.program))?;
-        hand.process = child.id() as i32;
+            .with_context(|| format!("cannot start {}", process.program))?;
+        process.pid = child.id() as i32;
         Ok(())
     }
 
-    pub fn of(&self, program: &str) -> Vec<SocketAddr> {
-        self.hands
+    /// Returns the serving addresses of all processes of a program.
+    pub fn addresses_of(&self, program: &str) -> Vec<SocketAddr> {
+        self.processes
             .iter()
-            .filter(|hand| hand.program == program)
-            .map(|hand| hand.serving)
+            .filter(|process| process.program == program)
+            .map(|process| process.serving)
             .collect()
     }
 }
--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! `local-fleet`: a whole fleet on one machine, for trying things out and for injecting faults.
+//! `local-fleet`: runs a whole fleet on one machine, injects faults, and verifies the records of a run.
 
 mod drill;
 mod fit;
@@ -22,7 +22,7 @@
 use hyper::Method;
 
 use crate::drill::Drill;
-use crate::fleet::{Fleet, Hand, Relayed};
+use crate::fleet::{Fleet, FleetProcess, RelayedTraffic};
 use crate::scale::options::ScaleOptions;
 use crate::scale::scale;
 use runtime::events::start_log;
@@ -30,8 +30,9 @@
 use runtime::options::{end_over, read_flags, OptionsFault};
 use runtime::scenario::Scenario;
 
-const HELP: &str = "Starts a whole fleet on this machine from a scenario file, does it harm, and \
-judges from the records what it did";
+const HELP: &str =
+    "Starts a whole fleet on this machine from a scenario file, injects faults, and \
+verifies the recorded requests";
 
 #[derive(Debug, Clone)]
 enum Command {
@@ -42,14 +43,14 @@
     },
     Down,
     Status,
-    FaultStep {
+    Signal {
         signal: i32,
         names: Vec<String>,
     },
     Start {
         names: Vec<String>,
     },
-    Judge {
+    Verify {
         records: Vec<PathBuf>,
     },
     Cut {
@@ -75,25 +76,25 @@
     command: Command,
 }
 
-fn names_of() -> impl Parser<Vec<String>> {
+fn target_names() -> impl Parser<Vec<String>> {
     positional::<String>("NAME")
         .help("A process, a program or a zone")
-        .some("name at least one process, program or zone")
+        .some("give at least one process, program or zone")
 }
 
 fn flags() -> OptionParser<Flags> {
     let run = long("run")
-        .help("Folder for the fleet's files")
+        .help("Folder for the files of the fleet")
         .argument::<PathBuf>("FOLDER");
     let scenario = long("scenario")
         .help("Scenario file")
         .argument::<PathBuf>("FILE");
     let base = long("base-port")
-        .help("Ports are taken from here up")
+        .help("First port of the block that the fleet uses")
         .argument::<u16>("PORT")
         .fallback(21000);
     let relay = long("relay")
-        .help("Put a relay before the control ports, so that cut and join work")
+        .help("Put a relay in front of the control ports; needed by cut and join")
         .switch();
     let up = construct!(Command::Up {
         scenario,
@@ -101,7 +102,7 @@
         relay
     })
     .to_options()
-    .descr("Start a fleet, give it its configuration, and wait until it serves")
+    .descr("Start a fleet, apply its configuration, and wait until it serves requests")
     .command("up");
     let down = bpaf::pure(Command::Down)
         .to_options()
@@ -109,62 +110,70 @@
         .command("down");
     let status = bpaf::pure(Command::Status)
         .to_options()
-        .descr("Say which processes live")
+        .descr("Print which processes are alive")
         .command("status");
-    let fault_step = |word: &'static str, text: &'static str, signal: i32| {
+    let signal_command = |word: &'static str, text: &'static str, signal: i32| {
         let signal = bpaf::pure(signal);
-        let names = names_of();
-        construct!(Command::FaultStep { signal, names })
+        let names = target_names();
+        construct!(Command::Signal { signal, names })
             .to_options()
             .descr(text)
             .command(word)
     };
-    let kill = fault_step("kill", "Kill processes at once", libc::SIGKILL);
-    let stop = fault_step("stop", "Ask processes to stop politely", libc::SIGTERM);
-    let freeze = fault_step("freeze", "Freeze processes", libc::SIGSTOP);
-    let wake = fault_step("wake", "Wake frozen processes", libc::SIGCONT);
-    let names = names_of();
+    let kill = signal_command("kill", "Kill processes (SIGKILL)", libc::SIGKILL);
+    let stop = signal_command(
+        "stop",
+        "Shut processes down gracefully (SIGTERM)",
+        libc::SIGTERM,
+    );
+    let freeze = signal_command("freeze", "Suspend processes (SIGSTOP)", libc::SIGSTOP);
+    let wake = signal_command(
+        "wake",
+        "Resume suspended processes (SIGCONT)",
+        libc::SIGCONT,
+    );
+    let names = target_names();
     let start = construct!(Command::Start { names })
         .to_options()
-        .descr("Start ended processes again, with the same place and data")
+        .descr("Restart ended processes with the same addresses and data")
         .command("start");
     let records = positional::<PathBuf>("RECORD")
-        .help("Record files written by caller")
-        .some("name at least one record");
-    let judge = construct!(Command::Judge { records })
+        .help("Record files written by load-generator")
+        .some("give at least one record");
+    let judge = construct!(Command::Verify { records })
         .to_options()
-        .descr("Compare callers' records with what the instances ran")
+        .descr("Verify the clients' records against the journals of the instances")
         .command("judge");
     let one_way = long("one-way")
-        .help("Cut only what they send, not what is sent to them")
+        .help("Drop only the messages that these processes send")
         .switch();
-    let names = names_of();
+    let names = target_names();
     let cut = construct!(Command::Cut { one_way, names })
         .to_options()
-        .descr("Cut what our processes say to each other (needs up --relay)")
+        .descr("Partition processes from all others (needs up --relay)")
         .command("cut");
     let join = bpaf::pure(Command::Join)
         .to_options()
-        .descr("Undo all cuts")
+        .descr("Remove all partitions")
         .command("join");
     let base = long("base-port")
-        .help("Ports are taken from here up")
+        .help("First port of the block that the fleet uses")
         .argument::<u16>("PORT")
         .fallback(23000);
-    let file = positional::<PathBuf>("DRILL").help("A drill's file");
+    let file = positional::<PathBuf>("DRILL").help("Drill file");
     let drill = construct!(Command::Drill { base, file })
         .to_options()
-        .descr("Run a written drill under load, judge it, and end the fleet")
+        .descr("Run a drill under load, verify its records, and end the fleet")
         .command("drill");
     let serving = long("serving")
-        .help("Address for cut and join")
+        .help("Address for requests to cut, join and change the HTTP mode")
         .argument::<SocketAddr>("ADDRESS");
     let pairs = long("pair")
-        .help("ADVERTISED=LISTENED")
+        .help("Control port to relay, as ADVERTISED=LISTENED")
         .argument::<String>("PAIR")
         .many();
     let http = long("http")
-        .help("ADVERTISED=LISTENED of an HTTP address")
+        .help("HTTP port to relay, as ADVERTISED=LISTENED")
         .argument::<String>("PAIR")
         .many();
     let relay = construct!(Command::Relay {
@@ -173,12 +182,12 @@
         http
     })
     .to_options()
-    .descr("Be the relay; started by up --relay")
+    .descr("Run the relay; started by up --relay")
     .command("relay");
     let scale = scale_options()
         .map(Command::Scale)
         .to_options()
-        .descr("Measure what a fleet of hollow nodes and instances costs real core processes")
+        .descr("Measure the load of simulated nodes and instances on real control plane processes")
         .command("scale");
     let command = construct!([
         up, down, status, kill, stop, freeze, wake, start, judge, cut, join, drill, relay, scale
@@ -187,55 +196,63 @@
 }
 
 fn scale_options() -> impl Parser<ScaleOptions> {
-    let number = |name: &'static str, help: &'static str, usual: u32| {
+    let number = |name: &'static str, help: &'static str, default: u32| {
         long(name)
             .help(help)
             .argument::<u32>("NUMBER")
-            .fallback(usual)
+            .fallback(default)
     };
-    let rate = |name: &'static str, help: &'static str, usual: f64| {
+    let rate = |name: &'static str, help: &'static str, default: f64| {
         long(name)
             .help(help)
             .argument::<f64>("NUMBER")
-            .fallback(usual)
+            .fallback(default)
     };
-    let nodes = number("nodes", "Hollow agents, each with its proxy (24)", 24);
-    let instances = number("instances", "Hollow instances (100)", 100);
+    let nodes = number(
+        "nodes",
+        "Simulated agents, each reporting one proxy (24)",
+        24,
+    );
+    let instances = number("instances", "Simulated instances (100)", 100);
     let routes = number("routes", "Routes (100)", 100);
-    let services = number("pools", "Services, that is services (10)", 10);
-    let changes = rate("changes", "Configuration changes a second (1)", 1.0);
+    let services = number("pools", "Services (10)", 10);
+    let changes = rate("changes", "Configuration changes per second (1)", 1.0);
     let restarts = rate(
         "restarts",
-        "Restarts a minute, agents and instances in turn (6)",
+        "Restarts per minute, alternating between agents and instances (6)",
         6.0,
     );
     let seconds = long("seconds")
-        .help("How long is measured (8)")
+        .help("Duration of the measurement (8)")
         .argument::<u64>("NUMBER")
         .fallback(8);
-    let zones = number("zones", "Zones of the hollow ones, four to a region (4)", 4);
+    let zones = number(
+        "zones",
+        "Zones of the simulated nodes, four to a region (4)",
+        4,
+    );
     let agents = number("agents", "Real agents, each with a real proxy (3)", 3);
     let directories = number("directories", "Real directories (2)", 2);
     let threads = long("threads")
-        .help("Threads for all the hollow ones (2)")
+        .help("Threads for all simulated nodes and instances (2)")
         .argument::<usize>("NUMBER")
         .fallback(2);
     let base = long("base-port")
-        .help("Ports are taken from here up")
+        .help("First port of the block that the fleet uses")
         .argument::<u16>("PORT")
         .fallback(25000);
     let json = long("json")
-        .help("File for the results")
+        .help("File for the results, as JSON")
         .argument::<PathBuf>("FILE")
         .optional();
     let sweep = long("sweep")
-        .help("Four sizes of each of nodes, instances, rules and changes, and lines through them")
+        .help("Measure four sizes each of nodes, instances, routes and changes, and fit lines to the results")
         .switch();
     let check = long("check")
-        .help("Compare two sizes by counts; ends with 1 when a node says more in the larger")
+        .help("Compare the message counts of two sizes; exits with 1 if a node exchanges more in the larger fleet")
         .switch();
     let lose_zone = long("lose-zone")
-        .help("Silence the hollow ones of one zone for so many seconds in the middle (0)")
+        .help("Silence the simulated nodes of one zone for this many seconds during the run (0)")
         .argument::<u64>("SECONDS")
         .fallback(0);
     construct!(ScaleOptions {
@@ -258,48 +275,64 @@
     })
 }
 
-pub async fn until(what: &str, span: Duration, test: impl AsyncFn() -> bool) -> anyhow::Result<()> {
+/// Polls a condition every 100 ms until it holds; fails after `timeout`.
+pub async fn wait_for(
+    what: &str,
+    timeout: Duration,
+    test: impl AsyncFn() -> bool,
+) -> anyhow::Result<()> {
     let start = Instant::now();
-    while start.elapsed() < span {
+    while start.elapsed() < timeout {
         if test().await {
             println!("{what} after {} ms", start.elapsed().as_millis());
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    bail!("{what}: not within {span:?}; read the logs in the run folder")
+    bail!("timed out after {timeout:?} waiting until {what}; see the logs in the run folder")
 }
 
+/// Fetches a path with a timeout of 1 s; returns nothing if the process does not respond.
 pub async fn status_of(address: SocketAddr, path: &str) -> Option<Fetched> {
     let timeout = Duration::from_secs(1);
     Fetch::get(address, path).timeout(timeout).send().await.ok()
 }
 
-pub async fn up(run: &Path, scenario: &Path, base: u16, relayed: Relayed) -> anyhow::Result<()> {
+/// Starts a fleet, applies its configuration, and waits until it serves requests.
+pub async fn up(
+    run: &Path,
+    scenario: &Path,
+    base: u16,
+    relayed: RelayedTraffic,
+) -> anyhow::Result<()> {
     let scenario = Scenario::read(scenario).unwrap_or_else(|faults| end_over(&faults));
     std::fs::create_dir_all(run)?;
     let run = run.canonicalize()?;
     if let Ok(old) = Fleet::load(&run) {
-        if old.hands.iter().any(Hand::is_alive) {
-            bail!("a fleet of this folder is up: end it first with down");
+        if old.processes.iter().any(FleetProcess::is_alive) {
+            bail!("a fleet of this run folder is still running: end it first with `down`");
         }
     }
     let mut fleet = Fleet::plan(&scenario, &run, base);
-    if relayed != Relayed::Nothing {
-        fleet.put_relay(base, relayed);
+    if relayed != RelayedTraffic::Nothing {
+        fleet.add_relay(base, relayed);
     }
-    for index in 0..fleet.hands.len() {
+    for index in 0..fleet.processes.len() {
         fleet.start(index)?;
     }
     fleet.save()?;
-    println!("{} processes started", fleet.hands.len());
-    let span = Duration::from_secs(60);
-    let controllers = fleet.of("controller");
-    until("the controllers agree", span, async || {
-        status_of(controllers[0], "/v1/standing")
-            .await
-            .is_some_and(|fetched| fetched.status == 200)
-    })
+    println!("{} processes started", fleet.processes.len());
+    let timeout = Duration::from_secs(60);
+    let controllers = fleet.addresses_of("controller");
+    wait_for(
+        "the controllers return the configuration",
+        timeout,
+        async || {
+            status_of(controllers[0], "/v1/standing")
+                .await
+                .is_some_and(|fetched| fetched.status == 200)
+        },
+    )
     .await?;
     let configuration = scenario.configuration().dump();
     std::fs::write(
@@ -314,8 +347,8 @@
         applied.status,
         applied.json().dump()
     );
-    let proxies = fleet.of("proxy");
-    until("all proxies are ready", span, async || {
+    let proxies = fleet.addresses_of("proxy");
+    wait_for("all proxies are ready", timeout, async || {
         for proxy in &proxies {
             let ready = status_of(*proxy, "/caperworks/ready").await;
             if ready.is_none_or(|fetched| fetched.status != 200) {
@@ -330,14 +363,14 @@
         .iter()
         .map(|service| service.instances)
         .sum();
-    until("all instances are known", span, async || {
+    wait_for("all instances are registered", timeout, async || {
         status_of(controllers[0], "/v1/status")
             .await
             .is_some_and(|fetched| fetched.json()["instances"].len() == instances as usize)
     })
     .await?;
-    let directories = fleet.of("directory");
-    until("the directories answer", span, async || {
+    let directories = fleet.addresses_of("directory");
+    wait_for("the directories are ready", timeout, async || {
         for directory in &directories {
             let ready = status_of(*directory, "/ready").await;
             if ready.is_none_or(|fetched| fetched.status != 200) {
@@ -352,8 +385,8 @@
         .iter()
         .find(|kind| kind.method == Method::GET)
     {
-        // Why wait: instances are cold at first and take no more than their gentle rate.
-        until("orders are served", span, async || {
+        // Instances start with warm-up and accept only a limited request rate at first.
+        wait_for("requests are served", timeout, async || {
             let request = Fetch::get(proxies[0], read.path.clone()).header("host", &read.host);
             request
                 .send()
@@ -362,32 +395,35 @@
         })
         .await?;
     }
-    let word = |addresses: &[SocketAddr]| {
+    let joined = |addresses: &[SocketAddr]| {
         addresses
             .iter()
             .map(SocketAddr::to_string)
             .collect::<Vec<_>>()
             .join(" ")
     };
-    println!("controllers     {}", word(&controllers));
-    println!("directories {}", word(&directories));
-    println!("proxies     {}", word(&proxies));
+    println!("controllers     {}", joined(&controllers));
+    println!("directories {}", joined(&directories));
+    println!("proxies     {}", joined(&proxies));
     Ok(())
 }
 
+/// Kills all processes of a fleet and waits up to 5 s until they have exited.
 pub async fn down(fleet: &Fleet) {
-    for hand in &fleet.hands {
-        hand.signal(libc::SIGCONT);
-        hand.signal(libc::SIGKILL);
+    for process in &fleet.processes {
+        process.signal(libc::SIGCONT);
+        process.signal(libc::SIGKILL);
     }
     let start = Instant::now();
-    while fleet.hands.iter().any(Hand::is_alive) && start.elapsed() < Duration::from_secs(5) {
+    while fleet.processes.iter().any(FleetProcess::is_alive)
+        && start.elapsed() < Duration::from_secs(5)
+    {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// One line of an instance's journal.
-struct Ran {
+/// One line of an instance's journal: a request that the instance ran.
+struct JournalEntry {
     request: String,
     write: bool,
     key_range: Option<(String, u64)>,
@@ -396,7 +432,7 @@
     instance: String,
 }
 
-fn read_journals(folder: &Path) -> anyhow::Result<Vec<Ran>> {
+fn read_journals(folder: &Path) -> anyhow::Result<Vec<JournalEntry>> {
     let mut runs = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
@@ -426,7 +462,7 @@
             let key_range = field("slice=").split_once('/').map(|(key_range, epoch)| {
                 (format!("{service}/{key_range}"), epoch.parse().unwrap_or(0))
             });
-            runs.push(Ran {
+            runs.push(JournalEntry {
                 request: (*request).to_string(),
                 write: *method != "GET",
                 key_range,
@@ -439,8 +475,11 @@
     Ok(runs)
 }
 
-/// Judges a run: nothing twice, nothing after "not run", no two owners of a key range at once.
-pub fn judge(fleet: &Fleet, records: &[PathBuf]) -> anyhow::Result<bool> {
+/// Verifies a run: no write ran twice or after it was reported as not run, each served request was run,
+/// no truncated request was run, and no key range had two owners at once.
+///
+/// Prints the counts as JSON; a run without any record fails.
+pub fn verify_records(fleet: &Fleet, records: &[PathBuf]) -> anyhow::Result<bool> {
     let runs = read_journals(&fleet.folder)?;
     let mut reported: HashMap<String, String> = HashMap::new();
     for record in records {
@@ -453,11 +492,11 @@
         }
     }
     let mut writes: HashMap<&str, u32> = HashMap::new();
-    for ran in runs.iter().filter(|ran| ran.write) {
-        *writes.entry(&ran.request).or_default() += 1;
+    for entry in runs.iter().filter(|entry| entry.write) {
+        *writes.entry(&entry.request).or_default() += 1;
     }
-    let twice = writes.values().filter(|count| **count > 1).count();
-    let after_not_run = writes
+    let ran_twice = writes.values().filter(|count| **count > 1).count();
+    let ran_after_not_run = writes
         .keys()
         .filter(|request| {
             reported
@@ -465,63 +504,65 @@
                 .is_some_and(|word| word == "not-run")
         })
         .count();
-    let served_not_run = reported
+    let served_without_run = reported
         .iter()
         .filter(|(request, word)| *word == "served" && !writes.contains_key(request.as_str()))
         .count();
-    let mut by_key_range: HashMap<&str, Vec<&Ran>> = HashMap::new();
-    for ran in &runs {
-        if let Some((key_range, _)) = &ran.key_range {
-            by_key_range.entry(key_range).or_default().push(ran);
+    let mut by_key_range: HashMap<&str, Vec<&JournalEntry>> = HashMap::new();
+    for entry in &runs {
+        if let Some((key_range, _)) = &entry.key_range {
+            by_key_range.entry(key_range).or_default().push(entry);
         }
     }
     let mut overlaps = 0;
     for runs in by_key_range.values_mut() {
-        runs.sort_by_key(|ran| ran.from);
-        for (index, ran) in runs.iter().enumerate() {
+        runs.sort_by_key(|entry| entry.from);
+        for (index, entry) in runs.iter().enumerate() {
             overlaps += runs[index + 1..]
                 .iter()
-                .take_while(|next| next.from < ran.to)
-                .filter(|next| next.instance != ran.instance)
+                .take_while(|next| next.from < entry.to)
+                .filter(|next| next.instance != entry.instance)
                 .count();
         }
     }
-    // Why apart: a half request is in nobody's record, and must be in no instance's either.
-    let halves = runs
+    // Truncated requests come from the probes: they are in no client's record, so they are counted
+    // separately.
+    let truncated_runs = runs
         .iter()
-        .filter(|ran| ran.request == probe::HALF_REQUEST)
+        .filter(|entry| entry.request == probe::HALF_REQUEST)
         .count();
-    let proposal_outcome = halves + twice + after_not_run + served_not_run + overlaps == 0;
+    let passed =
+        truncated_runs + ran_twice + ran_after_not_run + served_without_run + overlaps == 0;
     let json = jzon::object! {
         orders_told: reported.len(),
         runs: runs.len(),
         writes_run: writes.len(),
-        ran_twice: twice,
-        ran_after_not_run: after_not_run,
-        served_without_a_run: served_not_run,
+        ran_twice: ran_twice,
+        ran_after_not_run: ran_after_not_run,
+        served_without_a_run: served_without_run,
         two_owners_at_once: overlaps,
-        half_orders_run: halves,
-        good: proposal_outcome,
+        half_orders_run: truncated_runs,
+        good: passed,
     };
     println!("{}", json.pretty(2));
-    Ok(proposal_outcome && !reported.is_empty())
+    Ok(passed && !reported.is_empty())
 }
 
-fn named_or_end(fleet: &Fleet, names: &[String]) -> Vec<usize> {
-    let mut places = Vec::new();
+fn select_or_exit(fleet: &Fleet, names: &[String]) -> Vec<usize> {
+    let mut indices = Vec::new();
     for name in names {
-        let found = fleet.named(name);
+        let found = fleet.select(name);
         if found.is_empty() {
             end_over(&[OptionsFault {
                 file: "command line".to_string(),
                 field: name.clone(),
-                remedy: "is no process, program or zone of this fleet: see local fleet status"
+                remedy: "is not a process, program or zone of this fleet: see `local-fleet status`"
                     .to_string(),
             }]);
         }
-        places.extend(found);
+        indices.extend(found);
     }
-    places
+    indices
 }
 
 #[tokio::main(flavor = "current_thread")]
@@ -534,8 +575,8 @@
             relay,
         } => {
             let relayed = match relay {
-                true => Relayed::Messages,
-                false => Relayed::Nothing,
+                true => RelayedTraffic::Messages,
+                false => RelayedTraffic::Nothing,
             };
             return up(&flags.run, scenario, *base, relayed).await;
         }
@@ -564,13 +605,14 @@
         }
         Command::Scale(options) => {
             let (options, run) = (options.clone(), flags.run.clone());
-            // Why a thread: each size has a runtime of its own, and none may start within another.
+            // A separate thread is needed because each size starts its own runtime, and a runtime must not
+            // be started within another.
             let outcome = std::thread::spawn(move || scale(&options, &run)).join();
             match outcome {
                 Ok(Ok(true)) => return Ok(()),
                 Ok(Ok(false)) => std::process::exit(1),
                 Ok(Err(failure)) => return Err(failure),
-                Err(_) => bail!("the run broke an invariant"),
+                Err(_) => bail!("the scale run panicked"),
             }
         }
         _ => {}
@@ -579,42 +621,46 @@
     match &flags.command {
         Command::Up { .. } | Command::Drill { .. } | Command::Relay { .. } | Command::Scale(_) => {}
         Command::Cut { one_way, names } => {
-            let places = named_or_end(&fleet, names);
-            fleet.cut(&places, *one_way).await?;
+            let indices = select_or_exit(&fleet, names);
+            fleet.partition(&indices, *one_way).await?;
         }
-        Command::Join => fleet.join().await?,
+        Command::Join => fleet.heal().await?,
         Command::Down => down(&fleet).await,
         Command::Status => {
-            for hand in &fleet.hands {
-                let word = if hand.is_alive() { "lives" } else { "ended" };
+            for process in &fleet.processes {
+                let word = if process.is_alive() { "alive" } else { "ended" };
                 println!(
                     "{word} {:>8} {} {} {}",
-                    hand.process, hand.name, hand.zone, hand.serving
+                    process.pid, process.name, process.zone, process.serving
                 );
             }
         }
-        Command::FaultStep { signal, names } => {
-            for index in named_or_end(&fleet, names) {
-                let hand = &fleet.hands[index];
-                let done = hand.signal(*signal);
+        Command::Signal { signal, names } => {
+            for index in select_or_exit(&fleet, names) {
+                let process = &fleet.processes[index];
+                let done = process.signal(*signal);
                 println!(
                     "{} {}",
-                    hand.name,
+                    process.name,
                     if done { "done" } else { "was not alive" }
                 );
             }
         }
         Command::Start { names } => {
-            for index in named_or_end(&fleet, names) {
-                let lived = fleet.hands[index].is_alive();
+            for index in select_or_exit(&fleet, names) {
+                let was_alive = fleet.processes[index].is_alive();
                 fleet.start(index)?;
-                let word = if lived { "lives" } else { "started" };
-                println!("{} {word}", fleet.hands[index].name);
+                let word = if was_alive {
+                    "already alive"
+                } else {
+                    "started"
+                };
+                println!("{} {word}", fleet.processes[index].name);
             }
             fleet.save()?;
         }
-        Command::Judge { records } => {
-            if !judge(&fleet, records)? {
+        Command::Verify { records } => {
+            if !verify_records(&fleet, records)? {
                 std::process::exit(1);
             }
         }
@@ -627,38 +673,39 @@
     use std::path::PathBuf;
 
     use crate::fleet::Fleet;
-    use crate::judge;
+    use crate::verify_records;
 
-    /// Judges journals and a record written by hand.
-    fn judged(name: &str, journals: &[(&str, &str)], record: &str) -> bool {
+    /// Verifies the given journals and record.
+    fn passes_verification(name: &str, journals: &[(&str, &str)], record: &str) -> bool {
         let folder =
             std::env::temp_dir().join(format!("caperworks-judge-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a temporary folder");
         for (instance, lines) in journals {
             std::fs::write(folder.join(format!("{instance}.journal")), lines).expect("a journal");
         }
-        let reported = folder.join("told");
-        std::fs::write(&reported, record).expect("a record");
+        let record_path = folder.join("told");
+        std::fs::write(&record_path, record).expect("a record");
         let fleet = Fleet {
             folder: folder.clone(),
             scenario: PathBuf::new(),
-            hands: Vec::new(),
+            processes: Vec::new(),
         };
-        let good = judge(&fleet, &[reported]).expect("it can be judged");
-        std::fs::remove_dir_all(&folder).expect("it was there");
+        let good = verify_records(&fleet, &[record_path]).expect("it can be verified");
+        std::fs::remove_dir_all(&folder).expect("the folder is removed");
         good
     }
 
-    fn ran(request: &str, key_range: &str, from: u32, to: u32) -> String {
+    /// A journal line of one request.
+    fn journal_line(request: &str, key_range: &str, from: u32, to: u32) -> String {
         format!("ran {request} POST /x key=k slice={key_range} digest=0 from={from} to={to}\n")
     }
 
     #[test]
     fn given_a_clean_run_when_judged_then_it_is_good() {
-        let lines = ran("a", "1/1", 10, 20) + &ran("b", "1/1", 30, 40);
-        let other = ran("c", "1/2", 50, 60);
+        let lines = journal_line("a", "1/1", 10, 20) + &journal_line("b", "1/1", 30, 40);
+        let other = journal_line("c", "1/2", 50, 60);
         let reported = "a served\nb unknown\nc served\nd not-run\n";
-        assert!(judged(
+        assert!(passes_verification(
             "clean",
             &[("burn-1", &lines), ("burn-2", &other)],
             reported
@@ -667,23 +714,42 @@
 
     #[test]
     fn given_each_kind_of_harm_when_judged_then_it_is_caught() {
-        let once = ran("a", "-", 10, 20);
+        let once = journal_line("a", "-", 10, 20);
         let twice = once.clone() + &once;
-        assert!(!judged("twice", &[("desk-1", &twice)], "a served\n"));
-        assert!(!judged("not-run", &[("desk-1", &once)], "a not-run\n"));
-        assert!(!judged(
+        assert!(!passes_verification(
+            "twice",
+            &[("desk-1", &twice)],
+            "a served\n"
+        ));
+        assert!(!passes_verification(
+            "not-run",
+            &[("desk-1", &once)],
+            "a not-run\n"
+        ));
+        assert!(!passes_verification(
             "no-run",
             &[("desk-1", &once)],
             "a served\nb served\n"
         ));
-        let half = ran(crate::probe::HALF_REQUEST, "-", 10, 20);
-        assert!(!judged("half", &[("desk-1", &half)], "a not-run\n"));
-        let (one, other) = (ran("a", "3/1", 10, 30), ran("b", "3/2", 20, 40));
+        let half = journal_line(crate::probe::HALF_REQUEST, "-", 10, 20);
+        assert!(!passes_verification(
+            "half",
+            &[("desk-1", &half)],
+            "a not-run\n"
+        ));
+        let (one, other) = (
+            journal_line("a", "3/1", 10, 30),
+            journal_line("b", "3/2", 20, 40),
+        );
         let journals = [("burn-1", one.as_str()), ("burn-2", other.as_str())];
-        assert!(!judged("owners", &journals, "a served\nb served\n"));
+        assert!(!passes_verification(
+            "owners",
+            &journals,
+            "a served\nb served\n"
+        ));
         assert!(
-            !judged("nothing", &[], ""),
-            "a run without a record proves nothing"
+            !passes_verification("nothing", &[], ""),
+            "a run without a record must not pass"
         );
     }
 }
--- a/crates/local-fleet/src/scale/run.rs
+++ b/crates/local-fleet/src/scale/run.rs
@@ -10,7 +10,7 @@
 use anyhow::{anyhow, bail, Context as AnyhowContext};
 use jzon::JsonValue;
 
-use crate::fleet::{Fleet, Relayed};
+use crate::fleet::{Fleet, RelayedTraffic};
 use crate::flows::{count_between, Addresses, FlowCounts, Flows, Part};
 use crate::hollow::{
     start_agent, start_instance, ControllerAddresses, HollowFleet, HollowInstance,
@@ -29,8 +29,8 @@
 
 impl Drop for EndsFleet {
     fn drop(&mut self) {
-        for hand in &self.0.hands {
-            hand.signal(libc::SIGKILL);
+        for process in &self.0.processes {
+            process.signal(libc::SIGKILL);
         }
     }
 }
@@ -101,25 +101,26 @@
     let folder = folder.canonicalize()?;
     let scenario = options.scenario();
     let mut fleet = Fleet::plan(&scenario, &folder, options.base);
-    fleet.put_relay(options.base, Relayed::Messages);
+    fleet.add_relay(options.base, RelayedTraffic::Messages);
     // Why out of the fleet: this process is the relay itself, for it counts what passes.
-    fleet.hands.remove(0);
+    fleet.processes.remove(0);
     let mut addresses = HashMap::new();
     let mut pairs = Vec::new();
     let mut controllers = Vec::new();
-    for hand in &fleet.hands {
-        let (Some(part), Some(advertised)) = (Part::of_program(&hand.program), hand.advertise)
+    for process in &fleet.processes {
+        let (Some(part), Some(advertised)) =
+            (Part::of_program(&process.program), process.advertise)
         else {
             continue;
         };
-        let listened: SocketAddr = hand.arguments[1].parse()?;
+        let listened: SocketAddr = process.arguments[1].parse()?;
         addresses.insert(advertised, part);
         pairs.push((advertised, listened));
         if part == Part::Controller {
             controllers.push(ControllerAddresses {
                 advertised,
                 listened,
-                serving: hand.serving,
+                serving: process.serving,
             });
         }
     }
@@ -127,7 +128,7 @@
     let flows: Arc<Flows> = Arc::default();
     count_between(&pairs, &addresses, &flows).await?;
     let mut fleet = EndsFleet(fleet);
-    for index in 0..fleet.0.hands.len() {
+    for index in 0..fleet.0.processes.len() {
         fleet.0.start(index)?;
     }
     let span = Duration::from_secs(60);
@@ -181,9 +182,9 @@
 
     let samples = |fleet: &Fleet| -> Vec<Option<Sample>> {
         fleet
-            .hands
+            .processes
             .iter()
-            .map(|hand| Sample::of(hand.process))
+            .map(|process| Sample::of(process.pid))
             .collect()
     };
     let (accepted, offered) = (Accepted::default(), Arc::new(AtomicU64::new(0)));
@@ -254,10 +255,10 @@
     took: f64,
 ) -> RoleFigures {
     let pairs: Vec<(Sample, Sample)> = fleet
-        .hands
+        .processes
         .iter()
         .zip(before.iter().zip(after))
-        .filter(|(hand, _)| hand.program == role)
+        .filter(|(process, _)| process.program == role)
         .filter_map(|(_, (before, after))| Some(((*before)?, (*after)?)))
         .collect();
     let count = pairs.len().max(1) as f64;
