--- a/crates/local-fleet/src/drill.rs
+++ b/crates/local-fleet/src/drill.rs
@@ -281,7 +281,7 @@
         let same = found == version && value == 1000 + number;
         if !same && (found <= version || changes.unknown == 0) {
             println!(
-                "{controller} returned value {value} at version {found}, expected {} at version {version}",
+                "{controller} returned {value} at version {found}, expected {} at {version}",
                 1000 + number
             );
             return false;
--- a/crates/local-fleet/src/flows.rs
+++ b/crates/local-fleet/src/flows.rs
@@ -1,4 +1,4 @@
-//! Counts of the messages and bytes that go between the parts of a fleet.
+//! Counters for the messages and bytes exchanged between the components of a fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use runtime::connections::ControlPort;
 use runtime::locks::locked;
 
-/// The parts whose traffic is told apart.
+/// The components whose traffic is counted separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Part {
+pub enum Component {
     Controller,
     Agent,
     Directory,
@@ -22,17 +22,17 @@
     Operator,
 }
 
-pub const PARTS: [Part; 6] = [
-    Part::Controller,
-    Part::Agent,
-    Part::Directory,
-    Part::HollowAgent,
-    Part::HollowInstance,
-    Part::Operator,
+pub const COMPONENTS: [Component; 6] = [
+    Component::Controller,
+    Component::Agent,
+    Component::Directory,
+    Component::HollowAgent,
+    Component::HollowInstance,
+    Component::Operator,
 ];
 
-impl Part {
-    /// The part that a program's control port belongs to; none for programs without counted ones.
+impl Component {
+    /// Returns the component of a program; none if the traffic of its control port is not counted.
     pub fn of_program(program: &str) -> Option<Self> {
         match program {
             "controller" => Some(Self::Controller),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Messages and the bytes that they took.
+/// A number of messages and their total size.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Amount {
     pub messages: u64,
@@ -51,7 +51,7 @@
 }
 
 impl Amount {
-    fn and(self, other: Self) -> Self {
+    fn plus(self, other: Self) -> Self {
         Self {
             messages: self.messages + other.messages,
             bytes: self.bytes + other.bytes,
@@ -59,14 +59,14 @@
     }
 }
 
-/// What went from each part to each part, up to one moment.
+/// Traffic from each component to each other, up to one point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FlowCounts {
-    cells: [[Amount; PARTS.len()]; PARTS.len()],
+    cells: [[Amount; COMPONENTS.len()]; COMPONENTS.len()],
 }
 
 impl FlowCounts {
-    /// What was counted since an earlier moment.
+    /// Returns the traffic counted since an earlier snapshot.
     pub fn since(&self, before: &Self) -> Self {
         let mut difference = *self;
         for (row, earlier) in difference.cells.iter_mut().zip(&before.cells) {
@@ -78,64 +78,68 @@
         difference
     }
 
-    pub fn received_by(&self, part: Part) -> Amount {
-        let column = self.cells.iter().map(|row| row[part as usize]);
-        column.fold(Amount::default(), Amount::and)
+    /// Returns the traffic that a component received from all others.
+    pub fn received_by(&self, component: Component) -> Amount {
+        let column = self.cells.iter().map(|row| row[component as usize]);
+        column.fold(Amount::default(), Amount::plus)
     }
 
-    pub fn sent_by(&self, part: Part) -> Amount {
-        let row = self.cells[part as usize].iter().copied();
-        row.fold(Amount::default(), Amount::and)
+    /// Returns the traffic that a component sent to all others.
+    pub fn sent_by(&self, component: Component) -> Amount {
+        let row = self.cells[component as usize].iter().copied();
+        row.fold(Amount::default(), Amount::plus)
     }
 }
 
-/// The running counts, from any task.
+/// The running counters, shared between tasks.
 #[derive(Default)]
 pub struct Flows {
     counts: Mutex<FlowCounts>,
 }
 
 impl Flows {
-    pub fn count(&self, from: Part, to: Part, bytes: usize) {
+    /// Counts one message.
+    pub fn count(&self, from: Component, to: Component, bytes: usize) {
         let cell = &mut locked(&self.counts).cells[from as usize][to as usize];
         cell.messages += 1;
         cell.bytes += bytes as u64;
     }
 
-    pub fn so_far(&self) -> FlowCounts {
+    /// Returns a snapshot of the counters.
+    pub fn snapshot(&self) -> FlowCounts {
         *locked(&self.counts)
     }
 }
 
-/// How many bytes an envelope takes on a control port, with the length before it.
+/// Returns the size of an envelope on a control port, including its length prefix.
 pub fn frame_bytes(envelope: &Envelope) -> usize {
     minicbor::to_vec(envelope).map_or(0, |bytes| bytes.len() + 4)
 }
 
-/// Who is behind each control address of a fleet.
-pub type Addresses = Arc<HashMap<SocketAddr, Part>>;
+/// The component behind each control address of a fleet.
+pub type Addresses = Arc<HashMap<SocketAddr, Component>>;
 
-/// Stands before the real processes' control ports and counts what they say to each other.
+/// Relays the traffic to the control ports of the real processes and counts it.
 ///
-/// Why a relay: the processes themselves keep no such counts, and none is added for a trial.
-pub async fn count_between(
+/// A relay is used because the processes themselves have no such counters.
+pub async fn relay_and_count(
     pairs: &[(SocketAddr, SocketAddr)],
     addresses: &Addresses,
     flows: &Arc<Flows>,
 ) -> anyhow::Result<()> {
     for (advertised, listened) in pairs.iter().copied() {
         let Some(to) = addresses.get(&advertised).copied() else {
-            bail!("nobody is known behind {advertised}");
+            bail!("no component is known for the control address {advertised}");
         };
         let (addresses, flows) = (addresses.clone(), flows.clone());
-        let way: Arc<Mutex<Option<ControlPort>>> = Arc::default();
-        let forwarding = way.clone();
+        let outgoing: Arc<Mutex<Option<ControlPort>>> = Arc::default();
+        let forwarding = outgoing.clone();
         let port = ControlPort::open(NodeId(0), advertised, advertised, move |envelope| {
             if let Some(from) = addresses.get(&envelope.reply_to) {
                 flows.count(*from, to, frame_bytes(&envelope));
             }
             if let Some(port) = &*locked(&forwarding) {
-                // The relay stands between, so the answer cannot come back on this connection.
+                // The response cannot come back on this connection, because the relay is in between.
                 let envelope = Envelope {
                     reads_here: false,
                     ..envelope
@@ -144,7 +148,7 @@
             }
         })
         .await?;
-        *locked(&way) = Some(port);
+        *locked(&outgoing) = Some(port);
     }
     Ok(())
 }
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -11,7 +11,7 @@
 
 use tokio::sync::mpsc;
 
-use crate::flows::{frame_bytes, Addresses, Flows, Part};
+use crate::flows::{frame_bytes, Addresses, Component, Flows};
 use caperworks::catch_up::{SnapshotChunk, TransferPosition, CHUNK_TIMEOUT};
 use caperworks::consensus::messages::ConsensusMessage;
 use caperworks::envelope_clock::{Echo, EnvelopeClock, Stamp};
@@ -152,7 +152,7 @@
     let heard = sender.clone();
     let opened = ControlPort::open(NodeId(0), control, control, move |envelope| {
         if let Some(from) = addresses.get(&envelope.reply_to) {
-            flows.count(*from, Part::HollowAgent, frame_bytes(&envelope));
+            flows.count(*from, Component::HollowAgent, frame_bytes(&envelope));
         }
         // Why dropped when full: a real agent's inbox turns away as well, and it asks again.
         let _ = heard.try_send(Heard::Envelope(envelope));
@@ -261,7 +261,7 @@
             let bytes = frame_bytes(&envelope);
             self.fleet
                 .flows
-                .count(Part::HollowAgent, Part::Controller, bytes);
+                .count(Component::HollowAgent, Component::Controller, bytes);
         }
         self.port
             .forward(controller.map_or(to, |index| index.listened), &envelope);
@@ -569,8 +569,8 @@
         let body = json.dump();
         let flows = &self.fleet.flows;
         flows.count(
-            Part::HollowInstance,
-            Part::Controller,
+            Component::HollowInstance,
+            Component::Controller,
             request_bytes("/beats", to, body.len()),
         );
         let fetched = Fetch::post(to, "/beats", body)
@@ -581,8 +581,8 @@
             .await
             .ok()?;
         flows.count(
-            Part::Controller,
-            Part::HollowInstance,
+            Component::Controller,
+            Component::HollowInstance,
             response_bytes(&fetched),
         );
         if fetched.status != 200 {
--- a/crates/local-fleet/src/http_relay.rs
+++ b/crates/local-fleet/src/http_relay.rs
@@ -1,4 +1,4 @@
-//! A relay for HTTP connections: what passes may be stalled, delayed or broken at any moment.
+//! A TCP relay for HTTP connections that can stall, delay or break them at any time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,22 +11,23 @@
 use runtime::connections::listen;
 use runtime::locks::locked;
 
-/// What happens to the connections of one address, and to those that are opened meanwhile.
+/// What the relay does with existing and new connections of one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum HttpMode {
     #[default]
     Open,
-    /// Nothing passes either way, and nothing is closed.
+    /// Forwards nothing in either direction, and keeps the connections open.
     Stall,
-    /// What is asked passes, the answers do not.
+    /// Forwards requests but no responses.
     StallResponses,
-    /// Every connection is broken.
+    /// Closes every connection.
     Break,
-    /// Everything is late by this span.
+    /// Delays each forwarded read in both directions by this duration.
     Delay(Duration),
 }
 
 impl HttpMode {
+    /// Parses the name of a mode; `late` is the duration of a delay.
     pub fn read(mode: &str, late: Duration) -> Option<Self> {
         Some(match mode {
             "open" => HttpMode::Open,
@@ -39,14 +40,14 @@
     }
 }
 
-/// The modes by address; one that is not there is open.
+/// The mode of each address. An address without an entry is open.
 pub type HttpModes = Arc<Mutex<HashMap<SocketAddr, HttpMode>>>;
 
-/// How often a connection that is stalled looks whether it still is.
-const LOOK_PERIOD: Duration = Duration::from_millis(10);
+/// How often a connection checks whether the mode of its address has changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until bytes may pass; says whether the connection is to be broken instead.
-async fn may_pass(modes: &HttpModes, address: SocketAddr, response: bool) -> bool {
+/// Waits until bytes may be forwarded; returns false if the connection has to be closed instead.
+async fn wait_until_open(modes: &HttpModes, address: SocketAddr, response: bool) -> bool {
     loop {
         let mode = locked(modes).get(&address).copied().unwrap_or_default();
         match mode {
@@ -57,13 +58,13 @@
                 tokio::time::sleep(late).await;
                 return true;
             }
-            HttpMode::Stall | HttpMode::StallResponses => tokio::time::sleep(LOOK_PERIOD).await,
+            HttpMode::Stall | HttpMode::StallResponses => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-/// Carries bytes one way until it ends; says whether it was broken.
-async fn carry(
+/// Forwards bytes in one direction until it ends; returns whether the relay broke the connection.
+async fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     modes: HttpModes,
@@ -74,10 +75,10 @@
     loop {
         let count = tokio::select! {
             read = from.read(&mut bytes) => read.unwrap_or(0),
-            // Why also while nothing comes: idle connections break as well.
-            () = until_broken(&modes, address) => return true,
+            // Idle connections are closed as well.
+            () = wait_until_broken(&modes, address) => return true,
         };
-        if !may_pass(&modes, address, response).await {
+        if !wait_until_open(&modes, address, response).await {
             return true;
         }
         if count == 0 || to.write_all(&bytes[..count]).await.is_err() {
@@ -86,13 +87,15 @@
     }
 }
 
-async fn until_broken(modes: &HttpModes, address: SocketAddr) {
+/// Waits until the mode of the address becomes `Break`.
+async fn wait_until_broken(modes: &HttpModes, address: SocketAddr) {
     while locked(modes).get(&address) != Some(&HttpMode::Break) {
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Relays one address to the one listened on, for as long as the process lives.
+/// Relays connections from the advertised address to the address that the process listens on, until this
+/// process exits.
 pub async fn relay(
     advertised: SocketAddr,
     listened: SocketAddr,
@@ -100,19 +103,19 @@
 ) -> anyhow::Result<()> {
     let listener = listen(advertised).await?;
     tokio::spawn(async move {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let modes = modes.clone();
             tokio::spawn(async move {
-                let Ok(far) = TcpStream::connect(listened).await else {
+                let Ok(server) = TcpStream::connect(listened).await else {
                     return;
                 };
-                let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                let (near_read, near_write) = near.into_split();
-                let (far_read, far_write) = far.into_split();
-                // Why both ends at once: when one way is over, so is the connection.
+                let _ = (client.set_nodelay(true), server.set_nodelay(true));
+                let (client_read, client_write) = client.into_split();
+                let (server_read, server_write) = server.into_split();
+                // The connection ends as soon as one direction ends.
                 tokio::select! {
-                    _ = carry(near_read, far_write, modes.clone(), advertised, false) => {}
-                    _ = carry(far_read, near_write, modes, advertised, true) => {}
+                    _ = forward(client_read, server_write, modes.clone(), advertised, false) => {}
+                    _ = forward(server_read, client_write, modes, advertised, true) => {}
                 }
             });
         }
--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -246,10 +246,10 @@
         .argument::<PathBuf>("FILE")
         .optional();
     let sweep = long("sweep")
-        .help("Measure four sizes each of nodes, instances, routes and changes, and fit lines to the results")
+        .help("Measure four sizes each of nodes, instances, routes and changes, and fit lines")
         .switch();
     let check = long("check")
-        .help("Compare the message counts of two sizes; exits with 1 if a node exchanges more in the larger fleet")
+        .help("Compare two sizes by message counts; exits with 1 if a node's messages grow")
         .switch();
     let lose_zone = long("lose-zone")
         .help("Silence the simulated nodes of one zone for this many seconds during the run (0)")
@@ -529,7 +529,7 @@
     // separately.
     let truncated_runs = runs
         .iter()
-        .filter(|entry| entry.request == probe::HALF_REQUEST)
+        .filter(|entry| entry.request == probe::TRUNCATED_REQUEST_ID)
         .count();
     let passed =
         truncated_runs + ran_twice + ran_after_not_run + served_without_run + overlaps == 0;
@@ -731,7 +731,7 @@
             &[("desk-1", &once)],
             "a served\nb served\n"
         ));
-        let half = journal_line(crate::probe::HALF_REQUEST, "-", 10, 20);
+        let half = journal_line(crate::probe::TRUNCATED_REQUEST_ID, "-", 10, 20);
         assert!(!passes_verification(
             "half",
             &[("desk-1", &half)],
--- a/crates/local-fleet/src/probe.rs
+++ b/crates/local-fleet/src/probe.rs
@@ -1,4 +1,5 @@
-//! Raw probes of a real proxy: what no well-behaved client sends.
+//! Probes of a real proxy with raw requests that no well-behaved client sends: malformed, truncated, or
+//! over the limits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,14 +12,15 @@
 use runtime::http::Fetch;
 use runtime::scenario::{Scenario, Traffic};
 
-/// The name under which half requests are sent: no instance may ever have run one.
-pub const HALF_REQUEST: &str = "probe-half";
+/// Request id of all truncated requests. An instance must never run a request with this id.
+pub const TRUNCATED_REQUEST_ID: &str = "probe-half";
 
-/// Sends bytes on a connection of its own and reads the head of the answer.
-async fn raw(to: SocketAddr, bytes: &[u8], half: bool) -> anyhow::Result<String> {
+/// Sends bytes on a new connection and reads the start of the response. If `close_write` is set, the write
+/// side of the connection is closed after the bytes.
+async fn send_raw(to: SocketAddr, bytes: &[u8], close_write: bool) -> anyhow::Result<String> {
     let mut stream = TcpStream::connect(to).await?;
     stream.write_all(bytes).await?;
-    if half {
+    if close_write {
         stream.shutdown().await?;
     }
     let mut response = vec![0; 2048];
@@ -28,24 +30,24 @@
     Ok(String::from_utf8_lossy(&response).to_string())
 }
 
-/// How long the long answers are: more than the proxy holds whole.
-const LONG: usize = 300_000;
+/// Body size of the long responses: more than the proxy buffers, so that it streams them.
+const LONG_BODY: usize = 300_000;
 
-/// Asks for a long answer on a connection of its own; says how much of its body came.
-async fn long_response(to: SocketAddr, read: &Traffic) -> anyhow::Result<usize> {
+/// Requests a long response on a new connection; returns the number of body bytes received.
+async fn fetch_long_response(to: SocketAddr, read: &Traffic) -> anyhow::Result<usize> {
     let mut stream = TcpStream::connect(to).await?;
     let request = format!(
-        "GET {} HTTP/1.1\r\nhost: {}\r\nx-answer-bytes: {LONG}\r\nconnection: close\r\n\r\n",
+        "GET {} HTTP/1.1\r\nhost: {}\r\nx-answer-bytes: {LONG_BODY}\r\nconnection: close\r\n\r\n",
         read.path, read.host
     );
     stream.write_all(request.as_bytes()).await?;
     let mut response = Vec::new();
-    // Why ignored: a connection that breaks is one of the ends that are looked for.
+    // Errors are ignored: an aborted connection is an expected result of a truncated response.
     let _ = tokio::time::timeout(Duration::from_secs(8), stream.read_to_end(&mut response)).await;
     let head = response
         .windows(4)
         .position(|end| end == b"\r\n\r\n")
-        .context("no head")?
+        .context("the response has no complete header section")?
         + 4;
     if !response.starts_with(b"HTTP/1.1 200") {
         bail!("{}", String::from_utf8_lossy(&response[..head]));
@@ -53,38 +55,47 @@
     Ok(response.len() - head)
 }
 
-/// Lets each instance break off so many answers.
-async fn truncate(instances: &[SocketAddr], count: u32) {
+/// Makes each instance truncate this many responses.
+async fn truncate_responses(instances: &[SocketAddr], count: u32) {
     let body = jzon::object! { kind: "truncate", count: count }.dump();
     for instance in instances {
-        // Why ignored: one that is down cannot ail, and enough others can.
+        // Errors are ignored: some instances may be down, and the remaining ones are enough.
         let _ = Fetch::post(*instance, "/understudy/ail", body.clone())
             .send()
             .await;
     }
 }
 
-/// A long answer must come whole, and one that the instance breaks off must not end as if whole.
-async fn probe_long(proxy: SocketAddr, read: &Traffic, instances: &[SocketAddr]) -> Vec<String> {
-    let mut wrong = Vec::new();
-    match long_response(proxy, read).await {
-        Ok(LONG) => {}
-        other => wrong.push(format!("a long answer: wanted {LONG} bytes, got {other:?}")),
+/// Checks that a long response arrives completely, and that a response truncated by the instance does not
+/// look complete to the client.
+async fn probe_long_responses(
+    proxy: SocketAddr,
+    read: &Traffic,
+    instances: &[SocketAddr],
+) -> Vec<String> {
+    let mut faults = Vec::new();
+    match fetch_long_response(proxy, read).await {
+        Ok(LONG_BODY) => {}
+        other => faults.push(format!(
+            "long response: expected {LONG_BODY} bytes, got {other:?}"
+        )),
     }
-    truncate(instances, 4).await;
-    match long_response(proxy, read).await {
-        Ok(length) if length < LONG => println!("a long answer broke off after {length} bytes"),
-        Err(failure) if failure.to_string().starts_with("HTTP/1.1 502") => {
-            println!("a long answer broke off before any of it was sent on");
+    truncate_responses(instances, 4).await;
+    match fetch_long_response(proxy, read).await {
+        Ok(length) if length < LONG_BODY => println!("body truncated after {length} bytes"),
+        Err(error) if error.to_string().starts_with("HTTP/1.1 502") => {
+            println!("truncated response rejected before any of it was forwarded");
         }
-        other => wrong.push(format!("a long answer broken off: got {other:?}")),
+        other => faults.push(format!(
+            "truncated long response: expected a partial body or status 502, got {other:?}"
+        )),
     }
-    // Why: when the probes are made again, what is left over would break off the whole answer.
-    truncate(instances, 0).await;
-    wrong
+    // Truncations that are left over would affect the complete response if the probes are repeated.
+    truncate_responses(instances, 0).await;
+    faults
 }
 
-/// Probes the proxy; says what was answered otherwise than it must be.
+/// Probes a proxy and returns a description of each response that differs from the expected one.
 pub async fn probe(
     proxy: SocketAddr,
     scenario: &Scenario,
@@ -101,31 +112,28 @@
         find(false, &Method::POST),
         find(true, &Method::POST),
     ) else {
-        return vec!["the scenario lacks a read, a write or a keyed upload".to_string()];
+        return vec![
+            "the scenario has no GET, no POST or no POST with keys to probe with".to_string(),
+        ];
     };
     let host = format!("host: {}\r\n", read.host);
     let post = |path: &str, rest: &str| {
-        format!("POST {path} HTTP/1.1\r\n{host}x-caller-order: {HALF_REQUEST}\r\n{rest}")
+        format!("POST {path} HTTP/1.1\r\n{host}x-caller-order: {TRUNCATED_REQUEST_ID}\r\n{rest}")
     };
     let get = |version: &str, rest: &str| format!("GET {} {version}\r\n{rest}\r\n", read.path);
     let (path, keyed) = (write.path.as_str(), upload.path.as_str());
     let part = "x".repeat(200_000);
     let probes: Vec<(&str, String, bool, &str)> = vec![
-        ("no host", get("HTTP/1.1", ""), false, "400 not-run"),
+        ("no host header", get("HTTP/1.1", ""), false, "400 not-run"),
         (
-            "two hosts",
+            "two host headers",
             get("HTTP/1.1", &format!("{host}{host}")),
             false,
             "400 not-run",
         ),
+        ("HTTP/1.0", get("HTTP/1.0", &host), false, "400 not-run"),
         (
-            "an old version",
-            get("HTTP/1.0", &host),
-            false,
-            "400 not-run",
-        ),
-        (
-            "an upgrade",
+            "connection upgrade",
             get(
                 "HTTP/1.1",
                 &format!("{host}connection: upgrade\r\nupgrade: x\r\n"),
@@ -134,7 +142,7 @@
             "400 not-run",
         ),
         (
-            "length and coding",
+            "content-length and transfer-encoding",
             post(
                 path,
                 "content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -143,7 +151,7 @@
             "400 not-run",
         ),
         (
-            "coding and length",
+            "transfer-encoding and content-length",
             post(
                 path,
                 "transfer-encoding: chunked\r\ncontent-length: 3\r\n\r\n0\r\n\r\n",
@@ -152,43 +160,43 @@
             "400 not-run",
         ),
         (
-            "two lengths",
+            "two content-length headers",
             post(path, "content-length: 3\r\ncontent-length: 4\r\n\r\nabc"),
             false,
             "400",
         ),
         (
-            "no HTTP at all",
+            "not HTTP",
             "\u{1}\u{2} nothing\r\n\r\n".to_string(),
             false,
             "400",
         ),
         (
-            "no key",
+            "no key header",
             post(keyed, "content-length: 1\r\n\r\nx"),
             false,
             "400 not-run",
         ),
         (
-            "a body over the limit",
+            "body over the limit",
             post(keyed, "x-key: a\r\ncontent-length: 99999999999\r\n\r\n"),
             false,
             "413 not-run",
         ),
         (
-            "no rule",
+            "no matching route",
             format!("GET /no/such/rule HTTP/1.1\r\n{host}\r\n"),
             false,
             "404 not-run",
         ),
         (
-            "half a small body",
+            "truncated small body",
             post(path, "content-length: 100\r\n\r\nx"),
             true,
             "400 not-run",
         ),
         (
-            "half a large body",
+            "truncated large body",
             post(
                 keyed,
                 &format!("x-key: a\r\ncontent-length: 1000000\r\n\r\n{part}"),
@@ -197,16 +205,16 @@
             "502 unknown",
         ),
     ];
-    let mut wrong = Vec::new();
-    for (name, bytes, half, wanted) in probes {
-        let response = match raw(proxy, bytes.as_bytes(), half).await {
+    let mut faults = Vec::new();
+    for (name, bytes, close_write, expected) in probes {
+        let response = match send_raw(proxy, bytes.as_bytes(), close_write).await {
             Ok(response) => response,
-            Err(failure) => {
-                wrong.push(format!("{name}: {failure}"));
+            Err(error) => {
+                faults.push(format!("{name}: {error}"));
                 continue;
             }
         };
-        let (status, outcome) = wanted.split_once(' ').unwrap_or((wanted, ""));
+        let (status, outcome) = expected.split_once(' ').unwrap_or((expected, ""));
         let status_line = response.lines().next().unwrap_or_default();
         let reported = response
             .lines()
@@ -215,11 +223,11 @@
         if !status_line.contains(&format!(" {status} "))
             || (!outcome.is_empty() && reported != outcome)
         {
-            wrong.push(format!(
-                "{name}: wanted {wanted}, got {status_line}, {reported}"
+            faults.push(format!(
+                "{name}: expected {expected}, got {status_line}, {reported}"
             ));
         }
     }
-    wrong.extend(probe_long(proxy, read, instances).await);
-    wrong
+    faults.extend(probe_long_responses(proxy, read, instances).await);
+    faults
 }
--- a/crates/local-fleet/src/relay.rs
+++ b/crates/local-fleet/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay between our processes' control ports, so that a cut can be made on one machine.
+//! A relay between the control ports of the fleet's processes, so that network partitions can be simulated
+//! on one machine.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -17,17 +18,17 @@
 use runtime::http::{json_response, serve_http, small_body};
 use runtime::locks::locked;
 
-/// One way that is cut: nothing from any of these reaches any of those.
+/// The active partitions. Messages from the first set of addresses of a pair to the second are dropped.
 #[derive(Debug, Clone, Default)]
-pub struct CutWays {
-    pub ways: Vec<(HashSet<SocketAddr>, HashSet<SocketAddr>)>,
+pub struct NetworkPartitions {
+    pub directions: Vec<(HashSet<SocketAddr>, HashSet<SocketAddr>)>,
 }
 
-impl CutWays {
-    fn cuts(&self, from: SocketAddr, to: SocketAddr) -> bool {
-        self.ways
+impl NetworkPartitions {
+    fn drops(&self, from: SocketAddr, to: SocketAddr) -> bool {
+        self.directions
             .iter()
-            .any(|(froms, tos)| froms.contains(&from) && tos.contains(&to))
+            .any(|(senders, receivers)| senders.contains(&from) && receivers.contains(&to))
     }
 }
 
@@ -38,25 +39,26 @@
         .collect()
 }
 
-/// Relays each advertised address to the one listened on, but for what is cut; runs until ended.
+/// Relays messages from each advertised address to the address listened on, except for those that a
+/// partition drops. Serves requests that change partitions and HTTP modes; runs until the process is ended.
 pub async fn run(
     serving: SocketAddr,
     pairs: &[(SocketAddr, SocketAddr)],
     http: &[(SocketAddr, SocketAddr)],
 ) -> anyhow::Result<()> {
-    let cut: Arc<Mutex<CutWays>> = Arc::default();
+    let partitions: Arc<Mutex<NetworkPartitions>> = Arc::default();
     let modes: HttpModes = Arc::default();
     for (advertised, listened) in http.iter().copied() {
         relay(advertised, listened, modes.clone()).await?;
     }
     for (advertised, listened) in pairs.iter().copied() {
-        let cut = cut.clone();
-        let way: Arc<Mutex<Option<ControlPort>>> = Arc::default();
-        let forwarding = way.clone();
+        let partitions = partitions.clone();
+        let outgoing: Arc<Mutex<Option<ControlPort>>> = Arc::default();
+        let forwarding = outgoing.clone();
         let port = ControlPort::open(NodeId(0), advertised, advertised, move |envelope| {
-            if !locked(&cut).cuts(envelope.reply_to, advertised) {
+            if !locked(&partitions).drops(envelope.reply_to, advertised) {
                 if let Some(port) = &*locked(&forwarding) {
-                    // The relay stands between, so the answer cannot come back on this connection.
+                    // The response cannot come back on this connection, because the relay is in between.
                     let envelope = Envelope {
                         reads_here: false,
                         ..envelope
@@ -66,32 +68,32 @@
             }
         })
         .await?;
-        *locked(&way) = Some(port);
+        *locked(&outgoing) = Some(port);
     }
     let listener = listen(serving).await?;
     let stop = Arc::new(AtomicBool::new(false));
     serve_http(listener, stop, move |_, request: Request<Incoming>| {
-        let (cut, modes) = (cut.clone(), modes.clone());
+        let (partitions, modes) = (partitions.clone(), modes.clone());
         async move {
             let path = request.uri().path().to_string();
             let body = small_body(request.into_body(), 1024 * 1024)
                 .await
                 .unwrap_or_default();
             let value = jzon::parse(&String::from_utf8_lossy(&body)).unwrap_or(JsonValue::Null);
-            let mut cut = locked(&cut);
+            let mut partitions = locked(&partitions);
             match path.as_str() {
-                "/cut" => cut
-                    .ways
+                "/cut" => partitions
+                    .directions
                     .push((read_addresses(&value["from"]), read_addresses(&value["to"]))),
                 "/join" => {
-                    cut.ways.clear();
+                    partitions.directions.clear();
                     locked(&modes).clear();
                 }
                 "/http" => {
                     let late = Duration::from_millis(value["late_ms"].as_u64().unwrap_or(0));
                     let mode = HttpMode::read(value["mode"].as_str().unwrap_or_default(), late);
                     let Some(mode) = mode else {
-                        return Ok(json_response(400, &jzon::object! { why: "no such mode" }));
+                        return Ok(json_response(400, &jzon::object! { why: "unknown mode" }));
                     };
                     let addresses = read_addresses(&value["at"]);
                     let changed = addresses.into_iter().map(|address| (address, mode));
@@ -100,11 +102,14 @@
                 _ => {
                     return Ok(json_response(
                         404,
-                        &jzon::object! { why: "cut, http or join" },
+                        &jzon::object! { why: "unknown path: use /cut, /http or /join" },
                     ))
                 }
             }
-            Ok(json_response(200, &jzon::object! { ways: cut.ways.len() }))
+            Ok(json_response(
+                200,
+                &jzon::object! { ways: partitions.directions.len() },
+            ))
         }
     })
     .await;
--- a/crates/local-fleet/src/scale.rs
+++ b/crates/local-fleet/src/scale.rs
@@ -1,10 +1,10 @@
-//! How a fleet's cost grows: real core processes beside hollow agents and instances, measured.
+//! Scale measurements: the load that simulated agents and instances put on real control plane processes.
 
 use std::path::Path;
 
 use crate::scale::growth_check::check;
 use crate::scale::options::{machine_limits, ScaleOptions};
-use crate::scale::run::run_apart;
+use crate::scale::run::run_in_new_runtime;
 use crate::scale::sweep::sweep;
 use runtime::options::end_over;
 
@@ -16,7 +16,7 @@
 pub(crate) mod run;
 pub(crate) mod sweep;
 
-/// Does what the options ask for; says whether all was well.
+/// Runs the measurement that the options select; returns false if the growth check failed.
 pub fn scale(options: &ScaleOptions, folder: &Path) -> anyhow::Result<bool> {
     let (memory, files) = machine_limits()?;
     let faults = options.faults(memory, files);
@@ -29,7 +29,7 @@
     let json = if options.sweep {
         sweep(options, folder)?
     } else {
-        let report = run_apart(options, folder)?;
+        let report = run_in_new_runtime(options, folder)?;
         report.print();
         report.json()
     };
--- a/crates/local-fleet/src/scale/growth_check.rs
+++ b/crates/local-fleet/src/scale/growth_check.rs
@@ -1,23 +1,25 @@
-//! The check that a node says and hears no more in a larger fleet.
+//! The check that the message rate of a node does not grow with the fleet.
 
 use std::path::Path;
 
 use anyhow::bail;
 
 use crate::scale::options::ScaleOptions;
-use crate::scale::run::run_apart;
+use crate::scale::run::run_in_new_runtime;
 
-/// The sizes that the check compares, and how many times as much a node of the larger may say and
-/// hear: far above what chance does, and far below the three of one that talks to all others.
+/// Node counts of the two fleets that the check compares.
 pub(crate) const CHECKED_NODES: [u32; 2] = [8, 24];
-pub(crate) const MOST_GROWTH: f64 = 1.5;
+/// Maximum ratio of the messages per node between the larger and the smaller fleet: far above random
+/// variation, and far below the ratio of 3 of a node that exchanges messages with all others.
+pub(crate) const MAX_GROWTH: f64 = 1.5;
 
-/// Whether the messages of one node stay within the bound from the smaller fleet to the larger.
+/// Returns whether the messages per node in the larger fleet are within [`MAX_GROWTH`] of the smaller one.
 pub fn growth_is_bounded(smaller: f64, larger: f64) -> bool {
-    smaller > 0.0 && larger <= MOST_GROWTH * smaller
+    smaller > 0.0 && larger <= MAX_GROWTH * smaller
 }
 
-/// Whether a node says and hears no more in a larger fleet: by counts, whatever the speed.
+/// Compares the messages per node of two fleet sizes. Message counts do not depend on the speed of the
+/// machine.
 pub(crate) fn check(options: &ScaleOptions, folder: &Path) -> anyhow::Result<bool> {
     let mut counts = Vec::new();
     for nodes in CHECKED_NODES {
@@ -25,16 +27,20 @@
             nodes,
             ..options.clone()
         };
-        let report = run_apart(&sized, folder)?;
+        let report = run_in_new_runtime(&sized, folder)?;
         report.print();
-        // Why no proposal outcome: a core that does not count them, or is made of them, shows nothing.
-        if !report.settled || report.hollow_voters > 0 || report.accepted == 0 {
-            bail!("the core did not count the hollow nodes as any others: nothing was checked");
+        // The comparison means nothing if the controllers have not registered all simulated nodes, if
+        // simulated nodes are voters, or if no change was accepted.
+        if !report.settled || report.simulated_voters > 0 || report.accepted == 0 {
+            bail!(
+                "invalid run: simulated nodes were not registered or became voters, or no change was \
+                 accepted"
+            );
         }
         counts.push(report.node_messages);
     }
     println!(
-        "messages of one node a minute: {:.1} of {} nodes, {:.1} of {}: ratio {:.3}, at most {MOST_GROWTH}",
+        "messages per node and minute: {:.1} of {} nodes, {:.1} of {}: ratio {:.3}, at most {MAX_GROWTH}",
         counts[0],
         CHECKED_NODES[0],
         counts[1],
--- a/crates/local-fleet/src/scale/load.rs
+++ b/crates/local-fleet/src/scale/load.rs
@@ -1,10 +1,10 @@
-//! The load of a scale run: steady changes of the configuration, and restarts.
+//! The load of a scale run: configuration changes and restarts at constant rates.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::flows::{Flows, Part};
+use crate::flows::{Component, Flows};
 use crate::hollow::{
     request_bytes, response_bytes, ControllerAddresses, HollowAgent, HollowInstance,
 };
@@ -14,11 +14,11 @@
 use runtime::http::Fetch;
 use runtime::locks::locked;
 
-/// A change that was told yes: its version, and when.
+/// The version of each accepted change, and when its response arrived.
 pub(crate) type Accepted = Arc<Mutex<Vec<(Version, Duration)>>>;
 
-/// Offers changes at a steady rate, each answered by itself.
-pub(crate) async fn keep_changing(
+/// Posts changes at a constant rate without waiting for the responses to earlier ones.
+pub(crate) async fn post_changes(
     options: ScaleOptions,
     controllers: Vec<ControllerAddresses>,
     clock: Clock,
@@ -29,9 +29,9 @@
     if options.changes <= 0.0 {
         return std::future::pending().await;
     }
-    let mut turn = tokio::time::interval(Duration::from_secs_f64(1.0 / options.changes));
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / options.changes));
     loop {
-        turn.tick().await;
+        ticks.tick().await;
         let number = offered.fetch_add(1, Ordering::SeqCst);
         let put = options.route_put(
             (number % u64::from(options.routes)) as u32,
@@ -44,15 +44,19 @@
         let (accepted, flows) = (accepted.clone(), flows.clone());
         tokio::spawn(async move {
             flows.count(
-                Part::Operator,
-                Part::Controller,
+                Component::Operator,
+                Component::Controller,
                 request_bytes("/v1/standing", to, body.len()),
             );
             let Ok(fetched) = Fetch::post(to, "/v1/standing", body).send().await else {
                 return;
             };
             let now = clock.now();
-            flows.count(Part::Controller, Part::Operator, response_bytes(&fetched));
+            flows.count(
+                Component::Controller,
+                Component::Operator,
+                response_bytes(&fetched),
+            );
             if fetched.status == 200 {
                 let version = Version(fetched.json()["edition"].as_u64().unwrap_or(0));
                 locked(&accepted).push((version, now));
@@ -61,8 +65,8 @@
     }
 }
 
-/// Restarts hollow agents and instances in turn at a steady rate.
-pub(crate) async fn keep_restarting(
+/// Restarts simulated agents and instances alternately at a constant rate.
+pub(crate) async fn restart_nodes(
     rate: f64,
     agents: &[HollowAgent],
     instances: &[HollowInstance],
@@ -71,9 +75,9 @@
     if rate <= 0.0 {
         return std::future::pending().await;
     }
-    let mut turn = tokio::time::interval(Duration::from_secs_f64(60.0 / rate));
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(60.0 / rate));
     loop {
-        turn.tick().await;
+        ticks.tick().await;
         let number = restarted.fetch_add(1, Ordering::SeqCst) as usize;
         if number.is_multiple_of(2) && !agents.is_empty() {
             agents[number / 2 % agents.len()].restart();
@@ -83,31 +87,32 @@
     }
 }
 
-/// How long after its yes each change was held by the last hollow node; and how many were not.
-pub(crate) fn held_delays(
+/// Returns the time from acceptance until the last simulated node held the change, for each change that
+/// all of them hold, and the number of changes that some of them do not hold.
+pub(crate) fn propagation_delays(
     accepted: &[(Version, Duration)],
     agents: &[HollowAgent],
 ) -> (Vec<Duration>, u64) {
-    let held: Vec<Vec<(Version, Duration)>> = agents
+    let versions_by_agent: Vec<Vec<(Version, Duration)>> = agents
         .iter()
         .map(|agent| locked(&agent.held_since).clone())
         .collect();
     let mut unheld = 0;
     let mut delays = Vec::new();
-    for (version, reported) in accepted {
-        let last = held
+    for (version, accepted_at) in accepted {
+        let last = versions_by_agent
             .iter()
-            .map(|moves| {
-                moves
+            .map(|versions| {
+                versions
                     .iter()
-                    .find(|(moved, _)| moved >= version)
+                    .find(|(held, _)| held >= version)
                     .map(|(_, at)| *at)
             })
             .collect::<Option<Vec<Duration>>>();
         match last {
             Some(last) => {
                 let last = last.into_iter().max().unwrap_or_default();
-                delays.push(last.saturating_sub(*reported));
+                delays.push(last.saturating_sub(*accepted_at));
             }
             None => unheld += 1,
         }
--- a/crates/local-fleet/src/scale/lost_zone.rs
+++ b/crates/local-fleet/src/scale/lost_zone.rs
@@ -1,4 +1,4 @@
-//! A zone of hollow nodes that falls silent, and how soon the core notices.
+//! Measures how soon the controllers notice the loss and the return of a zone of simulated nodes.
 
 use std::sync::atomic::Ordering;
 use std::sync::Mutex;
@@ -8,18 +8,18 @@
 use crate::scale::options::ScaleOptions;
 use runtime::locks::locked;
 
-/// How long the core took to count a lost zone out, and to count it in again.
-pub(crate) type ZoneSpans = Mutex<(Option<Duration>, Option<Duration>)>;
+/// How long the controllers took to remove the nodes of the lost zone, and to register them again.
+pub(crate) type ZoneTimings = Mutex<(Option<Duration>, Option<Duration>)>;
 
-/// How often the core is asked whether it has counted a zone out or in.
-pub(crate) const ZONE_REQUEST_PERIOD: Duration = Duration::from_millis(50);
+/// How often the controllers are polled for the number of registered nodes.
+pub(crate) const ZONE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Silences the hollow ones of the first zone for a while, and sees when the core notices.
+/// Silences the simulated nodes of the first zone, and measures when the controllers notice. Never returns.
 pub(crate) async fn lose_zone(
     options: &ScaleOptions,
     hollow: &HollowFleet,
     counted: &impl AsyncFn() -> (usize, usize),
-    spans: &ZoneSpans,
+    timings: &ZoneTimings,
 ) {
     if options.lose_zone == 0 {
         return std::future::pending().await;
@@ -28,25 +28,25 @@
     let lost_nodes = (0..options.nodes).filter(|number| hollow.in_first_zone(*number));
     let lost_instances =
         (0..options.instances).filter(|number| hollow.in_first_zone(number / options.services));
-    let left = (
+    let remaining = (
         all.0.saturating_sub(lost_nodes.count()),
         all.1.saturating_sub(lost_instances.count()),
     );
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let reaches = async |awaited: (usize, usize)| {
+    let time_until = async |expected: (usize, usize)| {
         let start = Instant::now();
-        while counted().await != awaited {
-            tokio::time::sleep(ZONE_REQUEST_PERIOD).await;
+        while counted().await != expected {
+            tokio::time::sleep(ZONE_POLL_INTERVAL).await;
         }
         start.elapsed()
     };
     let silent_until = Instant::now() + Duration::from_secs(options.lose_zone);
     hollow.first_zone_silent.store(true, Ordering::SeqCst);
-    let out = reaches(left).await;
-    locked(spans).0 = Some(out);
+    let removed_after = time_until(remaining).await;
+    locked(timings).0 = Some(removed_after);
     tokio::time::sleep_until(silent_until.into()).await;
     hollow.first_zone_silent.store(false, Ordering::SeqCst);
-    let back = reaches(all).await;
-    locked(spans).1 = Some(back);
+    let returned_after = time_until(all).await;
+    locked(timings).1 = Some(returned_after);
     std::future::pending().await
 }
--- a/crates/local-fleet/src/scale/report.rs
+++ b/crates/local-fleet/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a scale run gave, for people and as JSON.
+//! The results of a scale run, as a table and as JSON.
 
 use std::time::Duration;
 
@@ -7,17 +7,20 @@
 use crate::fit::percentile;
 use crate::scale::options::{ScaleOptions, KIB};
 
-/// What the kernel says of one process.
+/// Resource usage of one process, as reported by the kernel.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Sample {
+    /// Processor time.
     pub(crate) seconds: f64,
+    /// Resident memory in bytes, now and at its peak.
     pub(crate) memory: u64,
     pub(crate) peak: u64,
+    /// Bytes written to disk.
     pub(crate) written: u64,
 }
 
 impl Sample {
-    /// Why all or nothing: a process that ended while it was read has no figures.
+    /// Reads the usage of a process; none if any value is missing, as for a process that has exited.
     pub(crate) fn of(process: i32) -> Option<Self> {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).ok();
         let stat = read("stat")?;
@@ -40,17 +43,17 @@
     }
 }
 
-/// What one role took in a run.
+/// Resource usage and traffic of all processes of one role in a run.
 #[derive(Debug, Clone, Default)]
 pub struct RoleFigures {
     pub role: String,
     pub processes: usize,
-    /// Processor seconds per second, of all its processes together.
+    /// Processor seconds per second, over all processes.
     pub processor: f64,
-    /// Resident memory, mean and peak of one process, in MiB.
+    /// Resident memory of one process in MiB: the mean, and the mean of the peaks.
     pub memory: f64,
     pub peak: f64,
-    /// Per second, of all its processes together.
+    /// Bytes written and traffic per second, over all processes.
     pub written: f64,
     pub messages_in: f64,
     pub messages_out: f64,
@@ -59,7 +62,7 @@
 }
 
 impl RoleFigures {
-    /// The figures by name, in the order of the table.
+    /// Returns the figures with their names, in the order of the table.
     pub(crate) fn named(&self) -> [(&'static str, f64); 8] {
         [
             ("processor", self.processor),
@@ -82,35 +85,37 @@
     }
 }
 
-/// Why rounded: a file of results is read by people too.
+/// Rounds to four decimal places, so that result files are easy to read.
 pub(crate) fn rounded(value: f64) -> f64 {
     (value * 10_000.0).round() / 10_000.0
 }
 
-/// What a run gave.
+/// The results of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
     pub options: ScaleOptions,
     pub roles: Vec<RoleFigures>,
-    /// Messages that one hollow node sent and got, per minute.
+    /// Messages that one simulated node sent and received per minute, and bytes per second.
     pub node_messages: f64,
     pub node_bytes: f64,
     pub members_counted: usize,
     pub instances_counted: usize,
-    pub hollow_voters: usize,
-    /// The core counted every one before the measuring began.
+    /// Voters that are simulated nodes.
+    pub simulated_voters: usize,
+    /// Whether the controllers registered all members and instances before the measurement began.
     pub settled: bool,
-    /// What the operator's tool was sent for its changes, a second, and for one look at the status.
+    /// Bytes per second sent to the operator in response to changes, and the size of one status response.
     pub operator_bytes: f64,
     pub status_bytes: usize,
-    /// How long after a zone fell silent the core counted it out, and in after it came back.
+    /// How long the controllers took to remove a silent zone, and to register it again after its return.
     pub zone_out: Option<Duration>,
     pub zone_back: Option<Duration>,
     pub restarted: u64,
     pub offered: u64,
     pub accepted: u64,
+    /// Accepted changes that some simulated node did not hold at the end.
     pub unheld: u64,
-    /// From the yes until the last hollow node held it.
+    /// Time from the acceptance of each change until the last simulated node held it.
     pub delays: Vec<Duration>,
 }
 
@@ -136,7 +141,7 @@
             node_bytes_per_second: rounded(self.node_bytes),
             members_counted: self.members_counted,
             instances_counted: self.instances_counted,
-            hollow_seats: self.hollow_voters,
+            hollow_seats: self.simulated_voters,
             settled: self.settled,
             operator_bytes_per_second: rounded(self.operator_bytes),
             status_bytes: self.status_bytes,
@@ -196,27 +201,27 @@
             })
         };
         println!(
-            "a node: {:.1} messages a minute, {:.0} bytes a second; the core counts {} members and \
+            "per node: {:.1} messages per minute, {:.0} bytes per second; registered: {} members and \
              {} instances; {} restarted",
             self.node_messages, self.node_bytes, self.members_counted, self.instances_counted,
             self.restarted
         );
         if options.lose_zone > 0 {
-            let span = |span: Option<Duration>| {
-                span.map_or("never".to_string(), |span| {
-                    format!("after {} ms", span.as_millis())
+            let describe = |elapsed: Option<Duration>| {
+                elapsed.map_or("never".to_string(), |elapsed| {
+                    format!("after {} ms", elapsed.as_millis())
                 })
             };
             println!(
-                "a zone silent for {} s: counted out {}, back {}",
+                "zone silent for {} s: removed {}, registered again {}",
                 options.lose_zone,
-                span(self.zone_out),
-                span(self.zone_back)
+                describe(self.zone_out),
+                describe(self.zone_back)
             );
         }
         println!(
-            "changes: {} offered, {} accepted, {} not held by all at the end; from yes to the last \
-             hollow node: median {}, p99 {}, most {}",
+            "changes: {} offered, {} accepted, {} not held by all at the end; from acceptance to the \
+             last simulated node: median {}, p99 {}, max {}",
             self.offered, self.accepted, self.unheld, delay(50), delay(99), delay(100)
         );
     }
--- a/crates/local-fleet/src/scale/run.rs
+++ b/crates/local-fleet/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! One size of a scale run, from the first process to the last.
+//! One scale run of one size: starts the fleet, applies the load, measures, and ends the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use jzon::JsonValue;
 
 use crate::fleet::{Fleet, RelayedTraffic};
-use crate::flows::{count_between, Addresses, FlowCounts, Flows, Part};
+use crate::flows::{relay_and_count, Addresses, Component, FlowCounts, Flows};
 use crate::hollow::{
     start_agent, start_instance, ControllerAddresses, HollowFleet, HollowInstance,
 };
-use crate::scale::load::{held_delays, keep_changing, keep_restarting, Accepted};
-use crate::scale::lost_zone::{lose_zone, ZoneSpans};
+use crate::scale::load::{post_changes, propagation_delays, restart_nodes, Accepted};
+use crate::scale::lost_zone::{lose_zone, ZoneTimings};
 use crate::scale::options::{ScaleOptions, MIB};
 use crate::scale::report::{Report, RoleFigures, Sample};
 use runtime::actor::asked_to_stop;
@@ -24,10 +24,10 @@
 use runtime::http::Fetch;
 use runtime::locks::locked;
 
-/// Ends the fleet's processes however the run ends.
-pub(crate) struct EndsFleet(Fleet);
+/// Kills all processes of the fleet when dropped.
+pub(crate) struct FleetGuard(Fleet);
 
-impl Drop for EndsFleet {
+impl Drop for FleetGuard {
     fn drop(&mut self) {
         for process in &self.0.processes {
             process.signal(libc::SIGKILL);
@@ -35,8 +35,11 @@
     }
 }
 
-/// Asks controllers in turn until one answers well.
-pub(crate) async fn ask_any(controllers: &[ControllerAddresses], path: &str) -> Option<JsonValue> {
+/// Fetches a path from the controllers in order until one responds with status 200.
+pub(crate) async fn fetch_from_any(
+    controllers: &[ControllerAddresses],
+    path: &str,
+) -> Option<JsonValue> {
     for controller in controllers {
         let fetched = Fetch::get(controller.serving, path).timeout(Duration::from_secs(5));
         if let Ok(fetched) = fetched.send().await {
@@ -48,75 +51,78 @@
     None
 }
 
+/// Polls a condition every 200 ms until it holds; fails after `timeout`.
 pub(crate) async fn wait_until(
     what: &str,
-    span: Duration,
+    timeout: Duration,
     test: impl AsyncFn() -> bool,
 ) -> anyhow::Result<()> {
     let start = Instant::now();
-    while start.elapsed() < span {
+    while start.elapsed() < timeout {
         if test().await {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    bail!("{what}: not within {span:?}")
+    bail!("{what}: timed out after {timeout:?}")
 }
 
-/// Tells the fleet everything that it is told at first.
-pub(crate) async fn tell_first(
+/// Applies the initial configuration, retrying each change set for up to 30 s.
+pub(crate) async fn apply_initial_configuration(
     options: &ScaleOptions,
     zones: &[(String, String)],
     controllers: &[ControllerAddresses],
 ) -> anyhow::Result<()> {
-    for change in options.first_changes(zones) {
+    for change in options.initial_changes(zones) {
         let body = change.dump();
-        let said = Mutex::new(String::new());
-        let reported = wait_until(
-            "the first configuration",
+        let last_response = Mutex::new(String::new());
+        let applied = wait_until(
+            "applying the initial configuration",
             Duration::from_secs(30),
             async || {
                 let fetched = Fetch::post(controllers[0].serving, "/v1/standing", body.clone())
                     .send()
                     .await;
-                let good = fetched.as_ref().is_ok_and(|fetched| fetched.status == 200);
-                *locked(&said) = fetched.map_or_else(
+                let accepted = fetched.as_ref().is_ok_and(|fetched| fetched.status == 200);
+                *locked(&last_response) = fetched.map_or_else(
                     |failure| failure.to_string(),
                     |fetched| fetched.json().dump(),
                 );
-                good
+                accepted
             },
         );
-        reported.await.with_context(|| locked(&said).clone())?;
+        applied
+            .await
+            .with_context(|| locked(&last_response).clone())?;
     }
     Ok(())
 }
 
-/// Runs one size, from the first process to the last.
+/// Runs one size and returns its results.
 pub(crate) async fn run_size(options: &ScaleOptions, folder: &Path) -> anyhow::Result<Report> {
     let folder = folder.join("scale");
-    // Why anew: a fleet that finds the maps of an earlier run is not the one that was asked for.
+    // Removes the data of an earlier run: controllers that find old maps would not start empty.
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder)?;
     let folder = folder.canonicalize()?;
     let scenario = options.scenario();
     let mut fleet = Fleet::plan(&scenario, &folder, options.base);
     fleet.add_relay(options.base, RelayedTraffic::Messages);
-    // Why out of the fleet: this process is the relay itself, for it counts what passes.
+    // The relay process is not started: this process relays the traffic itself to count it.
     fleet.processes.remove(0);
     let mut addresses = HashMap::new();
     let mut pairs = Vec::new();
     let mut controllers = Vec::new();
     for process in &fleet.processes {
-        let (Some(part), Some(advertised)) =
-            (Part::of_program(&process.program), process.advertise)
+        let (Some(component), Some(advertised)) =
+            (Component::of_program(&process.program), process.advertise)
         else {
             continue;
         };
         let listened: SocketAddr = process.arguments[1].parse()?;
-        addresses.insert(advertised, part);
+        addresses.insert(advertised, component);
         pairs.push((advertised, listened));
-        if part == Part::Controller {
+        if component == Component::Controller {
             controllers.push(ControllerAddresses {
                 advertised,
                 listened,
@@ -126,22 +132,22 @@
     }
     let addresses: Addresses = Arc::new(addresses);
     let flows: Arc<Flows> = Arc::default();
-    count_between(&pairs, &addresses, &flows).await?;
-    let mut fleet = EndsFleet(fleet);
+    relay_and_count(&pairs, &addresses, &flows).await?;
+    let mut fleet = FleetGuard(fleet);
     for index in 0..fleet.0.processes.len() {
         fleet.0.start(index)?;
     }
-    let span = Duration::from_secs(60);
-    // Why before any hollow agent comes: the witness voters are the real ones.
-    wait_until("five voters", span, async || {
-        let status = ask_any(&controllers, "/v1/status").await;
+    let timeout = Duration::from_secs(60);
+    // Simulated agents start only after the voters are chosen, so that the witness voters are real agents.
+    wait_until("waiting for five voters", timeout, async || {
+        let status = fetch_from_any(&controllers, "/v1/status").await;
         status.is_some_and(|status| {
             status["seats"].len() == 5
                 && status["members"].len() >= (options.agents + options.directories) as usize
         })
     })
     .await?;
-    tell_first(options, &scenario.zones, &controllers).await?;
+    apply_initial_configuration(options, &scenario.zones, &controllers).await?;
     let clock = Clock::start();
     let hollow = Arc::new(HollowFleet {
         clock,
@@ -163,14 +169,14 @@
         .collect();
     let members = (options.nodes + options.agents + options.directories) as usize;
     let counted = async || {
-        let status = ask_any(&controllers, "/v1/status")
+        let status = fetch_from_any(&controllers, "/v1/status")
             .await
             .unwrap_or(JsonValue::Null);
         (status["members"].len(), status["instances"].len())
     };
-    // Why gone on all the same: a core that cannot count so many is a result too.
+    // The run continues after a timeout: controllers that cannot register so many are a result too.
     let settled = wait_until(
-        "the core counts everyone",
+        "waiting until all members and instances are registered",
         Duration::from_secs(30),
         async || counted().await == (members, instances.len()),
     );
@@ -189,43 +195,43 @@
     };
     let (accepted, offered) = (Accepted::default(), Arc::new(AtomicU64::new(0)));
     let restarted = AtomicU64::new(0);
-    let spans = ZoneSpans::default();
-    let before = (Instant::now(), samples(&fleet.0), flows.so_far());
+    let timings = ZoneTimings::default();
+    let before = (Instant::now(), samples(&fleet.0), flows.snapshot());
     tokio::select! {
         () = tokio::time::sleep(Duration::from_secs(options.seconds)) => {}
-        () = keep_changing(
+        () = post_changes(
             options.clone(), controllers.clone(), clock, flows.clone(), accepted.clone(), offered.clone(),
         ) => {}
-        () = keep_restarting(options.restarts, &agents, &instances, &restarted) => {}
-        () = lose_zone(options, &hollow, &counted, &spans) => {}
+        () = restart_nodes(options.restarts, &agents, &instances, &restarted) => {}
+        () = lose_zone(options, &hollow, &counted, &timings) => {}
     }
-    let took = before.0.elapsed().as_secs_f64();
-    let (after, went) = (samples(&fleet.0), flows.so_far().since(&before.2));
-    let status = ask_any(&controllers, "/v1/status")
+    let elapsed = before.0.elapsed().as_secs_f64();
+    let (after, traffic) = (samples(&fleet.0), flows.snapshot().since(&before.2));
+    let status = fetch_from_any(&controllers, "/v1/status")
         .await
         .unwrap_or(JsonValue::Null);
-    let (zone_out, zone_back) = *locked(&spans);
-    // Why wait: the last changes are still on their way.
+    let (zone_out, zone_back) = *locked(&timings);
+    // The last changes are still being distributed.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let accepted = locked(&accepted).clone();
-    let (delays, unheld) = held_delays(&accepted, &agents);
+    let (delays, unheld) = propagation_delays(&accepted, &agents);
     let roles = ["controller", "agent", "proxy", "directory"]
-        .map(|role| role_figures(role, &fleet.0, &before.1, &after, &went, took));
+        .map(|role| role_figures(role, &fleet.0, &before.1, &after, &traffic, elapsed));
     let nodes = f64::from(options.nodes.max(1));
-    let (sent, got) = (
-        went.sent_by(Part::HollowAgent),
-        went.received_by(Part::HollowAgent),
+    let (sent, received) = (
+        traffic.sent_by(Component::HollowAgent),
+        traffic.received_by(Component::HollowAgent),
     );
     Ok(Report {
         options: options.clone(),
         roles: roles.to_vec(),
-        node_messages: (sent.messages + got.messages) as f64 / nodes / took * 60.0,
-        node_bytes: (sent.bytes + got.bytes) as f64 / nodes / took,
+        node_messages: (sent.messages + received.messages) as f64 / nodes / elapsed * 60.0,
+        node_bytes: (sent.bytes + received.bytes) as f64 / nodes / elapsed,
         members_counted: status["members"].len(),
         instances_counted: status["instances"].len(),
-        hollow_voters: hollow_voters(&status, &pairs),
+        simulated_voters: simulated_voters(&status, &pairs),
         settled: settled.is_ok(),
-        operator_bytes: went.received_by(Part::Operator).bytes as f64 / took,
+        operator_bytes: traffic.received_by(Component::Operator).bytes as f64 / elapsed,
         status_bytes: status.dump().len(),
         zone_out,
         zone_back,
@@ -237,8 +243,9 @@
     })
 }
 
-/// How many voters are held by others than real processes: such a run measures something else.
-pub(crate) fn hollow_voters(status: &JsonValue, pairs: &[(SocketAddr, SocketAddr)]) -> usize {
+/// Returns the number of voters that are not real processes. A run with such voters does not measure the
+/// real control plane.
+pub(crate) fn simulated_voters(status: &JsonValue, pairs: &[(SocketAddr, SocketAddr)]) -> usize {
     status["seats"]
         .members()
         .filter_map(|voter| voter["address"].as_str()?.parse::<SocketAddr>().ok())
@@ -246,13 +253,14 @@
         .count()
 }
 
+/// Computes the figures of one role from the samples before and after the measurement.
 pub(crate) fn role_figures(
     role: &str,
     fleet: &Fleet,
     before: &[Option<Sample>],
     after: &[Option<Sample>],
-    went: &FlowCounts,
-    took: f64,
+    traffic: &FlowCounts,
+    elapsed: f64,
 ) -> RoleFigures {
     let pairs: Vec<(Sample, Sample)> = fleet
         .processes
@@ -263,26 +271,26 @@
         .collect();
     let count = pairs.len().max(1) as f64;
     let sum = |figure: fn(&(Sample, Sample)) -> f64| pairs.iter().map(figure).sum::<f64>();
-    let (amount_in, amount_out) = match Part::of_program(role) {
-        Some(part) => (went.received_by(part), went.sent_by(part)),
+    let (amount_in, amount_out) = match Component::of_program(role) {
+        Some(component) => (traffic.received_by(component), traffic.sent_by(component)),
         None => Default::default(),
     };
     RoleFigures {
         role: role.to_string(),
         processes: pairs.len(),
-        processor: sum(|(before, after)| after.seconds - before.seconds) / took,
+        processor: sum(|(before, after)| after.seconds - before.seconds) / elapsed,
         memory: sum(|(_, after)| after.memory as f64) / count / MIB as f64,
         peak: sum(|(_, after)| after.peak as f64) / count / MIB as f64,
-        written: sum(|(before, after)| (after.written - before.written) as f64) / took,
-        messages_in: amount_in.messages as f64 / took,
-        messages_out: amount_out.messages as f64 / took,
-        bytes_in: amount_in.bytes as f64 / took,
-        bytes_out: amount_out.bytes as f64 / took,
+        written: sum(|(before, after)| (after.written - before.written) as f64) / elapsed,
+        messages_in: amount_in.messages as f64 / elapsed,
+        messages_out: amount_out.messages as f64 / elapsed,
+        bytes_in: amount_in.bytes as f64 / elapsed,
+        bytes_out: amount_out.bytes as f64 / elapsed,
     }
 }
 
-/// Runs one size in a runtime of its own, so that all of its ports are free again afterwards.
-pub(crate) fn run_apart(options: &ScaleOptions, folder: &Path) -> anyhow::Result<Report> {
+/// Runs one size in its own runtime, so that all of its ports are free again afterwards.
+pub(crate) fn run_in_new_runtime(options: &ScaleOptions, folder: &Path) -> anyhow::Result<Report> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(options.threads)
         .enable_all()
@@ -290,7 +298,7 @@
     let outcome = runtime.block_on(async {
         tokio::select! {
             report = run_size(options, folder) => report,
-            () = asked_to_stop() => Err(anyhow!("interrupted: every process of the run was ended")),
+            () = asked_to_stop() => Err(anyhow!("interrupted: all processes of the run were ended")),
         }
     });
     runtime.shutdown_timeout(Duration::from_secs(3));
--- a/crates/local-fleet/src/scale/sweep.rs
+++ b/crates/local-fleet/src/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! A sweep: each dimension through several sizes, with a line through its figures.
+//! A sweep: runs several sizes of each dimension and fits lines to the figures.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 use crate::fit::Fit;
 use crate::scale::options::ScaleOptions;
 use crate::scale::report::Report;
-use crate::scale::run::run_apart;
+use crate::scale::run::run_in_new_runtime;
 use caperworks::link::RENEW_PERIOD;
 
-/// One dimension of a sweep, and the sizes that it takes while all others are held.
+/// Returns the dimensions of a sweep, each with its sizes; all other dimensions keep the value of the options.
 pub(crate) fn dimensions(options: &ScaleOptions) -> Vec<(&'static str, Vec<(f64, ScaleOptions)>)> {
     let with = |size: f64, resize: fn(&mut ScaleOptions, f64)| {
         let mut sized = options.clone();
@@ -46,7 +46,7 @@
     ]
 }
 
-/// Every figure of a run by name, for a line through several runs.
+/// Returns all figures of a run with their names.
 pub(crate) fn figures(report: &Report) -> Vec<(String, f64)> {
     let mut figures = Vec::new();
     for role in &report.roles {
@@ -64,16 +64,17 @@
     figures
 }
 
-/// The figures that only the number of facts told explains, through runs of all dimensions.
-pub(crate) const BY_FACTS_REPORTED: [&str; 2] = ["controller.processor", "controller.bytes_out"];
+/// Figures that are fitted to the rate of facts over the runs of all dimensions.
+pub(crate) const FITTED_TO_FACT_RATE: [&str; 2] = ["controller.processor", "controller.bytes_out"];
 
-pub(crate) fn fits_json(points: &[(f64, Report)], wanted: impl Fn(&str) -> bool) -> JsonValue {
+/// Fits a line to each selected figure, prints it, and returns the fits as JSON.
+pub(crate) fn fits_json(points: &[(f64, Report)], is_selected: impl Fn(&str) -> bool) -> JsonValue {
     let mut json = JsonValue::new_object();
     let Some((_, first)) = points.first() else {
         return json;
     };
     for (index, (name, _)) in figures(first).iter().enumerate() {
-        if !wanted(name) {
+        if !is_selected(name) {
             continue;
         }
         let line: Vec<(f64, f64)> = points
@@ -82,13 +83,13 @@
             .collect();
         if let Some(fit) = Fit::through(&line) {
             json[name.as_str()] = fit.json();
-            let word = if fit.is_straight() {
+            let note = if fit.is_straight() {
                 ""
             } else {
                 "  NOT A STRAIGHT LINE"
             };
             println!(
-                "  {name:<28} {:>14.5} each + {:>14.4}  residual {:>5.1} %{word}",
+                "  {name:<28} {:>14.5} each + {:>14.4}  residual {:>5.1} %{note}",
                 fit.slope,
                 fit.intercept,
                 fit.residual * 100.0
@@ -98,23 +99,24 @@
     json
 }
 
-/// How many facts the core tells and is told in a second, by the sizes alone.
+/// Returns the number of facts that the controllers send and receive per second, computed from the sizes.
 ///
-/// Why: each node is told of every node and instance again and again, so neither nodes nor
-/// instances alone make a straight line.
-pub(crate) fn facts_reported(options: &ScaleOptions) -> f64 {
+/// Each node repeatedly receives the facts of every node and instance, so the load is not linear in the
+/// number of nodes or instances alone.
+pub(crate) fn facts_per_second(options: &ScaleOptions) -> f64 {
     let members = f64::from(options.nodes + options.agents + options.directories);
     let renewals = 1.0 / RENEW_PERIOD.as_secs_f64();
     members * (renewals * members + 2.0 * f64::from(options.instances))
 }
 
+/// Runs all sizes of all dimensions and returns the runs and fits as JSON.
 pub(crate) fn sweep(options: &ScaleOptions, folder: &Path) -> anyhow::Result<JsonValue> {
     let mut json = jzon::object! { dimensions: {}, };
     let mut all: Vec<(f64, Report)> = Vec::new();
     for (dimension, sizes) in dimensions(options) {
         let mut points = Vec::new();
         for (size, sized) in sizes {
-            let report = run_apart(&sized, folder)?;
+            let report = run_in_new_runtime(&sized, folder)?;
             report.print();
             points.push((size, report));
         }
@@ -125,10 +127,10 @@
         all.extend(
             points
                 .into_iter()
-                .map(|(_, report)| (facts_reported(&report.options), report)),
+                .map(|(_, report)| (facts_per_second(&report.options), report)),
         );
     }
-    println!("facts told in a second, through all runs:");
-    json["by_facts_told"] = fits_json(&all, |name| BY_FACTS_REPORTED.contains(&name));
+    println!("facts per second, over all runs:");
+    json["by_facts_told"] = fits_json(&all, |name| FITTED_TO_FACT_RATE.contains(&name));
     Ok(json)
 }
--- a/crates/local-fleet/src/scale_tests.rs
+++ b/crates/local-fleet/src/scale_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of what `local-fleet scale` estimates, refuses and concludes.
+//! Tests of the estimates, limits and fits of `local-fleet scale`.
 
 use std::time::Duration;
 
 use crate::fit::{percentile, Fit};
-use crate::flows::{Amount, Flows, Part};
+use crate::flows::{Amount, Component, Flows};
 use crate::scale::growth_check::growth_is_bounded;
 use crate::scale::options::ScaleOptions;
 use runtime::options::OptionsFault;
@@ -31,8 +31,8 @@
     }
 }
 
-/// The number after a flag in what the operator is told.
-fn reported(faults: &[OptionsFault], flag: &str) -> Option<u32> {
+/// Returns the number after a flag in the error message.
+fn suggested_size(faults: &[OptionsFault], flag: &str) -> Option<u32> {
     let text = &faults.first()?.remedy;
     let rest = text.split_once(&format!("{flag} "))?.1;
     let end = rest
@@ -72,11 +72,13 @@
 
 #[test]
 fn given_too_little_memory_when_a_size_is_asked_then_the_number_told_fits_and_one_more_does_not() {
-    let asked = sized(4000, 1000, 3);
-    let faults = asked.faults(8 * GIB, 1_000_000);
-    let most = reported(&faults, "--nodes").expect("a number");
-    assert!(sized(most, 1000, 3).faults(8 * GIB, 1_000_000).is_empty());
-    assert!(!sized(most + 1, 1000, 3)
+    let options = sized(4000, 1000, 3);
+    let faults = options.faults(8 * GIB, 1_000_000);
+    let max_size = suggested_size(&faults, "--nodes").expect("a number");
+    assert!(sized(max_size, 1000, 3)
+        .faults(8 * GIB, 1_000_000)
+        .is_empty());
+    assert!(!sized(max_size + 1, 1000, 3)
         .faults(8 * GIB, 1_000_000)
         .is_empty());
 }
@@ -84,37 +86,45 @@
 #[test]
 fn given_too_many_processes_when_asked_then_the_number_told_fits_and_one_more_does_not() {
     let faults = sized(8, 10, 500).faults(64 * GIB, 20_000);
-    let most = reported(&faults, "--agents").expect("a number");
-    assert!(sized(8, 10, most).faults(64 * GIB, 20_000).is_empty());
-    assert!(!sized(8, 10, most + 1).faults(64 * GIB, 20_000).is_empty());
+    let max_size = suggested_size(&faults, "--agents").expect("a number");
+    assert!(sized(8, 10, max_size).faults(64 * GIB, 20_000).is_empty());
+    assert!(!sized(8, 10, max_size + 1)
+        .faults(64 * GIB, 20_000)
+        .is_empty());
 }
 
 #[test]
 fn given_too_few_open_files_when_asked_then_the_number_told_fits_and_one_more_does_not() {
     let faults = sized(1000, 10, 3).faults(64 * GIB, 4096);
-    let most = reported(&faults, "--nodes").expect("a number");
-    assert!(sized(most, 10, 3).faults(64 * GIB, 4096).is_empty());
-    assert!(!sized(most + 1, 10, 3).faults(64 * GIB, 4096).is_empty());
+    let max_size = suggested_size(&faults, "--nodes").expect("a number");
+    assert!(sized(max_size, 10, 3).faults(64 * GIB, 4096).is_empty());
+    assert!(!sized(max_size + 1, 10, 3).faults(64 * GIB, 4096).is_empty());
 }
 
 #[test]
 fn given_counts_at_two_moments_when_subtracted_then_what_went_between_is_left() {
     let flows = Flows::default();
-    flows.count(Part::Controller, Part::Agent, 10);
-    let before = flows.so_far();
-    flows.count(Part::Controller, Part::Agent, 30);
-    flows.count(Part::Agent, Part::Controller, 5);
-    let went = flows.so_far().since(&before);
+    flows.count(Component::Controller, Component::Agent, 10);
+    let before = flows.snapshot();
+    flows.count(Component::Controller, Component::Agent, 30);
+    flows.count(Component::Agent, Component::Controller, 5);
+    let traffic = flows.snapshot().since(&before);
     let amount = |messages, bytes| Amount { messages, bytes };
-    assert_eq!(went.received_by(Part::Agent), amount(1, 30));
-    assert_eq!(went.sent_by(Part::Agent), amount(1, 5));
-    assert_eq!(went.received_by(Part::Directory), amount(0, 0));
+    assert_eq!(traffic.received_by(Component::Agent), amount(1, 30));
+    assert_eq!(traffic.sent_by(Component::Agent), amount(1, 5));
+    assert_eq!(traffic.received_by(Component::Directory), amount(0, 0));
 }
 
 #[test]
 fn given_a_node_that_talks_to_all_others_when_the_fleet_grows_then_it_is_over_the_bound() {
     assert!(growth_is_bounded(400.0, 400.0));
-    assert!(growth_is_bounded(400.0, 380.0), "less is well");
+    assert!(
+        growth_is_bounded(400.0, 380.0),
+        "fewer messages are within the bound"
+    );
     assert!(!growth_is_bounded(8.0 * 50.0, 24.0 * 50.0));
-    assert!(!growth_is_bounded(0.0, 0.0), "silence proves nothing");
+    assert!(
+        !growth_is_bounded(0.0, 0.0),
+        "a fleet without messages must not pass"
+    );
 }
