--- a/crates/local-fleet/src/flows.rs
+++ b/crates/local-fleet/src/flows.rs
@@ -17,8 +17,8 @@
     Controller,
     Agent,
     Directory,
-    HollowAgent,
-    HollowInstance,
+    SimulatedAgent,
+    SimulatedInstance,
     Operator,
 }
 
@@ -26,8 +26,8 @@
     Component::Controller,
     Component::Agent,
     Component::Directory,
-    Component::HollowAgent,
-    Component::HollowInstance,
+    Component::SimulatedAgent,
+    Component::SimulatedInstance,
     Component::Operator,
 ];
 
--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -4,13 +4,13 @@
 mod fit;
 mod fleet;
 mod flows;
-mod hollow;
 mod http_relay;
 mod probe;
 mod relay;
 mod scale;
 #[cfg(test)]
 mod scale_tests;
+mod simulated_nodes;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/local-fleet/src/scale/load.rs
+++ b/crates/local-fleet/src/scale/load.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use crate::flows::{Component, Flows};
-use crate::hollow::{
-    request_bytes, response_bytes, ControllerAddresses, HollowAgent, HollowInstance,
-};
 use crate::scale::options::ScaleOptions;
+use crate::simulated_nodes::{
+    request_bytes, response_bytes, AgentHandle, ControllerAddresses, InstanceHandle,
+};
 use caperworks::identifiers::Version;
 use runtime::clock::Clock;
 use runtime::http::Fetch;
@@ -68,8 +68,8 @@
 /// Restarts simulated agents and instances alternately at a constant rate.
 pub(crate) async fn restart_nodes(
     rate: f64,
-    agents: &[HollowAgent],
-    instances: &[HollowInstance],
+    agents: &[AgentHandle],
+    instances: &[InstanceHandle],
     restarted: &AtomicU64,
 ) {
     if rate <= 0.0 {
@@ -91,11 +91,11 @@
 /// all of them hold, and the number of changes that some of them do not hold.
 pub(crate) fn propagation_delays(
     accepted: &[(Version, Duration)],
-    agents: &[HollowAgent],
+    agents: &[AgentHandle],
 ) -> (Vec<Duration>, u64) {
     let versions_by_agent: Vec<Vec<(Version, Duration)>> = agents
         .iter()
-        .map(|agent| locked(&agent.held_since).clone())
+        .map(|agent| locked(&agent.version_history).clone())
         .collect();
     let mut unheld = 0;
     let mut delays = Vec::new();
--- a/crates/local-fleet/src/scale/lost_zone.rs
+++ b/crates/local-fleet/src/scale/lost_zone.rs
@@ -4,8 +4,8 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use crate::hollow::HollowFleet;
 use crate::scale::options::ScaleOptions;
+use crate::simulated_nodes::SimulatedFleet;
 use runtime::locks::locked;
 
 /// How long the controllers took to remove the nodes of the lost zone, and to register them again.
@@ -17,7 +17,7 @@
 /// Silences the simulated nodes of the first zone, and measures when the controllers notice. Never returns.
 pub(crate) async fn lose_zone(
     options: &ScaleOptions,
-    hollow: &HollowFleet,
+    simulated: &SimulatedFleet,
     counted: &impl AsyncFn() -> (usize, usize),
     timings: &ZoneTimings,
 ) {
@@ -25,9 +25,9 @@
         return std::future::pending().await;
     }
     let all = counted().await;
-    let lost_nodes = (0..options.nodes).filter(|number| hollow.in_first_zone(*number));
-    let lost_instances =
-        (0..options.instances).filter(|number| hollow.in_first_zone(number / options.services));
+    let lost_nodes = (0..options.nodes).filter(|number| simulated.is_in_first_zone(*number));
+    let lost_instances = (0..options.instances)
+        .filter(|number| simulated.is_in_first_zone(number / options.services));
     let remaining = (
         all.0.saturating_sub(lost_nodes.count()),
         all.1.saturating_sub(lost_instances.count()),
@@ -41,11 +41,11 @@
         start.elapsed()
     };
     let silent_until = Instant::now() + Duration::from_secs(options.lose_zone);
-    hollow.first_zone_silent.store(true, Ordering::SeqCst);
+    simulated.first_zone_silent.store(true, Ordering::SeqCst);
     let removed_after = time_until(remaining).await;
     locked(timings).0 = Some(removed_after);
     tokio::time::sleep_until(silent_until.into()).await;
-    hollow.first_zone_silent.store(false, Ordering::SeqCst);
+    simulated.first_zone_silent.store(false, Ordering::SeqCst);
     let returned_after = time_until(all).await;
     locked(timings).1 = Some(returned_after);
     std::future::pending().await
--- a/crates/local-fleet/src/scale/options.rs
+++ b/crates/local-fleet/src/scale/options.rs
@@ -6,7 +6,7 @@
 use anyhow::Context as AnyhowContext;
 use jzon::JsonValue;
 
-use crate::hollow::{route_name, service_name};
+use crate::simulated_nodes::{route_name, service_name};
 use caperworks::configuration::MOST_ITEMS;
 use runtime::options::OptionsFault;
 use runtime::scenario::Scenario;
--- a/crates/local-fleet/src/scale/run.rs
+++ b/crates/local-fleet/src/scale/run.rs
@@ -12,13 +12,13 @@
 
 use crate::fleet::{Fleet, RelayedTraffic};
 use crate::flows::{relay_and_count, Addresses, Component, FlowCounts, Flows};
-use crate::hollow::{
-    start_agent, start_instance, ControllerAddresses, HollowFleet, HollowInstance,
-};
 use crate::scale::load::{post_changes, propagation_delays, restart_nodes, Accepted};
 use crate::scale::lost_zone::{lose_zone, ZoneTimings};
 use crate::scale::options::{ScaleOptions, MIB};
 use crate::scale::report::{Report, RoleFigures, Sample};
+use crate::simulated_nodes::{
+    start_agent, start_instance, ControllerAddresses, InstanceHandle, SimulatedFleet,
+};
 use runtime::actor::asked_to_stop;
 use runtime::clock::Clock;
 use runtime::http::Fetch;
@@ -149,7 +149,7 @@
     .await?;
     apply_initial_configuration(options, &scenario.zones, &controllers).await?;
     let clock = Clock::start();
-    let hollow = Arc::new(HollowFleet {
+    let simulated = Arc::new(SimulatedFleet {
         clock,
         controllers: controllers.clone(),
         zones: options.zones(),
@@ -162,10 +162,10 @@
     });
     let mut agents = Vec::new();
     for number in 0..options.nodes {
-        agents.push(start_agent(&hollow, number, options.base).await?);
+        agents.push(start_agent(&simulated, number, options.base).await?);
     }
-    let instances: Vec<HollowInstance> = (0..options.instances)
-        .map(|number| start_instance(&hollow, number))
+    let instances: Vec<InstanceHandle> = (0..options.instances)
+        .map(|number| start_instance(&simulated, number))
         .collect();
     let members = (options.nodes + options.agents + options.directories) as usize;
     let counted = async || {
@@ -203,7 +203,7 @@
             options.clone(), controllers.clone(), clock, flows.clone(), accepted.clone(), offered.clone(),
         ) => {}
         () = restart_nodes(options.restarts, &agents, &instances, &restarted) => {}
-        () = lose_zone(options, &hollow, &counted, &timings) => {}
+        () = lose_zone(options, &simulated, &counted, &timings) => {}
     }
     let elapsed = before.0.elapsed().as_secs_f64();
     let (after, traffic) = (samples(&fleet.0), flows.snapshot().since(&before.2));
@@ -219,8 +219,8 @@
         .map(|role| role_figures(role, &fleet.0, &before.1, &after, &traffic, elapsed));
     let nodes = f64::from(options.nodes.max(1));
     let (sent, received) = (
-        traffic.sent_by(Component::HollowAgent),
-        traffic.received_by(Component::HollowAgent),
+        traffic.sent_by(Component::SimulatedAgent),
+        traffic.received_by(Component::SimulatedAgent),
     );
     Ok(Report {
         options: options.clone(),
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/simulated_nodes.rs
@@ -1,7 +1,8 @@
-//! Hollow agents and instances: many in one process, without traffic, counted by the core as any.
+//! Simulated agents and instances for scale measurements: many in one process, without client traffic.
+//! The controllers treat them like real ones.
 //!
-//! A hollow agent says what an agent with a ready proxy says, from a control port of its own, and
-//! keeps of the answers only the versions. A hollow instance heartbeats over HTTP as instances do.
+//! A simulated agent has its own control port, sends the messages of an agent with one ready proxy, and
+//! keeps only the map versions of the responses. A simulated instance sends heartbeats over HTTP.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -34,95 +35,101 @@
 use runtime::http::{heartbeats, Fetch, Fetched};
 use runtime::locks::locked;
 
-/// How often an instance heartbeats.
-const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+/// How often an instance sends a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A controller that has not answered for this long is left for another, as real agents do.
+/// Switch to another controller when the current one has not responded for this long, as real agents do.
 const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(800);
-/// How soon an agent asks again that lacks what its grant names.
-const BEHIND_PERIOD: Duration = Duration::from_millis(50);
-/// The maps that a hollow agent follows: those of a real one.
+/// How soon an agent polls again while its maps are older than the versions named in its grant.
+const LAGGING_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The maps that an agent follows: the same as for a real agent.
 const FOLLOWED: [MapName; 3] = [
     MapName::Configuration,
     MapName::Ownership,
     MapName::Membership,
 ];
-/// How many answers may wait at one hollow agent.
-const MOST_WAITING: usize = 64;
-/// For how many routes each hollow proxy tells demand.
-const DEMANDS: u64 = 4;
+/// Capacity of the inbox of a simulated agent.
+const INBOX_CAPACITY: usize = 64;
+/// Number of routes for which each simulated proxy reports demand.
+const DEMAND_ROUTES: u64 = 4;
 
-/// One controller as the hollow ones reach it.
+/// The addresses of one controller.
 #[derive(Debug, Clone, Copy)]
 pub struct ControllerAddresses {
-    /// What it calls itself to others.
+    /// The address that it advertises, which is the relay's.
     pub advertised: SocketAddr,
-    /// Where its control port is: what hollow ones send need not go by the relay to be counted.
+    /// The address of its control port. Simulated agents send to it directly, since they count their
+    /// messages themselves.
     pub listened: SocketAddr,
     pub serving: SocketAddr,
 }
 
-/// What all hollow ones of a fleet share.
-pub struct HollowFleet {
+/// State shared by all simulated agents and instances.
+pub struct SimulatedFleet {
     pub clock: Clock,
     pub controllers: Vec<ControllerAddresses>,
     pub zones: Vec<String>,
     pub services: u32,
     pub routes: u32,
-    /// How long the first words of all are spread over.
+    /// The period over which the first messages of all nodes are spread.
     pub spread: Duration,
-    /// Whether the hollow ones of the first zone say and hear nothing, as if it were lost.
+    /// Whether the nodes of the first zone neither send nor receive, as if the zone were lost.
     pub first_zone_silent: AtomicBool,
     pub addresses: Addresses,
     pub flows: Arc<Flows>,
 }
 
-impl HollowFleet {
+impl SimulatedFleet {
     fn zone_of(&self, number: u32) -> Zone {
         Zone::new(&self.zones[number as usize % self.zones.len()])
     }
 
-    pub fn in_first_zone(&self, number: u32) -> bool {
+    /// Returns whether the node with this number is in the first zone.
+    pub fn is_in_first_zone(&self, number: u32) -> bool {
         (number as usize).is_multiple_of(self.zones.len())
     }
 
     fn is_silent(&self, number: u32) -> bool {
-        self.in_first_zone(number) && self.first_zone_silent.load(Ordering::SeqCst)
+        self.is_in_first_zone(number) && self.first_zone_silent.load(Ordering::SeqCst)
     }
 }
 
-/// The loopback address of the hollow one with this number, in a network of its own kind.
-fn hollow_address(network: u8, number: u32, port: u16) -> SocketAddr {
+/// Returns the loopback address of the simulated node with this number. Agents and instances have separate
+/// networks.
+fn simulated_address(network: u8, number: u32, port: u16) -> SocketAddr {
     let low = (number % 250 + 1) as u8;
     let middle = (number / 250 % 250) as u8;
     let high = network + (number / 62_500) as u8;
     SocketAddr::from(([127, high, middle, low], port))
 }
 
-/// Since when each hollow agent has held which version of the configuration.
-pub type HeldSince = Arc<Mutex<Vec<(Version, Duration)>>>;
+/// The configuration versions that an agent has received, each with its time of arrival.
+pub type VersionHistory = Arc<Mutex<Vec<(Version, Duration)>>>;
 
-pub struct HollowAgent {
-    pub held_since: HeldSince,
+/// A running simulated agent.
+pub struct AgentHandle {
+    pub version_history: VersionHistory,
     restart: mpsc::Sender<Heard>,
 }
 
-impl HollowAgent {
-    /// Begins a new life at the same address: another node, that holds nothing.
+impl AgentHandle {
+    /// Restarts the agent at the same address with a new node id and without any state.
     pub fn restart(&self) {
-        // Why ignored: one that has so much to hear that it cannot be told is told next time.
+        // A full inbox is ignored: the agent misses this restart and takes part in a later one.
         let _ = self.restart.try_send(Heard::Restart);
     }
 }
 
+/// An input of a simulated agent.
 enum Heard {
     Envelope(Envelope),
     Restart,
 }
 
+/// The state of a simulated agent.
 struct SimulatedAgent {
     number: u32,
-    fleet: Arc<HollowFleet>,
+    fleet: Arc<SimulatedFleet>,
     port: ControlPort,
     control: SocketAddr,
     node: NodeId,
@@ -130,36 +137,37 @@
     counter: u64,
     controller: usize,
     controller_incarnation: NodeId,
-    answered_at: Duration,
-    /// When a piece of a map was last asked for, while one is under way.
+    responded_at: Duration,
+    /// When the last chunk of each map was requested, while a transfer is in progress.
     chunk_requested_at: BTreeMap<MapName, Duration>,
     renew_at: Duration,
     pace: PollPacer,
     instances_offset: u64,
     members_offset: u64,
     versions: Vec<Version>,
-    held_since: HeldSince,
+    version_history: VersionHistory,
 }
 
+/// Starts a simulated agent with its control port.
 pub async fn start_agent(
-    fleet: &Arc<HollowFleet>,
+    fleet: &Arc<SimulatedFleet>,
     number: u32,
     port: u16,
-) -> anyhow::Result<HollowAgent> {
-    let control = hollow_address(101, number, port);
-    let (sender, mut receiver) = mpsc::channel(MOST_WAITING);
+) -> anyhow::Result<AgentHandle> {
+    let control = simulated_address(101, number, port);
+    let (sender, mut receiver) = mpsc::channel(INBOX_CAPACITY);
     let (flows, addresses) = (fleet.flows.clone(), fleet.addresses.clone());
-    let heard = sender.clone();
+    let inbox = sender.clone();
     let opened = ControlPort::open(NodeId(0), control, control, move |envelope| {
         if let Some(from) = addresses.get(&envelope.reply_to) {
-            flows.count(*from, Component::HollowAgent, frame_bytes(&envelope));
+            flows.count(*from, Component::SimulatedAgent, frame_bytes(&envelope));
         }
-        // Why dropped when full: a real agent's inbox turns away as well, and it asks again.
-        let _ = heard.try_send(Heard::Envelope(envelope));
+        // Dropped if the inbox is full, as in a real agent, which then polls again.
+        let _ = inbox.try_send(Heard::Envelope(envelope));
     })
     .await?;
-    let held_since = HeldSince::default();
-    let mut process = SimulatedAgent {
+    let version_history = VersionHistory::default();
+    let mut agent = SimulatedAgent {
         number,
         fleet: fleet.clone(),
         port: opened,
@@ -169,35 +177,35 @@
         counter: 0,
         controller: number as usize % fleet.controllers.len(),
         controller_incarnation: NodeId(0),
-        answered_at: Duration::ZERO,
+        responded_at: Duration::ZERO,
         chunk_requested_at: BTreeMap::new(),
         renew_at: Duration::ZERO,
         pace: PollPacer::new(CORE_TIMEOUT),
         instances_offset: 0,
         members_offset: 0,
         versions: Vec::new(),
-        held_since: held_since.clone(),
+        version_history: version_history.clone(),
     };
-    process.begin_anew();
-    // Why spread: a fleet does not ask in one breath, and this one is to be as a fleet is.
-    process.renew_at += fleet.spread.mul_f64(f64::from(number % 1000) / 1000.0);
-    process.answered_at = process.renew_at;
+    agent.begin_anew();
+    // The first polls are spread over time, because the agents of a real fleet do not start all at once.
+    agent.renew_at += fleet.spread.mul_f64(f64::from(number % 1000) / 1000.0);
+    agent.responded_at = agent.renew_at;
     tokio::spawn(async move {
         loop {
-            let now = process.fleet.clock.now();
-            let until_due = process.renew_at.saturating_sub(now);
+            let now = agent.fleet.clock.now();
+            let until_due = agent.renew_at.saturating_sub(now);
             tokio::select! {
-                heard = receiver.recv() => match heard {
-                    Some(Heard::Envelope(envelope)) => process.handle(envelope),
-                    Some(Heard::Restart) => process.begin_anew(),
+                input = receiver.recv() => match input {
+                    Some(Heard::Envelope(envelope)) => agent.handle(envelope),
+                    Some(Heard::Restart) => agent.begin_anew(),
                     None => return,
                 },
-                () = tokio::time::sleep(until_due) => process.renew(),
+                () = tokio::time::sleep(until_due) => agent.renew(),
             }
         }
     });
-    Ok(HollowAgent {
-        held_since,
+    Ok(AgentHandle {
+        version_history,
         restart: sender,
     })
 }
@@ -212,19 +220,19 @@
         self.instances_offset = 0;
         self.members_offset = 0;
         self.versions = vec![Version(0); ALL_MAPS.len()];
-        self.answered_at = now;
+        self.responded_at = now;
         self.renew_at = now;
         self.pace = PollPacer::new(CORE_TIMEOUT);
     }
 
-    /// What a hollow agent says of itself and of the proxy that it stands for.
+    /// Returns the member fact of the agent and its simulated proxy.
     fn member(&mut self) -> Member {
         self.counter += 1;
         let number = u64::from(self.number);
-        let demand = (0..DEMANDS.min(u64::from(self.fleet.routes)))
+        let demand = (0..DEMAND_ROUTES.min(u64::from(self.fleet.routes)))
             .map(|turn| Demand {
                 group: format!("10.{}.{}.0/24", number / 250 % 250, number % 250),
-                route: route_name((number * DEMANDS + turn) % u64::from(self.fleet.routes)),
+                route: route_name((number * DEMAND_ROUTES + turn) % u64::from(self.fleet.routes)),
                 requests: 40,
                 locality: Duration::from_millis(20),
             })
@@ -247,7 +255,7 @@
         }
     }
 
-    /// Sends a message to one of the controllers, or to an agent that asked.
+    /// Sends a message to a controller, or to an agent that sent a request.
     fn send(&self, to: SocketAddr, message: Message) {
         let now = self.fleet.clock.now();
         let envelope = self.envelope_clock.seal(now, self.control, to, message);
@@ -255,31 +263,35 @@
             .fleet
             .controllers
             .iter()
-            .find(|index| index.advertised == to);
-        // Why only to controllers: what goes to others passes the relay, which counts it.
+            .find(|controller| controller.advertised == to);
+        // Only messages to controllers are counted here: those to other nodes pass through the relay, which
+        // counts them.
         if controller.is_some() {
             let bytes = frame_bytes(&envelope);
             self.fleet
                 .flows
-                .count(Component::HollowAgent, Component::Controller, bytes);
+                .count(Component::SimulatedAgent, Component::Controller, bytes);
         }
-        self.port
-            .forward(controller.map_or(to, |index| index.listened), &envelope);
+        self.port.forward(
+            controller.map_or(to, |controller| controller.listened),
+            &envelope,
+        );
     }
 
+    /// Sends a renewal, first switching to another controller if the current one does not respond.
     fn renew(&mut self) {
         let now = self.fleet.clock.now();
         if self.fleet.is_silent(self.number) {
             self.renew_at = now + RENEW_PERIOD;
             return;
         }
-        if now.saturating_sub(self.answered_at) >= CONTROLLER_TIMEOUT.max(self.pace.timeout()) {
+        if now.saturating_sub(self.responded_at) >= CONTROLLER_TIMEOUT.max(self.pace.timeout()) {
             self.controller = (self.controller + 1) % self.fleet.controllers.len();
-            self.answered_at = now;
+            self.responded_at = now;
             self.pace.begin_anew();
         }
         if !self.pace.may_ask(now) {
-            self.renew_at = now + BEHIND_PERIOD;
+            self.renew_at = now + LAGGING_POLL_INTERVAL;
             return;
         }
         self.renew_at = now + RENEW_PERIOD;
@@ -306,18 +318,19 @@
             return;
         }
         self.envelope_clock.open(now, &envelope);
-        let process = envelope.sender_incarnation();
+        let sender = envelope.sender_incarnation();
         match envelope.message {
-            // Why by number: an answer to a life before this one says nothing to this one.
+            // Grants for a higher number are responses to an earlier incarnation of this agent.
             Message::Grant { granted } if granted.number <= self.counter => {
-                self.granted(now, process, &granted);
+                self.handle_grant(now, sender, &granted);
                 self.fetch_in_chunks(now, envelope.reply_to, &granted);
             }
             Message::ConsensusMessage {
                 vote: ConsensusMessage::Chunk { chunk },
             } => self.take_chunk(now, envelope.reply_to, &chunk),
             Message::FallbackRequest { ask } => {
-                // Why no word under any roster: hollow agents are to keep nobody fresh.
+                // Not qualified under any fallback member list: simulated agents must not take part in the
+                // partition fallback of real members.
                 let tell = FallbackResponse {
                     number: ask.number,
                     versions: self.versions.clone(),
@@ -331,7 +344,7 @@
         }
     }
 
-    /// Asks for a part of a map that is too large for a grant.
+    /// Requests a chunk of a map that is too large for a grant.
     fn request_chunk(
         &mut self,
         now: Duration,
@@ -348,13 +361,13 @@
         self.send(to, Message::ConsensusMessage { vote });
     }
 
-    /// Begins to fetch what a grant says is too large for it, unless that is under way.
+    /// Starts the transfer of each map that is too large for the grant, unless one is in progress.
     fn fetch_in_chunks(&mut self, now: Duration, from: SocketAddr, granted: &Granted) {
         for map in granted.in_chunks.iter().copied() {
-            let asked_at = self.chunk_requested_at.get(&map);
-            let is_under_way =
-                asked_at.is_some_and(|asked_at| now.saturating_sub(*asked_at) < CHUNK_TIMEOUT);
-            if FOLLOWED.contains(&map) && !is_under_way {
+            let requested_at = self.chunk_requested_at.get(&map);
+            let is_in_progress = requested_at
+                .is_some_and(|requested_at| now.saturating_sub(*requested_at) < CHUNK_TIMEOUT);
+            if FOLLOWED.contains(&map) && !is_in_progress {
                 let position = TransferPosition {
                     transfer: self.counter,
                     ..TransferPosition::default()
@@ -364,7 +377,7 @@
         }
     }
 
-    /// Goes on to the next piece; the bytes themselves are not kept.
+    /// Requests the next chunk, or records the new version after the last one. The bytes are discarded.
     fn take_chunk(&mut self, now: Duration, from: SocketAddr, chunk: &SnapshotChunk) {
         let offset = chunk.offset + chunk.bytes.len() as u64;
         if offset < chunk.total {
@@ -378,54 +391,55 @@
             return;
         }
         self.chunk_requested_at.remove(&chunk.map);
-        self.moves_to(now, chunk.map, chunk.version);
+        self.advance_to(now, chunk.map, chunk.version);
         self.renew_at = now;
     }
 
-    /// Notes that a later version of a map is held.
-    fn moves_to(&mut self, now: Duration, map: MapName, version: Version) {
+    /// Records a new version of a map, if it is newer than the current one.
+    fn advance_to(&mut self, now: Duration, map: MapName, version: Version) {
         let held = &mut self.versions[map.index()];
-        let moved = version > *held;
+        let advanced = version > *held;
         *held = version.max(*held);
-        if moved && map == MapName::Configuration {
-            locked(&self.held_since).push((version, now));
+        if advanced && map == MapName::Configuration {
+            locked(&self.version_history).push((version, now));
         }
     }
 
-    fn granted(&mut self, now: Duration, process: NodeId, granted: &Granted) {
+    /// Processes a grant: applies its updates and schedules the next poll.
+    fn handle_grant(&mut self, now: Duration, sender: NodeId, granted: &Granted) {
         self.pace.answered(granted.number, None);
-        self.controller_incarnation = process;
+        self.controller_incarnation = sender;
         self.instances_offset = granted.instances_offset;
         self.members_offset = granted.members_offset;
         let before = self.versions.clone();
         for updates in &granted.updates {
-            self.take(updates);
+            self.apply_updates(updates);
         }
-        let moved = |name: MapName| self.versions[name.index()] > before[name.index()];
-        if moved(MapName::Configuration) {
+        let has_advanced = |name: MapName| self.versions[name.index()] > before[name.index()];
+        if has_advanced(MapName::Configuration) {
             let version = self.versions[MapName::Configuration.index()];
-            locked(&self.held_since).push((version, now));
+            locked(&self.version_history).push((version, now));
         }
-        if FALLBACK_MAPS.into_iter().any(moved) {
-            // Why at once: as a real agent, for an operator waits for its word.
+        if FALLBACK_MAPS.into_iter().any(has_advanced) {
+            // Renews at once, as a real agent does, because an operator may be waiting for its confirmation.
             self.renew_at = now;
         }
-        let holds = FOLLOWED.iter().all(|name| {
-            let named = granted.versions.get(name.index()).copied();
-            self.versions[name.index()] >= named.unwrap_or_default()
+        let is_up_to_date = FOLLOWED.iter().all(|name| {
+            let granted_version = granted.versions.get(name.index()).copied();
+            self.versions[name.index()] >= granted_version.unwrap_or_default()
         });
-        if granted.assured && holds {
-            self.answered_at = now;
+        if granted.assured && is_up_to_date {
+            self.responded_at = now;
         } else if granted.assured {
-            self.renew_at = self.renew_at.min(now + BEHIND_PERIOD);
+            self.renew_at = self.renew_at.min(now + LAGGING_POLL_INTERVAL);
         }
         if granted.more {
             self.renew_at = now;
         }
     }
 
-    /// Moves a version on as the map itself would move.
-    fn take(&mut self, updates: &ConsensusMessage) {
+    /// Advances a map version as applying the updates to the map would.
+    fn apply_updates(&mut self, updates: &ConsensusMessage) {
         match updates {
             ConsensusMessage::Updates { map, changes } => {
                 let held = &mut self.versions[map.index()];
@@ -444,44 +458,49 @@
     }
 }
 
+/// Returns the name of the route with this number.
 pub fn route_name(number: u64) -> RouteName {
     RouteName::new(format!("rule-{number}"))
 }
 
+/// Returns the name of the service with this number.
 pub fn service_name(number: u64) -> ServiceName {
     ServiceName::new(format!("service-{number}"))
 }
 
-pub struct HollowInstance {
+/// A running simulated instance.
+pub struct InstanceHandle {
     restart: Arc<AtomicBool>,
 }
 
-impl HollowInstance {
-    /// Begins a new life with the next heartbeat.
+impl InstanceHandle {
+    /// Starts a new incarnation with the next heartbeat.
     pub fn restart(&self) {
         self.restart.store(true, Ordering::SeqCst);
     }
 }
 
+/// The state of a simulated instance.
 struct SimulatedInstance {
     number: u32,
-    fleet: Arc<HollowFleet>,
+    fleet: Arc<SimulatedFleet>,
     address: SocketAddr,
     incarnation: u64,
     since: Duration,
     counter: u64,
     held_leases: HeldLeases,
-    /// The last stamp of each controller, and since when we have it.
+    /// The last stamp of each controller, and when it was received.
     stamps: HashMap<SocketAddr, (Stamp, Duration)>,
 }
 
-pub fn start_instance(fleet: &Arc<HollowFleet>, number: u32) -> HollowInstance {
+/// Starts a simulated instance.
+pub fn start_instance(fleet: &Arc<SimulatedFleet>, number: u32) -> InstanceHandle {
     let restart: Arc<AtomicBool> = Arc::default();
-    let asked = restart.clone();
-    let mut process = SimulatedInstance {
+    let restart_requested = restart.clone();
+    let mut instance = SimulatedInstance {
         number,
         fleet: fleet.clone(),
-        address: hollow_address(111, number, 9000),
+        address: simulated_address(111, number, 9000),
         incarnation: 1,
         since: fleet.clock.now(),
         counter: 0,
@@ -489,44 +508,45 @@
         stamps: HashMap::new(),
     };
     tokio::spawn(async move {
-        let first = process
+        let initial_delay = instance
             .fleet
             .spread
             .mul_f64(f64::from(number * 7 % 1000) / 1000.0);
-        tokio::time::sleep(first).await;
-        let mut heartbeat = tokio::time::interval(HEARTBEAT_PERIOD);
-        heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut index = number as usize % process.fleet.controllers.len();
+        tokio::time::sleep(initial_delay).await;
+        let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut controller = number as usize % instance.fleet.controllers.len();
         loop {
-            heartbeat.tick().await;
-            if process.fleet.is_silent(process.zone_number()) {
+            ticks.tick().await;
+            if instance.fleet.is_silent(instance.zone_number()) {
                 continue;
             }
-            if asked.swap(false, Ordering::SeqCst) {
-                process.incarnation += 1;
-                process.since = process.fleet.clock.now();
-                process.counter = 0;
-                process.held_leases = HeldLeases::default();
-                process.stamps.clear();
+            if restart_requested.swap(false, Ordering::SeqCst) {
+                instance.incarnation += 1;
+                instance.since = instance.fleet.clock.now();
+                instance.counter = 0;
+                instance.held_leases = HeldLeases::default();
+                instance.stamps.clear();
             }
-            for _ in 0..process.fleet.controllers.len() {
-                if process.heartbeat_until_dated(index).await {
+            for _ in 0..instance.fleet.controllers.len() {
+                if instance.heartbeat_until_dated(controller).await {
                     break;
                 }
-                index = (index + 1) % process.fleet.controllers.len();
+                controller = (controller + 1) % instance.fleet.controllers.len();
             }
         }
     });
-    HollowInstance { restart }
+    InstanceHandle { restart }
 }
 
 impl SimulatedInstance {
-    /// Why by the service's turn: each service is to have instances in every zone.
+    /// Returns the number that selects the zone. It is the number of the instance within its service, so that
+    /// each service has instances in every zone.
     fn zone_number(&self) -> u32 {
         self.number / self.fleet.services
     }
 
-    /// What a hollow instance says of itself.
+    /// Returns the next heartbeat.
     fn heartbeat(&mut self) -> Heartbeat {
         self.counter += 1;
         let now = self.fleet.clock.now();
@@ -547,16 +567,19 @@
         }
     }
 
-    /// Heartbeats, and again at once if the controller has no stamp of ours to date the heartbeat by.
-    async fn heartbeat_until_dated(&mut self, index: usize) -> bool {
-        match self.heartbeat_once(index).await {
-            Some(true) => self.heartbeat_once(index).await == Some(false),
+    /// Sends a heartbeat, and a second one at once if the controller could not date the first: it needs an
+    /// echo of its own stamp for that. Returns whether the controller accepted a heartbeat.
+    async fn heartbeat_until_dated(&mut self, controller: usize) -> bool {
+        match self.heartbeat_once(controller).await {
+            Some(true) => self.heartbeat_once(controller).await == Some(false),
             once => once.is_some(),
         }
     }
 
-    async fn heartbeat_once(&mut self, index: usize) -> Option<bool> {
-        let to = self.fleet.controllers[index].serving;
+    /// Sends one heartbeat; returns whether the controller requests another at once, or none without a valid
+    /// response.
+    async fn heartbeat_once(&mut self, controller: usize) -> Option<bool> {
+        let to = self.fleet.controllers[controller].serving;
         let sent_at = self.fleet.clock.now();
         let mut json = heartbeats::write(&self.heartbeat());
         if let Some((stamp, since)) = self.stamps.get(&to) {
@@ -569,12 +592,12 @@
         let body = json.dump();
         let flows = &self.fleet.flows;
         flows.count(
-            Component::HollowInstance,
+            Component::SimulatedInstance,
             Component::Controller,
             request_bytes("/beats", to, body.len()),
         );
         let fetched = Fetch::post(to, "/beats", body)
-            // Why from its own address: all of them together would run out of ports on one.
+            // Each instance has its own source address, since one address has too few ports for all of them.
             .from(self.address.ip())
             .timeout(HEARTBEAT_TIMEOUT)
             .send()
@@ -582,7 +605,7 @@
             .ok()?;
         flows.count(
             Component::Controller,
-            Component::HollowInstance,
+            Component::SimulatedInstance,
             response_bytes(&fetched),
         );
         if fetched.status != 200 {
@@ -596,12 +619,12 @@
     }
 }
 
-/// The bytes of a posted request, head and body, as our client writes them.
+/// Returns the size of a POST request with its headers, as written by the HTTP client of the runtime crate.
 pub fn request_bytes(path: &str, to: SocketAddr, body: usize) -> usize {
     format!("POST {path} HTTP/1.1\r\nhost: {to}\r\ncontent-length: {body}\r\n\r\n").len() + body
 }
 
-/// The bytes of a response, head and body.
+/// Returns the size of a response with its headers.
 pub fn response_bytes(fetched: &Fetched) -> usize {
     let head: usize = fetched
         .headers
