--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -701,7 +701,7 @@
     }
 
     #[test]
-    fn given_a_clean_run_when_judged_then_it_is_good() {
+    fn clean_run_passes_verification() {
         let lines = journal_line("a", "1/1", 10, 20) + &journal_line("b", "1/1", 30, 40);
         let other = journal_line("c", "1/2", 50, 60);
         let reported = "a served\nb unknown\nc served\nd not-run\n";
@@ -713,7 +713,7 @@
     }
 
     #[test]
-    fn given_each_kind_of_harm_when_judged_then_it_is_caught() {
+    fn every_kind_of_violation_fails_verification() {
         let once = journal_line("a", "-", 10, 20);
         let twice = once.clone() + &once;
         assert!(!passes_verification(
--- a/crates/local-fleet/src/scale_tests.rs
+++ b/crates/local-fleet/src/scale_tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn given_points_on_a_line_when_fitted_then_slope_and_intercept_are_found_without_residual() {
+fn fit_of_collinear_points_has_their_slope_and_no_residual() {
     let points = [(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (8.0, 19.0)];
     let fit = Fit::through(&points).expect("a line");
     assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9);
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn given_squares_when_fitted_then_they_are_told_to_be_no_straight_line() {
+fn quadratic_points_are_not_straight() {
     let points = [1.0, 2.0, 4.0, 8.0].map(|index: f64| (index, index * index));
     assert!(!Fit::through(&points).expect("a line").is_straight());
 }
 
 #[test]
-fn given_one_place_only_when_fitted_then_there_is_no_line() {
+fn points_with_one_x_value_have_no_fit() {
     assert_eq!(Fit::through(&[(3.0, 1.0), (3.0, 2.0)]), None);
     assert_eq!(Fit::through(&[(3.0, 1.0)]), None);
 }
 
 #[test]
-fn given_delays_when_their_percentiles_are_asked_then_the_right_ones_are_given() {
+fn percentiles_are_nearest_ranks() {
     let delays: Vec<Duration> = (1..=100).rev().map(Duration::from_millis).collect();
     assert_eq!(percentile(&delays, 50), Some(Duration::from_millis(50)));
     assert_eq!(percentile(&delays, 99), Some(Duration::from_millis(99)));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn given_too_little_memory_when_a_size_is_asked_then_the_number_told_fits_and_one_more_does_not() {
+fn suggested_nodes_are_the_most_that_fit_in_memory() {
     let options = sized(4000, 1000, 3);
     let faults = options.faults(8 * GIB, 1_000_000);
     let max_size = suggested_size(&faults, "--nodes").expect("a number");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn given_too_many_processes_when_asked_then_the_number_told_fits_and_one_more_does_not() {
+fn suggested_agents_are_the_most_within_the_process_limit() {
     let faults = sized(8, 10, 500).faults(64 * GIB, 20_000);
     let max_size = suggested_size(&faults, "--agents").expect("a number");
     assert!(sized(8, 10, max_size).faults(64 * GIB, 20_000).is_empty());
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn given_too_few_open_files_when_asked_then_the_number_told_fits_and_one_more_does_not() {
+fn suggested_nodes_are_the_most_within_the_open_file_limit() {
     let faults = sized(1000, 10, 3).faults(64 * GIB, 4096);
     let max_size = suggested_size(&faults, "--nodes").expect("a number");
     assert!(sized(max_size, 10, 3).faults(64 * GIB, 4096).is_empty());
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn given_counts_at_two_moments_when_subtracted_then_what_went_between_is_left() {
+fn flow_counts_since_a_snapshot_hold_only_later_traffic() {
     let flows = Flows::default();
     flows.count(Component::Controller, Component::Agent, 10);
     let before = flows.snapshot();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn given_a_node_that_talks_to_all_others_when_the_fleet_grows_then_it_is_over_the_bound() {
+fn messages_to_all_other_nodes_exceed_the_growth_bound() {
     assert!(growth_is_bounded(400.0, 400.0));
     assert!(
         growth_is_bounded(400.0, 380.0),
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -76,18 +76,18 @@
             .count();
         count as u64
     };
-    let at_least = |what: &str, found: u64, wanted: u64| {
-        if found >= wanted {
+    let at_least = |what: &str, found: u64, required: u64| {
+        if found >= required {
             Ok(())
         } else {
-            Err(format!("{what}: {found}, expected at least {wanted}"))
+            Err(format!("{what}: {found}, expected at least {required}"))
         }
     };
-    let at_most = |what: &str, found: u64, wanted: u64| {
-        if found <= wanted {
+    let at_most = |what: &str, found: u64, required: u64| {
+        if found <= required {
             Ok(())
         } else {
-            Err(format!("{what}: {found}, expected at most {wanted}"))
+            Err(format!("{what}: {found}, expected at most {required}"))
         }
     };
     let voter_at = |address: &str| {
@@ -123,31 +123,31 @@
                 });
             require(held, "a leadership role is not held by a live voter")
         }
-        Check::LivingVoters(wanted) => at_least("live voters", voters(false), *wanted),
-        Check::LivingControllers(wanted) => {
-            at_least("live controllers among the voters", voters(true), *wanted)
+        Check::LivingVoters(required) => at_least("live voters", voters(false), *required),
+        Check::LivingControllers(required) => {
+            at_least("live controllers among the voters", voters(true), *required)
         }
-        Check::ReadyProxies(wanted) => {
+        Check::ReadyProxies(required) => {
             let ready = status["members"]
                 .members()
                 .filter(|member| member["role"] == "proxy" && member["ready"] == true)
                 .count();
-            at_least("ready proxies", ready as u64, *wanted)
+            at_least("ready proxies", ready as u64, *required)
         }
-        Check::FeedLag(wanted) => {
+        Check::FeedLag(required) => {
             let lag = status["members"]
                 .members()
                 .filter_map(|member| member["feed_lag"].as_u64())
                 .max()
                 .unwrap_or(0);
-            at_most("feed lag", lag, *wanted)
+            at_most("feed lag", lag, *required)
         }
-        Check::Unplaced(wanted) => {
+        Check::Unplaced(required) => {
             let unplaced = status["unplaced_demand"].as_u64().unwrap_or(u64::MAX);
-            at_most("unplaced demand", unplaced, *wanted)
+            at_most("unplaced demand", unplaced, *required)
         }
-        Check::Instances(wanted) => {
-            at_least("instances", status["instances"].len() as u64, *wanted)
+        Check::Instances(required) => {
+            at_least("instances", status["instances"].len() as u64, *required)
         }
         Check::ZoneClosed(zone) => require(closed(zone) == Some(true), "the zone is not closed"),
         Check::ZoneOpen(zone) => require(closed(zone) == Some(false), "the zone is not open"),
