--- a/scripts/fault_days/__init__.py
+++ b/scripts/fault_days/__init__.py
@@ -1,5 +1,5 @@
-"""Days of control faults: troubles of the control side, paired as standard days don't pair them.
+"""Fault days for the control plane: combinations of faults that the standard days do not contain.
 
-`catalogue` names the days, `site` reads the site file that the caller gives, `day_file` writes a day
-for that site, and `playing` runs written days with the test bench and tells how they went.
+`catalogue` defines the days, `site` reads the site file of a deployment, `day_file` writes a day for
+that site, and `bench` runs day files with the test bench and reads their results.
 """
--- a/scripts/fault_days/command_line.py
+++ b/scripts/fault_days/command_line.py
@@ -6,21 +6,21 @@
 import sys
 from pathlib import Path
 
-from .catalogue import POINTS, fault_days
+from .bench import HEADINGS, BenchError, BenchSettings, DayResult, format_row, run_day
+from .catalogue import CONCERNS, fault_days
 from .day import FaultDay
 from .day_file import day_file
-from .playing import HEADINGS, Outcome, PlayError, PlaySettings, play, table_line
 from .site import Site, SiteError, read_site
 
 USAGE_ERROR = 2
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs the command; gives its exit status."""
-    options = parser().parse_args(arguments)
+    """Runs the command and returns its exit status."""
+    options = build_parser().parse_args(arguments)
     try:
         site = read_site(options.site)
-        days = chosen_days(fault_days(site), options.day)
+        days = select_days(fault_days(site), options.day)
     except SiteError as error:
         print(f"fault-days: {error}", file=sys.stderr)
         return USAGE_ERROR
@@ -28,12 +28,12 @@
         print_names(days)
         return 0
     if options.out is None:
-        print("fault-days: --out names the folder for the day files", file=sys.stderr)
+        print("fault-days: --out is missing: give the folder for the day files", file=sys.stderr)
         return USAGE_ERROR
     paths = write_days(days, site, options.seed, options.out)
     if options.play is None:
         return 0
-    settings = PlaySettings(
+    settings = BenchSettings(
         bench=options.play,
         site_path=options.site,
         jobs=options.jobs,
@@ -41,31 +41,31 @@
         why=options.why,
         lock=options.lock,
     )
-    return play_days(paths, settings, options.stop_on_failure)
+    return run_days(paths, settings, options.stop_on_failure)
 
 
-def parser() -> argparse.ArgumentParser:
-    """The options of the command."""
-    made = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """Returns the parser of the command line."""
+    parser = argparse.ArgumentParser(
         prog="fault-days",
-        description="Writes days of control faults for a deployment, and plays them.",
+        description="Generates fault days for the control plane of a deployment, and runs them.",
     )
-    made.add_argument("site", type=Path, help="the site file of the deployment")
-    made.add_argument("--list", action="store_true", help="only list the days' names")
-    made.add_argument("--out", type=Path, help="the folder that the day files are written to")
-    made.add_argument("--day", action="append", help="only this day (may be given again); default: all")
-    made.add_argument("--seed", type=int, default=1, help="what the days' luck is drawn from")
-    made.add_argument("--play", type=Path, metavar="BENCH", help="play the days with this test bench")
-    made.add_argument("--jobs", type=int, default=4, help="processor cores that the bench may use")
-    made.add_argument("--small", action="store_true", help="play small twins of large days")
-    made.add_argument("--why", default="days of control faults", help="the reason noted in the journal")
-    made.add_argument("--lock", type=Path, help="a file to lock while the bench runs")
-    made.add_argument("--stop-on-failure", action="store_true", help="play no more after a failed day")
-    return made
-
-
-def chosen_days(days: list[FaultDay], names: list[str] | None) -> list[FaultDay]:
-    """The days of these names, or all."""
+    parser.add_argument("site", type=Path, help="site file of the deployment")
+    parser.add_argument("--list", action="store_true", help="only list the names of the days")
+    parser.add_argument("--out", type=Path, help="folder for the day files")
+    parser.add_argument("--day", action="append", help="only this day; may be repeated; default: all days")
+    parser.add_argument("--seed", type=int, default=1, help="seed for the random choices of the days")
+    parser.add_argument("--play", type=Path, metavar="BENCH", help="run the days with this test bench")
+    parser.add_argument("--jobs", type=int, default=4, help="number of processor cores that the bench may use")
+    parser.add_argument("--small", action="store_true", help="run scaled-down variants of large days")
+    parser.add_argument("--why", default="days of control faults", help="reason recorded in the journal")
+    parser.add_argument("--lock", type=Path, help="file to lock while the bench runs")
+    parser.add_argument("--stop-on-failure", action="store_true", help="stop after the first failed day")
+    return parser
+
+
+def select_days(days: list[FaultDay], names: list[str] | None) -> list[FaultDay]:
+    """Returns the days with these names, or all days."""
     if not names:
         return days
     known = {day.name: day for day in days}
@@ -76,16 +76,16 @@
 
 
 def print_names(days: list[FaultDay]) -> None:
-    """Lists the days under the point that each is about."""
-    for point, concern in POINTS.items():
-        print(f"{point}. {concern}")
+    """Prints the names of the days, grouped by concern."""
+    for number, description in CONCERNS.items():
+        print(f"{number}. {description}")
         for day in days:
-            if day.point == point:
+            if day.concern == number:
                 print(f"   {day.name}")
 
 
 def write_days(days: list[FaultDay], site: Site, seed: int, folder: Path) -> list[Path]:
-    """Writes one file for each day; gives their paths."""
+    """Writes a file for each day and returns the paths."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
     for day in days:
@@ -95,31 +95,31 @@
     return paths
 
 
-def play_days(paths: list[Path], settings: PlaySettings, stop_on_failure: bool) -> int:
-    """Plays days one after the other and prints a table; gives the exit status."""
-    print(table_line(HEADINGS), flush=True)
+def run_days(paths: list[Path], settings: BenchSettings, stop_on_failure: bool) -> int:
+    """Runs days one after the other, prints a table of results, and returns the exit status."""
+    print(format_row(HEADINGS), flush=True)
     all_passed = True
     for path in paths:
-        passed = play_and_print(path, settings)
+        passed = run_and_print(path, settings)
         all_passed = all_passed and passed
         if stop_on_failure and not passed:
             break
     return 0 if all_passed else 1
 
 
-def play_and_print(path: Path, settings: PlaySettings) -> bool:
-    """Plays a day and prints its row; tells whether it passed."""
+def run_and_print(path: Path, settings: BenchSettings) -> bool:
+    """Runs a day, prints its row, and returns whether it passed."""
     try:
-        outcome = play(path, settings)
-    except PlayError as error:
+        result = run_day(path, settings)
+    except BenchError as error:
         print(f"fault-days: {error}", flush=True)
         return False
-    print_outcome(outcome)
-    return outcome.passed
+    print_result(result)
+    return result.passed
 
 
-def print_outcome(outcome: Outcome) -> None:
-    """Prints a row of the table, and below it why the gate failed."""
-    print(table_line(outcome.row()), flush=True)
-    for complaint in outcome.complaints:
+def print_result(result: DayResult) -> None:
+    """Prints a row of the table, followed by the complaints of the bench."""
+    print(format_row(result.row()), flush=True)
+    for complaint in result.complaints:
         print(f"    {complaint}", flush=True)
--- a/scripts/fault_days/day.py
+++ b/scripts/fault_days/day.py
@@ -1,4 +1,4 @@
-"""What a day of faults is made of."""
+"""The data model of a fault day."""
 
 from __future__ import annotations
 
@@ -8,54 +8,55 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """One entry of a day: a kind of trouble or of planned work, and when it begins."""
+class DayEvent:
+    """One event of a day: a fault or planned work, and its start time."""
 
     kind: str
-    """The kind, as the test bench names it."""
+    """The name of the kind in the test bench."""
     at_s: float
-    """Seconds from the start of traffic."""
+    """Start time in seconds after the start of traffic."""
     fields: dict[str, FieldValue] = field(default_factory=dict)
-    """The entry's other fields: how long, how many, where, which variant."""
+    """The other fields of the entry, such as duration, count, place and variant."""
 
-    def entry(self) -> dict[str, FieldValue]:
-        """The entry as it stands in a day file."""
+    def to_table(self) -> dict[str, FieldValue]:
+        """Returns the entry for the day file."""
         return {"at": round(self.at_s, 2), "kind": self.kind, **self.fields}
 
 
 @dataclass(frozen=True)
-class Closing:
-    """The fault that ends a day, right after one more change was acknowledged."""
+class ClosingFault:
+    """The fault that ends a day, right after the acknowledgement of one more change."""
 
     kind: str
     down_s: float
+    """How long the affected machines are down, in seconds."""
     how: str = ""
 
-    def entry(self) -> dict[str, FieldValue]:
-        """The closing fault as it stands in a day file."""
-        entry: dict[str, FieldValue] = {"kind": self.kind, "down_s": self.down_s}
+    def to_table(self) -> dict[str, FieldValue]:
+        """Returns the closing fault for the day file."""
+        table: dict[str, FieldValue] = {"kind": self.kind, "down_s": self.down_s}
         if self.how:
-            entry["how"] = self.how
-        return entry
+            table["how"] = self.how
+        return table
 
 
 @dataclass(frozen=True)
 class FaultDay:
-    """A named day: planned work and faults laid over the traffic of a quiet day."""
+    """A named day: planned work and faults on top of the traffic of a quiet day."""
 
     name: str
-    point: int
-    """The concern that the day is about, by its number in `catalogue.POINTS`."""
-    plan: list[Trouble]
-    faults: list[Trouble]
-    closing: Closing | None = None
+    concern: int
+    """The number of the concern in `catalogue.CONCERNS` that the day tests."""
+    plan: list[DayEvent]
+    faults: list[DayEvent]
+    closing: ClosingFault | None = None
     floor_share: float = 1.0
-    """The lowest worth that passes, as a share of the quiet day's own floor."""
+    """The lowest worth with which the day passes, as a share of the quiet day's floor."""
     length_s: float | None = None
-    """How long the day is, where not as long as the deployment's own days."""
+    """The length of the day, if it differs from the standard days of the deployment."""
     is_busy: bool = False
-    """Whether it has the traffic of a day of high load and not of a quiet one."""
+    """Whether the day has the traffic of a high-load day instead of a quiet day."""
 
     def kinds(self) -> set[str]:
-        """Every kind of trouble or planned work in the day."""
-        return {trouble.kind for trouble in self.plan + self.faults}
+        """Returns all kinds of events of the day."""
+        return {event.kind for event in self.plan + self.faults}
--- a/scripts/fault_days/day_file.py
+++ b/scripts/fault_days/day_file.py
@@ -1,4 +1,4 @@
-"""Writes a day of faults as a TOML file for one site."""
+"""Writes a fault day as a TOML file for one site."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from .site import Site
 
 SLOT = "trouble"
-LARGEST_SEED = 2**28
+SEED_LIMIT = 2**28
 
-TAKEN_FROM_QUIET_DAY = ["one", "zero", "labels", "wall", "light", "small"]
-"""Fields that a day of faults takes from the quiet day as they are."""
+COPIED_FROM_QUIET_DAY = ["one", "zero", "labels", "wall", "light", "small"]
+"""Fields that are copied unchanged from the quiet day."""
 
 
 def day_file(day: FaultDay, site: Site, seed: int) -> str:
-    """The text of the day's file; the same for the same day, site and seed."""
+    """Returns the text of the day file. It depends only on the day, the site and the seed."""
     lines = ["[[day]]"]
     for key, value in day_table(day, site, seed).items():
         lines.append(f"{key} = {toml_value(value)}")
@@ -24,24 +24,24 @@
 
 
 def day_table(day: FaultDay, site: Site, seed: int) -> dict[str, Any]:
-    """The day as the test bench reads it."""
+    """Returns the day in the format of the test bench."""
     quiet = site.quiet_day
     table: dict[str, Any] = {
         "name": day.name,
         "slot": SLOT,
         "seed": day_seed(day.name, site.name, seed),
-        "goal": {"floor": share_of(quiet["goal"]["floor"], day.floor_share)},
+        "goal": {"floor": scaled_floor(quiet["goal"]["floor"], day.floor_share)},
     }
-    for key in TAKEN_FROM_QUIET_DAY:
+    for key in COPIED_FROM_QUIET_DAY:
         if key in quiet:
             table[key] = quiet[key]
     for key in ["floor_classes", "floor_zones"]:
         if key in quiet:
-            table[key] = [share_of(floor, day.floor_share) for floor in quiet[key]]
+            table[key] = [scaled_floor(floor, day.floor_share) for floor in quiet[key]]
     if day.closing:
-        table["closing"] = day.closing.entry()
-    table["plan"] = [trouble.entry() for trouble in day.plan]
-    table["faults"] = [trouble.entry() for trouble in day.faults]
+        table["closing"] = day.closing.to_table()
+    table["plan"] = [event.to_table() for event in day.plan]
+    table["faults"] = [event.to_table() for event in day.faults]
     if day.length_s:
         table["length_s"] = day.length_s
         if "wall" in quiet:
@@ -51,17 +51,17 @@
 
 
 def day_seed(day_name: str, site_name: str, seed: int) -> int:
-    """The seed that the test bench draws a day's luck from."""
-    return random.Random(f"{seed}/{site_name}/{day_name}").randrange(1, LARGEST_SEED)
+    """Returns the seed for the random choices of the test bench on this day."""
+    return random.Random(f"{seed}/{site_name}/{day_name}").randrange(1, SEED_LIMIT)
 
 
-def share_of(floor: float, share: float) -> float:
-    """A floor made lower or higher by a share."""
+def scaled_floor(floor: float, share: float) -> float:
+    """Returns a floor multiplied by a share, rounded."""
     return round(floor * share, 3)
 
 
 def toml_value(value: Any) -> str:
-    """A value in TOML, tables and lists of tables inline."""
+    """Returns a value in TOML, with tables inline."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, str):
@@ -73,17 +73,17 @@
         return "{ " + ", ".join(pairs) + " }"
     if isinstance(value, list):
         return toml_list(value)
-    raise TypeError(f"no TOML for {type(value).__name__}")
+    raise TypeError(f"a value of type {type(value).__name__} has no TOML form")
 
 
 def toml_string(text: str) -> str:
-    """A basic string of TOML."""
+    """Returns a basic TOML string."""
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     return f'"{escaped}"'
 
 
 def toml_list(values: list[Any]) -> str:
-    """A list of TOML; each table in it stands on a line of its own."""
+    """Returns a TOML array, with each table in it on its own line."""
     written = [toml_value(value) for value in values]
     if any(isinstance(value, dict) for value in values):
         return "[\n" + "".join(f"  {text},\n" for text in written) + "]"
--- a/scripts/fault_days/tests/test_fault_days.py
+++ b/scripts/fault_days/tests/test_fault_days.py
@@ -1,4 +1,4 @@
-"""Tests of the days of control faults, on a made-up deployment and without a test bench."""
+"""Tests of the fault days, with a fictitious deployment and a stub of the test bench."""
 
 import contextlib
 import io
@@ -9,18 +9,18 @@
 from dataclasses import replace
 from pathlib import Path
 
-from fault_days.catalogue import POINTS, fault_days
+from fault_days.bench import result_of
+from fault_days.catalogue import CONCERNS, fault_days
 from fault_days.command_line import USAGE_ERROR, main
-from fault_days.day import Closing, FaultDay, Trouble
+from fault_days.day import ClosingFault, DayEvent, FaultDay
 from fault_days.day_file import day_file
-from fault_days.playing import outcome_of
 from fault_days.site import Site, SiteError, read_site, site_of
 
 SITE_PATH = Path(__file__).with_name("made_up_site.toml")
 
-LEAST_NAMES = 30
+MIN_DAYS = 30
 
-STAND_IN_BENCH = """#!/usr/bin/env python3
+STUB_BENCH = """#!/usr/bin/env python3
 import json, pathlib, sys
 arguments = sys.argv[1:]
 report = pathlib.Path(arguments[arguments.index("--report") + 1])
@@ -33,7 +33,7 @@
 """
 
 
-def made_up_site() -> Site:
+def example_site() -> Site:
     return read_site(SITE_PATH)
 
 
@@ -51,30 +51,30 @@
 
 
 class Catalogue(unittest.TestCase):
-    def test_given_any_site_when_days_are_listed_then_names_differ_and_cover_every_point(self):
-        days = fault_days(made_up_site())
+    def test_day_names_are_unique_and_cover_every_concern(self):
+        days = fault_days(example_site())
         names = [day.name for day in days]
-        self.assertGreaterEqual(len(names), LEAST_NAMES)
+        self.assertGreaterEqual(len(names), MIN_DAYS)
         self.assertEqual(len(names), len(set(names)))
-        self.assertEqual({day.point for day in days}, set(POINTS))
+        self.assertEqual({day.concern for day in days}, set(CONCERNS))
 
-    def test_given_a_contract_is_in_force_when_days_are_listed_then_its_kinds_come_too(self):
-        without = made_up_site()
+    def test_contract_of_the_site_adds_the_days_that_need_it(self):
+        without = example_site()
         with_health = replace(without, contracts=without.contracts | {"health"})
         added = {day.name for day in fault_days(with_health)} - {day.name for day in fault_days(without)}
         self.assertEqual(added, {"flap-release"})
 
-    def test_given_a_days_length_when_days_are_listed_then_every_trouble_begins_within_it(self):
-        site = made_up_site()
+    def test_every_event_starts_within_the_day(self):
+        site = example_site()
         for day in fault_days(site):
-            for trouble in day.plan + day.faults:
+            for event in day.plan + day.faults:
                 length_s = day.length_s or site.length_s
-                self.assertTrue(0 < trouble.at_s < length_s, f"{day.name}: {trouble}")
+                self.assertTrue(0 < event.at_s < length_s, f"{day.name}: {event}")
 
 
 class DayFile(unittest.TestCase):
-    def test_given_each_day_when_written_then_it_reads_back_with_its_traffic_and_length(self):
-        site = made_up_site()
+    def test_every_day_file_has_its_traffic_length_and_events(self):
+        site = example_site()
         for day in fault_days(site):
             table = parsed(day, site)
             self.assertEqual(table["name"], day.name)
@@ -85,18 +85,18 @@
             self.assertEqual(len(table["faults"]), len(day.faults))
             self.assertEqual("closing" in table, day.closing is not None)
 
-    def test_given_a_trouble_and_a_closing_fault_when_written_then_all_their_fields_stand_there(self):
-        trouble = Trouble("core_cut", 5.0, {"count": 1, "for_s": 18.0, "how": "leader"})
-        day = FaultDay("one", 1, [], [trouble], Closing("kill_all", 1.0, "timed"), floor_share=1.2)
-        table = parsed(day, made_up_site())
+    def test_day_file_has_all_fields_of_events_and_of_the_closing_fault(self):
+        event = DayEvent("core_cut", 5.0, {"count": 1, "for_s": 18.0, "how": "leader"})
+        day = FaultDay("one", 1, [], [event], ClosingFault("kill_all", 1.0, "timed"), floor_share=1.2)
+        table = parsed(day, example_site())
         cut = {"at": 5.0, "kind": "core_cut", "count": 1, "for_s": 18.0, "how": "leader"}
         self.assertEqual(table["faults"], [cut])
         self.assertEqual(table["closing"], {"kind": "kill_all", "down_s": 1.0, "how": "timed"})
         self.assertEqual(table["goal"], {"floor": 0.6})
         self.assertEqual(table["floor_classes"], [0.48])
 
-    def test_given_the_same_seed_when_written_again_then_the_text_is_the_same_and_else_the_luck_differs(self):
-        site = made_up_site()
+    def test_day_file_is_deterministic_and_seeds_differ_by_day_and_seed(self):
+        site = example_site()
         first = fault_days(site)[0]
         self.assertEqual(day_file(first, site, 7), day_file(first, site, 7))
         self.assertNotEqual(parsed(first, site, 7)["seed"], parsed(first, site, 8)["seed"])
@@ -105,8 +105,8 @@
 
 
 class SiteFile(unittest.TestCase):
-    def test_given_a_day_of_high_load_when_read_then_busy_days_have_its_traffic(self):
-        site = made_up_site()
+    def test_busy_traffic_is_that_of_the_high_load_day(self):
+        site = example_site()
         self.assertEqual(site.busy_traffic, site.quiet_day["traffic"])
         table = tomllib.loads(SITE_PATH.read_text())
         busy = {**table["day"][0], "slot": "scale", "traffic": [{"zone": "east-1", "per_s": 99.0}]}
@@ -114,14 +114,14 @@
         self.assertEqual(with_load.busy_traffic, busy["traffic"])
         self.assertEqual(with_load.quiet_day, site.quiet_day)
 
-    def test_given_a_file_that_lacks_a_field_when_read_then_the_field_is_named(self):
+    def test_error_names_the_missing_field(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "site.toml"
             path.write_text('name = "no-days"\n')
             with self.assertRaisesRegex(SiteError, "length_s"):
                 read_site(path)
 
-    def test_given_no_quiet_day_when_read_then_that_is_said(self):
+    def test_site_without_a_quiet_day_is_rejected(self):
         text = SITE_PATH.read_text().replace('slot = "quiet"', 'slot = "scale"')
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "site.toml"
@@ -136,19 +136,19 @@
         report = {"G": 0.8, "refused": 0.1, "fault": None, "short": [], "breaks": {}, "windows": [window]}
         return {**report, **changed}
 
-    def test_given_nothing_broken_when_read_then_the_day_passed(self):
-        self.assertTrue(outcome_of("day", self.report()).passed)
+    def test_day_without_violations_passes(self):
+        self.assertTrue(result_of("day", self.report()).passed)
 
-    def test_given_a_broken_rule_a_fault_or_a_missed_floor_when_read_then_the_day_failed(self):
+    def test_day_with_a_violation_a_fault_or_a_missed_floor_fails(self):
         for changed in ({"breaks": {"DRAIN": 1}}, {"fault": "no start"}, {"short": ["0.3 of the worth"]}):
-            self.assertFalse(outcome_of("day", self.report(**changed)).passed, changed)
+            self.assertFalse(result_of("day", self.report(**changed)).passed, changed)
 
-    def test_given_windows_without_a_served_request_when_read_then_their_seconds_are_counted(self):
+    def test_windows_without_served_requests_count_as_seconds_at_zero(self):
         idle = {"n": 0, "not_owed": 0, "in_aim": 0, "late": 0}
         dark = {"n": 10, "not_owed": 0, "in_aim": 0, "late": 0}
         late = {"n": 10, "not_owed": 0, "in_aim": 0, "late": 3}
-        outcome = outcome_of("day", self.report(windows=[idle, dark, late, dark]))
-        self.assertEqual(outcome.seconds_at_zero, 4.0)
+        result = result_of("day", self.report(windows=[idle, dark, late, dark]))
+        self.assertEqual(result.seconds_at_zero, 4.0)
 
 
 class CommandLine(unittest.TestCase):
@@ -157,41 +157,41 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.bench = self.folder / "bench"
-        self.bench.write_text(STAND_IN_BENCH)
+        self.bench.write_text(STUB_BENCH)
         self.bench.chmod(self.bench.stat().st_mode | stat.S_IXUSR)
 
-    def test_given_a_site_when_listed_then_each_name_is_printed_and_nothing_is_written(self):
+    def test_list_prints_every_day(self):
         status, output = run_command(SITE_PATH, "--list")
         self.assertEqual(status, 0)
-        for day in fault_days(made_up_site()):
+        for day in fault_days(example_site()):
             self.assertIn(f"   {day.name}\n", output)
 
-    def test_given_a_name_when_written_then_only_its_file_is_there(self):
+    def test_day_option_writes_only_that_day(self):
         out = self.folder / "days"
         status, _ = run_command(SITE_PATH, "--out", out, "--day", "core-cut-leader")
         self.assertEqual(status, 0)
         self.assertEqual([path.name for path in out.iterdir()], ["core-cut-leader.toml"])
 
-    def test_given_an_unknown_name_or_no_folder_when_called_then_that_is_said(self):
+    def test_unknown_day_and_missing_folder_are_usage_errors(self):
         unknown = run_command(SITE_PATH, "--out", self.folder, "--day", "no-such-day")
         self.assertEqual(unknown[0], USAGE_ERROR)
         self.assertIn("no-such-day", unknown[1])
         self.assertEqual(run_command(SITE_PATH)[0], USAGE_ERROR)
 
-    def test_given_a_bench_when_days_are_played_then_the_table_names_what_broke(self):
+    def test_table_names_the_violated_rules(self):
         names = ["--day", "core-cut-leader", "--day", "core-cut-race"]
         status, output = run_command(SITE_PATH, "--out", self.folder / "days", *names, "--play", self.bench)
         self.assertEqual(status, 1)
         self.assertRegex(output, r"core-cut-leader +FAILED +CONFIG 2")
         self.assertRegex(output, r"core-cut-race +passed +-")
 
-    def test_given_a_failed_day_when_play_stops_on_failure_then_no_later_day_is_played(self):
+    def test_stop_on_failure_runs_no_later_day(self):
         names = ["--day", "core-cut-leader", "--day", "core-cut-race", "--stop-on-failure"]
         status, output = run_command(SITE_PATH, "--out", self.folder / "days", *names, "--play", self.bench)
         self.assertEqual(status, 1)
         self.assertNotIn("core-cut-race", output)
 
-    def test_given_small_twins_when_days_are_played_then_the_bench_is_asked_for_them(self):
+    def test_options_are_passed_to_the_bench(self):
         self.bench.write_text('#!/bin/sh\necho "$@"\n')
         names = ["--day", "core-cut-leader", "--jobs", "3", "--why", "a try", "--small"]
         run_command(SITE_PATH, "--out", self.folder, *names, "--play", self.bench)
@@ -199,7 +199,7 @@
         self.assertIn("--jobs 3", called)
         self.assertIn("--why a try: core-cut-leader --small", called)
 
-    def test_given_a_bench_without_a_report_when_a_day_is_played_then_it_failed(self):
+    def test_day_without_a_report_fails(self):
         self.bench.write_text("#!/usr/bin/env python3\n")
         names = ["--day", "core-cut-leader"]
         status, output = run_command(SITE_PATH, "--out", self.folder / "days", *names, "--play", self.bench)
