--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -112,13 +112,13 @@
         .to_options()
         .descr("Print which processes are alive")
         .command("status");
-    let signal_command = |word: &'static str, text: &'static str, signal: i32| {
+    let signal_command = |name: &'static str, text: &'static str, signal: i32| {
         let signal = bpaf::pure(signal);
         let names = target_names();
         construct!(Command::Signal { signal, names })
             .to_options()
             .descr(text)
-            .command(word)
+            .command(name)
     };
     let kill = signal_command("kill", "Kill processes (SIGKILL)", libc::SIGKILL);
     let stop = signal_command(
@@ -279,11 +279,11 @@
 pub async fn wait_for(
     what: &str,
     timeout: Duration,
-    test: impl AsyncFn() -> bool,
+    condition: impl AsyncFn() -> bool,
 ) -> anyhow::Result<()> {
     let start = Instant::now();
     while start.elapsed() < timeout {
-        if test().await {
+        if condition().await {
             println!("{what} after {} ms", start.elapsed().as_millis());
             return Ok(());
         }
@@ -486,8 +486,8 @@
         let text = std::fs::read_to_string(record)
             .with_context(|| format!("cannot read the record {}", record.display()))?;
         for line in text.lines() {
-            if let Some((request, word)) = line.split_once(' ') {
-                reported.insert(request.to_string(), word.to_string());
+            if let Some((request, outcome)) = line.split_once(' ') {
+                reported.insert(request.to_string(), outcome.to_string());
             }
         }
     }
@@ -501,12 +501,12 @@
         .filter(|request| {
             reported
                 .get(**request)
-                .is_some_and(|word| word == "not-run")
+                .is_some_and(|outcome| outcome == "not-run")
         })
         .count();
     let served_without_run = reported
         .iter()
-        .filter(|(request, word)| *word == "served" && !writes.contains_key(request.as_str()))
+        .filter(|(request, outcome)| *outcome == "served" && !writes.contains_key(request.as_str()))
         .count();
     let mut by_key_range: HashMap<&str, Vec<&JournalEntry>> = HashMap::new();
     for entry in &runs {
@@ -628,9 +628,9 @@
         Command::Down => down(&fleet).await,
         Command::Status => {
             for process in &fleet.processes {
-                let word = if process.is_alive() { "alive" } else { "ended" };
+                let state = if process.is_alive() { "alive" } else { "ended" };
                 println!(
-                    "{word} {:>8} {} {} {}",
+                    "{state} {:>8} {} {} {}",
                     process.pid, process.name, process.zone, process.serving
                 );
             }
@@ -650,12 +650,12 @@
             for index in select_or_exit(&fleet, names) {
                 let was_alive = fleet.processes[index].is_alive();
                 fleet.start(index)?;
-                let word = if was_alive {
+                let state = if was_alive {
                     "already alive"
                 } else {
                     "started"
                 };
-                println!("{} {word}", fleet.processes[index].name);
+                println!("{} {state}", fleet.processes[index].name);
             }
             fleet.save()?;
         }
@@ -690,9 +690,9 @@
             scenario: PathBuf::new(),
             processes: Vec::new(),
         };
-        let good = verify_records(&fleet, &[record_path]).expect("it can be verified");
+        let passed = verify_records(&fleet, &[record_path]).expect("it can be verified");
         std::fs::remove_dir_all(&folder).expect("the folder is removed");
-        good
+        passed
     }
 
     /// A journal line of one request.
--- a/crates/local-fleet/src/scale/run.rs
+++ b/crates/local-fleet/src/scale/run.rs
@@ -55,11 +55,11 @@
 pub(crate) async fn wait_until(
     what: &str,
     timeout: Duration,
-    test: impl AsyncFn() -> bool,
+    condition: impl AsyncFn() -> bool,
 ) -> anyhow::Result<()> {
     let start = Instant::now();
     while start.elapsed() < timeout {
-        if test().await {
+        if condition().await {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
--- a/crates/runbook-runner/src/main.rs
+++ b/crates/runbook-runner/src/main.rs
@@ -100,14 +100,14 @@
 
 fn print_steps(runner: &Runner) {
     for (index, step) in runner.steps().iter().enumerate() {
-        println!("{}. {}", index + 1, runner.filled(&step.say));
+        println!("{}. {}", index + 1, runner.substitute(&step.say));
         match &step.action {
             Action::Nothing => {}
-            Action::ByHand(text) => println!("   manual action: {}", runner.filled(text)),
-            action => println!("   action: {}", runner.filled(&format!("{action:?}"))),
+            Action::ByHand(text) => println!("   manual action: {}", runner.substitute(text)),
+            action => println!("   action: {}", runner.substitute(&format!("{action:?}"))),
         }
         for check in &step.checks {
-            println!("   check: {}", runner.filled(&format!("{check:?}")));
+            println!("   check: {}", runner.substitute(&format!("{check:?}")));
         }
     }
 }
@@ -158,9 +158,9 @@
             .filter(|(number, _)| *number > last_shown_step)
         {
             last_shown_step = number;
-            println!("{number}. {}", runner.filled(&step.say));
+            println!("{number}. {}", runner.substitute(&step.say));
             if let Action::ByHand(text) = &step.action {
-                println!("   manual action: {}", runner.filled(text));
+                println!("   manual action: {}", runner.substitute(text));
             }
         }
         match runner.next() {
@@ -193,11 +193,11 @@
                 let (status, configuration) = read_fleet_state(&flags.controllers)
                     .await
                     .unwrap_or(no_state);
-                let seen = Observation {
+                let observation = Observation {
                     status: &status,
                     configuration: &configuration,
                 };
-                runner.observe(clock.now(), &seen);
+                runner.observe(clock.now(), &observation);
                 tokio::time::sleep(STATUS_POLL_INTERVAL).await;
             }
         }
--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -52,9 +52,9 @@
 }
 
 /// The last response of a controller to a status and configuration read.
-pub struct Observation<'seen> {
-    pub status: &'seen JsonValue,
-    pub configuration: &'seen JsonValue,
+pub struct Observation<'json> {
+    pub status: &'json JsonValue,
+    pub configuration: &'json JsonValue,
 }
 
 fn item<'json>(configuration: &'json JsonValue, key: &str) -> Option<&'json JsonValue> {
@@ -65,8 +65,8 @@
 }
 
 /// Evaluates a check; the error describes the observed state.
-pub fn evaluate_check(check: &Check, seen: &Observation<'_>) -> Result<(), String> {
-    let status = seen.status;
+pub fn evaluate_check(check: &Check, observation: &Observation<'_>) -> Result<(), String> {
+    let status = observation.status;
     let voters = |controllers_only: bool| {
         let count = status["seats"]
             .members()
@@ -96,7 +96,7 @@
             .any(|voter| voter["address"] == address)
     };
     let closed = |zone: &str| {
-        item(seen.configuration, &format!("area/{zone}"))
+        item(observation.configuration, &format!("area/{zone}"))
             .and_then(|item| item["area"]["closed"].as_bool())
     };
     let require = |holds: bool, why: &str| if holds { Ok(()) } else { Err(why.to_string()) };
@@ -188,7 +188,7 @@
     }
 
     /// Replaces the `${name}` placeholders in a text with the values of the inputs.
-    pub fn filled(&self, text: &str) -> String {
+    pub fn substitute(&self, text: &str) -> String {
         self.inputs
             .iter()
             .fold(text.to_string(), |text, (name, value)| {
@@ -196,12 +196,12 @@
             })
     }
 
-    fn filled_check(&self, check: &Check) -> Check {
+    fn substitute_check(&self, check: &Check) -> Check {
         match check {
-            Check::ZoneClosed(zone) => Check::ZoneClosed(self.filled(zone)),
-            Check::ZoneOpen(zone) => Check::ZoneOpen(self.filled(zone)),
-            Check::VoterAt(address) => Check::VoterAt(self.filled(address)),
-            Check::NoVoterAt(address) => Check::NoVoterAt(self.filled(address)),
+            Check::ZoneClosed(zone) => Check::ZoneClosed(self.substitute(zone)),
+            Check::ZoneOpen(zone) => Check::ZoneOpen(self.substitute(zone)),
+            Check::VoterAt(address) => Check::VoterAt(self.substitute(address)),
+            Check::NoVoterAt(address) => Check::NoVoterAt(self.substitute(address)),
             other => other.clone(),
         }
     }
@@ -224,10 +224,10 @@
             (Phase::Stopped { why }, _) => NextAction::Stopped {
                 step: self.index + 1,
                 why: why.clone(),
-                remedy: self.filled(&step.on_failure),
+                remedy: self.substitute(&step.on_failure),
             },
             (Phase::Applying, Action::Apply(file)) => NextAction::ApplyFile {
-                file: self.filled(file),
+                file: self.substitute(file),
             },
             (Phase::Applying, _) => match self.saved_items.get("") {
                 Some(change) => NextAction::Apply {
@@ -240,17 +240,17 @@
     }
 
     /// Processes an observation: starts the current step, or evaluates its checks.
-    pub fn observe(&mut self, now: Duration, seen: &Observation<'_>) {
+    pub fn observe(&mut self, now: Duration, observation: &Observation<'_>) {
         let Some(step) = self.runbook.steps.get(self.index).cloned() else {
             return;
         };
         match self.phase.clone() {
-            Phase::Starting => self.start_step(now, &step, seen),
+            Phase::Starting => self.start_step(now, &step, observation),
             Phase::Checking { since, held_since } => {
                 let failed = step
                     .checks
                     .iter()
-                    .map(|check| evaluate_check(&self.filled_check(check), seen))
+                    .map(|check| evaluate_check(&self.substitute_check(check), observation))
                     .find_map(Result::err);
                 match failed {
                     None => {
@@ -280,22 +280,22 @@
         }
     }
 
-    fn start_step(&mut self, now: Duration, step: &Step, seen: &Observation<'_>) {
+    fn start_step(&mut self, now: Duration, step: &Step, observation: &Observation<'_>) {
         let checking = Phase::Checking {
             since: now,
             held_since: None,
         };
         let set_zone_closed = |runner: &mut Self, zone: &str, closed: bool| {
-            let zone = runner.filled(zone);
-            match item(seen.configuration, &format!("area/{zone}")).cloned() {
+            let zone = runner.substitute(zone);
+            match item(observation.configuration, &format!("area/{zone}")).cloned() {
                 None => Phase::Stopped {
                     why: format!("the configuration has no zone {zone}"),
                 },
                 Some(mut found) => {
                     found["area"]["closed"] = closed.into();
-                    let word = if closed { "close" } else { "open" };
-                    let read = seen.configuration["edition"].as_u64();
-                    runner.prepare_change(&format!("{word}-{zone}"), found, read);
+                    let prefix = if closed { "close" } else { "open" };
+                    let read_version = observation.configuration["edition"].as_u64();
+                    runner.prepare_change(&format!("{prefix}-{zone}"), found, read_version);
                     Phase::Applying
                 }
             }
@@ -306,8 +306,8 @@
             Action::OpenZone(zone) => set_zone_closed(self, zone, false),
             Action::Apply(_) => Phase::Applying,
             Action::Remember(key) => {
-                let key = self.filled(key);
-                match item(seen.configuration, &key).cloned() {
+                let key = self.substitute(key);
+                match item(observation.configuration, &key).cloned() {
                     None => Phase::Stopped {
                         why: format!("the configuration has no item {key}"),
                     },
@@ -318,10 +318,10 @@
                 }
             }
             Action::Restore(key) => {
-                let key = self.filled(key);
+                let key = self.substitute(key);
                 match (
                     self.saved_items.get(&key).cloned(),
-                    item(seen.configuration, &key),
+                    item(observation.configuration, &key),
                 ) {
                     (None, _) => Phase::Stopped {
                         why: format!("no earlier step saved {key}"),
@@ -331,11 +331,11 @@
                         // after this read wins.
                         let version = present.and_then(|item| item["edition"].as_u64());
                         before["edition"] = version.unwrap_or(0).into();
-                        let read = seen.configuration["edition"].as_u64();
+                        let read_version = observation.configuration["edition"].as_u64();
                         self.prepare_change(
                             &format!("restore-{}", key.replace('/', "-")),
                             before,
-                            read,
+                            read_version,
                         );
                         Phase::Applying
                     }
@@ -344,9 +344,9 @@
         };
     }
 
-    fn prepare_change(&mut self, word: &str, put: JsonValue, read: Option<u64>) {
-        let id = format!("{word}-{:x}-{}", self.seed, self.index);
-        let change = jzon::object! { id: id, edition: read, put: [put] };
+    fn prepare_change(&mut self, prefix: &str, put: JsonValue, read_version: Option<u64>) {
+        let id = format!("{prefix}-{:x}-{}", self.seed, self.index);
+        let change = jzon::object! { id: id, edition: read_version, put: [put] };
         self.saved_items.insert(String::new(), change);
     }
 
--- a/crates/runbook-runner/tests/runbooks.rs
+++ b/crates/runbook-runner/tests/runbooks.rs
@@ -16,7 +16,7 @@
     if runner
         .steps()
         .iter()
-        .any(|step| runner.filled(&step.say).contains("${"))
+        .any(|step| runner.substitute(&step.say).contains("${"))
     {
         return Err("a placeholder is left after substitution".into());
     }
