--- a/crates/runbook-runner/src/runner.rs
+++ b/crates/runbook-runner/src/runner.rs
@@ -1,4 +1,5 @@
-//! Runs a runbook as a state machine: says what to look at or apply, and takes what came of it.
+//! A state machine that runs a runbook. It does no I/O: it requests status reads and changes from its
+//! caller and advances on their results.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,18 +8,18 @@
 
 use crate::runbook::{Action, Check, Runbook, Step};
 
-/// What the runner wants done next.
+/// What the caller has to do next.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Wish {
-    /// Read status and configuration, and hand them in.
-    Look,
-    /// Apply this change set, and hand the answer in.
+pub enum NextAction {
+    /// Read status and configuration, and pass them to [`Runner::observe`].
+    ReadStatus,
+    /// Apply this change set, and pass the response to [`Runner::applied`].
     Apply { change: JsonValue },
-    /// Apply the change set in this file, and hand the answer in.
+    /// Apply the change set in this file, and pass the response to [`Runner::applied`].
     ApplyFile { file: String },
-    /// The runbook is done.
+    /// All steps are complete.
     Done,
-    /// A check failed: stop, and tell the operator what to do.
+    /// A step failed: stop and show the remedy to the operator.
     Stopped {
         step: usize,
         why: String,
@@ -26,9 +27,10 @@
     },
 }
 
+/// Progress within the current step.
 #[derive(Debug, Clone, PartialEq)]
 enum Phase {
-    Entering,
+    Starting,
     Applying,
     Checking {
         since: Duration,
@@ -39,19 +41,20 @@
     },
 }
 
+/// Runs one runbook.
 pub struct Runner {
     runbook: Runbook,
     inputs: BTreeMap<String, String>,
     index: usize,
     phase: Phase,
-    remembered: BTreeMap<String, JsonValue>,
+    saved_items: BTreeMap<String, JsonValue>,
     seed: u64,
 }
 
-/// What a controller last told.
-pub struct Seen<'seen> {
-    pub status: &'seen JsonValue,
-    pub configuration: &'seen JsonValue,
+/// The last response of a controller to a status and configuration read.
+pub struct Observation<'json> {
+    pub status: &'json JsonValue,
+    pub configuration: &'json JsonValue,
 }
 
 fn item<'json>(configuration: &'json JsonValue, key: &str) -> Option<&'json JsonValue> {
@@ -61,9 +64,9 @@
         .find(|item| item["kind"] == kind && item["name"] == name)
 }
 
-/// Whether a check holds; if not, what was seen instead.
-pub fn holds(check: &Check, seen: &Seen<'_>) -> Result<(), String> {
-    let status = seen.status;
+/// Evaluates a check; the error describes the observed state.
+pub fn evaluate_check(check: &Check, observation: &Observation<'_>) -> Result<(), String> {
+    let status = observation.status;
     let voters = |controllers_only: bool| {
         let count = status["seats"]
             .members()
@@ -73,18 +76,18 @@
             .count();
         count as u64
     };
-    let at_least = |what: &str, found: u64, wanted: u64| {
-        if found >= wanted {
+    let at_least = |what: &str, found: u64, required: u64| {
+        if found >= required {
             Ok(())
         } else {
-            Err(format!("{what}: {found}, wanted at least {wanted}"))
+            Err(format!("{what}: {found}, expected at least {required}"))
         }
     };
-    let at_most = |what: &str, found: u64, wanted: u64| {
-        if found <= wanted {
+    let at_most = |what: &str, found: u64, required: u64| {
+        if found <= required {
             Ok(())
         } else {
-            Err(format!("{what}: {found}, wanted at most {wanted}"))
+            Err(format!("{what}: {found}, expected at most {required}"))
         }
     };
     let voter_at = |address: &str| {
@@ -93,18 +96,21 @@
             .any(|voter| voter["address"] == address)
     };
     let closed = |zone: &str| {
-        item(seen.configuration, &format!("area/{zone}"))
+        item(observation.configuration, &format!("area/{zone}"))
             .and_then(|item| item["area"]["closed"].as_bool())
     };
-    let truth = |holds: bool, why: &str| if holds { Ok(()) } else { Err(why.to_string()) };
+    let require = |holds: bool, why: &str| if holds { Ok(()) } else { Err(why.to_string()) };
     match check {
-        Check::Current => truth(status["current"] == true, "no controller hears a majority"),
-        Check::DiskRecovered => truth(
+        Check::Current => require(
+            status["current"] == true,
+            "no controller is connected to a majority",
+        ),
+        Check::DiskRecovered => require(
             status["disk"] == "well",
-            "a controller's disk refuses writes",
+            "the disk of a controller rejects writes",
         ),
         Check::LeadershipsHeld => {
-            let living: Vec<u64> = status["seats"]
+            let live_voters: Vec<u64> = status["seats"]
                 .members()
                 .filter(|voter| voter["alive"] == true)
                 .filter_map(|voter| voter["node"].as_u64())
@@ -113,75 +119,76 @@
                 && status["duties"].members().all(|leadership| {
                     leadership["holder"]
                         .as_u64()
-                        .is_some_and(|node| living.contains(&node))
+                        .is_some_and(|node| live_voters.contains(&node))
                 });
-            truth(held, "a leadership role has no living holder")
+            require(held, "a leadership role is not held by a live voter")
         }
-        Check::LivingVoters(wanted) => at_least("living voters", voters(false), *wanted),
-        Check::LivingControllers(wanted) => {
-            at_least("living controllers with a voter", voters(true), *wanted)
+        Check::LivingVoters(required) => at_least("live voters", voters(false), *required),
+        Check::LivingControllers(required) => {
+            at_least("live controllers among the voters", voters(true), *required)
         }
-        Check::ReadyProxies(wanted) => {
+        Check::ReadyProxies(required) => {
             let ready = status["members"]
                 .members()
                 .filter(|member| member["role"] == "proxy" && member["ready"] == true)
                 .count();
-            at_least("ready proxies", ready as u64, *wanted)
+            at_least("ready proxies", ready as u64, *required)
         }
-        Check::FeedLag(wanted) => {
+        Check::FeedLag(required) => {
             let lag = status["members"]
                 .members()
                 .filter_map(|member| member["feed_lag"].as_u64())
                 .max()
                 .unwrap_or(0);
-            at_most("feed lag", lag, *wanted)
+            at_most("feed lag", lag, *required)
         }
-        Check::Unplaced(wanted) => {
+        Check::Unplaced(required) => {
             let unplaced = status["unplaced_demand"].as_u64().unwrap_or(u64::MAX);
-            at_most("unplaced demand", unplaced, *wanted)
+            at_most("unplaced demand", unplaced, *required)
         }
-        Check::Instances(wanted) => {
-            at_least("instances", status["instances"].len() as u64, *wanted)
+        Check::Instances(required) => {
+            at_least("instances", status["instances"].len() as u64, *required)
         }
-        Check::ZoneClosed(zone) => truth(closed(zone) == Some(true), "the zone is not closed"),
-        Check::ZoneOpen(zone) => truth(closed(zone) == Some(false), "the zone is not open"),
-        Check::VoterAt(address) => truth(voter_at(address), "no voter has this address"),
-        Check::NoVoterAt(address) => truth(!voter_at(address), "a voter still has this address"),
+        Check::ZoneClosed(zone) => require(closed(zone) == Some(true), "the zone is not closed"),
+        Check::ZoneOpen(zone) => require(closed(zone) == Some(false), "the zone is not open"),
+        Check::VoterAt(address) => require(voter_at(address), "no voter has this address"),
+        Check::NoVoterAt(address) => require(!voter_at(address), "a voter still has this address"),
     }
 }
 
 impl Runner {
-    /// Takes a runbook and its inputs; lists the inputs that are missing or unknown.
+    /// Creates a runner at the first step; the error lists missing and unknown inputs.
     pub fn start(
         runbook: Runbook,
         inputs: BTreeMap<String, String>,
         seed: u64,
     ) -> Result<Self, Vec<String>> {
-        let mut wrong: Vec<String> = runbook
+        let mut faults: Vec<String> = runbook
             .inputs
             .iter()
             .filter(|(name, _)| !inputs.contains_key(name))
-            .map(|(name, meaning)| format!("{name} is missing: give --set {name}=… ({meaning})"))
+            .map(|(name, about)| format!("{name} is missing: give --set {name}=… ({about})"))
             .collect();
         for name in inputs.keys() {
             if !runbook.inputs.iter().any(|(known, _)| known == name) {
-                wrong.push(format!("{name} is no input of this runbook: remove it"));
+                faults.push(format!("{name} is not an input of this runbook: remove it"));
             }
         }
-        if !wrong.is_empty() {
-            return Err(wrong);
+        if !faults.is_empty() {
+            return Err(faults);
         }
         Ok(Self {
             runbook,
             inputs,
             index: 0,
-            phase: Phase::Entering,
-            remembered: BTreeMap::new(),
+            phase: Phase::Starting,
+            saved_items: BTreeMap::new(),
             seed,
         })
     }
 
-    pub fn filled(&self, text: &str) -> String {
+    /// Replaces the `${name}` placeholders in a text with the values of the inputs.
+    pub fn substitute(&self, text: &str) -> String {
         self.inputs
             .iter()
             .fold(text.to_string(), |text, (name, value)| {
@@ -189,12 +196,12 @@
             })
     }
 
-    fn filled_check(&self, check: &Check) -> Check {
+    fn substitute_check(&self, check: &Check) -> Check {
         match check {
-            Check::ZoneClosed(zone) => Check::ZoneClosed(self.filled(zone)),
-            Check::ZoneOpen(zone) => Check::ZoneOpen(self.filled(zone)),
-            Check::VoterAt(address) => Check::VoterAt(self.filled(address)),
-            Check::NoVoterAt(address) => Check::NoVoterAt(self.filled(address)),
+            Check::ZoneClosed(zone) => Check::ZoneClosed(self.substitute(zone)),
+            Check::ZoneOpen(zone) => Check::ZoneOpen(self.substitute(zone)),
+            Check::VoterAt(address) => Check::VoterAt(self.substitute(address)),
+            Check::NoVoterAt(address) => Check::NoVoterAt(self.substitute(address)),
             other => other.clone(),
         }
     }
@@ -203,54 +210,54 @@
         &self.runbook.steps
     }
 
-    /// The step under way, counted from one, if there is one left.
+    /// Returns the current step and its number, counted from one; none after the last step.
     pub fn step(&self) -> Option<(usize, &Step)> {
         Some((self.index + 1, self.runbook.steps.get(self.index)?))
     }
 
-    /// What is to be done next.
-    pub fn next(&self) -> Wish {
+    /// Returns what the caller has to do next.
+    pub fn next(&self) -> NextAction {
         let Some(step) = self.runbook.steps.get(self.index) else {
-            return Wish::Done;
+            return NextAction::Done;
         };
         match (&self.phase, &step.action) {
-            (Phase::Stopped { why }, _) => Wish::Stopped {
+            (Phase::Stopped { why }, _) => NextAction::Stopped {
                 step: self.index + 1,
                 why: why.clone(),
-                remedy: self.filled(&step.otherwise),
+                remedy: self.substitute(&step.on_failure),
             },
-            (Phase::Applying, Action::Apply(file)) => Wish::ApplyFile {
-                file: self.filled(file),
+            (Phase::Applying, Action::Apply(file)) => NextAction::ApplyFile {
+                file: self.substitute(file),
             },
-            (Phase::Applying, _) => match self.remembered.get("") {
-                Some(change) => Wish::Apply {
+            (Phase::Applying, _) => match self.saved_items.get("") {
+                Some(change) => NextAction::Apply {
                     change: change.clone(),
                 },
-                None => Wish::Look,
+                None => NextAction::ReadStatus,
             },
-            _ => Wish::Look,
+            _ => NextAction::ReadStatus,
         }
     }
 
-    /// Takes what a controller told; the machine may move on.
-    pub fn saw(&mut self, now: Duration, seen: &Seen<'_>) {
+    /// Processes an observation: starts the current step, or evaluates its checks.
+    pub fn observe(&mut self, now: Duration, observation: &Observation<'_>) {
         let Some(step) = self.runbook.steps.get(self.index).cloned() else {
             return;
         };
         match self.phase.clone() {
-            Phase::Entering => self.enter(now, &step, seen),
+            Phase::Starting => self.start_step(now, &step, observation),
             Phase::Checking { since, held_since } => {
                 let failed = step
                     .checks
                     .iter()
-                    .map(|check| holds(&self.filled_check(check), seen))
+                    .map(|check| evaluate_check(&self.substitute_check(check), observation))
                     .find_map(Result::err);
                 match failed {
                     None => {
                         let held = held_since.unwrap_or(now);
                         if now.saturating_sub(held) >= step.steady {
                             self.index += 1;
-                            self.phase = Phase::Entering;
+                            self.phase = Phase::Starting;
                         } else {
                             self.phase = Phase::Checking {
                                 since,
@@ -273,58 +280,63 @@
         }
     }
 
-    fn enter(&mut self, now: Duration, step: &Step, seen: &Seen<'_>) {
+    fn start_step(&mut self, now: Duration, step: &Step, observation: &Observation<'_>) {
         let checking = Phase::Checking {
             since: now,
             held_since: None,
         };
-        let turn = |runner: &mut Self, zone: &str, closed: bool| {
-            let zone = runner.filled(zone);
-            match item(seen.configuration, &format!("area/{zone}")).cloned() {
+        let set_zone_closed = |runner: &mut Self, zone: &str, closed: bool| {
+            let zone = runner.substitute(zone);
+            match item(observation.configuration, &format!("area/{zone}")).cloned() {
                 None => Phase::Stopped {
-                    why: format!("there is no zone {zone}"),
+                    why: format!("the configuration has no zone {zone}"),
                 },
                 Some(mut found) => {
                     found["area"]["closed"] = closed.into();
-                    let word = if closed { "close" } else { "open" };
-                    let read = seen.configuration["edition"].as_u64();
-                    runner.prepare(&format!("{word}-{zone}"), found, read);
+                    let prefix = if closed { "close" } else { "open" };
+                    let read_version = observation.configuration["edition"].as_u64();
+                    runner.prepare_change(&format!("{prefix}-{zone}"), found, read_version);
                     Phase::Applying
                 }
             }
         };
         self.phase = match &step.action {
             Action::Nothing | Action::ByHand(_) => checking,
-            Action::CloseZone(zone) => turn(self, zone, true),
-            Action::OpenZone(zone) => turn(self, zone, false),
+            Action::CloseZone(zone) => set_zone_closed(self, zone, true),
+            Action::OpenZone(zone) => set_zone_closed(self, zone, false),
             Action::Apply(_) => Phase::Applying,
             Action::Remember(key) => {
-                let key = self.filled(key);
-                match item(seen.configuration, &key).cloned() {
+                let key = self.substitute(key);
+                match item(observation.configuration, &key).cloned() {
                     None => Phase::Stopped {
-                        why: format!("there is no {key}"),
+                        why: format!("the configuration has no item {key}"),
                     },
                     Some(found) => {
-                        self.remembered.insert(key, found);
+                        self.saved_items.insert(key, found);
                         checking
                     }
                 }
             }
             Action::Restore(key) => {
-                let key = self.filled(key);
+                let key = self.substitute(key);
                 match (
-                    self.remembered.get(&key).cloned(),
-                    item(seen.configuration, &key),
+                    self.saved_items.get(&key).cloned(),
+                    item(observation.configuration, &key),
                 ) {
                     (None, _) => Phase::Stopped {
-                        why: format!("{key} was not remembered before"),
+                        why: format!("no earlier step saved {key}"),
                     },
                     (Some(mut before), present) => {
-                        // Why the present version: whoever changed it since we looked must win.
+                        // The change set carries the current version, so that a concurrent change made
+                        // after this read wins.
                         let version = present.and_then(|item| item["edition"].as_u64());
                         before["edition"] = version.unwrap_or(0).into();
-                        let read = seen.configuration["edition"].as_u64();
-                        self.prepare(&format!("restore-{}", key.replace('/', "-")), before, read);
+                        let read_version = observation.configuration["edition"].as_u64();
+                        self.prepare_change(
+                            &format!("restore-{}", key.replace('/', "-")),
+                            before,
+                            read_version,
+                        );
                         Phase::Applying
                     }
                 }
@@ -332,15 +344,15 @@
         };
     }
 
-    fn prepare(&mut self, word: &str, put: JsonValue, read: Option<u64>) {
-        let id = format!("{word}-{:x}-{}", self.seed, self.index);
-        let change = jzon::object! { id: id, edition: read, put: [put] };
-        self.remembered.insert(String::new(), change);
+    fn prepare_change(&mut self, prefix: &str, put: JsonValue, read_version: Option<u64>) {
+        let id = format!("{prefix}-{:x}-{}", self.seed, self.index);
+        let change = jzon::object! { id: id, edition: read_version, put: [put] };
+        self.saved_items.insert(String::new(), change);
     }
 
-    /// Takes the answer to an apply.
+    /// Processes the response to an apply request.
     pub fn applied(&mut self, now: Duration, status: u16, response: &JsonValue) {
-        self.remembered.remove("");
+        self.saved_items.remove("");
         self.phase = if status == 200 {
             Phase::Checking {
                 since: now,
@@ -348,7 +360,10 @@
             }
         } else {
             Phase::Stopped {
-                why: format!("the change was answered {status}: {}", response.dump()),
+                why: format!(
+                    "the change was rejected with status {status}: {}",
+                    response.dump()
+                ),
             }
         };
     }
