--- a/crates/simulator/examples/play.rs
+++ b/crates/simulator/examples/play.rs
@@ -1,17 +1,18 @@
-//! Plays a day file over many seeds and prints what came of each: the long run.
+//! Runs a day file with many seeds and prints the outcome of each.
 //!
-//! With a COUNT of one, a failing seed also prints what the controllers noted.
+//! With a COUNT of one, a failing seed also prints the events that the controllers logged.
 //!
 //! `cargo run --release -p simulator --example play -- DAY.json FIRST_SEED COUNT [CHANGE...]`
 //!
-//! A CHANGE is one of `patient`, `same-connection`, `notices-resets`, `asks-again` and `no-queue`: what the
-//! runtime does with connections over narrow links differs so, or the links have no queue.
+//! A CHANGE is one of `patient`, `same-connection`, `notices-resets`, `asks-again` and `no-queue`.
+//! The first four change how the runtime handles connections over bandwidth-limited links; the last
+//! removes the queues of background traffic.
 
 use std::path::Path;
 use std::time::Duration;
 
-use simulator::day::Act;
-use simulator::day::{deployment, Day};
+use simulator::day::FaultAction;
+use simulator::day::{read_deployment, Day};
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -35,7 +36,7 @@
             std::process::exit(2);
         }
     }
-    let scenario = deployment(&day.deployment).expect("the day was checked against it");
+    let scenario = read_deployment(&day.deployment).expect("the day was checked against it");
     let next = std::sync::atomic::AtomicU64::new(first);
     let bad = std::sync::atomic::AtomicU64::new(0);
     let ordering = std::sync::atomic::Ordering::SeqCst;
@@ -48,15 +49,15 @@
                 }
                 let observers = day.play(&scenario, seed);
                 println!("seed {seed}: {:?}", observers.tally);
-                let wrong = day.judge(&observers);
-                if !wrong.is_empty() {
+                let problems = day.check_run(&observers);
+                if !problems.is_empty() {
                     if count == 1 {
                         println!("{}", observers.notes.join("\n"));
                     }
                     bad.fetch_add(1, ordering);
-                    println!("seed {seed} crossed {:?}", observers.breached());
+                    println!("seed {seed} crossed {:?}", observers.violated());
                 }
-                for what in wrong.iter().take(4) {
+                for what in problems.iter().take(4) {
                     println!("seed {seed} BREACH {what}");
                 }
             });
@@ -67,22 +68,22 @@
     std::process::exit(i32::from(bad > 0));
 }
 
-/// Makes a change to the day; says whether it is known.
+/// Applies a change to the day; returns whether the change is known.
 fn make(day: &mut Day, change: &str) -> bool {
-    let opening = &mut day.opening;
+    let model = &mut day.connection_model;
     match change {
         "patient" => {
-            opening.timeout = Duration::from_secs(3);
-            opening.attempt_period = Some(Duration::from_millis(500));
+            model.timeout = Duration::from_secs(3);
+            model.retry_interval = Some(Duration::from_millis(500));
         }
-        "same-connection" => opening.responds_on_same_connection = true,
-        "notices-resets" => opening.notices_resets = true,
-        "asks-again" => opening.asks_again_after_reset = true,
+        "same-connection" => model.responds_on_same_connection = true,
+        "notices-resets" => model.detects_resets = true,
+        "asks-again" => model.resends_after_reset = true,
         "no-queue" => {
             for fault in &mut day.faults {
-                if let Act::Fill(fill) = &mut fault.act {
-                    fill.inward.queue = Default::default();
-                    fill.outward.queue = Default::default();
+                if let FaultAction::LoadLink(link_load) = &mut fault.action {
+                    link_load.inward.queue = Default::default();
+                    link_load.outward.queue = Default::default();
                 }
             }
         }
--- a/crates/simulator/src/actors/instance.rs
+++ b/crates/simulator/src/actors/instance.rs
@@ -1,4 +1,4 @@
-//! The instance of the simulated fleet.
+//! The instances of the simulated fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use caperworks::identifiers::{Epoch, Incarnation, InstanceId, ServiceName, Zone};
 use caperworks::ownership::HeldLeases;
 
-/// What an instance works on.
+/// A request that an instance works on.
 #[derive(Debug, Clone)]
 pub struct Work {
     pub request: u64,
@@ -29,56 +29,59 @@
     pub zone: Zone,
     pub address: SocketAddr,
     pub capacity: u32,
-    pub work_span: Duration,
-    /// How many times as long as usual its work takes.
-    pub slowness: u32,
+    pub work_time: Duration,
+    /// Factor by which its work takes longer than usual.
+    pub slowdown: u32,
     pub incarnation: Incarnation,
     pub counter: u64,
     pub draining: bool,
     pub held_leases: HeldLeases,
-    /// The agents or controllers that hear its heartbeats, and whose turn it is.
-    pub heard_by: Vec<usize>,
-    pub turn: usize,
+    /// The agents or controllers that it sends heartbeats to, and the index of the current one.
+    pub heartbeat_targets: Vec<usize>,
+    pub current_target: usize,
     pub next_heartbeat: Duration,
-    /// When each heartbeat was sent, and to whom.
+    /// When and to which node each heartbeat was sent.
     pub heartbeat_sent: HashMap<u64, (Duration, usize)>,
-    /// The last stamp of each that heard it, and since when we have it.
+    /// The last stamp received from each of them, and when it was received.
     pub stamps: HashMap<usize, (Stamp, Duration)>,
-    pub unheard: u32,
+    pub unanswered_heartbeats: u32,
     pub work: Slab<Work>,
-    /// Answers lost after the work, garbage sent, for as many requests.
-    pub loses_responses: u32,
-    pub sends_garbage: u32,
-    pub refuses: u32,
-    /// Works as if every request were for it, whatever its headers say.
+    /// Number of requests whose responses are lost, malformed, or that are rejected.
+    pub responses_to_lose: u32,
+    pub malformed_responses_to_send: u32,
+    pub requests_to_reject: u32,
+    /// Runs every request, whatever its headers say.
     pub careless: bool,
 }
 
 impl SimInstance {
-    /// Takes its heartbeats to the next that may hear them.
-    pub fn turn_to_next(&mut self) {
-        self.turn = (self.turn + 1) % self.heard_by.len();
+    /// Sends the next heartbeats to the next target.
+    pub fn use_next_target(&mut self) {
+        self.current_target = (self.current_target + 1) % self.heartbeat_targets.len();
     }
 
-    /// Takes its heartbeats to the one at this place, if it may.
-    pub fn turn_to(&mut self, index: usize) {
-        let turn = self.heard_by.iter().position(|hearer| *hearer == index);
-        self.turn = turn.unwrap_or(self.turn);
+    /// Sends the next heartbeats to this node, if it is one of the targets.
+    pub fn use_target(&mut self, index: usize) {
+        let current_target = self
+            .heartbeat_targets
+            .iter()
+            .position(|target| *target == index);
+        self.current_target = current_target.unwrap_or(self.current_target);
     }
 
-    /// Says from now on that it is leaving, and says it at once.
-    pub fn leave(&mut self) {
+    /// Starts draining, and announces it at once.
+    pub fn start_draining(&mut self) {
         self.draining = true;
         self.next_heartbeat = Duration::ZERO;
     }
 
     pub fn heartbeat(&mut self, now: Duration) -> Heartbeat {
         self.counter += 1;
-        self.says(now)
+        self.current_heartbeat(now)
     }
 
-    /// What a heartbeat says now.
-    pub fn says(&self, now: Duration) -> Heartbeat {
+    /// Returns the content of a heartbeat at this time.
+    pub fn current_heartbeat(&self, now: Duration) -> Heartbeat {
         Heartbeat {
             id: self.id.clone(),
             incarnation: self.incarnation,
--- a/crates/simulator/src/actors/mod.rs
+++ b/crates/simulator/src/actors/mod.rs
@@ -1,5 +1,5 @@
-//! The proxies and instances of the simulated fleet: the daemons' state machines with the
-//! network between them played by the world.
+//! The proxies and instances of the simulated fleet. They use the same logic as the daemons, and
+//! the world simulates the network between them.
 
 pub mod instance;
 pub mod proxy;
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -1,12 +1,14 @@
-//! The proxy of the simulated fleet.
+//! The proxies of the simulated fleet.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::actors::request::{Carried, ClientRequest, InstanceResponse, ProxyWish, Stage};
-use crate::observers::requests::CallerOutcome;
+use crate::actors::request::{
+    ClientRequest, InFlightRequest, InstanceResponse, ProxyAction, Stage,
+};
+use crate::observers::requests::ClientOutcome;
 use caperworks::dispatch::{
     AttemptEnd, Failure, NextStep, ProxyKnowledge, ReportedOutcome, RequestChart, ServiceShard,
 };
@@ -18,36 +20,36 @@
 use caperworks::replicated_map::MapName;
 use caperworks::rtt_estimator::LOCAL_TIMEOUT;
 
-/// Deliberately broken proxies, each to be caught by an observer.
+/// Deliberate faults in proxies, each of which an observer has to detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum BrokenProxy {
+pub enum ProxyFault {
     #[default]
-    Nothing,
-    /// Sends writes again like reads.
+    NoFault,
+    /// Retries writes like reads.
     RepeatsWrites,
-    /// Says "not run" of requests whose fate is not known.
+    /// Reports "not run" for requests whose outcome is unknown.
     SaysNotRun,
-    /// Takes answers without looking whose they are.
+    /// Accepts responses without checking which request they are for.
     TakesAnyResponse,
-    /// Sends to leaving instances.
+    /// Sends requests to draining instances.
     IgnoresDraining,
-    /// Goes on although its knowledge is stale.
+    /// Goes on although its state is stale.
     IgnoresStaleness,
-    /// Goes on in closed zones.
+    /// Goes on serving in closed zones.
     IgnoresClosed,
-    /// Sends another attempt without a budget.
+    /// Retries without a retry budget.
     NoBudget,
-    /// Uses the whole gentle rate by itself.
+    /// Uses the full slow-start rate for itself.
     FullSlowStartRate,
-    /// Sends beyond the home region.
+    /// Sends requests outside their home region.
     IgnoresHome,
-    /// Takes an older map in place of a newer one.
+    /// Replaces a newer map by an older one.
     GoesBack,
-    /// Lets one key have as much of its owner as it asks for.
+    /// Does not limit the share that one key may take of its owner.
     NoKeyCap,
-    /// Keeps a refusal to itself until the deadline is near.
+    /// Delays rejections.
     DelaysRejections,
-    /// Sends nothing to an instance whose heartbeats stay away, though it answers.
+    /// Stops sending to an instance without heartbeats, although it responds.
     BelievesSilence,
 }
 
@@ -57,8 +59,8 @@
     pub capacity: u32,
     pub knowledge: ProxyKnowledge,
     pub shards: HashMap<ServiceName, ServiceShard>,
-    pub carried: HashMap<u64, Carried>,
-    pub broken: BrokenProxy,
+    pub in_flight: HashMap<u64, InFlightRequest>,
+    pub fault: ProxyFault,
     seed: u64,
     pull_number: u64,
     pulls: VecDeque<(u64, Duration)>,
@@ -67,16 +69,16 @@
     measured: HashMap<(String, RouteName), (u32, Duration)>,
     demand: Vec<Demand>,
     demand_at: Duration,
-    /// Refusals that a broken variant keeps back, and until when.
-    kept_back: VecDeque<(Duration, ProxyWish)>,
-    /// Since when it is stopping politely.
+    /// Rejections delayed by a fault, and until when.
+    delayed_rejections: VecDeque<(Duration, ProxyAction)>,
+    /// When its graceful shutdown began.
     pub stopping_since: Option<Duration>,
 }
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// As long as the daemon takes requests after a stop was asked for.
-const LINGER: Duration = Duration::from_millis(2600);
+/// How long the daemon still accepts requests after a shutdown request.
+const SHUTDOWN_DRAIN: Duration = Duration::from_millis(2600);
 
 impl SimProxy {
     pub fn new(
@@ -84,7 +86,7 @@
         serving: SocketAddr,
         capacity: u32,
         seed: u64,
-        broken: BrokenProxy,
+        fault: ProxyFault,
     ) -> Self {
         Self {
             zone,
@@ -92,8 +94,8 @@
             capacity,
             knowledge: ProxyKnowledge::default(),
             shards: HashMap::new(),
-            carried: HashMap::new(),
-            broken,
+            in_flight: HashMap::new(),
+            fault,
             seed,
             pull_number: 0,
             pulls: VecDeque::new(),
@@ -102,23 +104,30 @@
             measured: HashMap::new(),
             demand: Vec::new(),
             demand_at: Duration::ZERO,
-            kept_back: VecDeque::new(),
+            delayed_rejections: VecDeque::new(),
             stopping_since: None,
         }
     }
 
-    pub fn tick(&mut self, now: Duration) -> Vec<ProxyWish> {
-        let due = self.kept_back.iter().take_while(|(at, _)| *at <= now);
+    pub fn tick(&mut self, now: Duration) -> Vec<ProxyAction> {
+        let due = self
+            .delayed_rejections
+            .iter()
+            .take_while(|(at, _)| *at <= now);
         let due = due.count();
-        let kept_back: Vec<ProxyWish> = self.kept_back.drain(..due).map(|kept| kept.1).collect();
-        let lingered = self
+        let delayed_rejections: Vec<ProxyAction> = self
+            .delayed_rejections
+            .drain(..due)
+            .map(|rejection| rejection.1)
+            .collect();
+        let is_drained = self
             .stopping_since
-            .is_some_and(|since| now.saturating_sub(since) >= LINGER);
-        if lingered && self.carried.is_empty() {
-            return vec![ProxyWish::End];
+            .is_some_and(|since| now.saturating_sub(since) >= SHUTDOWN_DRAIN);
+        if is_drained && self.in_flight.is_empty() {
+            return vec![ProxyAction::Stopped];
         }
         if now < self.next_pull || !self.pace.may_ask(now) {
-            return kept_back;
+            return delayed_rejections;
         }
         self.next_pull = now + Duration::from_millis(150);
         if now.saturating_sub(self.demand_at) >= Duration::from_secs(1) {
@@ -157,48 +166,48 @@
             instances_offset: self.knowledge.instances_offset,
         };
         let message = Message::Pull { pull };
-        kept_back
+        delayed_rejections
             .into_iter()
-            .chain([ProxyWish::Pull { message }])
+            .chain([ProxyAction::Pull { message }])
             .collect()
     }
 
     pub fn take_view(&mut self, now: Duration, view: &ProxyView) {
-        let Some((_, asked_at)) = self.pulls.iter().find(|(number, _)| *number == view.number)
+        let Some((_, requested_at)) = self.pulls.iter().find(|(number, _)| *number == view.number)
         else {
             return;
         };
-        let asked_at = *asked_at;
-        let took = now.saturating_sub(asked_at);
+        let requested_at = *requested_at;
+        let took = now.saturating_sub(requested_at);
         self.pace.answered(view.number, Some(took));
-        if self.broken == BrokenProxy::GoesBack && view.number.is_multiple_of(40) {
+        if self.fault == ProxyFault::GoesBack && view.number.is_multiple_of(40) {
             self.knowledge.maps = Arc::default();
         }
         let mut view = view.clone();
-        if self.broken == BrokenProxy::IgnoresDraining {
+        if self.fault == ProxyFault::IgnoresDraining {
             for heartbeat in &mut view.instances {
                 heartbeat.state = InstanceState::Serving;
             }
         }
-        if self.broken == BrokenProxy::FullSlowStartRate {
+        if self.fault == ProxyFault::FullSlowStartRate {
             view.proxies = 1;
         }
-        self.knowledge.take(asked_at, &view);
-        if self.broken == BrokenProxy::IgnoresStaleness {
-            self.knowledge.fresh_until = asked_at + Duration::from_secs(600);
+        self.knowledge.take(requested_at, &view);
+        if self.fault == ProxyFault::IgnoresStaleness {
+            self.knowledge.fresh_until = requested_at + Duration::from_secs(600);
         }
-        if self.broken == BrokenProxy::IgnoresClosed {
+        if self.fault == ProxyFault::IgnoresClosed {
             self.knowledge.closed.clear();
         }
         for shard in self.shards.values_mut() {
-            shard.keep_only(asked_at, &self.knowledge.instances);
+            shard.keep_only(requested_at, &self.knowledge.instances);
         }
     }
 
-    /// The route as this proxy goes by it.
+    /// Returns the route as this proxy applies it.
     fn route_of(&self, route: &Route) -> Route {
         let mut route = route.clone();
-        if self.broken == BrokenProxy::IgnoresHome {
+        if self.fault == ProxyFault::IgnoresHome {
             route.homes.clear();
         }
         route
@@ -210,88 +219,89 @@
         request: ClientRequest,
         group: String,
         locality: Duration,
-    ) -> Vec<ProxyWish> {
-        let wishes = self.take_in(now, request, group, locality);
-        if self.broken != BrokenProxy::DelaysRejections {
-            return wishes;
+    ) -> Vec<ProxyAction> {
+        let actions = self.route_request(now, request, group, locality);
+        if self.fault != ProxyFault::DelaysRejections {
+            return actions;
         }
-        let refusal = |wish: &ProxyWish| matches!(wish, ProxyWish::Respond { unsent: true, .. });
-        let (refusals, wishes): (Vec<ProxyWish>, Vec<ProxyWish>) =
-            wishes.into_iter().partition(refusal);
+        let refusal =
+            |action: &ProxyAction| matches!(action, ProxyAction::Respond { unsent: true, .. });
+        let (refusals, actions): (Vec<ProxyAction>, Vec<ProxyAction>) =
+            actions.into_iter().partition(refusal);
         let until = now + Duration::from_millis(800);
         let refusals = refusals.into_iter().map(|refusal| (until, refusal));
-        self.kept_back.extend(refusals);
-        wishes
+        self.delayed_rejections.extend(refusals);
+        actions
     }
 
-    fn take_in(
+    fn route_request(
         &mut self,
         now: Duration,
         request: ClientRequest,
         group: String,
         locality: Duration,
-    ) -> Vec<ProxyWish> {
-        let mut chart =
-            RequestChart::received(!request.write || self.broken == BrokenProxy::RepeatsWrites);
+    ) -> Vec<ProxyAction> {
+        let mut lifecycle =
+            RequestChart::received(!request.write || self.fault == ProxyFault::RepeatsWrites);
         let (name, route) = match self.knowledge.find(now, &request.host, &request.path) {
             Ok(found) => found,
-            Err(failure) => return vec![self.answered(request, &mut chart, failure, true)],
+            Err(failure) => return vec![self.reject(request, &mut lifecycle, failure, true)],
         };
         let route = self.route_of(&route);
-        chart.matched(now, &route);
-        let metered = self.measured.entry((group, name)).or_insert((0, locality));
-        metered.0 += 1;
-        metered.1 = metered.1.min(locality);
+        lifecycle.matched(now, &route);
+        let measurement = self.measured.entry((group, name)).or_insert((0, locality));
+        measurement.0 += 1;
+        measurement.1 = measurement.1.min(locality);
         if let Err(failure) = self.knowledge.admits(now, &self.zone, &route) {
-            return vec![self.answered(request, &mut chart, failure, true)];
+            return vec![self.reject(request, &mut lifecycle, failure, true)];
         }
-        chart.admitted(true);
+        lifecycle.admitted(true);
         let seed = self.seed;
         self.shards.entry(route.service.clone()).or_insert_with(|| {
             let mut shard = ServiceShard::new(seed ^ steady_hash(route.service.as_str()));
-            shard.no_key_cap = self.broken == BrokenProxy::NoKeyCap;
-            shard.without_passive_evidence = self.broken == BrokenProxy::BelievesSilence;
+            shard.no_key_cap = self.fault == ProxyFault::NoKeyCap;
+            shard.without_passive_evidence = self.fault == ProxyFault::BelievesSilence;
             shard
         });
         let number = request.number;
-        let deadline = chart.deadline();
-        self.carried.insert(
+        let deadline = lifecycle.deadline();
+        self.in_flight.insert(
             number,
-            Carried {
+            InFlightRequest {
                 request,
-                chart,
+                lifecycle,
                 route,
                 target: None,
-                stage: Stage::Opening,
+                stage: Stage::Connecting,
                 attempt: 0,
                 tried: Vec::new(),
                 configuration: Version(0),
             },
         );
-        let mut wishes = vec![ProxyWish::WakeAt {
+        let mut actions = vec![ProxyAction::SetTimer {
             request: number,
             at: deadline,
         }];
-        wishes.extend(self.choose(now, number));
-        wishes
+        actions.extend(self.choose(now, number));
+        actions
     }
 
-    fn answered(
+    fn reject(
         &self,
         request: ClientRequest,
-        chart: &mut RequestChart,
+        lifecycle: &mut RequestChart,
         failure: Failure,
         unsent: bool,
-    ) -> ProxyWish {
-        chart.refuse(failure);
-        let reported = match chart.reported_outcome(failure) {
-            ReportedOutcome::NotRun => CallerOutcome::NotRun,
-            ReportedOutcome::Unknown if self.broken == BrokenProxy::SaysNotRun => {
-                CallerOutcome::NotRun
+    ) -> ProxyAction {
+        lifecycle.refuse(failure);
+        let reported = match lifecycle.reported_outcome(failure) {
+            ReportedOutcome::NotRun => ClientOutcome::NotRun,
+            ReportedOutcome::Unknown if self.fault == ProxyFault::SaysNotRun => {
+                ClientOutcome::NotRun
             }
-            ReportedOutcome::Unknown => CallerOutcome::Unknown,
+            ReportedOutcome::Unknown => ClientOutcome::Unknown,
         };
-        ProxyWish::Respond {
+        ProxyAction::Respond {
             request,
             reported,
             answered: None,
@@ -300,54 +310,54 @@
         }
     }
 
-    fn finish(&mut self, number: u64, failure: Failure) -> Vec<ProxyWish> {
-        match self.carried.remove(&number) {
-            Some(mut carried) => {
-                let unsent = carried.attempt == 0;
-                vec![self.answered(carried.request, &mut carried.chart, failure, unsent)]
+    fn finish(&mut self, number: u64, failure: Failure) -> Vec<ProxyAction> {
+        match self.in_flight.remove(&number) {
+            Some(mut in_flight) => {
+                let unsent = in_flight.attempt == 0;
+                vec![self.reject(in_flight.request, &mut in_flight.lifecycle, failure, unsent)]
             }
             None => Vec::new(),
         }
     }
 
-    fn choose(&mut self, now: Duration, number: u64) -> Vec<ProxyWish> {
-        let Some(carried) = self.carried.get_mut(&number) else {
+    fn choose(&mut self, now: Duration, number: u64) -> Vec<ProxyAction> {
+        let Some(in_flight) = self.in_flight.get_mut(&number) else {
             return Vec::new();
         };
-        if now >= carried.chart.deadline() {
+        if now >= in_flight.lifecycle.deadline() {
             return self.finish(number, Failure::LateBeforeSending);
         }
-        let Some(shard) = self.shards.get_mut(&carried.route.service) else {
+        let Some(shard) = self.shards.get_mut(&in_flight.route.service) else {
             return Vec::new();
         };
         let chosen = self
             .knowledge
-            .admits(now, &self.zone, &carried.route)
+            .admits(now, &self.zone, &in_flight.route)
             .and_then(|()| {
-                let key = carried.request.key.as_deref();
+                let key = in_flight.request.key.as_deref();
                 shard.choose(
                     now,
                     &self.knowledge,
                     &self.zone,
-                    &carried.route,
+                    &in_flight.route,
                     key,
-                    &carried.tried,
+                    &in_flight.tried,
                 )
             });
         match chosen {
             Ok(target) => {
                 shard.begin(now, &target);
-                carried.chart.chosen();
-                carried.attempt += 1;
-                carried.stage = Stage::Opening;
-                carried.target = Some(target.clone());
-                let attempt = carried.attempt;
+                in_flight.lifecycle.chosen();
+                in_flight.attempt += 1;
+                in_flight.stage = Stage::Connecting;
+                in_flight.target = Some(target.clone());
+                let attempt = in_flight.attempt;
                 vec![
-                    ProxyWish::WakeAt {
+                    ProxyAction::SetTimer {
                         request: number,
                         at: now + CONNECT_TIMEOUT,
                     },
-                    ProxyWish::Open {
+                    ProxyAction::Connect {
                         request: number,
                         attempt,
                         target,
@@ -358,51 +368,51 @@
         }
     }
 
-    /// The connection is open: the last check, then the request leaves.
-    pub fn opened(&mut self, now: Duration, number: u64, attempt: u32) -> Vec<ProxyWish> {
-        let Some(carried) = self.carried.get_mut(&number) else {
+    /// Sends the request over its open connection, after a last check.
+    pub fn connected(&mut self, now: Duration, number: u64, attempt: u32) -> Vec<ProxyAction> {
+        let Some(in_flight) = self.in_flight.get_mut(&number) else {
             return Vec::new();
         };
-        let (Some(target), Stage::Opening) = (carried.target.clone(), carried.stage) else {
+        let (Some(target), Stage::Connecting) = (in_flight.target.clone(), in_flight.stage) else {
             return Vec::new();
         };
-        if carried.attempt != attempt {
+        if in_flight.attempt != attempt {
             return Vec::new();
         }
         let good = self
             .knowledge
-            .still_good(now, &self.zone, &carried.route, &target);
+            .still_good(now, &self.zone, &in_flight.route, &target);
         if let Err(failure) = good {
-            if let Some(shard) = self.shards.get_mut(&carried.route.service) {
+            if let Some(shard) = self.shards.get_mut(&in_flight.route.service) {
                 shard.end(now, &target, true, None);
             }
             return self.finish(number, failure);
         }
-        carried.chart.shooting();
-        carried.chart.sent();
-        if carried.chart.attempts() == 1 {
-            if let Some(shard) = self.shards.get_mut(&carried.route.service) {
+        in_flight.lifecycle.shooting();
+        in_flight.lifecycle.sent();
+        if in_flight.lifecycle.attempts() == 1 {
+            if let Some(shard) = self.shards.get_mut(&in_flight.route.service) {
                 shard.first_attempt(now);
             }
         }
-        carried.stage = Stage::Sent;
-        carried.configuration = self.knowledge.maps.map(MapName::Configuration).version;
-        vec![ProxyWish::Shoot {
+        in_flight.stage = Stage::Sent;
+        in_flight.configuration = self.knowledge.maps.map(MapName::Configuration).version;
+        vec![ProxyAction::SendAttempt {
             request: number,
             attempt,
             target,
-            further: carried.chart.attempts() > 1,
+            is_retry: in_flight.lifecycle.attempts() > 1,
         }]
     }
 
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Duration,
         number: u64,
         attempt: u32,
         end: AttemptEnd,
         response: Option<InstanceResponse>,
-    ) -> Vec<ProxyWish> {
+    ) -> Vec<ProxyAction> {
         let (end, load, answered) = match response {
             Some(InstanceResponse::Ran { request, load }) => (end, Some(load), Some(request)),
             Some(InstanceResponse::NotRun | InstanceResponse::Misdirected) => {
@@ -411,25 +421,25 @@
             Some(InstanceResponse::Garbage) => (end, None, Some(number + 1_000_000_000)),
             None => (end, None, None),
         };
-        let Some(carried) = self.carried.get_mut(&number) else {
+        let Some(in_flight) = self.in_flight.get_mut(&number) else {
             return Vec::new();
         };
-        if carried.attempt != attempt {
+        if in_flight.attempt != attempt {
             return Vec::new();
         }
-        let Some(target) = carried.target.take() else {
+        let Some(target) = in_flight.target.take() else {
             return Vec::new();
         };
         let mut end = end;
         if end == AttemptEnd::Answered
             && answered != Some(number)
-            && self.broken != BrokenProxy::TakesAnyResponse
+            && self.fault != ProxyFault::TakesAnyResponse
         {
             end = AttemptEnd::Garbage;
         }
         let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
-        let no_budget = self.broken == BrokenProxy::NoBudget;
-        let Some(shard) = self.shards.get_mut(&carried.route.service) else {
+        let no_budget = self.fault == ProxyFault::NoBudget;
+        let Some(shard) = self.shards.get_mut(&in_flight.route.service) else {
             return Vec::new();
         };
         shard.end(now, &target, good, load);
@@ -437,16 +447,16 @@
             shard.incarnation_is_over(&target);
         }
         if target.is_used_up(end) {
-            carried.tried.push(target.instance);
+            in_flight.tried.push(target.instance);
         }
-        let step = carried
-            .chart
+        let step = in_flight
+            .lifecycle
             .attempt_ended(now, end, || no_budget || shard.take_retry(now));
         match step {
-            NextStep::PassOn => match self.carried.remove(&number) {
-                Some(carried) => vec![ProxyWish::Respond {
-                    request: carried.request,
-                    reported: CallerOutcome::Served,
+            NextStep::PassOn => match self.in_flight.remove(&number) {
+                Some(in_flight) => vec![ProxyAction::Respond {
+                    request: in_flight.request,
+                    reported: ClientOutcome::Served,
                     answered,
                     failure: None,
                     unsent: false,
@@ -458,26 +468,26 @@
         }
     }
 
-    /// A moment that the request waits for has come: its deadline, or the end of patience.
-    pub fn woken(&mut self, now: Duration, number: u64, at: Duration) -> Vec<ProxyWish> {
-        let Some(carried) = self.carried.get(&number) else {
+    /// Handles a request's timer: its deadline or its connect timeout has passed.
+    pub fn timer_fired(&mut self, now: Duration, number: u64, at: Duration) -> Vec<ProxyAction> {
+        let Some(in_flight) = self.in_flight.get(&number) else {
             return Vec::new();
         };
-        let late = now >= carried.chart.deadline();
-        let (stage, attempt) = (carried.stage, carried.attempt);
+        let late = now >= in_flight.lifecycle.deadline();
+        let (stage, attempt) = (in_flight.stage, in_flight.attempt);
         match stage {
-            Stage::Sent if late => self.ended(now, number, attempt, AttemptEnd::Late, None),
-            Stage::Opening if late => {
-                if let Some(target) = carried.target.clone() {
-                    if let Some(shard) = self.shards.get_mut(&carried.route.service.clone()) {
+            Stage::Sent if late => self.attempt_ended(now, number, attempt, AttemptEnd::Late, None),
+            Stage::Connecting if late => {
+                if let Some(target) = in_flight.target.clone() {
+                    if let Some(shard) = self.shards.get_mut(&in_flight.route.service.clone()) {
                         shard.end(now, &target, false, None);
                     }
                 }
                 self.finish(number, Failure::LateBeforeSending)
             }
-            // Why compare: only the wake-up that belongs to this opening ends it.
-            Stage::Opening if now >= at && carried.target.is_some() => {
-                self.ended(now, number, attempt, AttemptEnd::NotOpened, None)
+            // Only the timer that belongs to this connection attempt may end it.
+            Stage::Connecting if now >= at && in_flight.target.is_some() => {
+                self.attempt_ended(now, number, attempt, AttemptEnd::NotOpened, None)
             }
             _ => Vec::new(),
         }
--- a/crates/simulator/src/actors/request.rs
+++ b/crates/simulator/src/actors/request.rs
@@ -1,14 +1,14 @@
-//! Requests on their way, and what proxies and instances answer to them.
+//! Requests in flight, and the responses of proxies and instances.
 
 use std::time::Duration;
 
-use crate::observers::requests::CallerOutcome;
+use crate::observers::requests::ClientOutcome;
 use caperworks::dispatch::{Failure, RequestChart, Target};
 use caperworks::identifiers::{InstanceId, Version};
 use caperworks::map_items::Route;
 use caperworks::messages::Message;
 
-/// A request on its way, as the fleet sees it.
+/// A client's request.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     pub number: u64,
@@ -17,22 +17,22 @@
     pub write: bool,
     pub key: Option<String>,
     pub sent_at: Duration,
-    /// When it was taken in by a proxy, by the world's time.
+    /// When a proxy received it, in world time.
     pub received_at: Duration,
-    /// Which kind of traffic it is; none for the requests of a hot key.
+    /// The kind of traffic, or `None` for the requests of a hot key.
     pub kind: Option<usize>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    Opening,
+    Connecting,
     Sent,
 }
 
 #[derive(Debug, Clone)]
-pub struct Carried {
+pub struct InFlightRequest {
     pub request: ClientRequest,
-    pub chart: RequestChart,
+    pub lifecycle: RequestChart,
     pub route: Route,
     pub target: Option<Target>,
     pub stage: Stage,
@@ -41,40 +41,40 @@
     pub configuration: Version,
 }
 
-/// What a proxy wants done.
+/// An action of a proxy, executed by the world.
 #[derive(Debug, Clone)]
-pub enum ProxyWish {
-    Open {
+pub enum ProxyAction {
+    Connect {
         request: u64,
         attempt: u32,
         target: Target,
     },
-    Shoot {
+    SendAttempt {
         request: u64,
         attempt: u32,
         target: Target,
-        further: bool,
+        is_retry: bool,
     },
     Respond {
         request: ClientRequest,
-        reported: CallerOutcome,
+        reported: ClientOutcome,
         answered: Option<u64>,
         failure: Option<Failure>,
-        /// Refused by the proxy itself, with no instance tried.
+        /// Rejected by the proxy before any attempt.
         unsent: bool,
     },
     Pull {
         message: Message,
     },
-    /// Stopped politely, and nothing is under way any more.
-    End,
-    WakeAt {
+    /// The graceful shutdown is complete, and no request is in flight.
+    Stopped,
+    SetTimer {
         request: u64,
         at: Duration,
     },
 }
 
-/// The answer of an instance.
+/// The response of an instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum InstanceResponse {
     Ran {
@@ -82,7 +82,7 @@
         load: u32,
     },
     NotRun,
-    /// Another life answers here than the one that the request is for.
+    /// The request is for another incarnation than the one at this address.
     Misdirected,
     Garbage,
 }
--- a/crates/simulator/src/connections.rs
+++ b/crates/simulator/src/connections.rs
@@ -1,7 +1,7 @@
-//! Connections for control messages: opened before their first message, and not known to be dead at once.
+//! Connections for control messages: opened on the first message, and not known to be dead at once.
 //!
-//! A connection has a direction: the node that opened it is its opener, the other one its acceptor. Who
-//! holds no connection to another node opens one; what it has to say waits meanwhile.
+//! A connection has a direction: the node that opened it is its opener, the other one its acceptor.
+//! A node without a connection to another node opens one; its messages are queued meanwhile.
 
 use caperworks::messages::Envelope;
 use caperworks::messages::Message;
@@ -9,75 +9,75 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What the runtime does with connections; mirrors `connections.rs` of the runtime.
+/// How the runtime handles connections; mirrors `connections.rs` of the runtime.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OpeningModel {
-    /// For how long opening is tried; what waits for it is dropped then.
+pub struct ConnectionModel {
+    /// How long opening is tried; queued messages are dropped after that.
     pub timeout: Duration,
-    /// How often a fresh attempt is made meanwhile, if at all; the first one that succeeds counts.
-    pub attempt_period: Option<Duration>,
-    /// An answer goes back on the connection on which its question came, while that one is established.
+    /// Interval of further attempts at opening, if any; the first attempt that succeeds is used.
+    pub retry_interval: Option<Duration>,
+    /// Responses go over the connection on which the request came, while it is established.
     pub responds_on_same_connection: bool,
-    /// A reset closes the connection when it comes; else the next write finds it, and is lost with it.
-    pub notices_resets: bool,
-    /// What was written last into a connection that was reset is sent once more at once.
-    pub asks_again_after_reset: bool,
+    /// A reset closes the connection on arrival; otherwise the next write detects it and is lost.
+    pub detects_resets: bool,
+    /// The last message written to a connection that was reset is resent at once.
+    pub resends_after_reset: bool,
 }
 
-impl Default for OpeningModel {
-    /// The runtime as it is.
+impl Default for ConnectionModel {
+    /// The behaviour of the current runtime.
     fn default() -> Self {
         Self {
             timeout: Duration::from_secs(5),
-            attempt_period: Some(Duration::from_millis(500)),
+            retry_interval: Some(Duration::from_millis(500)),
             responds_on_same_connection: true,
-            notices_resets: true,
-            asks_again_after_reset: true,
+            detects_resets: true,
+            resends_after_reset: true,
         }
     }
 }
 
-/// Something that one connection carries from node to node.
+/// A unit that a connection carries from node to node.
 #[derive(Debug, Clone)]
 pub struct Segment {
     pub connection: u64,
     pub from: usize,
     pub to: usize,
-    /// The life of the receiver's process for which it is meant; a request to open is meant for any.
+    /// The receiver's incarnation that it is for; a `Syn` is for any incarnation.
     pub receiver_incarnation: Option<u64>,
     pub kind: SegmentKind,
 }
 
 #[derive(Debug, Clone)]
 pub enum SegmentKind {
-    /// Asks to open the connection.
+    /// Opens the connection.
     Syn,
-    /// It is open, to this life of the acceptor's process.
+    /// Accepts the connection, by this incarnation of the acceptor.
     SynAck {
         incarnation: u64,
     },
     Message {
         envelope: Box<Envelope>,
     },
-    /// The receiver knows nothing of the connection.
+    /// The receiver does not know the connection.
     Reset,
 }
 
-/// The bytes that a segment without a message takes on a link.
-const BARE_SEGMENT_BYTES: f64 = 60.0;
+/// Size of a segment without a message.
+const CONTROL_SEGMENT_BYTES: f64 = 60.0;
 
 impl Segment {
-    /// How many bytes it takes on a link.
+    /// Returns the size of the segment on a link.
     pub fn bytes(&self) -> f64 {
         match &self.kind {
             SegmentKind::Message { envelope } => {
                 minicbor::to_vec(envelope).map_or(0, |bytes| bytes.len()) as f64
             }
-            _ => BARE_SEGMENT_BYTES,
+            _ => CONTROL_SEGMENT_BYTES,
         }
     }
 
-    /// The segment that resets the connection of this one.
+    /// Returns the segment that resets this segment's connection.
     pub fn reset(&self, opener_incarnation: Option<u64>) -> Segment {
         Segment {
             connection: self.connection,
@@ -89,12 +89,12 @@
     }
 }
 
-/// Whether a message is one of which only the latest is of use.
+/// Returns whether only the latest message of this kind is of use.
 pub fn is_superseding(envelope: &Envelope) -> bool {
     superseding_kind(envelope).is_some()
 }
 
-/// Two messages of one kind: only the later is of use.
+/// Returns the kind of a message that supersedes earlier ones of the same kind.
 fn superseding_kind(envelope: &Envelope) -> Option<u8> {
     match envelope.message {
         Message::Grant { .. } => Some(0),
@@ -105,7 +105,7 @@
 
 #[derive(Debug, Clone)]
 enum ConnectionState {
-    Opening {
+    Connecting {
         began_at: Duration,
         attempted_at: Duration,
         waiting: VecDeque<Box<Envelope>>,
@@ -113,7 +113,7 @@
     Established {
         acceptor_incarnation: u64,
     },
-    /// It is dead, which its opener finds when it writes.
+    /// The connection is dead, which the opener detects on its next write.
     Dead,
 }
 
@@ -122,38 +122,39 @@
     number: u64,
     opener_incarnation: u64,
     state: ConnectionState,
-    /// What was written last, if it is to be sent again after a reset.
+    /// The last message written, if it is to be resent after a reset.
     last_written: Option<Box<Envelope>>,
 }
 
-/// All connections, by opener and acceptor.
+/// All connections by opener and acceptor.
 #[derive(Debug, Clone, Default)]
 pub struct Connections {
-    pub model: OpeningModel,
-    opened: u64,
+    pub model: ConnectionModel,
+    last_number: u64,
     connections: BTreeMap<(usize, usize), Connection>,
 }
 
 impl Connections {
-    /// The connections of a runtime that does as this model says.
-    pub fn new(model: OpeningModel) -> Self {
+    /// Returns an empty set of connections that behave like this model.
+    pub fn new(model: ConnectionModel) -> Self {
         Self {
             model,
             ..Self::default()
         }
     }
 
-    /// Two nodes have spoken over links with room: the connection is established if there was none.
-    pub fn spoke(&mut self, from: (usize, u64), to: (usize, u64)) {
-        let number = self.opened + 1;
+    /// Records that two nodes exchanged a message over unlimited links, which establishes a
+    /// connection if there is none.
+    pub fn record_exchange(&mut self, from: (usize, u64), to: (usize, u64)) {
+        let number = self.last_number + 1;
         let (opener_incarnation, acceptor_incarnation) = (from.1, to.1);
         let known = self.connections.get(&(from.0, to.0));
-        let stands = known.is_some_and(|connection| {
+        let is_current = known.is_some_and(|connection| {
             connection.opener_incarnation == opener_incarnation
                 && matches!(connection.state, ConnectionState::Established { acceptor_incarnation: incarnation } if incarnation == acceptor_incarnation)
         });
-        if !stands {
-            self.opened = number;
+        if !is_current {
+            self.last_number = number;
             let connection = Connection {
                 number,
                 opener_incarnation,
@@ -166,8 +167,8 @@
         }
     }
 
-    /// A node has something to say to another; gives the segment that leaves now, if one does.
-    pub fn write(
+    /// Sends a message between two nodes; returns the segment to transmit now, if any.
+    pub fn send(
         &mut self,
         now: Duration,
         from: (usize, u64),
@@ -187,13 +188,13 @@
         {
             self.connections.remove(&key);
         }
-        let keeps_last = self.model.asks_again_after_reset;
+        let keeps_last = self.model.resends_after_reset;
         let Some(connection) = self.connections.get_mut(&key) else {
             return Some(self.open(now, from, to.0, envelope));
         };
         match &mut connection.state {
-            ConnectionState::Opening { waiting, .. } => {
-                wait(waiting, envelope);
+            ConnectionState::Connecting { waiting, .. } => {
+                enqueue(waiting, envelope);
                 None
             }
             ConnectionState::Established {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// The answer's segment, if the connection on which the other one asked is established.
+    /// Returns the response's segment, if the connection of the request is established.
     fn respond(&self, from: (usize, u64), to: usize, envelope: &Envelope) -> Option<Segment> {
         let connection = self.connections.get(&(to, from.0))?;
         let ConnectionState::Established {
@@ -243,11 +244,11 @@
         to: usize,
         envelope: Box<Envelope>,
     ) -> Segment {
-        self.opened += 1;
+        self.last_number += 1;
         let connection = Connection {
-            number: self.opened,
+            number: self.last_number,
             opener_incarnation: from.1,
-            state: ConnectionState::Opening {
+            state: ConnectionState::Connecting {
                 began_at: now,
                 attempted_at: now,
                 waiting: VecDeque::from([envelope]),
@@ -255,27 +256,28 @@
             last_written: None,
         };
         self.connections.insert((from.0, to), connection);
-        syn(self.opened, from.0, to)
+        syn(self.last_number, from.0, to)
     }
 
-    /// Gives up openings that have taken too long; gives the fresh attempts of the others that are due.
+    /// Drops connections that took too long to open; returns the further attempts that are due for
+    /// the others.
     pub fn tick(&mut self, now: Duration) -> Vec<Segment> {
-        let OpeningModel {
+        let ConnectionModel {
             timeout,
-            attempt_period,
+            retry_interval,
             ..
         } = self.model;
         self.connections.retain(|_, connection| {
-            !matches!(connection.state, ConnectionState::Opening { began_at, .. }
+            !matches!(connection.state, ConnectionState::Connecting { began_at, .. }
                 if now.saturating_sub(began_at) >= timeout)
         });
         let mut attempts = Vec::new();
         for ((from, to), connection) in &mut self.connections {
-            let ConnectionState::Opening { attempted_at, .. } = &mut connection.state else {
+            let ConnectionState::Connecting { attempted_at, .. } = &mut connection.state else {
                 continue;
             };
             let waited = now.saturating_sub(*attempted_at);
-            if attempt_period.is_some_and(|period| waited >= period) {
+            if retry_interval.is_some_and(|period| waited >= period) {
                 *attempted_at = now;
                 attempts.push(syn(connection.number, *from, *to));
             }
@@ -283,17 +285,21 @@
         attempts
     }
 
-    /// The acceptor's process took the connection; gives what waited for that.
-    pub fn established(&mut self, response: &Segment, acceptor_incarnation: u64) -> Vec<Segment> {
+    /// Handles a `SynAck`: the connection is established; returns the segments queued until then.
+    pub fn on_established(
+        &mut self,
+        response: &Segment,
+        acceptor_incarnation: u64,
+    ) -> Vec<Segment> {
         let (from, to) = (response.to, response.from);
-        let keeps_last = self.model.asks_again_after_reset;
+        let keeps_last = self.model.resends_after_reset;
         let Some(connection) = self.connections.get_mut(&(from, to)) else {
             return Vec::new();
         };
         if connection.number != response.connection {
             return Vec::new();
         }
-        let ConnectionState::Opening { waiting, .. } = &mut connection.state else {
+        let ConnectionState::Connecting { waiting, .. } = &mut connection.state else {
             return Vec::new();
         };
         let waiting = std::mem::take(waiting);
@@ -312,10 +318,11 @@
         segments.collect()
     }
 
-    /// A reset came; gives what is to be sent once more.
-    pub fn reset_came(&mut self, reset: &Segment) -> Option<Box<Envelope>> {
+    /// Handles a reset; returns the message to resend.
+    pub fn handle_reset(&mut self, reset: &Segment) -> Option<Box<Envelope>> {
         let model = self.model;
-        // The acceptor is told that the opener's process is gone: it had answered on its connection.
+        // A reset of an accepted connection: the opener's process has ended after the acceptor
+        // responded on it.
         let accepted = (reset.from, reset.to);
         if self.has_number(accepted, reset.connection) {
             self.connections.remove(&accepted);
@@ -327,9 +334,9 @@
         }
         let connection = self.connections.get_mut(&opened)?;
         match &connection.state {
-            // A fresh attempt may find the process started.
-            ConnectionState::Opening { .. } if model.attempt_period.is_some() => None,
-            ConnectionState::Established { .. } if !model.notices_resets => {
+            // A further attempt may find the process running.
+            ConnectionState::Connecting { .. } if model.retry_interval.is_some() => None,
+            ConnectionState::Established { .. } if !model.detects_resets => {
                 connection.state = ConnectionState::Dead;
                 None
             }
@@ -337,8 +344,8 @@
         }
     }
 
-    /// A message was dropped by a cut: the connection does not outlive that.
-    pub fn dropped(&mut self, segment: &Segment) {
+    /// A partition dropped a message: its connection is dead from now on.
+    pub fn on_message_dropped(&mut self, segment: &Segment) {
         for key in [(segment.from, segment.to), (segment.to, segment.from)] {
             if self.has_number(key, segment.connection) {
                 if let Some(connection) = self.connections.get_mut(&key) {
@@ -348,8 +355,8 @@
         }
     }
 
-    /// The resets that a process sends which ends on a machine that lives on.
-    pub fn closing(&self, index: usize) -> Vec<Segment> {
+    /// Returns the resets that the machine of an ending process sends.
+    pub fn resets_on_exit(&self, index: usize) -> Vec<Segment> {
         let accepted = self.connections.iter().filter(|((_, to), connection)| {
             *to == index && matches!(connection.state, ConnectionState::Established { .. })
         });
@@ -379,8 +386,8 @@
     }
 }
 
-/// Lets a message wait for an opening, in the place of an earlier one that it makes needless.
-fn wait(waiting: &mut VecDeque<Box<Envelope>>, envelope: Box<Envelope>) {
+/// Queues a message until the connection is open, replacing an earlier one that it supersedes.
+fn enqueue(waiting: &mut VecDeque<Box<Envelope>>, envelope: Box<Envelope>) {
     let kind = superseding_kind(&envelope);
     let earlier = waiting
         .iter()
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -1,14 +1,15 @@
-//! A day: which deployment, how long, which faults when; read from a file and checked.
+//! Day files: the deployment, the length and the scheduled faults of one simulated run, read and
+//! checked.
 
-use crate::connections::OpeningModel;
-use crate::narrow_link::BackgroundLoad;
-use crate::narrow_link::LinkFill;
+use crate::connections::ConnectionModel;
+use crate::limited_link::BackgroundLoad;
+use crate::limited_link::LinkLoad;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use jzon::JsonValue;
 
-use crate::actors::proxy::BrokenProxy;
+use crate::actors::proxy::ProxyFault;
 use crate::observers::Observers;
 use crate::world::World;
 use caperworks::partition_fallback::BrokenFallback;
@@ -18,121 +19,125 @@
 use runtime::scenario::Scenario;
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum FaultAction {
     Kill,
-    /// A polite stop, as the platform does before it forces one.
+    /// Graceful shutdown, as the platform requests before it kills a process.
     Stop,
     PowerOff,
     Start,
-    Replace,
-    Move,
-    /// An empty node of the same kind joins at a new address.
-    AddAnother,
+    LoseDisk,
+    MoveToNewAddress,
+    /// Adds an empty node of the same kind at a new address.
+    AddNode,
     Freeze,
-    Wake,
-    Leave,
-    /// Another instance, of this service, takes the address over.
-    TakeOver {
+    Unfreeze,
+    Drain,
+    /// Starts an instance of another service at the same address.
+    ReuseAddress {
         service: String,
     },
     LoseResponses(u32),
-    SendGarbage(u32),
-    RefuseRequests(u32),
-    RefuseDisk,
-    MendDisk,
-    CutOff {
+    SendMalformedResponses(u32),
+    RejectRequests(u32),
+    FailDiskWrites,
+    RepairDisk,
+    Partition {
         one_way: bool,
     },
-    /// Nothing gets in here from outside, but out.
-    CutInward,
-    /// Cut off from these places only.
-    CutBetween {
+    /// One-way partition: nothing from outside arrives, but messages still leave.
+    PartitionInbound,
+    /// Partition from these nodes only.
+    PartitionBetween {
         other: String,
     },
-    /// Cut off from the other voters, but not from its followers.
-    Part,
-    /// Hears no votes and no news of maps, but all else.
-    Deafen,
-    /// Whatever goes to or comes from here is late by up to this span, and often doubled.
-    HttpFault {
-        most: Duration,
+    /// Partition from the other voters, but not from the followers.
+    IsolateVoter,
+    /// Consensus messages to the node are dropped; everything else arrives.
+    BlockInboundConsensus,
+    /// Messages to and from the node are delayed by up to `max_delay`, and some are duplicated.
+    DelayAndDuplicate {
+        max_delay: Duration,
         doubled_per_thousand: u64,
     },
-    /// Its link carries so many bytes a second of what controllers send.
-    Narrow {
+    /// Limits the bandwidth of the node's link for messages to and from controllers.
+    LimitBandwidth {
         bytes_per_second: u64,
     },
-    /// Other traffic fills its link both ways.
-    Fill(LinkFill),
-    Join,
+    /// Loads the node's link with background traffic in both directions.
+    LoadLink(LinkLoad),
+    HealNetwork,
     CloseZone,
     OpenZone,
-    /// Lost for good: nothing starts there again.
-    Vanish,
-    /// The wall clock jumps by so many milliseconds.
+    /// Permanent loss: nothing starts on the node again.
+    LosePermanently,
+    /// Shifts the wall clock by this many milliseconds.
     JumpClock(i64),
-    /// Instances take so many times as long for their work.
-    Slow(u32),
-    /// So many more requests a second, all for one key of this service.
+    /// Instances take this many times as long for their work.
+    SlowInstances(u32),
+    /// This many additional requests per second, all for one key of the target service.
     HotKey(u32),
-    /// Clients send so many percent of the day's traffic.
+    /// Clients send this many percent of the day's traffic.
     Surge(u32),
-    /// Hot keys, surges and slowness end.
-    Cool,
+    /// Ends hot keys, surges and slowdowns.
+    EndLoad,
 }
 
-impl Act {
-    /// Whether it is a fault, rather than the end of one.
-    fn is_harm(&self) -> bool {
+impl FaultAction {
+    /// Returns whether this is a fault rather than a recovery.
+    fn is_disruptive(&self) -> bool {
         !matches!(
             self,
-            Act::Start
-                | Act::Join
-                | Act::OpenZone
-                | Act::MendDisk
-                | Act::Wake
-                | Act::Cool
-                | Act::AddAnother
+            FaultAction::Start
+                | FaultAction::HealNetwork
+                | FaultAction::OpenZone
+                | FaultAction::RepairDisk
+                | FaultAction::Unfreeze
+                | FaultAction::EndLoad
+                | FaultAction::AddNode
         )
     }
 
-    /// Acts that strike no single place.
+    /// Returns whether the action applies to no particular node.
     fn is_untargeted(&self) -> bool {
-        matches!(self, Act::Join | Act::Surge(_) | Act::Cool)
+        matches!(
+            self,
+            FaultAction::HealNetwork | FaultAction::Surge(_) | FaultAction::EndLoad
+        )
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct FaultStep {
     pub at: Duration,
-    pub act: Act,
+    pub action: FaultAction,
     pub target: String,
-    /// After it, most traffic must be served again within the brief's fifteen seconds.
-    pub big: bool,
-    /// Keyed traffic cannot be served until it is over: holds lapse without their owner manager.
-    pub keyed_waits: bool,
-    /// Strikes in the instant in which the next change is accepted, and not before `at`.
-    pub on_yes: bool,
+    /// Most traffic must be served again within 15 s after this fault.
+    pub is_major: bool,
+    /// Keyed traffic cannot be served until the fault is over, because leases expire without an
+    /// owner manager.
+    pub blocks_keyed_traffic: bool,
+    /// The fault occurs when the next change is accepted, but not before `at`.
+    pub on_acceptance: bool,
 }
 
-/// What the day's operators want of the core, where it differs from the product's defaults.
+/// Policy settings of the day that differ from the product's defaults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DayPolicy {
-    /// Proxies out of touch go on with what they last knew.
+    /// Proxies without a valid lease go on serving with the last known state.
     pub serves_on: bool,
     pub synced_controllers: Option<usize>,
     pub witness_voters: Option<usize>,
 }
 
 impl DayPolicy {
-    /// The same for a controller.
+    /// Returns the policy for the controllers.
     pub fn core(self) -> CorePolicy {
-        let usual = CorePolicy::default();
+        let defaults = CorePolicy::default();
         CorePolicy {
             proxies_serve_on: self.serves_on,
-            synced_controllers: self.synced_controllers.or(usual.synced_controllers),
-            witness_voters: self.witness_voters.unwrap_or(usual.witness_voters),
-            ..usual
+            synced_controllers: self.synced_controllers.or(defaults.synced_controllers),
+            witness_voters: self.witness_voters.unwrap_or(defaults.witness_voters),
+            ..defaults
         }
     }
 }
@@ -144,103 +149,103 @@
     pub percent: u64,
     pub traffic_from: Duration,
     pub traffic_until: Duration,
-    pub operator_every: Duration,
+    pub operator_interval: Duration,
     pub loss_per_thousand: u64,
-    pub swell: u32,
-    /// How long a sync usually takes at most.
-    pub disk_span: Duration,
-    /// Which part of the requests, in percent, must be served over the whole day.
-    pub served_at_least: u64,
-    /// Which part of each kind of ordinary traffic, in percent, must be served while a hot key, a
+    pub bulk_change_routes: u32,
+    /// Usual upper limit of a disk sync.
+    pub max_sync_time: Duration,
+    /// Minimum percentage of all requests that must be served over the day.
+    pub min_served_percent: u64,
+    /// Minimum percentage of each kind of ordinary traffic that must be served while a hot key, a
     /// surge or a slow instance lasts.
-    pub kept_at_least: u64,
-    /// How late a follower may hold what was accepted, where that is judged.
-    pub most_lag: Option<Duration>,
-    /// For how long its path to the core must have been open before a follower's lag counts.
-    pub lag_after_path: Duration,
-    /// In place of the deployment's own.
+    pub min_kept_percent: u64,
+    /// Maximum time after which a follower must have an accepted version; not checked if unset.
+    pub max_lag: Option<Duration>,
+    /// How long a follower's connection to the controllers must have been up before its lag counts.
+    pub lag_grace: Duration,
+    /// Replaces the deployment's own number.
     pub proxies_per_zone: Option<u32>,
-    /// What the runtime does with connections over narrow links.
-    pub opening: OpeningModel,
+    /// How the runtime handles connections over bandwidth-limited links.
+    pub connection_model: ConnectionModel,
     pub seeds: Vec<u64>,
     pub faults: Vec<FaultStep>,
-    pub broken_controller: FaultInjection,
-    pub broken_proxy: BrokenProxy,
-    pub broken_fallback: BrokenFallback,
+    pub controller_fault: FaultInjection,
+    pub proxy_fault: ProxyFault,
+    pub fallback_fault: BrokenFallback,
     pub policy: DayPolicy,
-    /// Instances heartbeat to the controllers, and not to agents.
+    /// Instances send heartbeats to the controllers instead of to agents.
     pub heartbeats_to_controllers: bool,
-    pub careless_agents: bool,
-    pub careless_instances: bool,
-    /// Only for proving the observers: clocks stand still while a process is frozen.
-    pub clocks_stop_asleep: bool,
-    /// Only for proving the observers: whatever comes in counts as sent just now.
-    pub undated: bool,
-    /// Only for proving the observers: agents do not notice parts of messages.
-    pub unreported_progress: bool,
+    pub agents_ignore_missing_versions: bool,
+    pub instances_skip_checks: bool,
+    /// Only to test the observers: clocks stop while a process is frozen.
+    pub clocks_stop_while_frozen: bool,
+    /// Only to test the observers: every received message counts as sent just now.
+    pub input_counts_as_fresh: bool,
+    /// Only to test the observers: agents ignore the progress of partially received messages.
+    pub agents_ignore_progress: bool,
 }
 
-fn read_act(item: &JsonValue) -> Option<Act> {
+fn read_action(item: &JsonValue) -> Option<FaultAction> {
     let count = item["count"].as_u32().unwrap_or(1);
     Some(match item["act"].as_str()? {
-        "kill" => Act::Kill,
-        "stop" => Act::Stop,
-        "power-off" => Act::PowerOff,
-        "start" => Act::Start,
-        "lose-disk" => Act::Replace,
-        "move" => Act::Move,
-        "add-another" => Act::AddAnother,
-        "freeze" => Act::Freeze,
-        "wake" => Act::Wake,
-        "leave" => Act::Leave,
-        "take-over" => Act::TakeOver {
+        "kill" => FaultAction::Kill,
+        "stop" => FaultAction::Stop,
+        "power-off" => FaultAction::PowerOff,
+        "start" => FaultAction::Start,
+        "lose-disk" => FaultAction::LoseDisk,
+        "move" => FaultAction::MoveToNewAddress,
+        "add-another" => FaultAction::AddNode,
+        "freeze" => FaultAction::Freeze,
+        "wake" => FaultAction::Unfreeze,
+        "leave" => FaultAction::Drain,
+        "take-over" => FaultAction::ReuseAddress {
             service: item["pool"].as_str()?.to_string(),
         },
-        "lose-answers" => Act::LoseResponses(count),
-        "send-garbage" => Act::SendGarbage(count),
-        "refuse-orders" => Act::RefuseRequests(count),
-        "refuse-disk" => Act::RefuseDisk,
-        "mend-disk" => Act::MendDisk,
-        "cut-off" => Act::CutOff { one_way: false },
-        "cut-one-way" => Act::CutOff { one_way: true },
-        "cut-inward" => Act::CutInward,
-        "cut-between" => Act::CutBetween {
+        "lose-answers" => FaultAction::LoseResponses(count),
+        "send-garbage" => FaultAction::SendMalformedResponses(count),
+        "refuse-orders" => FaultAction::RejectRequests(count),
+        "refuse-disk" => FaultAction::FailDiskWrites,
+        "mend-disk" => FaultAction::RepairDisk,
+        "cut-off" => FaultAction::Partition { one_way: false },
+        "cut-one-way" => FaultAction::Partition { one_way: true },
+        "cut-inward" => FaultAction::PartitionInbound,
+        "cut-between" => FaultAction::PartitionBetween {
             other: item["other"].as_str()?.to_string(),
         },
-        "part" => Act::Part,
-        "deafen" => Act::Deafen,
-        "muddle" => Act::HttpFault {
-            most: Duration::from_millis(item["late_ms"].as_u64()?),
+        "part" => FaultAction::IsolateVoter,
+        "deafen" => FaultAction::BlockInboundConsensus,
+        "muddle" => FaultAction::DelayAndDuplicate {
+            max_delay: Duration::from_millis(item["late_ms"].as_u64()?),
             doubled_per_thousand: item["doubled_per_thousand"].as_u64()?,
         },
-        "narrow" => Act::Narrow {
+        "narrow" => FaultAction::LimitBandwidth {
             bytes_per_second: item["bytes_per_second"].as_u64()?,
         },
-        "fill" => Act::Fill(read_fill(item)?),
-        "join" => Act::Join,
-        "vanish" => Act::Vanish,
-        "jump-clock" => Act::JumpClock(item["by_ms"].as_i64()?),
-        "slow" => Act::Slow(count),
-        "hot-key" => Act::HotKey(item["per_second"].as_u32()?),
-        "surge" => Act::Surge(item["percent"].as_u32()?),
-        "cool" => Act::Cool,
-        "close-area" => Act::CloseZone,
-        "open-area" => Act::OpenZone,
+        "fill" => FaultAction::LoadLink(read_link_load(item)?),
+        "join" => FaultAction::HealNetwork,
+        "vanish" => FaultAction::LosePermanently,
+        "jump-clock" => FaultAction::JumpClock(item["by_ms"].as_i64()?),
+        "slow" => FaultAction::SlowInstances(count),
+        "hot-key" => FaultAction::HotKey(item["per_second"].as_u32()?),
+        "surge" => FaultAction::Surge(item["percent"].as_u32()?),
+        "cool" => FaultAction::EndLoad,
+        "close-area" => FaultAction::CloseZone,
+        "open-area" => FaultAction::OpenZone,
         _ => return None,
     })
 }
 
-/// The other traffic of a link; queues are given as the least and the most of their lengths.
-fn read_fill(item: &JsonValue) -> Option<LinkFill> {
+/// Reads the background load of a link; queue lengths are given as minimum and maximum.
+fn read_link_load(item: &JsonValue) -> Option<LinkLoad> {
     let background = item["background_bytes_per_second"].as_u64()?;
     let load = |field: &str| {
-        let span = |index: usize| item[field][index].as_u64().map(Duration::from_millis);
+        let millis = |index: usize| item[field][index].as_u64().map(Duration::from_millis);
         Some(BackgroundLoad {
             bytes_per_second: background,
-            queue: (span(0)?, span(1)?),
+            queue: (millis(0)?, millis(1)?),
         })
     };
-    Some(LinkFill {
+    Some(LinkLoad {
         bytes_per_second: item["bytes_per_second"].as_u64()?,
         inward: load("queue_in_ms")?,
         outward: load("queue_out_ms")?,
@@ -248,19 +253,19 @@
 }
 
 impl Day {
-    /// Reads a day's file; lists every fault in it.
+    /// Reads and checks a day file; on failure returns every fault found in it.
     pub fn read(path: &Path) -> Result<Self, Vec<OptionsFault>> {
         let value = read_json_file(path).map_err(|fault| vec![fault])?;
-        let mut wrong = Vec::new();
+        let mut problems = Vec::new();
         let mut fault = |field: String, remedy: String| {
             let file = path.display().to_string();
-            wrong.push(OptionsFault {
+            problems.push(OptionsFault {
                 file,
                 field,
                 remedy,
             });
         };
-        let known = [
+        let known_fields = [
             "deployment",
             "seconds",
             "percent",
@@ -281,7 +286,7 @@
             "lag_after_path_ms",
             "proxies_per_area",
         ];
-        let known_of_fault = [
+        let known_fault_fields = [
             "at_ms",
             "on_yes_after_ms",
             "act",
@@ -302,19 +307,19 @@
             "other",
         ];
         for (name, _) in value.entries() {
-            if !known.contains(&name) {
+            if !known_fields.contains(&name) {
                 fault(
                     name.to_string(),
                     "is not a known field: remove it".to_string(),
                 );
             }
         }
-        let number = |name: &str, otherwise: u64| value[name].as_u64().unwrap_or(otherwise);
-        let seconds = number("seconds", 40);
+        let number_field = |name: &str, default: u64| value[name].as_u64().unwrap_or(default);
+        let seconds = number_field("seconds", 40);
         let mut faults = Vec::new();
         for (index, item) in value["faults"].members().enumerate() {
             for (name, _) in item.entries() {
-                if !known_of_fault.contains(&name) {
+                if !known_fault_fields.contains(&name) {
                     fault(
                         format!("faults[{index}].{name}"),
                         "is not a known field: remove it".to_string(),
@@ -322,16 +327,16 @@
                 }
             }
             let at = item["at_ms"].as_u64();
-            let on_yes = item["on_yes_after_ms"].as_u64();
-            match (at.or(on_yes), read_act(item)) {
-                (Some(moment), Some(act)) if at.is_none() || on_yes.is_none() => {
+            let on_acceptance = item["on_yes_after_ms"].as_u64();
+            match (at.or(on_acceptance), read_action(item)) {
+                (Some(moment), Some(action)) if at.is_none() || on_acceptance.is_none() => {
                     faults.push(FaultStep {
                         at: Duration::from_millis(moment),
-                        act,
+                        action,
                         target: item["target"].as_str().unwrap_or_default().to_string(),
-                        big: item["big"].as_bool().unwrap_or(false),
-                        keyed_waits: item["keyed_waits"].as_bool().unwrap_or(false),
-                        on_yes: on_yes.is_some(),
+                        is_major: item["big"].as_bool().unwrap_or(false),
+                        blocks_keyed_traffic: item["keyed_waits"].as_bool().unwrap_or(false),
+                        on_acceptance: on_acceptance.is_some(),
                     });
                 }
                 _ => fault(
@@ -361,34 +366,35 @@
             let remedy = "say silent or serve-on, or leave it out".to_string();
             fault("out_of_touch".to_string(), remedy);
         }
-        let deployed = value["deployment"].as_str().unwrap_or("tallowgum");
-        match deployment(deployed) {
+        let deployment_name = value["deployment"].as_str().unwrap_or("tallowgum");
+        match read_deployment(deployment_name) {
             Err(remedy) => fault("deployment".to_string(), remedy),
             Ok(scenario) => {
                 for (index, fault_step) in faults.iter().enumerate() {
-                    if !fault_step.act.is_untargeted() && !is_target(&scenario, &fault_step.target)
+                    if !fault_step.action.is_untargeted()
+                        && !is_known_target(&scenario, &fault_step.target)
                     {
                         fault(
                             format!("faults[{index}].target"),
                             format!(
-                                "{} is no node, program or area of {deployed}",
+                                "{} is no node, program or area of {deployment_name}",
                                 fault_step.target
                             ),
                         );
                     }
-                    if let Act::CutBetween { other } = &fault_step.act {
-                        if !is_target(&scenario, other) {
+                    if let FaultAction::PartitionBetween { other } = &fault_step.action {
+                        if !is_known_target(&scenario, other) {
                             fault(
                                 format!("faults[{index}].other"),
-                                format!("{other} is no node, program or area of {deployed}"),
+                                format!("{other} is no node, program or area of {deployment_name}"),
                             );
                         }
                     }
                 }
             }
         }
-        if !wrong.is_empty() {
-            return Err(wrong);
+        if !problems.is_empty() {
+            return Err(problems);
         }
         Ok(Self {
             deployment: value["deployment"]
@@ -396,74 +402,85 @@
                 .unwrap_or("tallowgum")
                 .to_string(),
             length: Duration::from_secs(seconds),
-            percent: number("percent", 20),
+            percent: number_field("percent", 20),
             traffic_from: Duration::from_secs(6),
             traffic_until: Duration::from_secs(seconds.saturating_sub(4)),
-            operator_every: Duration::from_millis(number("operator_every_ms", 1500)),
-            loss_per_thousand: number("loss_per_thousand", 2),
-            swell: number("swell", 0) as u32,
-            disk_span: Duration::from_millis(number("disk_ms", 4)),
-            served_at_least: number("served_at_least", 50),
-            kept_at_least: number("kept_at_least", 0),
-            most_lag: value["most_lag_ms"].as_u64().map(Duration::from_millis),
-            lag_after_path: Duration::from_millis(number("lag_after_path_ms", 0)),
+            operator_interval: Duration::from_millis(number_field("operator_every_ms", 1500)),
+            loss_per_thousand: number_field("loss_per_thousand", 2),
+            bulk_change_routes: number_field("swell", 0) as u32,
+            max_sync_time: Duration::from_millis(number_field("disk_ms", 4)),
+            min_served_percent: number_field("served_at_least", 50),
+            min_kept_percent: number_field("kept_at_least", 0),
+            max_lag: value["most_lag_ms"].as_u64().map(Duration::from_millis),
+            lag_grace: Duration::from_millis(number_field("lag_after_path_ms", 0)),
             proxies_per_zone: value["proxies_per_area"].as_u32(),
-            opening: OpeningModel::default(),
+            connection_model: ConnectionModel::default(),
             seeds,
             faults,
-            broken_controller: FaultInjection::None,
-            broken_proxy: BrokenProxy::Nothing,
-            broken_fallback: BrokenFallback::Nothing,
+            controller_fault: FaultInjection::None,
+            proxy_fault: ProxyFault::NoFault,
+            fallback_fault: BrokenFallback::Nothing,
             policy: DayPolicy {
                 serves_on: value["out_of_touch"] == "serve-on",
                 synced_controllers: value["synced_ledgers"].as_usize(),
                 witness_voters: value["witness_seats"].as_usize(),
             },
             heartbeats_to_controllers: value["heartbeats_to"] == "controllers",
-            careless_agents: false,
-            careless_instances: false,
-            clocks_stop_asleep: false,
-            undated: false,
-            unreported_progress: false,
+            agents_ignore_missing_versions: false,
+            instances_skip_checks: false,
+            clocks_stop_while_frozen: false,
+            input_counts_as_fresh: false,
+            agents_ignore_progress: false,
         })
     }
 
-    /// What is wrong with a run of this day; empty when it was good.
+    /// Returns the problems of a run of this day; empty if it passed.
     ///
-    /// Why more than the breaches: a run in which nothing was served or accepted proves nothing.
-    pub fn judge(&self, observers: &Observers) -> Vec<String> {
+    /// Besides violations, a run must have served requests and accepted changes: otherwise it
+    /// proves nothing.
+    pub fn check_run(&self, observers: &Observers) -> Vec<String> {
         let tally = &observers.tally;
-        let mut wrong: Vec<String> = observers
-            .breaches
+        let mut problems: Vec<String> = observers
+            .violations
             .iter()
-            .map(|breach| format!("{:?} at {:?}: {}", breach.line, breach.at, breach.what))
+            .map(|violation| {
+                format!(
+                    "{:?} at {:?}: {}",
+                    violation.invariant, violation.at, violation.what
+                )
+            })
             .collect();
-        if tally.served * 100 < tally.sent * self.served_at_least {
-            wrong.push(format!("only {} of {} served", tally.served, tally.sent));
+        if tally.served * 100 < tally.sent * self.min_served_percent {
+            problems.push(format!("only {} of {} served", tally.served, tally.sent));
         }
         if tally.accepted == 0 || tally.reads == 0 {
-            wrong.push("no change was accepted, or nothing was read".to_string());
+            problems.push("no change was accepted, or nothing was read".to_string());
         }
-        wrong
+        problems
     }
 
-    /// When the next fault after a moment strikes, or the day ends.
-    pub fn next_harm(&self, after: Duration) -> Duration {
+    /// Returns when the next disruptive fault after a moment occurs, or the end of the day.
+    pub fn next_disruption(&self, after: Duration) -> Duration {
         self.faults
             .iter()
-            .filter(|fault_step| fault_step.at > after && fault_step.act.is_harm())
+            .filter(|fault_step| fault_step.at > after && fault_step.action.is_disruptive())
             .map(|fault_step| fault_step.at)
             .min()
             .unwrap_or(self.length)
     }
 
-    /// Whether links are narrow or full at some time of the day.
-    pub fn narrows_links(&self) -> bool {
-        let narrows = |fault: &FaultStep| matches!(fault.act, Act::Narrow { .. } | Act::Fill(_));
-        self.faults.iter().any(narrows)
+    /// Returns whether links are bandwidth-limited or loaded at some time of the day.
+    pub fn limits_links(&self) -> bool {
+        let limits = |fault: &FaultStep| {
+            matches!(
+                fault.action,
+                FaultAction::LimitBandwidth { .. } | FaultAction::LoadLink(_)
+            )
+        };
+        self.faults.iter().any(limits)
     }
 
-    /// Plays the day with one seed.
+    /// Runs the day with one seed.
     pub fn play(&self, scenario: &Scenario, seed: u64) -> Observers {
         let mut scenario = scenario.clone();
         if let Some(proxies_per_zone) = self.proxies_per_zone {
@@ -475,8 +492,8 @@
     }
 }
 
-/// Whether a fault's target names something in a fleet of this scenario.
-fn is_target(scenario: &Scenario, target: &str) -> bool {
+/// Returns whether a fault's target exists in a deployment of this scenario.
+fn is_known_target(scenario: &Scenario, target: &str) -> bool {
     let name = target.strip_prefix("any-").unwrap_or(target);
     let programs = [
         "controller",
@@ -489,20 +506,20 @@
         "knowing",
         "unknowing",
     ];
-    let parts = name.split('-').next().unwrap_or_default();
-    programs.contains(&parts)
+    let program = name.split('-').next().unwrap_or_default();
+    programs.contains(&program)
         || scenario
             .services
             .iter()
-            .any(|service| service.name == parts)
+            .any(|service| service.name == program)
         || scenario
             .zones
             .iter()
             .any(|(zone, region)| zone == name || region == name)
 }
 
-/// The scenario file of a deployment, from the workspace's own folder.
-pub fn deployment(name: &str) -> Result<Scenario, String> {
+/// Reads the scenario file of a deployment from the workspace.
+pub fn read_deployment(name: &str) -> Result<Scenario, String> {
     let path = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios"))
         .join(format!("{name}.json"));
     Scenario::read(&path).map_err(|faults| {
--- a/crates/simulator/src/disks.rs
+++ b/crates/simulator/src/disks.rs
@@ -1,19 +1,19 @@
-//! The simulated disks: unsynced writes, and writes cut off by a loss of power.
+//! Simulated disks: unsynced writes, and writes torn by a power loss.
 
 use std::collections::VecDeque;
 
 use caperworks::identifiers::Chance;
 use caperworks::slots::{DiskImage, DiskWrite};
 
-/// One controller's disk: what is synced, and what is written but not synced.
+/// The disk of one controller: its synced content and the writes that are not synced yet.
 #[derive(Debug, Clone, Default)]
 pub struct SimDisk {
     pub synced: DiskImage,
     pub unsynced: VecDeque<(u64, Vec<DiskWrite>)>,
-    pub refuses: bool,
+    pub fails_writes: bool,
 }
 
-fn lay(bytes: &mut Vec<u8>, offset: usize, part: &[u8]) {
+fn write_at(bytes: &mut Vec<u8>, offset: usize, part: &[u8]) {
     if bytes.len() < offset + part.len() {
         bytes.resize(offset + part.len(), 0);
     }
@@ -21,22 +21,22 @@
 }
 
 impl SimDisk {
-    fn carry_out(&mut self, write: &DiskWrite, length: usize) {
+    fn apply_write(&mut self, write: &DiskWrite, length: usize) {
         match write {
             DiskWrite::Slot { second, bytes } => {
-                lay(
+                write_at(
                     &mut self.synced.slots[usize::from(*second)],
                     0,
                     &bytes[..length],
                 );
             }
             DiskWrite::Log { offset, bytes } => {
-                lay(&mut self.synced.log, *offset as usize, &bytes[..length]);
+                write_at(&mut self.synced.log, *offset as usize, &bytes[..length]);
             }
         }
     }
 
-    /// Syncs everything up to a ticket.
+    /// Syncs all writes up to a ticket.
     pub fn sync(&mut self, ticket: u64) {
         while self
             .unsynced
@@ -46,31 +46,31 @@
             if let Some((_, writes)) = self.unsynced.pop_front() {
                 for write in writes {
                     let length = write_length(&write);
-                    self.carry_out(&write, length);
+                    self.apply_write(&write, length);
                 }
             }
         }
     }
 
-    /// The process ended but the machine did not: all that was written is kept.
-    pub fn process_ended(&mut self) {
+    /// The process ended while the machine goes on running: all writes are kept.
+    pub fn on_process_exit(&mut self) {
         self.sync(u64::MAX);
     }
 
-    /// The power went: a part of what was not synced may be there, cut off anywhere.
-    pub fn power_lost(&mut self, chance: &mut Chance) {
+    /// The power was lost: a prefix of the unsynced writes is kept, the last of them possibly torn.
+    pub fn on_power_loss(&mut self, random: &mut Chance) {
         let writes: Vec<DiskWrite> = self
             .unsynced
             .drain(..)
             .flat_map(|(_, writes)| writes)
             .collect();
-        let kept = chance.below(writes.len() as u64 + 1) as usize;
+        let kept = random.below(writes.len() as u64 + 1) as usize;
         for (index, write) in writes.iter().enumerate() {
             if index < kept {
-                self.carry_out(write, write_length(write));
+                self.apply_write(write, write_length(write));
             } else if index == kept {
-                let cut = chance.below(write_length(write) as u64 + 1) as usize;
-                self.carry_out(write, cut);
+                let kept_bytes = random.below(write_length(write) as u64 + 1) as usize;
+                self.apply_write(write, kept_bytes);
             }
         }
     }
--- a/crates/simulator/src/narrow_link.rs
+++ b/crates/simulator/src/limited_link.rs
@@ -1,4 +1,5 @@
-//! A narrow link: control messages to and from a node wait their turn, and come in parts.
+//! A bandwidth-limited link: control messages to and from a node are queued and transmitted in
+//! parts.
 
 use crate::connections::is_superseding;
 use crate::connections::Segment;
@@ -7,64 +8,66 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How often a narrow link carries something on.
+/// Interval in which a bandwidth-limited link transmits.
 pub const LINK_STEP: Duration = Duration::from_millis(25);
-/// For how long a queue of other traffic keeps its length.
-const QUEUE_PERIOD: Duration = Duration::from_millis(500);
-/// What a network carries in one go.
-const PROGRESS_BYTES: f64 = 1460.0;
-/// A message that takes longer from its first byte to its last counts as slow, as in the runtime.
+/// How long the queue of background traffic keeps its length.
+const QUEUE_REDRAW_INTERVAL: Duration = Duration::from_millis(500);
+/// Payload of one network segment.
+const MAX_SEGMENT_BYTES: f64 = 1460.0;
+/// A message that takes longer than this from its first byte to its last is slow, as in the
+/// runtime.
 const SLOW_MESSAGE: Duration = Duration::from_millis(400);
 
-/// A segment that is still to be carried, or the rest of one.
+/// A queued segment, possibly transmitted in part.
 #[derive(Debug, Clone)]
-struct Waiting {
+struct QueuedSegment {
     segment: Segment,
     bytes: f64,
     carried: f64,
-    /// When the other traffic has left that stood before it.
-    turn_at: Duration,
+    /// When the background traffic queued in front of it has been transmitted.
+    ready_at: Duration,
     began_at: Option<Duration>,
     reported_progress: u64,
 }
 
-/// What comes out of a link.
+/// Output of a link.
 #[derive(Debug, Clone)]
-pub enum FromLink {
-    Snapshot(Segment),
-    /// Bytes of a message that began to come a while ago and is not whole yet.
-    Part,
+pub enum LinkOutput {
+    Complete(Segment),
+    /// More bytes of a slow message arrived, but it is not complete yet.
+    Progress,
 }
 
-/// Requests and their answers on a link, as far as control messages feel them.
+/// Load by requests and their responses, as far as it affects control messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct BackgroundLoad {
     pub bytes_per_second: u64,
-    /// How long the queue is in front of whatever comes to the link: at least, and at most.
+    /// Minimum and maximum delay by the queue in front of each new segment.
     pub queue: (Duration, Duration),
 }
 
-/// One way over a link.
+/// One direction of a link.
 #[derive(Debug, Clone, Default)]
 pub struct LinkDirection {
-    /// None where there is room for all.
+    /// Unlimited if `None`.
     pub bytes_per_second: Option<u64>,
     pub background: BackgroundLoad,
     queue: Duration,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<QueuedSegment>,
 }
 
 impl LinkDirection {
-    /// Whether what comes now leaves at once.
+    /// Returns whether a segment would be transmitted at once.
     pub fn is_free(&self) -> bool {
         self.bytes_per_second.is_none() && self.queue.is_zero() && self.waiting.is_empty()
     }
 
-    /// Adds a segment; a grant takes the place of an earlier one of the same controller that has not begun
-    /// to be carried, as in the runtime's queues. Behind a queue of other traffic it has left that queue.
+    /// Queues a segment. A grant replaces an earlier one of the same controller whose transmission
+    /// has not started, as in the runtime's queues. It does not if it waits behind background
+    /// traffic, because by then it has left the runtime's queue.
     pub fn add(&mut self, now: Duration, segment: Segment) {
-        let last_turn = self.waiting.back().map(|last| last.turn_at);
-        let turn_at = (now + self.queue).max(last_turn.unwrap_or_default());
+        let last_turn = self.waiting.back().map(|last| last.ready_at);
+        let ready_at = (now + self.queue).max(last_turn.unwrap_or_default());
         let is_grant = |segment: &Segment| match &segment.kind {
             SegmentKind::Message { envelope } => is_superseding(envelope),
             _ => false,
@@ -75,10 +78,10 @@
                 && waiting.began_at.is_none()
                 && is_grant(&waiting.segment)
         });
-        let added = Waiting {
+        let added = QueuedSegment {
             bytes: segment.bytes(),
             carried: 0.0,
-            turn_at,
+            ready_at,
             began_at: None,
             reported_progress: 0,
             segment,
@@ -89,20 +92,20 @@
         }
     }
 
-    /// Carries as much as one step allows.
-    pub fn carry(&mut self, now: Duration) -> Vec<FromLink> {
+    /// Transmits as much as one step allows.
+    pub fn advance(&mut self, now: Duration) -> Vec<LinkOutput> {
         let left_over = self
             .bytes_per_second
             .map(|all| all.saturating_sub(self.background.bytes_per_second));
         let mut budget = left_over.map_or(f64::INFINITY, |left_over| {
             left_over as f64 * LINK_STEP.as_secs_f64()
         });
-        let mut come = Vec::new();
+        let mut output = Vec::new();
         while budget > 0.0 {
             let Some(first) = self.waiting.front_mut() else {
                 break;
             };
-            if first.turn_at > now {
+            if first.ready_at > now {
                 break;
             }
             let began_at = *first.began_at.get_or_insert(now);
@@ -110,59 +113,59 @@
             first.carried += carried;
             budget -= carried;
             if first.carried < first.bytes {
-                let parts = (first.carried / PROGRESS_BYTES) as u64;
+                let parts = (first.carried / MAX_SEGMENT_BYTES) as u64;
                 let is_slow = now.saturating_sub(began_at) >= SLOW_MESSAGE;
                 if is_slow && parts > first.reported_progress {
-                    come.push(FromLink::Part);
+                    output.push(LinkOutput::Progress);
                 }
                 first.reported_progress = parts;
-            } else if let Some(whole) = self.waiting.pop_front() {
-                come.push(FromLink::Snapshot(whole.segment));
+            } else if let Some(done) = self.waiting.pop_front() {
+                output.push(LinkOutput::Complete(done.segment));
             }
         }
-        come
+        output
     }
 }
 
-/// The link of one node, as far as control messages go over it.
+/// The link of one node for control messages.
 #[derive(Debug, Clone, Default)]
-pub struct NarrowLink {
+pub struct LimitedLink {
     pub inward: LinkDirection,
     pub outward: LinkDirection,
-    queues_drawn_at: Option<Duration>,
+    queues_redrawn_at: Option<Duration>,
 }
 
-impl NarrowLink {
-    /// Draws the lengths of the queues of other traffic anew, if it is time.
-    pub fn draw_queues(&mut self, now: Duration, chance: &mut Chance) {
-        let drawn_at = self.queues_drawn_at;
-        if drawn_at.is_some_and(|drawn_at| now.saturating_sub(drawn_at) < QUEUE_PERIOD) {
+impl LimitedLink {
+    /// Redraws the queue lengths of background traffic, if it is time.
+    pub fn redraw_queues(&mut self, now: Duration, random: &mut Chance) {
+        let drawn_at = self.queues_redrawn_at;
+        if drawn_at.is_some_and(|drawn_at| now.saturating_sub(drawn_at) < QUEUE_REDRAW_INTERVAL) {
             return;
         }
-        self.queues_drawn_at = Some(now);
+        self.queues_redrawn_at = Some(now);
         for direction in [&mut self.inward, &mut self.outward] {
-            let (least, most) = direction.background.queue;
-            direction.queue = match least < most {
-                true => chance.between(least, most),
-                false => least,
+            let (min_delay, max_delay) = direction.background.queue;
+            direction.queue = match min_delay < max_delay {
+                true => random.between(min_delay, max_delay),
+                false => min_delay,
             };
         }
     }
 
-    /// Gives the link other traffic, from now on.
-    pub fn fill(&mut self, fill: &LinkFill) {
+    /// Sets the bandwidth and background traffic from now on.
+    pub fn apply_load(&mut self, link_load: &LinkLoad) {
         for direction in [&mut self.inward, &mut self.outward] {
-            direction.bytes_per_second = Some(fill.bytes_per_second);
+            direction.bytes_per_second = Some(link_load.bytes_per_second);
         }
-        self.inward.background = fill.inward;
-        self.outward.background = fill.outward;
-        self.queues_drawn_at = None;
+        self.inward.background = link_load.inward;
+        self.outward.background = link_load.outward;
+        self.queues_redrawn_at = None;
     }
 }
 
-/// The bandwidth of a link, and the other traffic on it.
+/// Bandwidth of a link, and the background traffic on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LinkFill {
+pub struct LinkLoad {
     pub bytes_per_second: u64,
     pub inward: BackgroundLoad,
     pub outward: BackgroundLoad,
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,25 +1,25 @@
-//! The simulated network: delay, loss, cuts and narrow links.
+//! The simulated network: delay, loss, partitions and bandwidth-limited links.
 
 use crate::connections::Connections;
-use crate::narrow_link::LinkFill;
+use crate::limited_link::LinkLoad;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::narrow_link::NarrowLink;
+use crate::limited_link::LimitedLink;
 use caperworks::messages::Message;
 
-/// Which way a cut goes: from one set of places to another.
+/// A one-way partition: nothing gets from one set of nodes to the other.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Cut {
+pub struct Partition {
     pub from: BTreeSet<usize>,
     pub to: BTreeSet<usize>,
 }
 
-/// Places whose messages are late, out of order and doubled.
+/// Nodes whose messages are delayed, reordered and duplicated.
 #[derive(Debug, Clone)]
-pub struct HttpFault {
+pub struct MessageFault {
     pub places: BTreeSet<usize>,
-    pub most: Duration,
+    pub max_delay: Duration,
     pub doubled_per_thousand: u64,
 }
 
@@ -29,58 +29,63 @@
     pub same_region: Duration,
     pub other_region: Duration,
     pub loss_per_thousand: u64,
-    pub cuts: Vec<Cut>,
-    /// Nodes that hear everything but votes and news of maps, as when one way is stuck.
-    pub deaf: BTreeSet<usize>,
-    /// Controllers that neither hear nor reach the other voters, but still grant to their followers.
-    pub parted: BTreeSet<usize>,
-    pub http_faults: Vec<HttpFault>,
-    pub narrow_links: BTreeMap<usize, NarrowLink>,
-    /// The connections of nodes that talk over narrow links.
+    pub partitions: Vec<Partition>,
+    /// Nodes that receive everything but consensus messages, as when one direction is stuck.
+    pub inbound_consensus_blocked: BTreeSet<usize>,
+    /// Controllers that exchange no messages with the other voters, but still send grants to their
+    /// followers.
+    pub isolated_voters: BTreeSet<usize>,
+    pub message_faults: Vec<MessageFault>,
+    pub limited_links: BTreeMap<usize, LimitedLink>,
+    /// The connections of nodes that use bandwidth-limited links.
     pub connections: Connections,
 }
 
 impl Network {
-    /// Cuts the way from some places to others.
-    pub fn cut(&mut self, from: &BTreeSet<usize>, to: &BTreeSet<usize>) {
+    /// Blocks messages from one set of nodes to the other.
+    pub fn block(&mut self, from: &BTreeSet<usize>, to: &BTreeSet<usize>) {
         let (from, to) = (from.clone(), to.clone());
-        self.cuts.push(Cut { from, to });
+        self.partitions.push(Partition { from, to });
     }
 
-    /// Ends all cuts and faults.
-    pub fn join(&mut self) {
-        self.cuts.clear();
-        self.deaf.clear();
-        self.parted.clear();
-        self.http_faults.clear();
+    /// Ends all partitions and message faults.
+    pub fn heal(&mut self) {
+        self.partitions.clear();
+        self.inbound_consensus_blocked.clear();
+        self.isolated_voters.clear();
+        self.message_faults.clear();
     }
 
-    pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cuts
+    pub fn is_blocked(&self, from: usize, to: usize) -> bool {
+        self.partitions
             .iter()
-            .any(|cut| cut.from.contains(&from) && cut.to.contains(&to))
+            .any(|partition| partition.from.contains(&from) && partition.to.contains(&to))
     }
 
-    /// From now on a place's link carries so much of what controllers send.
-    pub fn narrow(&mut self, index: usize, bytes_per_second: u64) {
-        let link = self.narrow_links.entry(index).or_default();
+    /// Limits the bandwidth of a node's link for inbound messages from now on.
+    pub fn limit_bandwidth(&mut self, index: usize, bytes_per_second: u64) {
+        let link = self.limited_links.entry(index).or_default();
         link.inward.bytes_per_second = Some(bytes_per_second);
     }
 
-    /// From now on a place's link has so much other traffic each way.
-    pub fn fill(&mut self, index: usize, fill: &LinkFill) {
-        self.narrow_links.entry(index).or_default().fill(fill);
+    /// Sets the background load of a node's link in both directions.
+    pub fn apply_load(&mut self, index: usize, link_load: &LinkLoad) {
+        self.limited_links
+            .entry(index)
+            .or_default()
+            .apply_load(link_load);
     }
 
-    /// The fault on the way between two places, if there is one.
-    pub fn http_fault(&self, from: usize, to: usize) -> Option<&HttpFault> {
-        self.http_faults
-            .iter()
-            .find(|http_fault| http_fault.places.contains(&from) || http_fault.places.contains(&to))
+    /// Returns the message fault between two nodes, if there is one.
+    pub fn message_fault(&self, from: usize, to: usize) -> Option<&MessageFault> {
+        self.message_faults.iter().find(|message_fault| {
+            message_fault.places.contains(&from) || message_fault.places.contains(&to)
+        })
     }
 
-    /// Whether a message of the voters does not get through, since one of them is parted from the others or deaf.
-    pub fn delays(&self, from: usize, to: usize, message: &Message) -> bool {
+    /// Returns whether a message between voters is dropped because one of them is isolated or its
+    /// inbound consensus messages are blocked.
+    pub fn drops_message(&self, from: usize, to: usize, message: &Message) -> bool {
         let vote = matches!(message, Message::ConsensusMessage { .. });
         let consensus = vote
             || matches!(
@@ -91,7 +96,8 @@
                     | Message::ConfirmFact { .. }
                     | Message::FactConfirmed { .. }
             );
-        let parted = from != to && (self.parted.contains(&from) || self.parted.contains(&to));
-        (vote && self.deaf.contains(&to)) || (consensus && parted)
+        let is_isolated = from != to
+            && (self.isolated_voters.contains(&from) || self.isolated_voters.contains(&to));
+        (vote && self.inbound_consensus_blocked.contains(&to)) || (consensus && is_isolated)
     }
 }
--- a/crates/simulator/src/observers/attempts.rs
+++ b/crates/simulator/src/observers/attempts.rs
@@ -1,9 +1,9 @@
-//! Attempts: where requests may be sent, and how often.
+//! Checks of attempts: where requests may be sent, and how many retries are allowed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::observers::lines::Line;
+use crate::observers::invariants::Invariant;
 use crate::observers::reads::CONFIGURATION_LIMIT;
 use crate::observers::Observers;
 use caperworks::facts::Heartbeat;
@@ -12,72 +12,72 @@
 
 pub const DRAINING_LIMIT: Duration = Duration::from_millis(4000);
 
-pub const CLOSED_LIMIT: Duration = Duration::from_millis(5000);
+pub const CLOSED_ZONE_LIMIT: Duration = Duration::from_millis(5000);
 
-const RETRY_FEW_DOZEN: u64 = 36;
+const RETRY_ALLOWANCE: u64 = 36;
 
-/// The attempts at a service of the last ten seconds, and how many of them were further ones.
+/// The attempts at a service within the last ten seconds, and how many of them were retries.
 #[derive(Default)]
 pub(crate) struct ServiceAttempts {
     window: VecDeque<(Duration, bool)>,
-    further: u64,
+    retries: u64,
 }
 
-/// What an instance was sent, as seen when it got there.
-pub struct Reached<'order> {
+/// A request as it arrived at an instance.
+pub struct Reached<'world> {
     pub request: u64,
-    pub instance: &'order Heartbeat,
-    pub cold: bool,
-    pub service: &'order Service,
-    pub route: &'order Route,
-    pub region: &'order Region,
-    pub proxy_zone: &'order Zone,
-    pub proxy_region: &'order Region,
+    pub instance: &'world Heartbeat,
+    pub is_warming_up: bool,
+    pub service: &'world Service,
+    pub route: &'world Route,
+    pub region: &'world Region,
+    pub proxy_zone: &'world Zone,
+    pub proxy_region: &'world Region,
     pub configuration: Version,
-    /// Whether the proxy has to follow the core in time. One that serves on need not while it is out
-    /// of touch; one that falls silent always has to.
-    pub follows: bool,
+    /// Whether the proxy has to apply updates in time. A proxy that serves stale is exempt while it
+    /// is disconnected; one that stops without a valid lease is never exempt.
+    pub must_follow: bool,
 }
 
 impl Observers {
-    /// A controller heard that an instance is leaving.
-    pub fn heard_draining(&mut self, at: Duration, heartbeat: &Heartbeat) {
+    /// Records that a controller received a heartbeat of a draining instance.
+    pub fn draining_received(&mut self, at: Duration, heartbeat: &Heartbeat) {
         self.draining
             .entry((heartbeat.id.clone(), heartbeat.incarnation))
             .or_insert(at);
     }
 
-    /// A zone was asked to be opened: from here on a request there is no breach.
-    pub fn opening(&mut self, zone: &Zone) {
+    /// Records that a zone's reopening was requested: requests in it are allowed from now on.
+    pub fn zone_reopened(&mut self, zone: &Zone) {
         self.closed.remove(zone);
     }
 
-    /// A proxy sent an attempt; there must not be too many further ones.
-    pub fn attempt(&mut self, at: Duration, service: &ServiceName, further: bool) {
+    /// Records an attempt of a proxy and checks the share of retries.
+    pub fn attempt(&mut self, at: Duration, service: &ServiceName, is_retry: bool) {
         self.tally.attempts += 1;
-        self.tally.retries += u64::from(further);
+        self.tally.retries += u64::from(is_retry);
         let attempts = self.service_attempts.entry(service.clone()).or_default();
-        attempts.window.push_back((at, further));
-        attempts.further += u64::from(further);
-        while let Some((first, further)) = attempts.window.front().copied() {
+        attempts.window.push_back((at, is_retry));
+        attempts.retries += u64::from(is_retry);
+        while let Some((first, is_retry)) = attempts.window.front().copied() {
             if at.saturating_sub(first) <= Duration::from_secs(10) {
                 break;
             }
             attempts.window.pop_front();
-            attempts.further -= u64::from(further);
+            attempts.retries -= u64::from(is_retry);
         }
-        let further = attempts.further;
-        let first = attempts.window.len() as u64 - further;
-        if further > first / 5 + RETRY_FEW_DOZEN {
+        let retries = attempts.retries;
+        let first = attempts.window.len() as u64 - retries;
+        if retries > first / 5 + RETRY_ALLOWANCE {
             let what =
-                format!("service {service}: {further} retries to {first} first attempts in 10 s");
-            self.breach(Line::TooManyRetries, at, what);
+                format!("service {service}: {retries} retries to {first} first attempts in 10 s");
+            self.record_violation(Invariant::TooManyRetries, at, what);
         }
     }
 
-    /// A request reached an instance; it must be one that it may reach.
+    /// Checks a request that has arrived at an instance.
     pub fn reached(&mut self, at: Duration, reached: &Reached<'_>) {
-        if reached.follows {
+        if reached.must_follow {
             self.check_draining(at, reached);
             self.check_configuration(at, reached);
             self.check_closed(at, reached);
@@ -85,7 +85,7 @@
         self.check_home(at, reached);
         self.tally.cross_zone += u64::from(reached.instance.zone != *reached.proxy_zone);
         self.tally.cross_region += u64::from(reached.region != reached.proxy_region);
-        if reached.cold {
+        if reached.is_warming_up {
             self.check_slow_start(at, reached);
         }
     }
@@ -99,7 +99,7 @@
                     "request {} reached leaving {}",
                     reached.request, heartbeat.id
                 );
-                self.breach(Line::ReachedLeaving, at, what);
+                self.record_violation(Invariant::ReachedLeaving, at, what);
             }
         }
     }
@@ -117,16 +117,16 @@
                 "request {} went under version {}, {} was accepted long before",
                 reached.request, reached.configuration, self.due_version
             );
-            self.breach(Line::OldConfiguration, at, what);
+            self.record_violation(Invariant::OldConfiguration, at, what);
         }
     }
 
     fn check_closed(&mut self, at: Duration, reached: &Reached<'_>) {
         for zone in [&reached.instance.zone, reached.proxy_zone] {
             if let Some(since) = self.closed.get(zone) {
-                if at.saturating_sub(*since) > CLOSED_LIMIT {
+                if at.saturating_sub(*since) > CLOSED_ZONE_LIMIT {
                     let what = format!("request {} in closed zone {zone}", reached.request);
-                    self.breach(Line::ClosedZone, at, what);
+                    self.record_violation(Invariant::ClosedZone, at, what);
                 }
             }
         }
@@ -134,13 +134,13 @@
 
     fn check_home(&mut self, at: Duration, reached: &Reached<'_>) {
         let homes = &reached.route.homes;
-        let at_home = |region: &Region| homes.is_empty() || homes.contains(region);
-        if !at_home(reached.region) || !at_home(reached.proxy_region) {
+        let is_allowed = |region: &Region| homes.is_empty() || homes.contains(region);
+        if !is_allowed(reached.region) || !is_allowed(reached.proxy_region) {
             let what = format!(
                 "request {} at {} in {}",
                 reached.request, reached.instance.id, reached.region
             );
-            self.breach(Line::LeftHome, at, what);
+            self.record_violation(Invariant::LeftHome, at, what);
         }
     }
 
@@ -158,7 +158,7 @@
         let limit = (reached.service.slow_start_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
         if window.len() > limit {
             let what = format!("{} got {} requests in 3 s", heartbeat.id, window.len());
-            self.breach(Line::ColdFlooded, at, what);
+            self.record_violation(Invariant::ColdFlooded, at, what);
         }
     }
 }
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -1,8 +1,8 @@
-//! Changes: what was accepted is kept, whole, and what was refused has no effect.
+//! Checks of changes: accepted ones are kept completely, and rejected ones have no effect.
 
 use std::time::Duration;
 
-use crate::observers::lines::Line;
+use crate::observers::invariants::Invariant;
 use crate::observers::Observers;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{ChangeId, Version, Zone};
@@ -18,7 +18,7 @@
 }
 
 impl Observers {
-    /// An operator proposes a change set.
+    /// Records a change set that an operator proposes.
     pub fn proposed(&mut self, change: &Change) {
         let known = self.proposed.entry(change.id.clone()).or_default();
         if !known.contains(change) {
@@ -33,7 +33,7 @@
         self.calls.entry(change.id.clone()).or_default().0 += 1;
     }
 
-    /// An operator was told what became of a change set.
+    /// Records the outcome that an operator received for a change set.
     pub fn proposal_outcome(
         &mut self,
         at: Duration,
@@ -74,7 +74,7 @@
                 "{} at {version}, but {} at {}",
                 change.id, known.id, known.version
             );
-            self.breach(Line::ForkedMap, at, what);
+            self.record_violation(Invariant::ForkedMap, at, what);
         }
         if self.accepted.iter().any(|known| known.id == change.id) {
             return;
@@ -99,20 +99,20 @@
         });
     }
 
-    /// The highest version that was told yes.
+    /// Returns the highest accepted version.
     pub fn last_accepted(&self) -> Version {
         let versions = self.accepted.iter().map(|accepted| accepted.version);
         versions.max().unwrap_or_default()
     }
 
-    /// Looks through what is new in a controller's configuration: nothing of a change set that was
-    /// refused may be there.
-    pub fn held_map(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
-        let known = self.looked_through.get(name).copied().unwrap_or_default();
+    /// Checks the new items of a controller's configuration: none may come from a change set that
+    /// was rejected.
+    pub fn check_map(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
+        let known = self.checked_versions.get(name).copied().unwrap_or_default();
         if map.version <= known {
             return;
         }
-        self.looked_through.insert(name.to_string(), map.version);
+        self.checked_versions.insert(name.to_string(), map.version);
         let strays: Vec<String> = map
             .items
             .iter()
@@ -128,12 +128,13 @@
             .collect();
         for key in strays {
             let what = format!("{name} holds {key} of a change set that was refused");
-            self.breach(Line::PartiallyApplied, at, what);
+            self.record_violation(Invariant::PartiallyApplied, at, what);
         }
     }
 
-    /// At day's end: every accepted change must be in the map, whole, and nothing refused.
-    pub fn read_back(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
+    /// Checks a map at the end of the day: it contains every accepted change completely, and no
+    /// rejected one.
+    pub fn check_final_state(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         self.check_accepted(at, name, map);
         self.replay(at, name, map);
     }
@@ -144,7 +145,7 @@
                 .answered
                 .iter()
                 .find(|answered| answered.id == accepted.id);
-            // Why the count: a map forgets the oldest change ids.
+            // A map keeps only the most recent change ids.
             let forgotten = map.version.0 > accepted.version.0 + REMEMBERED_CHANGES as u64 - 1;
             let good = found.is_some_and(|answered| answered.version == accepted.version);
             if !good && !forgotten {
@@ -152,12 +153,12 @@
                     "{name} lacks {} of version {}",
                     accepted.id, accepted.version
                 );
-                self.breach(Line::LostChange, at, what);
+                self.record_violation(Invariant::LostChange, at, what);
             }
         }
     }
 
-    /// Applies all changes that a map remembers anew; the same must come of it.
+    /// Replays all changes that a map remembers; the result must equal the map.
     fn replay(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         let mut replayed = ReplicatedMap::empty();
         for answered in &map.answered {
@@ -169,24 +170,25 @@
             let Some(change) = change.cloned() else {
                 return;
             };
-            // Why all calls: one that was refused says nothing of another that was accepted.
+            // All calls are counted, since a rejected call does not mean that another call of the
+            // same change was not accepted.
             let calls = self.calls.get(&answered.id).copied().unwrap_or_default();
             if calls.0 == calls.1 {
-                self.breach(
-                    Line::PartiallyApplied,
+                self.record_violation(
+                    Invariant::PartiallyApplied,
                     at,
                     format!("{name} holds refused {}", answered.id),
                 );
             }
             if replayed.weigh(&change) != Standpoint::Fits {
                 let what = format!("{name}: {} does not fit where it stands", answered.id);
-                self.breach(Line::ForkedMap, at, what);
+                self.record_violation(Invariant::ForkedMap, at, what);
             }
             replayed.apply(&change);
         }
         if map.answered.len() < REMEMBERED_CHANGES && replayed.items != map.items {
-            self.breach(
-                Line::LostChange,
+            self.record_violation(
+                Invariant::LostChange,
                 at,
                 format!("{name} does not read back intact"),
             );
--- a/crates/simulator/src/observers/lines.rs
+++ b/crates/simulator/src/observers/invariants.rs
@@ -1,18 +1,18 @@
-//! The lines that must never be crossed, and their breaches.
+//! The invariants that the observers check, and their violations.
 
 use std::time::Duration;
 
-/// One breach of a line that must never be crossed.
+/// One violation of an invariant.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Breach {
-    pub line: Line,
+pub struct Violation {
+    pub invariant: Invariant,
     pub at: Duration,
     pub what: String,
 }
 
-/// The lines of the brief, by short names.
+/// The invariants, named by how they are violated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Line {
+pub enum Invariant {
     RanTwice,
     RanAfterNotRun,
     WrongResponse,
@@ -30,12 +30,12 @@
     LeaseTooLong,
     LeftHome,
     NotRecovered,
-    /// Under a hot key, a surge or a slow instance, ordinary traffic went unserved.
+    /// Ordinary traffic was not served under a hot key, a surge or a slow instance.
     Sunk,
-    /// A refusal was kept back.
+    /// A proxy delayed a rejection.
     LateRefusal,
-    /// A read showed less than what had been accepted.
+    /// A read returned less than had been accepted before.
     StaleRead,
-    /// A follower whose path to the core was open held an accepted version too late.
+    /// A follower that could reach the controllers received an accepted version too late.
     LateFollower,
 }
--- a/crates/simulator/src/observers/lag.rs
+++ b/crates/simulator/src/observers/lag.rs
@@ -1,31 +1,32 @@
-//! Followers' lag: how late they hold what was accepted.
+//! Checks of the time within which followers receive accepted versions.
 
-use crate::observers::lines::Line;
+use crate::observers::invariants::Invariant;
 use crate::observers::Observers;
 use caperworks::identifiers::Version;
 use std::time::Duration;
 
-/// What a follower holds whose path to the core is open.
+/// The version of a follower that can reach the controllers.
 pub struct FollowerLag<'world> {
     pub index: usize,
     pub name: &'world str,
     pub held: Version,
-    /// Its lag counts from here on.
-    pub counts_from: Duration,
+    /// Lag counts from this time on.
+    pub measured_from: Duration,
 }
 
 impl Observers {
-    /// Compares what a follower holds with what was accepted; it is told once for each version held.
-    pub fn judge_lag(&mut self, at: Duration, follower: &FollowerLag<'_>, most_lag: Duration) {
+    /// Checks a follower's version against the accepted ones; reports a violation once per missing
+    /// version.
+    pub fn check_lag(&mut self, at: Duration, follower: &FollowerLag<'_>, max_lag: Duration) {
         let lacking = self.accepted_at.range(follower.held.next()..).next();
         let Some((version, accepted_at)) = lacking else {
             return;
         };
         let version = *version;
-        let lag = at.saturating_sub((*accepted_at).max(follower.counts_from));
+        let lag = at.saturating_sub((*accepted_at).max(follower.measured_from));
         self.tally.most_lag = self.tally.most_lag.max(lag);
         let known = self.late_for.get(&follower.index);
-        if lag <= most_lag || known == Some(&version) {
+        if lag <= max_lag || known == Some(&version) {
             return;
         }
         self.late_for.insert(follower.index, version);
@@ -33,6 +34,6 @@
             "{} holds version {}, {version} was accepted at {accepted_at:?}",
             follower.name, follower.held
         );
-        self.breach(Line::LateFollower, at, what);
+        self.record_violation(Invariant::LateFollower, at, what);
     }
 }
--- a/crates/simulator/src/observers/mod.rs
+++ b/crates/simulator/src/observers/mod.rs
@@ -1,14 +1,14 @@
-//! Observers: they stand outside the fleet, hold the truth, and judge all the time.
+//! Observers: they see the whole fleet from outside and check its invariants throughout a run.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
 use crate::observers::attempts::ServiceAttempts;
 use crate::observers::changes::AcceptedChange;
-use crate::observers::lines::{Breach, Line};
-use crate::observers::ownership::Stretch;
-use crate::observers::recovery::BigFault;
-use crate::observers::requests::CallerOutcome;
+use crate::observers::invariants::{Invariant, Violation};
+use crate::observers::ownership::WorkInterval;
+use crate::observers::recovery::MajorFault;
+use crate::observers::requests::ClientOutcome;
 use crate::observers::tally::Tally;
 use caperworks::identifiers::{
     ChangeId, Incarnation, InstanceId, NodeId, ServiceName, Version, Zone,
@@ -19,8 +19,8 @@
 
 pub mod attempts;
 pub mod changes;
+pub mod invariants;
 pub mod lag;
-pub mod lines;
 pub mod ownership;
 pub mod placement;
 pub mod reads;
@@ -28,43 +28,44 @@
 pub mod requests;
 pub mod tally;
 
-/// All that is known outside the fleet of what happened in it.
+/// Everything the observers know about a run.
 #[derive(Default)]
 pub struct Observers {
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     pub tally: Tally,
-    /// What the controllers noted of membership and leadership roles, for whoever looks into a failing seed.
+    /// Events of membership and leadership that controllers logged, to diagnose a failing seed.
     pub notes: Vec<String>,
     runs: HashMap<u64, u32>,
-    reported: HashMap<u64, CallerOutcome>,
+    reported: HashMap<u64, ClientOutcome>,
     writes: HashSet<u64>,
     draining: HashMap<(InstanceId, Incarnation), Duration>,
     accepted: Vec<AcceptedChange>,
-    /// What was asked for under each id; an id may come again with something else.
+    /// Changes proposed under each id; an id may be used again for a different change.
     proposed: HashMap<ChangeId, Vec<Change>>,
-    /// By item: the values that some change set would give it.
+    /// By item: the values that proposed change sets would give it.
     wanted: HashMap<String, Vec<(Value, ChangeId)>>,
-    /// Up to which version each controller's map was looked through.
-    looked_through: HashMap<String, Version>,
-    /// Versions that were accepted or shown, and are to be gone by once the limit has passed.
+    /// Up to which version each controller's map was checked.
+    checked_versions: HashMap<String, Version>,
+    /// Versions that were accepted or read, and that proxies must have applied once the limit has
+    /// passed.
     due_versions: VecDeque<(Duration, Version)>,
     due_version: Version,
     /// When each version was accepted.
     accepted_at: BTreeMap<Version, Duration>,
     /// The version for which each follower was last found late.
     late_for: HashMap<usize, Version>,
-    /// How many calls carried a change, and how many of them were refused.
+    /// How many calls carried a change, and how many of them were rejected.
     calls: HashMap<ChangeId, (u32, u32)>,
     closed: HashMap<Zone, Duration>,
     service_attempts: HashMap<ServiceName, ServiceAttempts>,
     slow_start_attempts: HashMap<(InstanceId, Incarnation), VecDeque<Duration>>,
-    effects: HashMap<(ServiceName, u32), Vec<Stretch>>,
+    work_intervals: HashMap<(ServiceName, u32), Vec<WorkInterval>>,
     proxy_versions: HashMap<usize, Version>,
-    /// Sent and served by second, for the recovery line; and by kind of traffic as well.
+    /// Requests sent and served by second, for the recovery check; also by kind of traffic.
     seconds: BTreeMap<u64, (u64, u64)>,
     kind_seconds: BTreeMap<usize, BTreeMap<u64, (u64, u64)>>,
-    strained_since: Option<Duration>,
-    big_faults: Vec<BigFault>,
+    load_since: Option<Duration>,
+    major_faults: Vec<MajorFault>,
     /// The kinds of traffic that go to keyed services.
     pub keyed_kinds: BTreeSet<usize>,
     last_mapping: Option<(Version, Mapping)>,
@@ -73,23 +74,31 @@
 }
 
 impl Observers {
-    pub(super) fn breach(&mut self, line: Line, at: Duration, what: impl Into<String>) {
-        if self.breaches.len() < 200 {
-            self.breaches.push(Breach {
-                line,
+    pub(super) fn record_violation(
+        &mut self,
+        invariant: Invariant,
+        at: Duration,
+        what: impl Into<String>,
+    ) {
+        if self.violations.len() < 200 {
+            self.violations.push(Violation {
+                invariant,
                 at,
                 what: what.into(),
             });
         }
     }
 
-    /// The lines that were crossed.
-    pub fn breached(&self) -> BTreeSet<Line> {
-        self.breaches.iter().map(|breach| breach.line).collect()
+    /// Returns the invariants that were violated.
+    pub fn violated(&self) -> BTreeSet<Invariant> {
+        self.violations
+            .iter()
+            .map(|violation| violation.invariant)
+            .collect()
     }
 
-    /// A controller noted an event; those of membership and leadership are kept.
-    pub fn noted(&mut self, at: Duration, name: String, event: Event) {
+    /// Records a logged event of a controller, if it concerns membership or leadership.
+    pub fn record_note(&mut self, at: Duration, name: String, event: Event) {
         let of_membership = match &event {
             Event::MapUpdated { map, .. } => *map == MapName::Membership,
             _ => true,
--- a/crates/simulator/src/observers/ownership.rs
+++ b/crates/simulator/src/observers/ownership.rs
@@ -1,29 +1,29 @@
-//! Ownership of key ranges: one owner at a time, and one owner manager.
+//! Checks of key range ownership: one owner at a time, and one owner manager.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::observers::lines::Line;
+use crate::observers::invariants::Invariant;
 use crate::observers::Observers;
 use caperworks::identifiers::{InstanceId, NodeId, ServiceName};
 
-/// From when to when which instance worked on a key range.
-pub(crate) type Stretch = (Duration, Duration, InstanceId);
+/// When work on a key range started and ended, and at which instance.
+pub(crate) type WorkInterval = (Duration, Duration, InstanceId);
 
 impl Observers {
-    /// The controller that is the owner manager was killed, frozen or cut off.
+    /// Records that the owner manager's controller was killed, frozen or partitioned.
     pub fn owner_manager_lost(&mut self, at: Duration) {
         self.owner_manager_lost_at.get_or_insert(at);
     }
 
-    /// A controller came back; if it still holds the role there is no takeover to wait for.
-    pub fn controller_back(&mut self, node: NodeId) {
+    /// Records that a controller restarted; if it still has the role, no takeover is pending.
+    pub fn controller_restarted(&mut self, node: NodeId) {
         if self.owner_manager == Some(node) {
             self.owner_manager_lost_at = None;
         }
     }
 
-    /// A controller knows who the owner manager is.
+    /// Records that a controller knows the owner manager.
     pub fn owner_manager_known(&mut self, at: Duration, holder: NodeId) {
         if self.owner_manager != Some(holder) {
             if let Some(lost) = self.owner_manager_lost_at.take() {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Work on a key range went on at an instance over this stretch of time.
-    pub fn worked_on(
+    /// Checks finished work on a key range for an overlap with work at another instance.
+    pub fn work_finished(
         &mut self,
         service: &ServiceName,
         key_range: u32,
@@ -42,24 +42,24 @@
         to: Duration,
         instance: &InstanceId,
     ) {
-        let effects = self
-            .effects
+        let work_intervals = self
+            .work_intervals
             .entry((service.clone(), key_range))
             .or_default();
-        let clash = effects
+        let clash = work_intervals
             .iter()
             .rev()
             .take(64)
             .find(|(start, end, other)| other != instance && *start < to && from < *end)
             .map(|(_, _, other)| other.clone());
-        effects.push((from, to, instance.clone()));
+        work_intervals.push((from, to, instance.clone()));
         if let Some(other) = clash {
             let what = format!("key range {key_range} of {service} at {instance} and {other}");
-            self.breach(Line::TwoOwners, to, what);
+            self.record_violation(Invariant::TwoOwners, to, what);
         }
     }
 
-    /// Looks at what all live instances believe that they hold.
+    /// Checks the leases that all live instances believe to hold.
     pub fn held_leases(
         &mut self,
         at: Duration,
@@ -70,7 +70,7 @@
         for (service, instance, key_ranges, longest) in live {
             if *longest > Duration::from_secs(10) {
                 clashes.push((
-                    Line::LeaseTooLong,
+                    Invariant::LeaseTooLong,
                     format!("{instance} holds for {longest:?}"),
                 ));
             }
@@ -79,12 +79,12 @@
                     let what = format!(
                         "key range {key_range} of {service} held by {instance} and {other}"
                     );
-                    clashes.push((Line::TwoOwners, what));
+                    clashes.push((Invariant::TwoOwners, what));
                 }
             }
         }
-        for (line, what) in clashes {
-            self.breach(line, at, what);
+        for (invariant, what) in clashes {
+            self.record_violation(invariant, at, what);
         }
     }
 }
--- a/crates/simulator/src/observers/placement.rs
+++ b/crates/simulator/src/observers/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: how much of the traffic each new mapping moves.
+//! Measures how much of the traffic each new mapping moves.
 
 use crate::observers::Observers;
 use caperworks::identifiers::{Version, Zone};
@@ -6,8 +6,8 @@
 use caperworks::placement::UNSEEN_GROUP;
 
 impl Observers {
-    /// A controller holds a mapping; counts how much of each group a new one moves.
-    pub fn mapped(&mut self, version: Version, mapping: &Mapping) {
+    /// Records a controller's mapping; for a new one, adds up how much of each group it moves.
+    pub fn mapping_changed(&mut self, version: Version, mapping: &Mapping) {
         let Some((known, last)) = &self.last_mapping else {
             self.last_mapping = Some((version, mapping.clone()));
             return;
--- a/crates/simulator/src/observers/requests.rs
+++ b/crates/simulator/src/observers/requests.rs
@@ -1,25 +1,25 @@
-//! Requests: what ran, and what clients were told of it.
+//! Checks of requests: what ran, and which outcome clients received.
 
 use std::time::Duration;
 
 use crate::actors::request::ClientRequest;
-use crate::observers::lines::Line;
+use crate::observers::invariants::Invariant;
 use crate::observers::Observers;
 use caperworks::identifiers::InstanceId;
 
-/// How soon a proxy that sends a request nowhere must say so.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(100);
+/// Maximum time until a proxy rejects a request that it sends to no instance.
+const REJECTION_LIMIT: Duration = Duration::from_millis(100);
 
-/// What a client was told of its request.
+/// The outcome of a request as its client received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallerOutcome {
+pub enum ClientOutcome {
     Served,
     NotRun,
     Unknown,
 }
 
 impl Observers {
-    /// A request was sent; the requests of a hot key have no kind and count by themselves.
+    /// Records a request; requests of a hot key have no kind and are counted separately.
     pub fn sent(&mut self, at: Duration, request: u64, write: bool, kind: Option<usize>) {
         match kind {
             Some(kind) => {
@@ -35,48 +35,48 @@
         }
     }
 
-    /// The work of a request took effect.
+    /// Records that the work of a request took effect.
     pub fn ran(&mut self, at: Duration, request: u64, instance: &InstanceId) {
         let runs = self.runs.entry(request).or_default();
         *runs += 1;
         let write = self.writes.contains(&request);
         if write && *runs > 1 {
-            self.breach(
-                Line::RanTwice,
+            self.record_violation(
+                Invariant::RanTwice,
                 at,
                 format!("request {request} at {instance}"),
             );
         }
-        if self.reported.get(&request) == Some(&CallerOutcome::NotRun) {
-            self.breach(
-                Line::RanAfterNotRun,
+        if self.reported.get(&request) == Some(&ClientOutcome::NotRun) {
+            self.record_violation(
+                Invariant::RanAfterNotRun,
                 at,
                 format!("request {request} at {instance}"),
             );
         }
     }
 
-    /// An instance ran a request that was meant for another service.
+    /// Records that an instance ran a request meant for another service.
     pub fn ran_for_another(&mut self, at: Duration, request: u64, instance: &InstanceId) {
-        self.breach(
-            Line::RanForAnother,
+        self.record_violation(
+            Invariant::RanForAnother,
             at,
             format!("request {request} at {instance}"),
         );
     }
 
-    /// A client was told what became of its request.
+    /// Checks the outcome that a client received.
     pub fn reported(
         &mut self,
         at: Duration,
         request: &ClientRequest,
-        reported: CallerOutcome,
+        reported: ClientOutcome,
         answered: Option<u64>,
     ) {
         let number = request.number;
         self.reported.insert(number, reported);
         match reported {
-            CallerOutcome::Served => {
+            ClientOutcome::Served => {
                 match request.kind {
                     Some(kind) => {
                         let second = request.sent_at.as_secs();
@@ -89,26 +89,26 @@
                 }
                 if answered != Some(number) || !self.runs.contains_key(&number) {
                     let what = format!("request {number} was answered with {answered:?}");
-                    self.breach(Line::WrongResponse, at, what);
+                    self.record_violation(Invariant::WrongResponse, at, what);
                 }
             }
-            CallerOutcome::NotRun => {
+            ClientOutcome::NotRun => {
                 self.tally.not_run += 1;
                 if self.runs.contains_key(&number) {
                     let what = format!("request {number} had run");
-                    self.breach(Line::RanAfterNotRun, at, what);
+                    self.record_violation(Invariant::RanAfterNotRun, at, what);
                 }
             }
-            CallerOutcome::Unknown => self.tally.unknown += 1,
+            ClientOutcome::Unknown => self.tally.unknown += 1,
         }
     }
 
-    /// A proxy refused a request without having tried any instance.
-    pub fn refused(&mut self, at: Duration, request: &ClientRequest) {
-        let kept_back = at.saturating_sub(request.received_at);
-        if kept_back > REFUSAL_LIMIT {
-            let what = format!("request {} was kept for {kept_back:?}", request.number);
-            self.breach(Line::LateRefusal, at, what);
+    /// Checks how soon a proxy rejected a request that it sent to no instance.
+    pub fn request_rejected(&mut self, at: Duration, request: &ClientRequest) {
+        let delay = at.saturating_sub(request.received_at);
+        if delay > REJECTION_LIMIT {
+            let what = format!("request {} was kept for {delay:?}", request.number);
+            self.record_violation(Invariant::LateRefusal, at, what);
         }
     }
 }
--- a/crates/simulator/src/observers/tally.rs
+++ b/crates/simulator/src/observers/tally.rs
@@ -1,9 +1,9 @@
-//! Counts of a whole run.
+//! Counters of one run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Counts of a whole run, for the measurements.
+/// Counters and measurements of one run.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     pub sent: u64,
@@ -19,19 +19,19 @@
     pub unknown_changes: u64,
     pub no_majority: u64,
     pub recoveries: Vec<Duration>,
-    /// The same by kind of traffic: the slowest kind of each big fault.
+    /// Recovery time of the slowest kind of traffic after each major fault.
     pub slowest_recoveries: Vec<Duration>,
     /// Requests of a hot key, and how many of them were served.
     pub hot_sent: u64,
     pub hot_served: u64,
     pub reads: u64,
-    /// Mappings written, and of the parts of groups that they placed, how many in a hundred moved.
+    /// Number of new mappings, and the sum of the percentages of traffic that each moved.
     pub mappings: u64,
     pub moved_percent: u64,
-    /// From the loss of the owner manager's controller until another holds the role.
+    /// Times from the loss of the owner manager's controller until another one has the role.
     pub takeovers: Vec<Duration>,
-    /// How late a follower held what was accepted, at most, where that is judged.
+    /// Longest time after which a follower still lacked an accepted version, where that is checked.
     pub most_lag: Duration,
-    /// Why requests were refused or lost, as the proxies said.
+    /// Failures of requests by reason, as reported by the proxies.
     pub failures: BTreeMap<&'static str, u64>,
 }
--- a/crates/simulator/src/world/agents.rs
+++ b/crates/simulator/src/world/agents.rs
@@ -1,45 +1,45 @@
-//! What agents hear, and what they want done.
+//! Events that agents receive, and the outputs of their state machines.
 
 use std::time::Duration;
 
-use crate::world::events::{Happening, HeartbeatTicket};
-use crate::world::nodes::Body;
+use crate::world::events::{HeartbeatTicket, NodeEvent};
+use crate::world::nodes::Process;
 use crate::world::World;
 use agent::machine::{AgentInput, AgentMachine, AgentOutput};
 use caperworks::facts::InstanceState;
 use caperworks::ownership::TimestampedResponse;
 
 impl World {
-    /// Lets an agent take up what happened to it.
-    pub(super) fn act_agent(
+    /// Passes an event to an agent's state machine.
+    pub(super) fn handle_agent_event(
         &mut self,
         index: usize,
         local: Duration,
         mut machine: Box<AgentMachine>,
-        happening: Happening,
+        event: NodeEvent,
     ) {
-        let input = match happening {
-            Happening::Tick => Some(AgentInput::Tick),
-            Happening::Control { envelope } => Some(AgentInput::Heard {
+        let input = match event {
+            NodeEvent::Tick => Some(AgentInput::Tick),
+            NodeEvent::Control { envelope } => Some(AgentInput::Heard {
                 envelope: *envelope,
             }),
-            Happening::ControlPart if !self.day.unreported_progress => {
+            NodeEvent::ControlProgress if !self.day.agents_ignore_progress => {
                 Some(AgentInput::PartialFrame)
             }
-            Happening::HeartbeatTarget {
+            NodeEvent::HeartbeatArrived {
                 heartbeat,
                 echo,
                 number,
                 instance,
                 instance_incarnation,
             } => {
-                let owed = HeartbeatTicket {
+                let pending = HeartbeatTicket {
                     instance,
                     instance_incarnation,
                     number,
-                    leaves: heartbeat.state == InstanceState::Draining,
+                    is_draining: heartbeat.state == InstanceState::Draining,
                 };
-                let ticket = self.owe_heartbeat_response(index, owed);
+                let ticket = self.register_heartbeat(index, pending);
                 Some(AgentInput::Heartbeat {
                     ticket,
                     heartbeat: *heartbeat,
@@ -51,39 +51,40 @@
         let outputs = input
             .map(|input| machine.input(local, input))
             .unwrap_or_default();
-        self.nodes[index].body = Some(Body::Agent(machine));
-        self.carry_out_agent(index, outputs);
+        self.nodes[index].process = Some(Process::Agent(machine));
+        self.execute_agent_outputs(index, outputs);
     }
 
-    /// Notes which instance an answer to its heartbeat is owed to; gives the ticket for it.
-    pub(super) fn owe_heartbeat_response(&mut self, index: usize, owed: HeartbeatTicket) -> u64 {
+    /// Records that a heartbeat of an instance awaits a response; returns its ticket.
+    pub(super) fn register_heartbeat(&mut self, index: usize, pending: HeartbeatTicket) -> u64 {
         self.next_ticket += 1;
-        self.tickets.insert((index, self.next_ticket), owed);
+        self.heartbeat_tickets
+            .insert((index, self.next_ticket), pending);
         self.next_ticket
     }
 
-    /// Whether this ticket of a node is for an answer to a heartbeat.
+    /// Returns whether a node's ticket belongs to a heartbeat.
     pub(super) fn is_heartbeat_ticket(&self, index: usize, ticket: u64) -> bool {
-        self.tickets.contains_key(&(index, ticket))
+        self.heartbeat_tickets.contains_key(&(index, ticket))
     }
 
-    /// Sends an instance the answer to its heartbeat, unless it lives another life by now.
+    /// Sends an instance the response to its heartbeat, unless it has restarted since.
     pub(super) fn respond_to_heartbeat(
         &mut self,
         index: usize,
         ticket: u64,
         response: Option<TimestampedResponse>,
     ) -> Option<HeartbeatTicket> {
-        let owed = self.tickets.remove(&(index, ticket))?;
-        if self.nodes[owed.instance].incarnation == owed.instance_incarnation {
-            let number = owed.number;
-            let answered = Happening::HeartbeatResponded { number, response };
-            self.send(index, owed.instance, answered);
+        let pending = self.heartbeat_tickets.remove(&(index, ticket))?;
+        if self.nodes[pending.instance].incarnation == pending.instance_incarnation {
+            let number = pending.number;
+            let answered = NodeEvent::HeartbeatResponse { number, response };
+            self.send(index, pending.instance, answered);
         }
-        Some(owed)
+        Some(pending)
     }
 
-    fn carry_out_agent(&mut self, index: usize, outputs: Vec<AgentOutput>) {
+    fn execute_agent_outputs(&mut self, index: usize, outputs: Vec<AgentOutput>) {
         for output in outputs {
             match output {
                 AgentOutput::Send { to, message } => {
@@ -92,7 +93,7 @@
                 AgentOutput::RespondToHeartbeat { ticket, response } => {
                     self.respond_to_heartbeat(index, ticket, response);
                 }
-                AgentOutput::Stopped => self.end(index, false),
+                AgentOutput::Stopped => self.end_process(index, false),
                 AgentOutput::LogEvent { .. } | AgentOutput::RespondToUsage { .. } => {}
             }
         }
--- a/crates/simulator/src/world/clocks.rs
+++ b/crates/simulator/src/world/clocks.rs
@@ -1,28 +1,28 @@
-//! The nodes' own clocks, which drift and may stop while a node is frozen.
+//! The nodes' local clocks, which drift and may stop while a node is frozen.
 
 use std::time::Duration;
 
 use crate::world::World;
 
 impl World {
-    /// The node's own monotonic time.
-    pub(super) fn local(&self, node: usize) -> Duration {
+    /// Returns the node's monotonic time since the start of its process.
+    pub(super) fn local_time(&self, node: usize) -> Duration {
         let node = &self.nodes[node];
-        let mut span = self.now.saturating_sub(node.started_at);
-        if self.day.clocks_stop_asleep {
-            let napping = match node.frozen {
+        let mut elapsed = self.now.saturating_sub(node.started_at);
+        if self.day.clocks_stop_while_frozen {
+            let current_freeze = match node.frozen {
                 true => self.now.saturating_sub(node.frozen_at),
                 false => Duration::ZERO,
             };
-            span = span.saturating_sub(node.slept + napping);
+            elapsed = elapsed.saturating_sub(node.frozen_time + current_freeze);
         }
-        let drift = span.as_nanos() as i128 * i128::from(node.clock_rate) / 1_000_000;
-        Duration::from_nanos((span.as_nanos() as i128 + drift).max(0) as u64)
+        let drift = elapsed.as_nanos() as i128 * i128::from(node.clock_rate) / 1_000_000;
+        Duration::from_nanos((elapsed.as_nanos() as i128 + drift).max(0) as u64)
     }
 
-    /// From a node's own time to the world's.
-    pub(super) fn after_local(&self, node: usize, at: Duration) -> Duration {
-        let ahead = at.saturating_sub(self.local(node));
+    /// Returns how long it takes, in world time, until the node's clock shows `at`.
+    pub(super) fn delay_until_local(&self, node: usize, at: Duration) -> Duration {
+        let ahead = at.saturating_sub(self.local_time(node));
         let rate = self.nodes[node].clock_rate;
         let nanos = ahead.as_nanos() as i128 * 1_000_000 / i128::from(1_000_000 + rate);
         Duration::from_nanos(nanos as u64) + Duration::from_micros(1)
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -1,9 +1,10 @@
-//! What controllers want done: messages, disk writes, answers and events.
+//! Events that controllers receive, and their outputs: messages, disk writes, responses and log
+//! events.
 
 use std::time::Duration;
 
-use crate::world::events::{Happening, HeartbeatTicket};
-use crate::world::nodes::Body;
+use crate::world::events::{HeartbeatTicket, NodeEvent};
+use crate::world::nodes::Process;
 use crate::world::World;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::facts::InstanceState;
@@ -18,98 +19,103 @@
 use controller::state_machine::ControllerMachine;
 
 impl World {
-    /// Lets a controller take up what happened to it.
-    pub(super) fn act_controller(
+    /// Passes an event to a controller's state machine.
+    pub(super) fn handle_controller_event(
         &mut self,
         index: usize,
         local: Duration,
         mut machine: Box<ControllerMachine>,
-        happening: Happening,
+        event: NodeEvent,
     ) {
-        let input = match happening {
-            Happening::Tick => Some(ControllerInput::Tick),
-            Happening::Control { envelope } => {
+        let input = match event {
+            NodeEvent::Tick => Some(ControllerInput::Tick),
+            NodeEvent::Control { envelope } => {
                 if let Message::HeartbeatForward { heard, .. } = &envelope.message {
                     if heard.heartbeat.state == InstanceState::Draining {
-                        self.observers.heard_draining(self.now, &heard.heartbeat);
+                        self.observers.draining_received(self.now, &heard.heartbeat);
                     }
                 }
                 Some(ControllerInput::MessageReceived {
                     envelope: *envelope,
                 })
             }
-            Happening::Synced { ticket, well: true } => {
+            NodeEvent::WriteDone {
+                ticket,
+                succeeded: true,
+            } => {
                 self.nodes[index].disk.sync(ticket);
                 Some(ControllerInput::WriteSynced { ticket })
             }
-            Happening::HeartbeatTarget {
+            NodeEvent::HeartbeatArrived {
                 heartbeat,
                 echo,
                 number,
                 instance,
                 instance_incarnation,
             } => {
-                let owed = HeartbeatTicket {
+                let pending = HeartbeatTicket {
                     instance,
                     instance_incarnation,
                     number,
-                    leaves: heartbeat.state == InstanceState::Draining,
+                    is_draining: heartbeat.state == InstanceState::Draining,
                 };
-                let ticket = self.owe_heartbeat_response(index, owed);
+                let ticket = self.register_heartbeat(index, pending);
                 Some(ControllerInput::Heartbeat {
                     ticket,
                     heartbeat: *heartbeat,
                     echo,
                 })
             }
-            Happening::Synced {
+            NodeEvent::WriteDone {
                 ticket,
-                well: false,
+                succeeded: false,
             } => Some(ControllerInput::WriteFailed { ticket }),
             _ => None,
         };
         let outputs = input
             .map(|input| machine.input(local, input))
             .unwrap_or_default();
-        self.nodes[index].body = Some(Body::Controller(machine));
-        self.carry_out(index, outputs);
+        self.nodes[index].process = Some(Process::Controller(machine));
+        self.execute_outputs(index, outputs);
     }
 
-    /// Carries out what a controller wants done.
-    pub(super) fn carry_out(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
-        let mut struck = false;
+    /// Executes the outputs of a controller's state machine.
+    pub(super) fn execute_outputs(&mut self, index: usize, outputs: Vec<ControllerOutput>) {
+        let mut change_accepted = false;
         for output in outputs {
             match output {
-                ControllerOutput::ShutdownComplete => self.end(index, false),
+                ControllerOutput::ShutdownComplete => self.end_process(index, false),
                 ControllerOutput::Send { to, message } => self.send_control(index, to, message),
-                ControllerOutput::Write { ticket, writes } => self.write(index, ticket, writes),
+                ControllerOutput::Write { ticket, writes } => {
+                    self.start_write(index, ticket, writes)
+                }
                 ControllerOutput::Respond { ticket, response } => {
-                    struck |= self.take_response(index, ticket, response);
+                    change_accepted |= self.take_response(index, ticket, response);
                 }
                 ControllerOutput::LogEvent { event } => self.record_event(index, event),
             }
         }
-        if struck {
-            for fault_step in std::mem::take(&mut self.on_yes) {
+        if change_accepted {
+            for fault_step in std::mem::take(&mut self.on_acceptance) {
                 self.fault(&fault_step);
             }
         }
     }
 
-    /// Begins to write; the disk tells later whether that went well.
-    fn write(&mut self, index: usize, ticket: u64, writes: Vec<DiskWrite>) {
-        let well = !self.nodes[index].disk.refuses;
-        if well {
+    /// Starts a disk write; its success or failure is reported later by an event.
+    fn start_write(&mut self, index: usize, ticket: u64, writes: Vec<DiskWrite>) {
+        let succeeded = !self.nodes[index].disk.fails_writes;
+        if succeeded {
             self.nodes[index].disk.unsynced.push_back((ticket, writes));
         }
-        let slow = self.chance.below(50) == 0;
-        let usual = self.day.disk_span.as_micros() as u64;
-        let most = if slow { 60_000.max(usual) } else { usual };
-        let after = Duration::from_micros(300 + self.chance.below(most));
-        self.push_at(index, after, Happening::Synced { ticket, well });
+        let slow = self.random.below(50) == 0;
+        let usual_us = self.day.max_sync_time.as_micros() as u64;
+        let max_us = if slow { 60_000.max(usual_us) } else { usual_us };
+        let after = Duration::from_micros(300 + self.random.below(max_us));
+        self.schedule_for_node(index, after, NodeEvent::WriteDone { ticket, succeeded });
     }
 
-    /// Takes the answer to an operator; says whether a change was accepted.
+    /// Takes a response to an operator; returns whether a change was accepted.
     fn take_response(&mut self, index: usize, ticket: u64, response: OperatorResponse) -> bool {
         if self.is_heartbeat_ticket(index, ticket) {
             self.take_heartbeat_response(index, ticket, response);
@@ -122,47 +128,47 @@
             self.proposal_outcome(&change, &proposal_outcome);
             let accepted = matches!(proposal_outcome, ProposalOutcome::Accepted(_));
             if accepted {
-                self.answering = Some(index);
+                self.last_accepting_controller = Some(index);
             }
             return accepted;
         }
-        if let Some(asked_at) = self.reads.remove(&ticket) {
+        if let Some(requested_at) = self.pending_reads.remove(&ticket) {
             if let OperatorResponse::Configuration { map } = response {
                 let name = &self.nodes[index].name;
                 self.observers
-                    .read_shown(self.now, asked_at, name, map.version);
+                    .read_returned(self.now, requested_at, name, map.version);
             }
         }
         false
     }
 
-    /// Passes on a controller's answer to an instance that sent its heartbeat there.
+    /// Forwards a controller's response to the instance that sent it a heartbeat.
     fn take_heartbeat_response(&mut self, index: usize, ticket: u64, response: OperatorResponse) {
         let response = match response {
             OperatorResponse::Heartbeat { response } => Some(response),
             _ => None,
         };
         let is_acknowledged = response.is_some();
-        let owed = self.respond_to_heartbeat(index, ticket, response);
-        let Some(owed) = owed.filter(|owed| is_acknowledged && owed.leaves) else {
+        let pending = self.respond_to_heartbeat(index, ticket, response);
+        let Some(pending) = pending.filter(|pending| is_acknowledged && pending.is_draining) else {
             return;
         };
-        if let Some(Body::Instance(instance)) = &self.nodes[owed.instance].body {
-            let heartbeat = instance.says(self.now);
-            self.observers.heard_draining(self.now, &heartbeat);
+        if let Some(Process::Instance(instance)) = &self.nodes[pending.instance].process {
+            let heartbeat = instance.current_heartbeat(self.now);
+            self.observers.draining_received(self.now, &heartbeat);
         }
     }
 
-    /// Shows the observers an event, and what a controller holds since a map moved.
+    /// Passes a logged event to the observers, and for an updated map its content.
     fn record_event(&mut self, index: usize, event: Event) {
         let node = &self.nodes[index];
-        if let (Event::MapUpdated { map, version }, Some(Body::Controller(machine))) =
-            (&event, &node.body)
+        if let (Event::MapUpdated { map, version }, Some(Process::Controller(machine))) =
+            (&event, &node.process)
         {
             match map {
                 MapName::Placement => {
                     if let Some(mapping) = machine.state.map(*map).mapping() {
-                        self.observers.mapped(*version, mapping);
+                        self.observers.mapping_changed(*version, mapping);
                     }
                 }
                 MapName::Membership => {
@@ -174,14 +180,14 @@
             }
         }
         let name = node.name.clone();
-        self.observers.noted(self.now, name, event);
+        self.observers.record_note(self.now, name, event);
     }
 
     fn proposal_outcome(&mut self, change: &Change, proposal_outcome: &ProposalOutcome) {
         self.proposal_outcomes
             .insert(change.id.clone(), proposal_outcome.clone());
-        if self.answered_calls.len() < 100 && change.puts.len() < 10 {
-            self.answered_calls.push(change.clone());
+        if self.completed_changes.len() < 100 && change.puts.len() < 10 {
+            self.completed_changes.push(change.clone());
         }
         self.observers
             .proposal_outcome(self.now, change, proposal_outcome);
@@ -202,13 +208,13 @@
     }
 
     pub(super) fn call(&mut self, index: usize, ticket: u64, call: OperatorCall) {
-        let local = self.local(index);
-        let outputs = match &mut self.nodes[index].body {
-            Some(Body::Controller(machine)) => {
+        let local = self.local_time(index);
+        let outputs = match &mut self.nodes[index].process {
+            Some(Process::Controller(machine)) => {
                 machine.input(local, super::operators::operator_input(ticket, call, local))
             }
             _ => Vec::new(),
         };
-        self.carry_out(index, outputs);
+        self.execute_outputs(index, outputs);
     }
 }
--- a/crates/simulator/src/world/directories.rs
+++ b/crates/simulator/src/world/directories.rs
@@ -1,24 +1,24 @@
-//! What directories hear, and what they want done.
+//! Events that directories receive, and the outputs of their state machines.
 
 use std::time::Duration;
 
-use crate::world::events::Happening;
-use crate::world::nodes::Body;
+use crate::world::events::NodeEvent;
+use crate::world::nodes::Process;
 use crate::world::World;
 use directory::machine::{DirectoryInput, DirectoryMachine, DirectoryOutput};
 
 impl World {
-    /// Lets a directory take up what happened to it.
-    pub(super) fn act_directory(
+    /// Passes an event to a directory's state machine.
+    pub(super) fn handle_directory_event(
         &mut self,
         index: usize,
         local: Duration,
         mut machine: Box<DirectoryMachine>,
-        happening: Happening,
+        event: NodeEvent,
     ) {
-        let input = match happening {
-            Happening::Tick => Some(DirectoryInput::Tick),
-            Happening::Control { envelope } => Some(DirectoryInput::Heard {
+        let input = match event {
+            NodeEvent::Tick => Some(DirectoryInput::Tick),
+            NodeEvent::Control { envelope } => Some(DirectoryInput::Heard {
                 envelope: *envelope,
             }),
             _ => None,
@@ -26,7 +26,7 @@
         let outputs = input
             .map(|input| machine.input(local, input))
             .unwrap_or_default();
-        self.nodes[index].body = Some(Body::Directory(machine));
+        self.nodes[index].process = Some(Process::Directory(machine));
         for output in outputs {
             if let DirectoryOutput::Send { to, message } = output {
                 self.send_control(index, to, message);
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -1,4 +1,4 @@
-//! The events of the world: what happens to nodes, and what is due when.
+//! The events of the simulation: those that nodes receive, and those that are scheduled.
 
 use crate::connections::Segment;
 use std::time::Duration;
@@ -13,34 +13,34 @@
 use caperworks::ownership::TimestampedResponse;
 
 #[derive(Debug, Clone)]
-pub enum Happening {
+pub enum NodeEvent {
     Tick,
     Control {
         envelope: Box<Envelope>,
     },
-    /// Bytes came of a control message that began to come a while ago and is not whole yet.
-    ControlPart,
-    Synced {
+    /// More bytes of a slow control message arrived, but it is not complete yet.
+    ControlProgress,
+    WriteDone {
         ticket: u64,
-        well: bool,
+        succeeded: bool,
     },
-    PlannedRequest {
+    RequestArrived {
         request: ClientRequest,
         group: String,
         locality: Duration,
     },
-    Open {
+    Connect {
         request: u64,
         attempt: u32,
         proxy: usize,
         proxy_incarnation: u64,
         incarnation: Incarnation,
     },
-    Opened {
+    Connected {
         request: u64,
         attempt: u32,
     },
-    Arrive {
+    AttemptArrived {
         request: u64,
         attempt: u32,
         proxy: usize,
@@ -50,7 +50,7 @@
         configuration: Version,
         need: Duration,
     },
-    Ended {
+    AttemptEnded {
         request: u64,
         attempt: u32,
         end: AttemptEnd,
@@ -59,54 +59,54 @@
     WorkDone {
         work: usize,
     },
-    RequestWake {
+    RequestTimer {
         request: u64,
         at: Duration,
     },
-    /// A polite stop is over.
-    Ends,
-    HeartbeatTarget {
+    /// A graceful shutdown has finished.
+    ShutdownFinished,
+    HeartbeatArrived {
         heartbeat: Box<Heartbeat>,
         echo: Option<Echo>,
         number: u64,
         instance: usize,
         instance_incarnation: u64,
     },
-    HeartbeatResponded {
+    HeartbeatResponse {
         number: u64,
         response: Option<TimestampedResponse>,
     },
 }
 
-pub(crate) enum Due {
-    At {
+pub(crate) enum ScheduledEvent {
+    ForNode {
         node: usize,
         incarnation: u64,
-        happening: Happening,
+        event: NodeEvent,
     },
-    Caller {
+    ClientTraffic {
         kind: usize,
     },
-    HotCaller,
+    HotKeyTraffic,
     Operator,
     Reader,
     Fault {
         index: usize,
     },
     Observe,
-    /// Narrow links carry on what waits on them.
-    NarrowLinks,
-    /// A segment is at the receiver's link.
+    /// Bandwidth-limited links transmit what is queued on them.
+    AdvanceLinks,
+    /// A segment has arrived at the receiver's link.
     Segment {
         segment: Box<Segment>,
     },
 }
 
-/// A heartbeat that an agent has and whose answer it owes.
+/// A received heartbeat whose response is pending.
 pub(crate) struct HeartbeatTicket {
     pub instance: usize,
     pub instance_incarnation: u64,
     pub number: u64,
-    /// Whether the heartbeat said that the instance leaves.
-    pub leaves: bool,
+    /// Whether the heartbeat announced that the instance is draining.
+    pub is_draining: bool,
 }
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,160 +1,176 @@
-//! Faults: what a day does to the nodes and the network.
+//! Fault injection: applies a day's faults to the nodes and the network.
 
 use crate::network::Network;
 use std::collections::BTreeSet;
 
 use crate::actors::instance::SimInstance;
-use crate::day::{Act, FaultStep};
-use crate::network::HttpFault;
-use crate::world::events::Due;
-use crate::world::nodes::{Body, Node};
+use crate::day::{FaultAction, FaultStep};
+use crate::network::MessageFault;
+use crate::world::events::ScheduledEvent;
+use crate::world::nodes::{Node, Process};
 use crate::world::World;
 use caperworks::identifiers::Zone;
 
 impl World {
-    /// Brings a fault about.
+    /// Applies a fault.
     pub fn fault(&mut self, fault: &FaultStep) {
         let places = self.targets(&fault.target);
         self.record_fault(fault, &places);
-        match &fault.act {
-            Act::Kill => self.on_each(&places, |world, index| world.end(index, false)),
-            Act::Stop => self.on_each(&places, Self::stop),
-            Act::PowerOff => self.on_each(&places, |world, index| world.end(index, true)),
-            Act::Start => self.on_each(&places, Self::start),
-            Act::Replace => self.on_each(&places, Self::wipe),
-            Act::Move => self.on_each(&places, Self::move_away),
-            Act::AddAnother => self.on_each(&places, Self::add_another),
-            Act::Vanish => self.on_each(&places, Self::vanish),
-            Act::TakeOver { service } => {
-                self.on_each(&places, |world, index| world.take_over(index, service));
+        match &fault.action {
+            FaultAction::Kill => {
+                self.on_each(&places, |world, index| world.end_process(index, false))
             }
-            Act::Freeze => self.on_each(&places, Self::freeze),
-            Act::Wake => self.on_each(&places, Self::wake),
-            Act::JumpClock(by) => self.on_nodes(&places, |node| node.wall_offset += by),
-            Act::RefuseDisk => self.on_nodes(&places, |node| node.disk.refuses = true),
-            Act::MendDisk => self.on_nodes(&places, |node| node.disk.refuses = false),
-            Act::Leave => self.on_instances(&places, SimInstance::leave),
-            Act::LoseResponses(count) => {
-                self.on_instances(&places, |instance| instance.loses_responses = *count);
+            FaultAction::Stop => self.on_each(&places, Self::stop),
+            FaultAction::PowerOff => {
+                self.on_each(&places, |world, index| world.end_process(index, true))
             }
-            Act::SendGarbage(count) => {
-                self.on_instances(&places, |instance| instance.sends_garbage = *count);
+            FaultAction::Start => self.on_each(&places, Self::start),
+            FaultAction::LoseDisk => self.on_each(&places, Self::lose_disk),
+            FaultAction::MoveToNewAddress => self.on_each(&places, Self::move_to_new_address),
+            FaultAction::AddNode => self.on_each(&places, Self::add_empty_node),
+            FaultAction::LosePermanently => self.on_each(&places, Self::lose_permanently),
+            FaultAction::ReuseAddress { service } => {
+                self.on_each(&places, |world, index| world.reuse_address(index, service));
             }
-            Act::RefuseRequests(count) => {
-                self.on_instances(&places, |instance| instance.refuses = *count);
+            FaultAction::Freeze => self.on_each(&places, Self::freeze),
+            FaultAction::Unfreeze => self.on_each(&places, Self::unfreeze),
+            FaultAction::JumpClock(by) => self.on_nodes(&places, |node| node.wall_offset += by),
+            FaultAction::FailDiskWrites => {
+                self.on_nodes(&places, |node| node.disk.fails_writes = true)
             }
-            Act::CutOff { one_way } => self.cut_off(&places, *one_way),
-            Act::CutInward => self.cut_inward(&places),
-            Act::CutBetween { other } => self.cut_between(&places, other),
-            Act::HttpFault {
-                most,
+            FaultAction::RepairDisk => {
+                self.on_nodes(&places, |node| node.disk.fails_writes = false)
+            }
+            FaultAction::Drain => self.on_instances(&places, SimInstance::start_draining),
+            FaultAction::LoseResponses(count) => {
+                self.on_instances(&places, |instance| instance.responses_to_lose = *count);
+            }
+            FaultAction::SendMalformedResponses(count) => {
+                self.on_instances(&places, |instance| {
+                    instance.malformed_responses_to_send = *count
+                });
+            }
+            FaultAction::RejectRequests(count) => {
+                self.on_instances(&places, |instance| instance.requests_to_reject = *count);
+            }
+            FaultAction::Partition { one_way } => self.partition_nodes(&places, *one_way),
+            FaultAction::PartitionInbound => self.partition_inbound(&places),
+            FaultAction::PartitionBetween { other } => self.partition_between(&places, other),
+            FaultAction::DelayAndDuplicate {
+                max_delay,
                 doubled_per_thousand,
-            } => self.network.http_faults.push(HttpFault {
+            } => self.network.message_faults.push(MessageFault {
                 places: places.into_iter().collect(),
-                most: *most,
+                max_delay: *max_delay,
                 doubled_per_thousand: *doubled_per_thousand,
             }),
-            Act::Narrow { bytes_per_second } => {
+            FaultAction::LimitBandwidth { bytes_per_second } => {
+                self.on_links(&places, |network, index| {
+                    network.limit_bandwidth(index, *bytes_per_second)
+                });
+            }
+            FaultAction::LoadLink(link_load) => {
                 self.on_links(&places, |network, index| {
-                    network.narrow(index, *bytes_per_second)
+                    network.apply_load(index, link_load)
                 });
             }
-            Act::Fill(fill) => {
-                self.on_links(&places, |network, index| network.fill(index, fill));
+            FaultAction::IsolateVoter => self.network.isolated_voters.extend(places),
+            FaultAction::BlockInboundConsensus => {
+                self.network.inbound_consensus_blocked.extend(places)
             }
-            Act::Part => self.network.parted.extend(places),
-            Act::Deafen => self.network.deaf.extend(places),
-            Act::Join => self.network.join(),
-            Act::Slow(times) => {
-                self.observers.strain_began(self.now);
-                self.on_each(&places, |world, index| world.set_slowness(index, *times));
+            FaultAction::HealNetwork => self.network.heal(),
+            FaultAction::SlowInstances(times) => {
+                self.observers.load_started(self.now);
+                self.on_each(&places, |world, index| world.set_slowdown(index, *times));
             }
-            Act::HotKey(per_second) => self.heat_key(&fault.target, *per_second),
-            Act::Surge(percent) => {
-                self.observers.strain_began(self.now);
+            FaultAction::HotKey(per_second) => self.start_hot_key(&fault.target, *per_second),
+            FaultAction::Surge(percent) => {
+                self.observers.load_started(self.now);
                 self.surge_percent = u64::from(*percent);
             }
-            Act::Cool => self.cool(),
-            Act::CloseZone => self.turn_zone(&fault.target, true),
-            Act::OpenZone => {
-                self.observers.opening(&Zone::new(&fault.target));
-                self.turn_zone(&fault.target, false);
+            FaultAction::EndLoad => self.end_load(),
+            FaultAction::CloseZone => self.set_zone_closed(&fault.target, true),
+            FaultAction::OpenZone => {
+                self.observers.zone_reopened(&Zone::new(&fault.target));
+                self.set_zone_closed(&fault.target, false);
             }
         }
     }
 
-    /// Tells the observers of a big fault, and of one that ends the owner manager's controller.
+    /// Reports to the observers a major fault, and one that hits the owner manager's controller.
     fn record_fault(&mut self, fault: &FaultStep, places: &[usize]) {
-        if fault.big {
-            let next = self.day.next_harm(self.now);
-            self.observers.big_fault(self.now, fault.keyed_waits, next);
+        if fault.is_major {
+            let next = self.day.next_disruption(self.now);
+            self.observers
+                .major_fault(self.now, fault.blocks_keyed_traffic, next);
         }
         let ends = matches!(
-            fault.act,
-            Act::Kill
-                | Act::Replace
-                | Act::PowerOff
-                | Act::Freeze
-                | Act::Move
-                | Act::CutOff { one_way: false }
+            fault.action,
+            FaultAction::Kill
+                | FaultAction::LoseDisk
+                | FaultAction::PowerOff
+                | FaultAction::Freeze
+                | FaultAction::MoveToNewAddress
+                | FaultAction::Partition { one_way: false }
         );
-        if ends && places.iter().any(|index| self.is_holder(*index)) {
+        if ends && places.iter().any(|index| self.is_owner_manager(*index)) {
             self.observers.owner_manager_lost(self.now);
         }
     }
 
-    fn on_each(&mut self, places: &[usize], mut act: impl FnMut(&mut Self, usize)) {
+    fn on_each(&mut self, places: &[usize], mut apply: impl FnMut(&mut Self, usize)) {
         for index in places {
-            act(self, *index);
+            apply(self, *index);
         }
     }
 
-    fn on_nodes(&mut self, places: &[usize], mut act: impl FnMut(&mut Node)) {
+    fn on_nodes(&mut self, places: &[usize], mut apply: impl FnMut(&mut Node)) {
         for index in places {
-            act(&mut self.nodes[*index]);
+            apply(&mut self.nodes[*index]);
         }
     }
 
-    fn on_instances(&mut self, places: &[usize], mut act: impl FnMut(&mut SimInstance)) {
+    fn on_instances(&mut self, places: &[usize], mut apply: impl FnMut(&mut SimInstance)) {
         for index in places {
-            if let Some(Body::Instance(instance)) = &mut self.nodes[*index].body {
-                act(instance);
+            if let Some(Process::Instance(instance)) = &mut self.nodes[*index].process {
+                apply(instance);
             }
         }
     }
 
-    /// Changes the links of these places; from the first one on, links carry in steps.
-    fn on_links(&mut self, places: &[usize], mut act: impl FnMut(&mut Network, usize)) {
-        let had_none = self.network.narrow_links.is_empty();
+    /// Changes the links of these nodes; the first change starts the periodic transmission on
+    /// links.
+    fn on_links(&mut self, places: &[usize], mut apply: impl FnMut(&mut Network, usize)) {
+        let had_none = self.network.limited_links.is_empty();
         for index in places {
-            act(&mut self.network, *index);
+            apply(&mut self.network, *index);
         }
         if had_none && !places.is_empty() {
-            self.push(self.now, Due::NarrowLinks);
+            self.schedule(self.now, ScheduledEvent::AdvanceLinks);
         }
     }
 
     fn freeze(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        if !node.frozen && node.body.is_some() {
+        if !node.frozen && node.process.is_some() {
             node.frozen = true;
             node.frozen_at = self.now;
         }
     }
 
-    fn wake(&mut self, index: usize) {
+    fn unfreeze(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         if node.frozen {
-            node.slept += self.now.saturating_sub(node.frozen_at);
+            node.frozen_time += self.now.saturating_sub(node.frozen_at);
         }
         node.frozen = false;
-        for happening in std::mem::take(&mut self.nodes[index].backlog) {
-            self.act(index, happening);
+        for event in std::mem::take(&mut self.nodes[index].backlog) {
+            self.handle_event(index, event);
         }
     }
 
-    /// The sides of a cut: these places, and all the others.
-    fn sides(&self, places: &[usize]) -> (BTreeSet<usize>, BTreeSet<usize>) {
+    /// Returns both sides of a partition: these nodes, and all others.
+    fn split_nodes(&self, places: &[usize]) -> (BTreeSet<usize>, BTreeSet<usize>) {
         let inside: BTreeSet<usize> = places.iter().copied().collect();
         let outside = (0..self.nodes.len())
             .filter(|index| !inside.contains(index))
@@ -162,29 +178,29 @@
         (inside, outside)
     }
 
-    fn cut_off(&mut self, places: &[usize], one_way: bool) {
-        let (inside, outside) = self.sides(places);
-        self.network.cut(&inside, &outside);
+    fn partition_nodes(&mut self, places: &[usize], one_way: bool) {
+        let (inside, outside) = self.split_nodes(places);
+        self.network.block(&inside, &outside);
         if !one_way {
-            self.network.cut(&outside, &inside);
+            self.network.block(&outside, &inside);
         }
     }
 
-    fn cut_inward(&mut self, places: &[usize]) {
-        let (inside, outside) = self.sides(places);
-        self.network.cut(&outside, &inside);
+    fn partition_inbound(&mut self, places: &[usize]) {
+        let (inside, outside) = self.split_nodes(places);
+        self.network.block(&outside, &inside);
     }
 
-    fn cut_between(&mut self, places: &[usize], other: &str) {
+    fn partition_between(&mut self, places: &[usize], other: &str) {
         let one: BTreeSet<usize> = places.iter().copied().collect();
         let other: BTreeSet<usize> = self.targets(other).into_iter().collect();
-        self.network.cut(&one, &other);
-        self.network.cut(&other, &one);
+        self.network.block(&one, &other);
+        self.network.block(&other, &one);
     }
 
-    /// Makes a key of a service hot: many requests a second want it.
-    fn heat_key(&mut self, service: &str, per_second: u32) {
-        self.observers.strain_began(self.now);
+    /// Starts a hot key: many additional requests per second for one key of a service.
+    fn start_hot_key(&mut self, service: &str, per_second: u32) {
+        self.observers.load_started(self.now);
         let routes = &self.scenario.routes;
         let kind = self.scenario.traffic.iter().position(|traffic| {
             let path = traffic.path.as_str();
@@ -193,28 +209,28 @@
                 .find(|route| route["rule"]["path"].as_str() == Some(path));
             route.is_some_and(|route| route["rule"]["pool"] == service)
         });
-        let idle = self.hot.is_none();
-        self.hot = kind.map(|kind| (kind, per_second));
+        let idle = self.hot_key.is_none();
+        self.hot_key = kind.map(|kind| (kind, per_second));
         if idle {
-            self.push(self.now, Due::HotCaller);
+            self.schedule(self.now, ScheduledEvent::HotKeyTraffic);
         }
     }
 
-    /// Ends hot keys, surges and slowness.
-    fn cool(&mut self) {
+    /// Ends hot keys, surges and slowdowns.
+    fn end_load(&mut self) {
         self.observers
-            .strain_ended(self.now, self.day.kept_at_least);
-        self.hot = None;
+            .load_ended(self.now, self.day.min_kept_percent);
+        self.hot_key = None;
         self.surge_percent = 100;
         for index in 0..self.nodes.len() {
-            self.set_slowness(index, 1);
+            self.set_slowdown(index, 1);
         }
     }
 
-    fn set_slowness(&mut self, index: usize, times: u32) {
-        self.nodes[index].slowness = times;
-        if let Some(Body::Instance(instance)) = &mut self.nodes[index].body {
-            instance.slowness = times;
+    fn set_slowdown(&mut self, index: usize, times: u32) {
+        self.nodes[index].slowdown = times;
+        if let Some(Process::Instance(instance)) = &mut self.nodes[index].process {
+            instance.slowdown = times;
         }
     }
 }
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -4,95 +4,97 @@
 
 use crate::actors::instance::{SimInstance, Work};
 use crate::actors::request::InstanceResponse;
-use crate::world::events::Happening;
-use crate::world::nodes::Body;
+use crate::world::events::NodeEvent;
+use crate::world::nodes::Process;
 use crate::world::World;
 use caperworks::dispatch::AttemptEnd;
 use caperworks::envelope_clock::Echo;
 use caperworks::ownership::TimestampedResponse;
 
-const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl World {
-    /// Lets an instance take up what happened to it.
-    pub(super) fn act_instance(
+    /// Passes an event to an instance.
+    pub(super) fn handle_instance_event(
         &mut self,
         index: usize,
         local: Duration,
         mut instance: Box<SimInstance>,
-        happening: Happening,
+        event: NodeEvent,
     ) {
-        let send = match happening {
-            Happening::Tick if local >= instance.next_heartbeat => {
+        let send = match event {
+            NodeEvent::Tick if local >= instance.next_heartbeat => {
                 Some(self.next_heartbeat(index, local, &mut instance))
             }
-            Happening::HeartbeatResponded { number, response } => {
+            NodeEvent::HeartbeatResponse { number, response } => {
                 let named = response
                     .as_ref()
                     .and_then(|dated| dated.response.owner_manager);
                 let owner_manager = named.and_then(|named| self.by_address.get(&named));
                 if let Some(owner_manager) = owner_manager {
-                    instance.turn_to(*owner_manager);
+                    instance.use_target(*owner_manager);
                 }
                 take_heartbeat_response(local, &mut instance, number, response);
                 None
             }
-            Happening::Arrive { .. } => self.take_request(index, local, &mut instance, happening),
-            Happening::WorkDone { work } => self.finish_work(local, &mut instance, work),
+            NodeEvent::AttemptArrived { .. } => {
+                self.take_request(index, local, &mut instance, event)
+            }
+            NodeEvent::WorkDone { work } => self.finish_work(local, &mut instance, work),
             _ => None,
         };
-        self.nodes[index].body = Some(Body::Instance(instance));
-        if let Some((to, happening)) = send {
-            self.send(index, to, happening);
+        self.nodes[index].process = Some(Process::Instance(instance));
+        if let Some((to, event)) = send {
+            self.send(index, to, event);
         }
     }
 
-    /// The next heartbeat, and the place that it goes to.
+    /// Returns the next heartbeat and the node that it goes to.
     fn next_heartbeat(
         &self,
         index: usize,
         local: Duration,
         instance: &mut SimInstance,
-    ) -> (usize, Happening) {
-        instance.next_heartbeat = local + HEARTBEAT_PERIOD;
+    ) -> (usize, NodeEvent) {
+        instance.next_heartbeat = local + HEARTBEAT_INTERVAL;
         let oldest = local.saturating_sub(HEARTBEAT_TIMEOUT);
         let before = instance.heartbeat_sent.len();
         instance
             .heartbeat_sent
             .retain(|_, (sent, _)| *sent >= oldest);
         if instance.heartbeat_sent.len() < before {
-            // Why turn: a heartbeat that nobody answered is taken to another.
-            instance.turn_to_next();
+            // A heartbeat was not answered within the timeout: the next one goes to another node.
+            instance.use_next_target();
         }
         let heartbeat = Box::new(instance.heartbeat(local));
         let number = heartbeat.counter;
-        let to = instance.heard_by[instance.turn];
+        let to = instance.heartbeat_targets[instance.current_target];
         instance.heartbeat_sent.insert(number, (local, to));
         let echo = instance.stamps.get(&to).map(|(stamp, since)| Echo {
             stamp: *stamp,
             held: local.saturating_sub(*since),
         });
-        let happening = Happening::HeartbeatTarget {
+        let event = NodeEvent::HeartbeatArrived {
             heartbeat,
             echo,
             number,
             instance: index,
             instance_incarnation: self.nodes[index].incarnation,
         };
-        (to, happening)
+        (to, event)
     }
 
-    /// A request that arrived: it is worked on, or refused at once.
+    /// Starts work on a received request, or rejects it.
     fn take_request(
         &mut self,
         index: usize,
         local: Duration,
         instance: &mut SimInstance,
-        happening: Happening,
-    ) -> Option<(usize, Happening)> {
-        let Happening::Arrive {
+        event: NodeEvent,
+    ) -> Option<(usize, NodeEvent)> {
+        let NodeEvent::AttemptArrived {
             request,
             attempt,
             proxy,
@@ -101,7 +103,7 @@
             route,
             need,
             ..
-        } = happening
+        } = event
         else {
             return None;
         };
@@ -111,15 +113,15 @@
                 .held_leases
                 .may_start(local, key_range, epoch, need)
         });
-        let refuses = instance.refuses > 0;
-        instance.refuses = instance.refuses.saturating_sub(1);
+        let rejects = instance.requests_to_reject > 0;
+        instance.requests_to_reject = instance.requests_to_reject.saturating_sub(1);
         let fits = instance.careless || (ours && held);
-        if refuses || !fits {
+        if rejects || !fits {
             let response = match ours {
                 true => InstanceResponse::NotRun,
                 false => InstanceResponse::Misdirected,
             };
-            let ended = Happening::Ended {
+            let ended = NodeEvent::AttemptEnded {
                 request,
                 attempt,
                 end: AttemptEnd::RefusedByInstance,
@@ -139,28 +141,28 @@
             service: route.service.clone(),
             from: self.now,
         });
-        let span = self.work_span(instance);
-        self.push_at(index, span, Happening::WorkDone { work });
+        let span = self.sample_work_time(instance);
+        self.schedule_for_node(index, span, NodeEvent::WorkDone { work });
         None
     }
 
-    /// How long the work that an instance has just begun takes it.
-    fn work_span(&mut self, instance: &SimInstance) -> Duration {
-        // Why far more beyond its capacity: an instance that is asked for too much at once
-        // buckles, and everything that it has in hand suffers.
+    /// Returns how long the work that an instance has just started takes.
+    fn sample_work_time(&mut self, instance: &SimInstance) -> Duration {
+        // Beyond its capacity an overloaded instance becomes disproportionately slow for all its
+        // requests.
         let under_way = instance.work.len() as u32;
         let over = under_way / instance.capacity.max(1);
-        let busy = (1 + under_way / 8 + 40 * over) * instance.slowness;
-        instance.work_span * busy + Duration::from_micros(self.chance.below(2000))
+        let busy = (1 + under_way / 8 + 40 * over) * instance.slowdown;
+        instance.work_time * busy + Duration::from_micros(self.random.below(2000))
     }
 
-    /// Ends a piece of work, whose effect shows now, and answers the proxy.
+    /// Completes a piece of work, which takes effect now, and responds to the proxy.
     fn finish_work(
         &mut self,
         local: Duration,
         instance: &mut SimInstance,
         work: usize,
-    ) -> Option<(usize, Happening)> {
+    ) -> Option<(usize, NodeEvent)> {
         let done = instance.work.try_remove(work)?;
         let still = done.key_range.is_none_or(|(key_range, epoch)| {
             instance
@@ -180,7 +182,7 @@
         } else {
             AttemptEnd::Lost
         };
-        let ended = Happening::Ended {
+        let ended = NodeEvent::AttemptEnded {
             request: done.request,
             attempt: done.attempt,
             end,
@@ -190,7 +192,7 @@
             .then_some((done.proxy, ended))
     }
 
-    /// Shows the observers work that took effect.
+    /// Reports work that took effect to the observers.
     fn record_work(&mut self, instance: &SimInstance, done: &Work) {
         self.observers.ran(self.now, done.request, &instance.id);
         if done.service != instance.service {
@@ -198,8 +200,13 @@
                 .ran_for_another(self.now, done.request, &instance.id);
         }
         if let Some((key_range, _)) = done.key_range {
-            self.observers
-                .worked_on(&done.service, key_range, done.from, self.now, &instance.id);
+            self.observers.work_finished(
+                &done.service,
+                key_range,
+                done.from,
+                self.now,
+                &instance.id,
+            );
         }
     }
 }
@@ -210,29 +217,29 @@
     number: u64,
     response: Option<TimestampedResponse>,
 ) {
-    let Some((sent, hearer)) = instance.heartbeat_sent.remove(&number) else {
+    let Some((sent, target)) = instance.heartbeat_sent.remove(&number) else {
         return;
     };
     match response {
         Some(dated) => {
             instance.held_leases.answered(sent, &dated.response);
-            instance.stamps.insert(hearer, (dated.stamp, local));
+            instance.stamps.insert(target, (dated.stamp, local));
             if dated.again {
                 instance.next_heartbeat = local;
             }
         }
-        None => instance.turn_to_next(),
+        None => instance.use_next_target(),
     }
 }
 
-/// The answer to a request that was run; none where the instance loses it.
+/// Returns the response to a request that ran, or `None` if the instance loses it.
 fn response_of(instance: &mut SimInstance, request: u64) -> Option<InstanceResponse> {
-    if instance.loses_responses > 0 {
-        instance.loses_responses -= 1;
+    if instance.responses_to_lose > 0 {
+        instance.responses_to_lose -= 1;
         return None;
     }
-    if instance.sends_garbage > 0 {
-        instance.sends_garbage -= 1;
+    if instance.malformed_responses_to_send > 0 {
+        instance.malformed_responses_to_send -= 1;
         return Some(InstanceResponse::Garbage);
     }
     Some(InstanceResponse::Ran {
--- a/crates/simulator/src/world/lifecycle.rs
+++ b/crates/simulator/src/world/lifecycle.rs
@@ -1,11 +1,11 @@
-//! Starts and ends of processes and machines.
+//! Start, shutdown and loss of processes and machines.
 
 use std::time::Duration;
 
 use crate::disks::SimDisk;
-use crate::observers::requests::CallerOutcome;
-use crate::world::events::Happening;
-use crate::world::nodes::{Body, Kind};
+use crate::observers::requests::ClientOutcome;
+use crate::world::events::NodeEvent;
+use crate::world::nodes::{NodeKind, Process};
 use crate::world::World;
 use agent::machine::AgentInput;
 use caperworks::dispatch::AttemptEnd;
@@ -13,56 +13,56 @@
 use controller::state_machine::input::ControllerInput;
 
 impl World {
-    /// Starts a node's process, unless it runs already.
+    /// Starts a node's process, unless it is running already.
     pub fn start(&mut self, index: usize) {
-        if self.nodes[index].body.is_some() || self.nodes[index].left_for_good {
+        if self.nodes[index].process.is_some() || self.nodes[index].permanently_lost {
             return;
         }
-        let seed = self.chance.draw();
-        let (body, outputs) = self.body_of(index, seed);
+        let seed = self.random.draw();
+        let (process, outputs) = self.create_process(index, seed);
         let now = self.now;
         let node = &mut self.nodes[index];
         node.incarnation += 1;
-        node.body = Some(body);
+        node.process = Some(process);
         node.frozen = false;
-        node.slept = Duration::ZERO;
-        node.dark = false;
+        node.frozen_time = Duration::ZERO;
+        node.powered_off = false;
         node.backlog.clear();
         node.started_at = now;
-        if let Kind::Proxy { .. } = node.kind {
+        if let NodeKind::Proxy { .. } = node.kind {
             self.observers.proxy_restarted(index);
         }
-        let offset = Duration::from_micros(self.chance.below(25_000));
-        self.push_at(index, offset, Happening::Tick);
-        self.carry_out(index, outputs);
+        let offset = Duration::from_micros(self.random.below(25_000));
+        self.schedule_for_node(index, offset, NodeEvent::Tick);
+        self.execute_outputs(index, outputs);
     }
 
-    /// Ends a process. With the power, what was not synced may be lost and nothing is reset.
-    pub fn end(&mut self, index: usize, power: bool) {
-        let Some(body) = self.nodes[index].body.take() else {
+    /// Ends a process. On a power loss, unsynced writes may be lost and no connection is reset.
+    pub fn end_process(&mut self, index: usize, power: bool) {
+        let Some(process) = self.nodes[index].process.take() else {
             return;
         };
         let node = &mut self.nodes[index];
         node.incarnation += 1;
         node.frozen = false;
-        node.dark = power;
+        node.powered_off = power;
         node.backlog.clear();
         if power {
-            node.disk.power_lost(&mut self.chance);
+            node.disk.on_power_loss(&mut self.random);
         } else {
-            node.disk.process_ended();
+            node.disk.on_process_exit();
         }
         if power {
             return;
         }
         self.close_connections(index);
-        match body {
-            // A process that ends resets its connections: the other side learns of it.
-            Body::Instance(instance) => {
+        match process {
+            // A process that exits resets its connections, so its peers notice.
+            Process::Instance(instance) => {
                 for (_, work) in &instance.work {
                     if self.nodes[work.proxy].incarnation == work.proxy_incarnation {
                         let (request, attempt) = (work.request, work.attempt);
-                        let ended = Happening::Ended {
+                        let ended = NodeEvent::AttemptEnded {
                             request,
                             attempt,
                             end: AttemptEnd::Lost,
@@ -72,79 +72,79 @@
                     }
                 }
             }
-            Body::Proxy(proxy) => {
-                for carried in proxy.carried.into_values() {
-                    let request = carried.request;
+            Process::Proxy(proxy) => {
+                for in_flight in proxy.in_flight.into_values() {
+                    let request = in_flight.request;
                     self.observers
-                        .reported(self.now, &request, CallerOutcome::Unknown, None);
+                        .reported(self.now, &request, ClientOutcome::Unknown, None);
                 }
             }
             _ => {}
         }
     }
 
-    /// Asks a process to stop, as the platform does.
+    /// Requests a graceful shutdown, as the platform does.
     pub(super) fn stop(&mut self, index: usize) {
-        let local = self.local(index);
-        let after = match &mut self.nodes[index].body {
-            Some(Body::Controller(machine)) => {
+        let local = self.local_time(index);
+        let after = match &mut self.nodes[index].process {
+            Some(Process::Controller(machine)) => {
                 let outputs = machine.input(local, ControllerInput::Shutdown);
-                self.carry_out(index, outputs);
+                self.execute_outputs(index, outputs);
                 return;
             }
-            Some(Body::Agent(machine)) => {
+            Some(Process::Agent(machine)) => {
                 machine.input(local, AgentInput::Stop);
                 return;
             }
-            Some(Body::Proxy(proxy)) => {
+            Some(Process::Proxy(proxy)) => {
                 proxy.stopping_since.get_or_insert(local);
                 return;
             }
-            Some(Body::Directory(machine)) => {
+            Some(Process::Directory(machine)) => {
                 machine.stop_politely();
                 Duration::from_millis(500)
             }
-            Some(Body::Instance(instance)) => {
-                instance.leave();
+            Some(Process::Instance(instance)) => {
+                instance.start_draining();
                 Duration::from_millis(5000)
             }
             None => return,
         };
-        self.push_at(index, after, Happening::Ends);
+        self.schedule_for_node(index, after, NodeEvent::ShutdownFinished);
     }
 
-    /// Replaces a machine for good by an empty one at a new address, in the same zone.
-    pub(super) fn move_away(&mut self, index: usize) {
-        self.vanish(index);
-        self.add_another(index);
+    /// Replaces a machine permanently by an empty one at a new address in the same zone.
+    pub(super) fn move_to_new_address(&mut self, index: usize) {
+        self.lose_permanently(index);
+        self.add_empty_node(index);
     }
 
-    /// Adds an empty node of the same kind, in the same zone, at a new address.
-    pub(super) fn add_another(&mut self, index: usize) {
+    /// Adds an empty node of the same kind in the same zone at a new address.
+    pub(super) fn add_empty_node(&mut self, index: usize) {
         let node = &self.nodes[index];
         let (name, zone, kind) = (node.name.clone(), node.zone.clone(), node.kind.clone());
         let next = self.add(format!("{name}-new"), zone.as_str(), kind);
         self.start(next);
     }
 
-    /// Ends a machine with its power, and leaves its disk empty.
-    pub(super) fn wipe(&mut self, index: usize) {
-        self.end(index, true);
+    /// Powers a machine off and erases its disk.
+    pub(super) fn lose_disk(&mut self, index: usize) {
+        self.end_process(index, true);
         self.nodes[index].disk = SimDisk::default();
     }
 
-    /// Ends a machine that never comes back.
-    pub(super) fn vanish(&mut self, index: usize) {
-        self.end(index, true);
-        self.nodes[index].left_for_good = true;
+    /// Powers a machine off permanently.
+    pub(super) fn lose_permanently(&mut self, index: usize) {
+        self.end_process(index, true);
+        self.nodes[index].permanently_lost = true;
     }
 
-    /// Ends an instance; another of the given service starts at its address.
-    pub(super) fn take_over(&mut self, index: usize, service: &str) {
-        self.end(index, false);
+    /// Ends an instance and starts one of the given service at its address.
+    pub(super) fn reuse_address(&mut self, index: usize, service: &str) {
+        self.end_process(index, false);
         let node = &mut self.nodes[index];
         node.name = format!("{}-again", node.name);
-        if let Kind::Instance {
+        if let NodeKind::Instance {
             service: served, ..
         } = &mut node.kind
         {
