--- a/crates/simulator/src/world/messages.rs
+++ b/crates/simulator/src/world/messages.rs
@@ -1,16 +1,16 @@
-//! Messages between nodes, with the delay, loss and cuts of the network.
+//! Messages between nodes, subject to delay, loss and partitions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::world::events::Happening;
-use crate::world::nodes::Body;
+use crate::world::events::NodeEvent;
+use crate::world::nodes::Process;
 use crate::world::World;
 use caperworks::identifiers::NodeId;
 use caperworks::messages::{Envelope, Message};
 
 impl World {
-    /// How long something takes from node to node.
+    /// Returns the delay of a message between two nodes.
     pub(super) fn delay(&mut self, from: usize, to: usize) -> Duration {
         let (one, other) = (&self.nodes[from].zone, &self.nodes[to].zone);
         let base = if one == other {
@@ -20,39 +20,41 @@
         } else {
             self.network.other_region
         };
-        base + Duration::from_micros(self.chance.below(base.as_micros() as u64 / 2 + 100))
+        base + Duration::from_micros(self.random.below(base.as_micros() as u64 / 2 + 100))
     }
 
-    /// Sends something from node to node; says whether it is on its way.
-    pub(super) fn send(&mut self, from: usize, to: usize, happening: Happening) -> bool {
-        let lost = self.chance.below(1000) < self.network.loss_per_thousand;
-        if let Happening::Control { envelope } = &happening {
-            if self.network.delays(from, to, &envelope.message) {
+    /// Sends an event from node to node; returns whether it is on its way.
+    pub(super) fn send(&mut self, from: usize, to: usize, event: NodeEvent) -> bool {
+        let lost = self.random.below(1000) < self.network.loss_per_thousand;
+        if let NodeEvent::Control { envelope } = &event {
+            if self.network.drops_message(from, to, &envelope.message) {
                 return false;
             }
         }
-        let control = matches!(happening, Happening::Control { .. });
+        let control = matches!(event, NodeEvent::Control { .. });
         if lost && control {
             return false;
         }
-        let happening = match self.onto_connection(from, to, happening) {
-            Some(happening) => happening,
+        let event = match self.send_on_connection(from, to, event) {
+            Some(event) => event,
             None => return true,
         };
-        if self.network.is_cut(from, to) {
+        if self.network.is_blocked(from, to) {
             return false;
         }
         let mut delay = self.delay(from, to);
-        let http_fault = self.network.http_fault(from, to);
-        if let Some((most, doubled)) = http_fault.map(|way| (way.most, way.doubled_per_thousand)) {
-            // Why only our own messages twice: what goes over HTTP cannot be doubled on the way.
-            if control && self.chance.below(1000) < doubled {
-                let again = delay + self.chance.between(Duration::ZERO, most);
-                self.push_at(to, again, happening.clone());
+        let message_fault = self.network.message_fault(from, to);
+        if let Some((max_delay, doubled)) =
+            message_fault.map(|way| (way.max_delay, way.doubled_per_thousand))
+        {
+            // Only control messages are duplicated; HTTP runs over TCP, which removes duplicates.
+            if control && self.random.below(1000) < doubled {
+                let again = delay + self.random.between(Duration::ZERO, max_delay);
+                self.schedule_for_node(to, again, event.clone());
             }
-            delay += self.chance.between(Duration::ZERO, most);
+            delay += self.random.between(Duration::ZERO, max_delay);
         }
-        self.push_at(to, delay, happening);
+        self.schedule_for_node(to, delay, event);
         true
     }
 
@@ -61,11 +63,11 @@
         let Some(target) = self.by_address.get(&to).copied() else {
             return;
         };
-        let local = self.local(index);
-        let envelope = match &self.nodes[index].body {
-            Some(Body::Controller(machine)) => machine.seal(to, message),
-            Some(Body::Agent(machine)) => machine.seal(local, to, message),
-            Some(Body::Directory(machine)) => machine.seal(local, to, message),
+        let local = self.local_time(index);
+        let envelope = match &self.nodes[index].process {
+            Some(Process::Controller(machine)) => machine.seal(to, message),
+            Some(Process::Agent(machine)) => machine.seal(local, to, message),
+            Some(Process::Directory(machine)) => machine.seal(local, to, message),
             _ => Envelope {
                 from: NodeId(index as u64 + 1),
                 reply_to: self.nodes[index].address,
@@ -76,6 +78,6 @@
             },
         };
         let envelope = Box::new(envelope);
-        self.send(index, target, Happening::Control { envelope });
+        self.send(index, target, NodeEvent::Control { envelope });
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world: virtual time, the nodes, and everything that travels between them.
+//! The simulated world: virtual time, the nodes, and all messages between them.
 
 use crate::connections::Connections;
 use std::cmp::Reverse;
@@ -11,7 +11,7 @@
 use crate::day::{Day, FaultStep};
 use crate::network::Network;
 use crate::observers::Observers;
-use crate::world::events::{Due, HeartbeatTicket};
+use crate::world::events::{HeartbeatTicket, ScheduledEvent};
 use crate::world::nodes::Node;
 use caperworks::consensus::proposer::ProposalOutcome;
 use caperworks::identifiers::{Chance, ChangeId, Region, Version, Zone};
@@ -19,7 +19,6 @@
 use runtime::scenario::Scenario;
 
 mod agents;
-mod bodies;
 mod clients;
 mod clocks;
 mod controllers;
@@ -32,23 +31,24 @@
 pub mod nodes;
 mod observation;
 mod operators;
+mod processes;
 mod proxies;
+mod reachability;
 mod schedule;
 mod segments;
 mod targets;
-mod touch;
 
-/// How often each node's state machine is told the time.
+/// Interval of the tick event that each state machine receives.
 const TICK: Duration = Duration::from_millis(25);
 /// How often an operator reads the configuration.
-const READ_PERIOD: Duration = Duration::from_millis(700);
-/// How often the observers are shown what nodes hold.
-const OBSERVE_PERIOD: Duration = Duration::from_millis(100);
+const READ_INTERVAL: Duration = Duration::from_millis(700);
+/// How often the observers inspect the nodes' state.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A fleet, its clients and operators, and the observers.
+/// A fleet with its clients, operators and observers.
 pub struct World {
     pub now: Duration,
-    pub chance: Chance,
+    pub random: Chance,
     pub nodes: Vec<Node>,
     pub network: Network,
     pub observers: Observers,
@@ -56,60 +56,61 @@
     pub scenario: Scenario,
     pub regions: BTreeMap<Zone, Region>,
     pub by_address: HashMap<SocketAddr, usize>,
-    /// What is due, by time and turn; the slab holds what it is.
+    /// Scheduled events by time and sequence number, with the index of the event in the slab.
     ///
-    /// Why apart: the heap moves its entries about all the time, and these are small.
+    /// The events are kept apart because the heap moves its entries often; these are small.
     queue: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    due: Slab<Due>,
-    queued: u64,
+    scheduled: Slab<ScheduledEvent>,
+    scheduled_count: u64,
     next_request: u64,
-    tickets: HashMap<(usize, u64), HeartbeatTicket>,
-    /// When each proxy was last out of touch with the core.
-    out_of_touch_at: HashMap<usize, Duration>,
-    /// When each follower's path to the core was last closed.
-    path_closed_at: HashMap<usize, Duration>,
+    heartbeat_tickets: HashMap<(usize, u64), HeartbeatTicket>,
+    /// When each proxy was last disconnected from the controllers.
+    disconnected_at: HashMap<usize, Duration>,
+    /// When each follower's connection to the controllers was last down.
+    path_lost_at: HashMap<usize, Duration>,
     next_ticket: u64,
     operator_calls: HashMap<u64, Change>,
     proposal_outcomes: HashMap<ChangeId, ProposalOutcome>,
     next_call: u64,
     known_versions: HashMap<String, Version>,
-    /// Change sets that were answered, so that operators can send old ones again.
-    answered_calls: Vec<Change>,
-    /// Reads under way, and when they were asked for.
-    reads: HashMap<u64, Duration>,
-    /// Faults that wait for the next yes.
-    on_yes: Vec<FaultStep>,
-    /// The controller that said the last yes.
-    answering: Option<usize>,
-    /// The kind of traffic with a hot key, and how many requests a second want it.
-    hot: Option<(usize, u32)>,
+    /// Change sets that were completed, so that operators can send old ones again.
+    completed_changes: Vec<Change>,
+    /// Pending reads, and when they were requested.
+    pending_reads: HashMap<u64, Duration>,
+    /// Faults that occur when the next change is accepted.
+    on_acceptance: Vec<FaultStep>,
+    /// The controller that reported the last accepted change.
+    last_accepting_controller: Option<usize>,
+    /// The kind of traffic with a hot key, and its additional requests per second.
+    hot_key: Option<(usize, u32)>,
     surge_percent: u64,
     seeds: Vec<SocketAddr>,
 }
 
-/// The tickets of heartbeats begin here.
+/// First ticket number of heartbeats.
 ///
-/// Why so high: controllers are called by operators as well, under tickets of their own.
+/// It is high because operators' calls to controllers use tickets of their own, which count up from
+/// 1.
 const FIRST_HEARTBEAT_TICKET: u64 = 1 << 32;
 
 impl World {
-    /// The world of a scenario at the beginning of a day.
+    /// Creates the world of a scenario at the beginning of a day.
     pub fn new(scenario: Scenario, day: Day, seed: u64) -> Self {
         let mut world = Self {
             now: Duration::ZERO,
-            chance: Chance::seeded(seed),
+            random: Chance::seeded(seed),
             nodes: Vec::new(),
             network: Network {
                 same_zone: Duration::from_micros(200),
                 same_region: Duration::from_millis(1),
                 other_region: scenario.region_distance / 2,
                 loss_per_thousand: day.loss_per_thousand,
-                cuts: Vec::new(),
-                deaf: BTreeSet::new(),
-                parted: BTreeSet::new(),
-                http_faults: Vec::new(),
-                narrow_links: BTreeMap::new(),
-                connections: Connections::new(day.opening),
+                partitions: Vec::new(),
+                inbound_consensus_blocked: BTreeSet::new(),
+                isolated_voters: BTreeSet::new(),
+                message_faults: Vec::new(),
+                limited_links: BTreeMap::new(),
+                connections: Connections::new(day.connection_model),
             },
             observers: Observers::default(),
             regions: scenario
@@ -121,27 +122,27 @@
             scenario,
             by_address: HashMap::new(),
             queue: BinaryHeap::new(),
-            due: Slab::new(),
-            queued: 0,
+            scheduled: Slab::new(),
+            scheduled_count: 0,
             next_request: 0,
-            tickets: HashMap::new(),
-            out_of_touch_at: HashMap::new(),
-            path_closed_at: HashMap::new(),
+            heartbeat_tickets: HashMap::new(),
+            disconnected_at: HashMap::new(),
+            path_lost_at: HashMap::new(),
             next_ticket: FIRST_HEARTBEAT_TICKET,
             operator_calls: HashMap::new(),
             proposal_outcomes: HashMap::new(),
             next_call: 0,
             known_versions: HashMap::new(),
-            answered_calls: Vec::new(),
-            reads: HashMap::new(),
-            on_yes: Vec::new(),
-            answering: None,
-            hot: None,
+            completed_changes: Vec::new(),
+            pending_reads: HashMap::new(),
+            on_acceptance: Vec::new(),
+            last_accepting_controller: None,
+            hot_key: None,
             surge_percent: 100,
             seeds: Vec::new(),
         };
-        world.lay_out();
-        world.plan();
+        world.create_nodes();
+        world.schedule_day();
         world
     }
 }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of the world: what they are made of, and how the scenario lays them out.
+//! The nodes of the world, and how the scenario creates them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use crate::actors::instance::SimInstance;
 use crate::actors::proxy::SimProxy;
 use crate::disks::SimDisk;
-use crate::world::events::Happening;
+use crate::world::events::NodeEvent;
 use crate::world::World;
 use agent::machine::AgentMachine;
 use caperworks::identifiers::{ServiceName, Zone};
@@ -15,7 +15,7 @@
 use runtime::scenario::Scenario;
 
 /// The state machine of a node's process.
-pub enum Body {
+pub enum Process {
     Controller(Box<ControllerMachine>),
     Agent(Box<AgentMachine>),
     Proxy(Box<SimProxy>),
@@ -23,9 +23,9 @@
     Instance(Box<SimInstance>),
 }
 
-/// What a node is made of when it starts.
+/// The kind of a node, with the settings its process starts with.
 #[derive(Debug, Clone)]
-pub enum Kind {
+pub enum NodeKind {
     Controller,
     Agent,
     Proxy {
@@ -36,8 +36,8 @@
     Instance {
         service: ServiceName,
         capacity: u32,
-        work_span: Duration,
-        heard_by: Vec<usize>,
+        work_time: Duration,
+        heartbeat_targets: Vec<usize>,
     },
 }
 
@@ -46,89 +46,93 @@
     pub name: String,
     pub zone: Zone,
     pub address: SocketAddr,
-    pub kind: Kind,
-    pub body: Option<Body>,
-    /// Grows with every start and end, so that what was meant for another life is not heard.
+    pub kind: NodeKind,
+    pub process: Option<Process>,
+    /// Incremented with every start and end, so that events for an earlier incarnation are dropped.
     pub incarnation: u64,
     pub started_at: Duration,
     pub frozen: bool,
-    /// The machine is without power: it resets no connections.
-    pub dark: bool,
-    pub backlog: Vec<Happening>,
-    /// How the node's clock runs, in parts per million.
+    /// The machine has no power, so it resets no connections.
+    pub powered_off: bool,
+    pub backlog: Vec<NodeEvent>,
+    /// Clock drift in parts per million.
     pub clock_rate: i64,
     pub disk: SimDisk,
-    pub left_for_good: bool,
-    /// When it froze, and how long it has been frozen in this life.
+    pub permanently_lost: bool,
+    /// When it froze, and how long this incarnation has been frozen in total.
     pub frozen_at: Duration,
-    pub slept: Duration,
-    /// How far the wall clock is off, in milliseconds.
+    pub frozen_time: Duration,
+    /// Offset of the wall clock in milliseconds.
     pub wall_offset: i64,
-    pub slowness: u32,
+    pub slowdown: u32,
 }
 
 fn address_of(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (index / 200) as u8, (index % 200) as u8 + 1], 7000))
 }
 
-/// The most nodes that one instance takes its heartbeats to.
-const MOST_HEARERS: usize = 4;
-/// How far apart they are in the list of all.
-const HEARER_STEP: usize = 3;
+/// Maximum number of nodes to which one instance sends heartbeats in turn.
+const MAX_HEARTBEAT_TARGETS: usize = 4;
+/// Distance between these nodes in the list of all candidates.
+const HEARTBEAT_TARGET_STEP: usize = 3;
 
-/// The nodes that hear an instance's heartbeats: a few out of many, or all of a few.
-fn hearers_of(number: usize, hearers: &[usize]) -> Vec<usize> {
-    let step = match hearers.len() > MOST_HEARERS {
-        true => HEARER_STEP,
+/// Returns the nodes to which an instance sends heartbeats: a subset of many, or all of a few.
+fn heartbeat_targets_of(number: usize, candidates: &[usize]) -> Vec<usize> {
+    let step = match candidates.len() > MAX_HEARTBEAT_TARGETS {
+        true => HEARTBEAT_TARGET_STEP,
         false => 1,
     };
-    (0..hearers.len().min(MOST_HEARERS))
-        .map(|turn| hearers[(number + turn * step) % hearers.len()])
+    (0..candidates.len().min(MAX_HEARTBEAT_TARGETS))
+        .map(|offset| candidates[(number + offset * step) % candidates.len()])
         .collect()
 }
 
 impl World {
-    /// Adds a node that does not run yet.
-    pub(super) fn add(&mut self, name: String, zone: &str, kind: Kind) -> usize {
+    /// Adds a node whose process is not running yet.
+    pub(super) fn add(&mut self, name: String, zone: &str, kind: NodeKind) -> usize {
         let index = self.nodes.len();
         let address = address_of(index);
         self.by_address.insert(address, index);
-        let clock_rate = self.chance.below(8001) as i64 - 4000;
+        let clock_rate = self.random.below(8001) as i64 - 4000;
         self.nodes.push(Node {
             name,
             zone: Zone::new(zone),
             address,
             kind,
-            body: None,
+            process: None,
             incarnation: 0,
             started_at: Duration::ZERO,
             frozen: false,
-            dark: false,
+            powered_off: false,
             backlog: Vec::new(),
             clock_rate,
             disk: SimDisk::default(),
-            left_for_good: false,
+            permanently_lost: false,
             frozen_at: Duration::ZERO,
-            slept: Duration::ZERO,
+            frozen_time: Duration::ZERO,
             wall_offset: 0,
-            slowness: 1,
+            slowdown: 1,
         });
         index
     }
 
-    /// Makes all nodes of the scenario and starts them within a moment.
-    pub(super) fn lay_out(&mut self) {
+    /// Creates all nodes of the scenario and starts them.
+    pub(super) fn create_nodes(&mut self) {
         let scenario = self.scenario.clone();
         let controllers = self.add_controllers(&scenario);
         let agents = self.add_agents_and_proxies(&scenario);
         for (number, zone) in scenario.directories.iter().enumerate() {
-            self.add(format!("directory-{}", number + 1), zone, Kind::Directory);
+            self.add(
+                format!("directory-{}", number + 1),
+                zone,
+                NodeKind::Directory,
+            );
         }
-        let hearers = match self.day.heartbeats_to_controllers {
+        let candidates = match self.day.heartbeats_to_controllers {
             true => controllers,
             false => agents,
         };
-        self.add_instances(&scenario, &hearers);
+        self.add_instances(&scenario, &candidates);
         for index in 0..self.nodes.len() {
             self.start(index);
         }
@@ -137,7 +141,11 @@
     fn add_controllers(&mut self, scenario: &Scenario) -> Vec<usize> {
         let mut controllers = Vec::new();
         for (number, zone) in scenario.controllers.iter().enumerate() {
-            let index = self.add(format!("controller-{}", number + 1), zone, Kind::Controller);
+            let index = self.add(
+                format!("controller-{}", number + 1),
+                zone,
+                NodeKind::Controller,
+            );
             controllers.push(index);
             if number < 3 {
                 self.seeds.push(address_of(index));
@@ -150,9 +158,9 @@
         let mut agents = Vec::new();
         for (zone, _) in &scenario.zones {
             for number in 1..=scenario.proxies_per_zone {
-                let agent = self.add(format!("agent-{zone}-{number}"), zone, Kind::Agent);
+                let agent = self.add(format!("agent-{zone}-{number}"), zone, NodeKind::Agent);
                 agents.push(agent);
-                let kind = Kind::Proxy {
+                let kind = NodeKind::Proxy {
                     agent,
                     capacity: scenario.proxy_capacity,
                 };
@@ -162,25 +170,25 @@
         agents
     }
 
-    fn add_instances(&mut self, scenario: &Scenario, hearers: &[usize]) {
+    fn add_instances(&mut self, scenario: &Scenario, candidates: &[usize]) {
         for service in &scenario.services {
             for number in 0..service.instances as usize {
                 let zone = &scenario.zones[number % scenario.zones.len()].0;
-                let kind = Kind::Instance {
+                let kind = NodeKind::Instance {
                     service: ServiceName::new(&service.name),
                     capacity: service.capacity,
-                    work_span: Duration::from_millis(service.work_ms),
-                    heard_by: hearers_of(number, hearers),
+                    work_time: Duration::from_millis(service.work_ms),
+                    heartbeat_targets: heartbeat_targets_of(number, candidates),
                 };
                 self.add(format!("{}-{}", service.name, number + 1), zone, kind);
             }
         }
     }
 
-    /// The controllers that run and are not frozen.
+    /// Returns the controllers that are running and not frozen.
     pub(super) fn live_controllers(&self) -> Vec<usize> {
         (0..self.nodes.len())
-            .filter(|index| matches!(self.nodes[*index].body, Some(Body::Controller(_))))
+            .filter(|index| matches!(self.nodes[*index].process, Some(Process::Controller(_))))
             .filter(|index| !self.nodes[*index].frozen)
             .collect()
     }
--- a/crates/simulator/src/world/observation.rs
+++ b/crates/simulator/src/world/observation.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::observers::attempts::Reached;
-use crate::world::events::Due;
-use crate::world::nodes::Body;
+use crate::world::events::ScheduledEvent;
+use crate::world::nodes::Process;
 use crate::world::World;
 use caperworks::identifiers::{InstanceId, Region, ServiceName, Version};
 use caperworks::map_items::{Route, Service};
@@ -19,12 +19,12 @@
         route: &Route,
         configuration: Version,
     ) {
-        let local = self.local(index);
-        let Some(Body::Instance(instance)) = &self.nodes[index].body else {
+        let local = self.local_time(index);
+        let Some(Process::Instance(instance)) = &self.nodes[index].process else {
             return;
         };
-        let heartbeat = &instance.says(local);
-        let Some(plan) = self
+        let heartbeat = &instance.current_heartbeat(local);
+        let Some(configured) = self
             .scenario
             .services
             .iter()
@@ -33,17 +33,22 @@
             return;
         };
         let service = Service {
-            keyed: plan.service["keyed"].as_bool().unwrap_or(false),
+            keyed: configured.service["keyed"].as_bool().unwrap_or(false),
             key_ranges: 64,
             instance_cap: 64,
             key_cap: 8,
-            slow_start_rate_milli: plan.service["gentle_per_second"].as_u32().unwrap_or(6) * 1000,
-            warm_up_span: Duration::from_millis(plan.service["warm_ms"].as_u64().unwrap_or(5000)),
+            slow_start_rate_milli: configured.service["gentle_per_second"]
+                .as_u32()
+                .unwrap_or(6)
+                * 1000,
+            warm_up_span: Duration::from_millis(
+                configured.service["warm_ms"].as_u64().unwrap_or(5000),
+            ),
             ..Service::default()
         };
         let nowhere = Region::new("");
         let proxy_zone = self.nodes[proxy].zone.clone();
-        // Why the true route: a broken proxy may have another idea of it.
+        // The scenario's route is used, since a broken proxy may hold a different one.
         let true_route = self
             .scenario
             .routes
@@ -63,26 +68,29 @@
         let reached = Reached {
             request,
             instance: heartbeat,
-            cold: heartbeat.is_warming_up(service.warm_up_span),
+            is_warming_up: heartbeat.is_warming_up(service.warm_up_span),
             service: &service,
             route: &true_route,
             region: self.regions.get(&heartbeat.zone).unwrap_or(&nowhere),
             proxy_zone: &proxy_zone,
             proxy_region: self.regions.get(&proxy_zone).unwrap_or(&nowhere),
             configuration,
-            follows: self.must_follow(proxy),
+            must_follow: self.must_follow(proxy),
         };
         self.observers.reached(self.now, &reached);
     }
 
     pub(super) fn observe(&mut self) {
-        self.push(self.now + super::OBSERVE_PERIOD, Due::Observe);
-        self.record_touch();
-        self.judge_lag();
+        self.schedule(
+            self.now + super::OBSERVATION_INTERVAL,
+            ScheduledEvent::Observe,
+        );
+        self.record_reachability();
+        self.check_lag();
         let mut live: Vec<(&ServiceName, &InstanceId, Vec<u32>, Duration)> = Vec::new();
         for index in 0..self.nodes.len() {
-            if let Some(Body::Instance(instance)) = &self.nodes[index].body {
-                let local = self.local(index);
+            if let Some(Process::Instance(instance)) = &self.nodes[index].process {
+                let local = self.local_time(index);
                 let (key_ranges, longest) = instance.held_leases.live(local);
                 if !key_ranges.is_empty() {
                     live.push((&instance.service, &instance.id, key_ranges, longest));
@@ -92,28 +100,28 @@
         let now = self.now;
         self.observers.held_leases(now, &live);
         for node in &self.nodes {
-            if let Some(Body::Controller(machine)) = &node.body {
+            if let Some(Process::Controller(machine)) = &node.process {
                 let map = machine.state.map(MapName::Configuration);
-                self.observers.held_map(now, &node.name, map);
+                self.observers.check_map(now, &node.name, map);
             }
         }
     }
 
-    pub(super) fn read_back(&mut self) {
+    pub(super) fn check_final_state(&mut self) {
         let mut maps = Vec::new();
         let mut highest = Version(0);
         for node in &self.nodes {
-            if let Some(Body::Controller(machine)) = &node.body {
+            if let Some(Process::Controller(machine)) = &node.process {
                 let map = machine.state.map(MapName::Configuration).clone();
                 highest = highest.max(map.version);
                 maps.push((node.name.clone(), map));
             }
         }
         for (name, map) in maps {
-            // Why only the newest: a controller that was cut off to the end may be behind, and it
-            // does not answer reads for as long as it is.
+            // Only the newest map is checked: a controller that was partitioned until the end may
+            // be behind, and it answers no reads while it is.
             if map.version == highest {
-                self.observers.read_back(self.now, &name, &map);
+                self.observers.check_final_state(self.now, &name, &map);
             }
         }
     }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -4,8 +4,8 @@
 
 use jzon::JsonValue;
 
-use crate::world::events::Due;
-use crate::world::nodes::Body;
+use crate::world::events::ScheduledEvent;
+use crate::world::nodes::Process;
 use crate::world::World;
 use caperworks::identifiers::{ChangeId, Region, ServiceName, Version, Zone};
 use caperworks::map_items::{Route, Value, ZoneSettings};
@@ -15,19 +15,20 @@
 use controller::state_machine::output::ControllerOutput;
 
 impl World {
-    /// What an operator sees who asks the controllers in turn: status and configuration.
-    pub fn look(&mut self) -> (JsonValue, JsonValue) {
+    /// Returns the status and configuration that an operator gets who calls the controllers in
+    /// turn.
+    pub fn operator_view(&mut self) -> (JsonValue, JsonValue) {
         let mut fallback = (JsonValue::new_object(), JsonValue::new_object());
         for index in self.targets("controller") {
-            let local = self.local(index);
+            let local = self.local_time(index);
             let frozen = self.nodes[index].frozen;
-            let Some(Body::Controller(machine)) = &mut self.nodes[index].body else {
+            let Some(Process::Controller(machine)) = &mut self.nodes[index].process else {
                 continue;
             };
             if frozen {
                 continue;
             }
-            let mut ask = |call: OperatorCall| {
+            let mut request = |call: OperatorCall| {
                 machine
                     .input(local, operator_input(0, call, local))
                     .into_iter()
@@ -36,12 +37,13 @@
                         _ => None,
                     })
             };
-            let Some(OperatorResponse::Status { status }) = ask(OperatorCall::Status) else {
+            let Some(OperatorResponse::Status { status }) = request(OperatorCall::Status) else {
                 continue;
             };
             let is_current = status.is_current;
             let status = controller::operator_json::status_json(&status);
-            // Why not by a read: its answer waits for a round, and this look takes no time.
+            // The map is taken directly: a read would wait for a quorum read, and this call takes
+            // no simulated time.
             if is_current {
                 let map = machine.state.map(MapName::Configuration);
                 return (status, controller::operator_json::map_json(map));
@@ -51,10 +53,11 @@
         fallback
     }
 
-    /// Applies a change set as an operator would, and runs on until it is answered.
+    /// Applies a change set as an operator would, and runs the simulation until the outcome is
+    /// known.
     pub fn apply(&mut self, change: Change) -> (u16, JsonValue) {
         let id = change.id.clone();
-        self.call_any(change);
+        self.submit_change(change);
         let until = self.now + Duration::from_secs(4);
         while self.now < until {
             if let Some(proposal_outcome) = self.proposal_outcomes.get(&id) {
@@ -66,50 +69,51 @@
         (503, JsonValue::new_object())
     }
 
-    /// An operator proposes something, now and then in a way that must not take effect.
-    pub(super) fn operator(&mut self) {
-        let every = self.day.operator_every;
+    /// Lets an operator propose a change, sometimes one that must not take effect.
+    pub(super) fn run_operator(&mut self) {
+        let interval = self.day.operator_interval;
         let first = self.next_call == 0;
-        let pause = self.chance.between(every / 2, every * 3 / 2);
-        if self.now + pause < self.day.length.saturating_sub(Duration::from_secs(4)) {
-            self.push(self.now + pause, Due::Operator);
+        let delay = self.random.between(interval / 2, interval * 3 / 2);
+        if self.now + delay < self.day.length.saturating_sub(Duration::from_secs(4)) {
+            self.schedule(self.now + delay, ScheduledEvent::Operator);
         }
         if first {
             let text = self.scenario.configuration().dump();
             if let Ok(change) = controller::operator_json::read_change(&text) {
-                self.call_any(change);
+                self.submit_change(change);
             }
             return;
         }
         let routes: Vec<JsonValue> = self.scenario.routes.members().cloned().collect();
-        let route = &routes[self.chance.below(routes.len() as u64) as usize];
+        let route = &routes[self.random.below(routes.len() as u64) as usize];
         let number = self.next_call;
         let key = format!("rule/{}", route["name"].as_str().unwrap_or_default());
         let expected = self.known_versions.get(&key).copied();
         let mut put = route.clone();
         put["kind"] = "rule".into();
-        put["rule"]["deadline_ms"] = (1500 + self.chance.below(400)).into();
+        put["rule"]["deadline_ms"] = (1500 + self.random.below(400)).into();
         if let Some(expected) = expected {
             put["edition"] = expected.0.into();
         }
-        match self.chance.below(9) {
+        match self.random.below(9) {
             0 | 1 => {
-                // Two operators at once on the same item, by two controllers: one of them must lose.
+                // Two operators change the same item concurrently through two controllers: one of
+                // them must be rejected.
                 self.propose(format!("race-{number}-left"), &put);
                 self.propose(format!("race-{number}-right"), &put);
             }
             2 => self.propose_dangling(number, put),
             3 => self.propose_twice(number, &put),
-            4 if self.day.swell > 0 => self.propose_many(number),
+            4 if self.day.bulk_change_routes > 0 => self.propose_many(number),
             5 => self.propose_second_step_first(number, expected, &put),
-            6 if !self.answered_calls.is_empty() => {
-                // An old change set comes again, long after; it must not take effect twice.
-                let change = self.old_change();
-                self.call_any(change);
+            6 if !self.completed_changes.is_empty() => {
+                // An old change set is sent again much later; it must not take effect twice.
+                let change = self.random_past_change();
+                self.submit_change(change);
             }
-            7 if !self.answered_calls.is_empty() => {
-                // The id of an old change set on something else.
-                let id = self.old_change().id.to_string();
+            7 if !self.completed_changes.is_empty() => {
+                // The id of an old change set is used for a different change.
+                let id = self.random_past_change().id.to_string();
                 self.propose(id, &put);
             }
             _ => self.propose(format!("tweak-{number}"), &put),
@@ -118,11 +122,12 @@
 
     fn propose(&mut self, id: String, put: &JsonValue) {
         if let Some(change) = change_of(id, put) {
-            self.call_any(change);
+            self.submit_change(change);
         }
     }
 
-    /// A service that is not there: nothing of it may take effect.
+    /// Proposes a route to a service that does not exist: no part of the change set may take
+    /// effect.
     fn propose_dangling(&mut self, number: u64, mut put: JsonValue) {
         put["rule"]["pool"] = "nowhere".into();
         if let Some(mut change) = change_of(format!("dangling-{number}"), &put) {
@@ -137,19 +142,20 @@
                 }),
                 written: None,
             });
-            self.call_any(change);
+            self.submit_change(change);
         }
     }
 
-    /// The same change sent twice, as after a lost answer.
+    /// Proposes the same change twice, as after a lost response.
     fn propose_twice(&mut self, number: u64, put: &JsonValue) {
         if let Some(change) = change_of(format!("again-{number}"), put) {
-            self.call_any(change.clone());
-            self.call_any(change);
+            self.submit_change(change.clone());
+            self.submit_change(change);
         }
     }
 
-    /// The second of two steps arrives before the first, by whatever controller.
+    /// Proposes the second of two dependent changes before the first, possibly at different
+    /// controllers.
     fn propose_second_step_first(
         &mut self,
         number: u64,
@@ -163,10 +169,10 @@
         self.propose(format!("step-{number}-first"), put);
     }
 
-    /// Many routes at once.
+    /// Proposes many routes in one change set.
     fn propose_many(&mut self, number: u64) {
         let service = ServiceName::new(&self.scenario.services[0].name);
-        let puts = (0..self.day.swell)
+        let puts = (0..self.day.bulk_change_routes)
             .map(|index| Put {
                 key: format!("rule/swell-{number}-{index}"),
                 expected: None,
@@ -185,48 +191,48 @@
                 written: None,
             })
             .collect();
-        self.call_any(Change {
+        self.submit_change(Change {
             id: ChangeId::new(format!("swell-{number}")),
             puts,
             guards: Vec::new(),
         });
     }
 
-    /// Some change set that was answered.
-    fn old_change(&mut self) -> Change {
-        let index = self.chance.below(self.answered_calls.len() as u64) as usize;
-        self.answered_calls[index].clone()
+    /// Returns a random change set that was completed.
+    fn random_past_change(&mut self) -> Change {
+        let index = self.random.below(self.completed_changes.len() as u64) as usize;
+        self.completed_changes[index].clone()
     }
 
-    /// An operator reads all configuration at some controller.
-    pub(super) fn reader(&mut self) {
-        self.push(self.now + super::READ_PERIOD, Due::Reader);
+    /// Lets an operator read the configuration at a random controller.
+    pub(super) fn run_reader(&mut self) {
+        self.schedule(self.now + super::READ_INTERVAL, ScheduledEvent::Reader);
         let controllers = self.live_controllers();
         if controllers.is_empty() {
             return;
         }
-        let index = controllers[self.chance.below(controllers.len() as u64) as usize];
+        let index = controllers[self.random.below(controllers.len() as u64) as usize];
         self.next_call += 1;
         let ticket = self.next_call;
-        self.reads.insert(ticket, self.now);
+        self.pending_reads.insert(ticket, self.now);
         self.call(index, ticket, OperatorCall::Read);
     }
 
-    /// Hands a change to some live controller.
-    pub fn call_any(&mut self, change: Change) {
+    /// Submits a change to a random live controller.
+    pub fn submit_change(&mut self, change: Change) {
         let controllers = self.live_controllers();
         self.next_call += 1;
         if controllers.is_empty() {
             return;
         }
-        let index = controllers[self.chance.below(controllers.len() as u64) as usize];
+        let index = controllers[self.random.below(controllers.len() as u64) as usize];
         let ticket = self.next_call;
         self.observers.proposed(&change);
         self.operator_calls.insert(ticket, change.clone());
         self.call(index, ticket, OperatorCall::Apply { change });
     }
 
-    pub(super) fn turn_zone(&mut self, name: &str, closed: bool) {
+    pub(super) fn set_zone_closed(&mut self, name: &str, closed: bool) {
         let Some(region) = self.regions.get(&Zone::new(name)).cloned() else {
             return;
         };
@@ -243,17 +249,17 @@
             }],
             guards: Vec::new(),
         };
-        self.call_any(change);
+        self.submit_change(change);
     }
 }
 
-/// The change set of one put.
+/// Returns the change set of one put.
 fn change_of(id: String, put: &JsonValue) -> Option<Change> {
     let text = jzon::object! { id: id, put: [put.clone()] }.dump();
     controller::operator_json::read_change(&text).ok()
 }
 
-/// An operator's call whose head is read now.
+/// Returns an operator's call whose request header was read at `received_at`.
 pub fn operator_input(ticket: u64, call: OperatorCall, received_at: Duration) -> ControllerInput {
     ControllerInput::OperatorCall {
         ticket,
--- a/crates/simulator/src/world/bodies.rs
+++ b/crates/simulator/src/world/processes.rs
@@ -1,4 +1,4 @@
-//! The state machines that the nodes' processes start with.
+//! Creates the state machines of the nodes' processes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::actors::instance::SimInstance;
 use crate::actors::proxy::SimProxy;
-use crate::world::nodes::{Body, Kind, Node};
+use crate::world::nodes::{Node, NodeKind, Process};
 use crate::world::World;
 use agent::machine::{AgentMachine, AgentOptions};
 use caperworks::identifiers::{Incarnation, InstanceId};
@@ -20,73 +20,77 @@
 use controller::state_machine::ControllerMachine;
 use directory::machine::{DirectoryMachine, DirectoryOptions};
 
-/// What instances' wall clocks showed when the world began, in milliseconds.
+/// Wall clock of instances at the beginning of the simulation, in Unix milliseconds.
 const WALL_START: u64 = 1_800_000_000_000;
 
 impl World {
-    /// The state machine that a node's process starts with, and what it wants done first.
-    pub(super) fn body_of(&mut self, index: usize, seed: u64) -> (Body, Vec<ControllerOutput>) {
+    /// Creates the state machine of a node's process; returns it with its first outputs.
+    pub(super) fn create_process(
+        &mut self,
+        index: usize,
+        seed: u64,
+    ) -> (Process, Vec<ControllerOutput>) {
         let node = &self.nodes[index];
-        let body = match &node.kind {
-            Kind::Controller => return self.controller_of(index, seed),
-            Kind::Agent => Body::Agent(Box::new(self.agent_of(node, seed))),
-            Kind::Proxy { capacity, .. } => {
-                let broken = self.day.broken_proxy;
+        let process = match &node.kind {
+            NodeKind::Controller => return self.create_controller(index, seed),
+            NodeKind::Agent => Process::Agent(Box::new(self.create_agent(node, seed))),
+            NodeKind::Proxy { capacity, .. } => {
+                let fault = self.day.proxy_fault;
                 let zone = node.zone.clone();
-                let mut proxy = SimProxy::new(zone, node.address, *capacity, seed, broken);
+                let mut proxy = SimProxy::new(zone, node.address, *capacity, seed, fault);
                 proxy.knowledge.policy.serves_on = self.day.policy.serves_on;
-                Body::Proxy(Box::new(proxy))
+                Process::Proxy(Box::new(proxy))
             }
-            Kind::Directory => Body::Directory(Box::new(self.directory_of(node, seed))),
-            Kind::Instance {
+            NodeKind::Directory => Process::Directory(Box::new(self.create_directory(node, seed))),
+            NodeKind::Instance {
                 service,
                 capacity,
-                work_span,
-                heard_by,
-            } => Body::Instance(Box::new(SimInstance {
+                work_time,
+                heartbeat_targets,
+            } => Process::Instance(Box::new(SimInstance {
                 id: InstanceId::new(&node.name),
                 service: service.clone(),
                 zone: node.zone.clone(),
                 address: node.address,
                 capacity: *capacity,
-                work_span: *work_span,
-                slowness: node.slowness,
-                incarnation: self.incarnation_of(node),
+                work_time: *work_time,
+                slowdown: node.slowdown,
+                incarnation: self.new_incarnation(node),
                 counter: 0,
                 draining: false,
                 held_leases: HeldLeases::default(),
-                heard_by: heard_by.clone(),
-                turn: 0,
+                heartbeat_targets: heartbeat_targets.clone(),
+                current_target: 0,
                 next_heartbeat: Duration::ZERO,
                 heartbeat_sent: HashMap::new(),
                 stamps: HashMap::new(),
-                unheard: 0,
+                unanswered_heartbeats: 0,
                 work: Slab::new(),
-                loses_responses: 0,
-                sends_garbage: 0,
-                refuses: 0,
-                careless: self.day.careless_instances,
+                responses_to_lose: 0,
+                malformed_responses_to_send: 0,
+                requests_to_reject: 0,
+                careless: self.day.instances_skip_checks,
             })),
         };
-        (body, Vec::new())
+        (process, Vec::new())
     }
 
-    fn controller_of(&mut self, index: usize, seed: u64) -> (Body, Vec<ControllerOutput>) {
+    fn create_controller(&mut self, index: usize, seed: u64) -> (Process, Vec<ControllerOutput>) {
         let node = &self.nodes[index];
         let mut options =
             ControllerOptions::new(node.address, node.zone.clone(), self.seeds.clone())
                 .disk_capacity(8 * 1024 * 1024, 64 * 1024)
-                .inject(self.day.broken_controller);
+                .inject(self.day.controller_fault);
         options.core = CorePolicy {
             stamped_heartbeats: !self.day.heartbeats_to_controllers,
             ..self.day.policy.core()
         };
         let (machine, first) = ControllerMachine::start(options, &node.disk.synced, seed);
-        self.observers.controller_back(machine.node());
-        (Body::Controller(Box::new(machine)), first)
+        self.observers.controller_restarted(machine.node());
+        (Process::Controller(Box::new(machine)), first)
     }
 
-    fn agent_of(&self, node: &Node, seed: u64) -> AgentMachine {
+    fn create_agent(&self, node: &Node, seed: u64) -> AgentMachine {
         let options = AgentOptions {
             feed_form: self.day.policy.core().agents_feed_form(),
             proxy_serves_on: self.day.policy.serves_on,
@@ -99,14 +103,14 @@
             seeds: self.seeds.clone(),
         };
         let mut machine = AgentMachine::start(options, seed);
-        machine.break_fallback(self.day.broken_fallback);
-        if self.day.careless_agents {
+        machine.break_fallback(self.day.fallback_fault);
+        if self.day.agents_ignore_missing_versions {
             machine.be_careless();
         }
         machine
     }
 
-    fn directory_of(&self, node: &Node, seed: u64) -> DirectoryMachine {
+    fn create_directory(&self, node: &Node, seed: u64) -> DirectoryMachine {
         let options = DirectoryOptions {
             member_refresh: Duration::ZERO,
             control: node.address,
@@ -117,10 +121,9 @@
         DirectoryMachine::start(options, seed)
     }
 
-    /// The number of an instance's new life.
-    ///
-    /// Why by the wall clock: that is what real instances number their lives by.
-    fn incarnation_of(&self, node: &Node) -> Incarnation {
+    /// Returns the incarnation number of a starting instance, which is the wall clock as for real
+    /// instances.
+    fn new_incarnation(&self, node: &Node) -> Incarnation {
         let usual = WALL_START + self.now.as_millis() as u64;
         Incarnation(usual.saturating_add_signed(node.wall_offset))
     }
--- a/crates/simulator/src/world/proxies.rs
+++ b/crates/simulator/src/world/proxies.rs
@@ -1,37 +1,37 @@
-//! What proxies want done: attempts at instances, and answers to clients.
+//! Events that proxies receive, and their actions: attempts at instances and responses to clients.
 
 use std::time::Duration;
 
 use crate::actors::proxy::SimProxy;
-use crate::actors::request::ProxyWish;
-use crate::observers::requests::CallerOutcome;
-use crate::world::events::Happening;
-use crate::world::nodes::{Body, Kind};
+use crate::actors::request::ProxyAction;
+use crate::observers::requests::ClientOutcome;
+use crate::world::events::NodeEvent;
+use crate::world::nodes::{NodeKind, Process};
 use crate::world::World;
 use caperworks::dispatch::Target;
 use caperworks::messages::Message;
 use caperworks::replicated_map::MapName;
 
 impl World {
-    /// Lets a proxy take up what happened to it.
-    pub(super) fn act_proxy(
+    /// Passes an event to a proxy.
+    pub(super) fn handle_proxy_event(
         &mut self,
         index: usize,
         local: Duration,
         mut proxy: Box<SimProxy>,
-        happening: Happening,
+        event: NodeEvent,
     ) {
-        let wishes = match happening {
-            Happening::Tick => proxy.tick(local),
-            Happening::Control { envelope } => {
+        let actions = match event {
+            NodeEvent::Tick => proxy.tick(local),
+            NodeEvent::Control { envelope } => {
                 if let Message::View { view } = &envelope.message {
                     proxy.take_view(local, view);
                     let version = proxy.knowledge.maps.map(MapName::Configuration).version;
-                    self.observers.proxy_holds(self.now, index, version);
+                    self.observers.proxy_version_seen(self.now, index, version);
                 }
                 Vec::new()
             }
-            Happening::PlannedRequest {
+            NodeEvent::RequestArrived {
                 mut request,
                 group,
                 locality,
@@ -39,45 +39,45 @@
                 request.received_at = self.now;
                 proxy.receive(local, request, group, locality)
             }
-            Happening::Opened { request, attempt } => proxy.opened(local, request, attempt),
-            Happening::Ended {
+            NodeEvent::Connected { request, attempt } => proxy.connected(local, request, attempt),
+            NodeEvent::AttemptEnded {
                 request,
                 attempt,
                 end,
                 response,
-            } => proxy.ended(local, request, attempt, end, response),
-            Happening::RequestWake { request, at } => proxy.woken(local, request, at),
+            } => proxy.attempt_ended(local, request, attempt, end, response),
+            NodeEvent::RequestTimer { request, at } => proxy.timer_fired(local, request, at),
             _ => Vec::new(),
         };
-        self.nodes[index].body = Some(Body::Proxy(proxy));
-        self.grant_wishes(index, wishes);
+        self.nodes[index].process = Some(Process::Proxy(proxy));
+        self.execute_actions(index, actions);
     }
 
-    /// Does what a proxy wants done.
-    fn grant_wishes(&mut self, index: usize, wishes: Vec<ProxyWish>) {
+    /// Executes the actions of a proxy.
+    fn execute_actions(&mut self, index: usize, actions: Vec<ProxyAction>) {
         let node_incarnation = self.nodes[index].incarnation;
-        for wish in wishes {
-            match wish {
-                ProxyWish::Pull { message } => {
-                    if let Kind::Proxy { agent, .. } = self.nodes[index].kind {
+        for action in actions {
+            match action {
+                ProxyAction::Pull { message } => {
+                    if let NodeKind::Proxy { agent, .. } = self.nodes[index].kind {
                         let to = self.nodes[agent].address;
                         self.send_control(index, to, message);
                     }
                 }
-                ProxyWish::End => self.end(index, false),
-                ProxyWish::WakeAt { request, at } => {
-                    let after = self.after_local(index, at);
-                    self.push_at(index, after, Happening::RequestWake { request, at });
+                ProxyAction::Stopped => self.end_process(index, false),
+                ProxyAction::SetTimer { request, at } => {
+                    let after = self.delay_until_local(index, at);
+                    self.schedule_for_node(index, after, NodeEvent::RequestTimer { request, at });
                 }
-                ProxyWish::Respond {
+                ProxyAction::Respond {
                     request,
                     reported,
                     answered,
                     failure,
                     unsent,
                 } => {
-                    if unsent && reported == CallerOutcome::NotRun {
-                        self.observers.refused(self.now, &request);
+                    if unsent && reported == ClientOutcome::NotRun {
+                        self.observers.request_rejected(self.now, &request);
                     }
                     if let Some(failure) = failure {
                         *self
@@ -90,23 +90,23 @@
                     self.observers
                         .reported(self.now, &request, reported, answered);
                 }
-                ProxyWish::Open {
+                ProxyAction::Connect {
                     request,
                     attempt,
                     target,
-                } => self.open(index, node_incarnation, request, attempt, &target),
-                ProxyWish::Shoot {
+                } => self.connect(index, node_incarnation, request, attempt, &target),
+                ProxyAction::SendAttempt {
                     request,
                     attempt,
                     target,
-                    further,
-                } => self.send_attempt(index, node_incarnation, request, attempt, target, further),
+                    is_retry,
+                } => self.send_attempt(index, node_incarnation, request, attempt, target, is_retry),
             }
         }
     }
 
     /// Opens a connection to an instance.
-    fn open(
+    fn connect(
         &mut self,
         index: usize,
         node_incarnation: u64,
@@ -117,17 +117,17 @@
         let Some(to) = self.by_address.get(&target.address).copied() else {
             return;
         };
-        let open = Happening::Open {
+        let connect = NodeEvent::Connect {
             request,
             attempt,
             proxy: index,
             proxy_incarnation: node_incarnation,
             incarnation: target.incarnation,
         };
-        self.send(index, to, open);
+        self.send(index, to, connect);
     }
 
-    /// Sends a request to an instance over a connection that is open.
+    /// Sends a request to an instance over an open connection.
     fn send_attempt(
         &mut self,
         index: usize,
@@ -135,22 +135,22 @@
         request: u64,
         attempt: u32,
         target: Target,
-        further: bool,
+        is_retry: bool,
     ) {
-        let local = self.local(index);
-        let Some(Body::Proxy(proxy)) = &self.nodes[index].body else {
+        let local = self.local_time(index);
+        let Some(Process::Proxy(proxy)) = &self.nodes[index].process else {
             return;
         };
-        let Some(carried) = proxy.carried.get(&request) else {
+        let Some(in_flight) = proxy.in_flight.get(&request) else {
             return;
         };
-        let (route, configuration) = (carried.route.clone(), carried.configuration);
-        let need = carried.chart.deadline().saturating_sub(local);
-        self.observers.attempt(self.now, &route.service, further);
+        let (route, configuration) = (in_flight.route.clone(), in_flight.configuration);
+        let need = in_flight.lifecycle.deadline().saturating_sub(local);
+        self.observers.attempt(self.now, &route.service, is_retry);
         let Some(to) = self.by_address.get(&target.address).copied() else {
             return;
         };
-        let arrive = Happening::Arrive {
+        let arrive = NodeEvent::AttemptArrived {
             request,
             attempt,
             proxy: index,
--- a/crates/simulator/src/world/schedule.rs
+++ b/crates/simulator/src/world/schedule.rs
@@ -1,65 +1,68 @@
-//! The schedule: what is due is taken up in the order of time, and handed to its node.
+//! The scheduler: processes events in the order of their time and delivers them to the nodes.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use crate::world::events::{Due, Happening};
-use crate::world::nodes::Body;
+use crate::world::events::{NodeEvent, ScheduledEvent};
+use crate::world::nodes::Process;
 use crate::world::World;
 use caperworks::dispatch::AttemptEnd;
 use caperworks::envelope_clock::{Echo, Stamp};
 use caperworks::identifiers::NodeId;
 
 impl World {
-    /// Plans the traffic, the operators' calls, the faults and the observers' looks of the day.
-    pub(super) fn plan(&mut self) {
+    /// Schedules the day's traffic, operators' calls and faults, and the observers' inspections.
+    pub(super) fn schedule_day(&mut self) {
         for kind in 0..self.scenario.traffic.len() {
             if self.scenario.traffic[kind].keys > 0 {
                 self.observers.keyed_kinds.insert(kind);
             }
-            self.push(self.day.traffic_from, Due::Caller { kind });
+            self.schedule(
+                self.day.traffic_from,
+                ScheduledEvent::ClientTraffic { kind },
+            );
         }
-        self.push(Duration::from_millis(1500), Due::Operator);
-        // Why after the operator's first call: before it there is nothing to read.
-        self.push(
-            Duration::from_millis(1500) + super::READ_PERIOD,
-            Due::Reader,
+        self.schedule(Duration::from_millis(1500), ScheduledEvent::Operator);
+        // There is nothing to read before the operator's first change.
+        self.schedule(
+            Duration::from_millis(1500) + super::READ_INTERVAL,
+            ScheduledEvent::Reader,
         );
         for index in 0..self.day.faults.len() {
-            self.push(self.day.faults[index].at, Due::Fault { index });
+            self.schedule(self.day.faults[index].at, ScheduledEvent::Fault { index });
         }
-        self.push(super::OBSERVE_PERIOD, Due::Observe);
+        self.schedule(super::OBSERVATION_INTERVAL, ScheduledEvent::Observe);
     }
 
-    /// Makes something due.
-    pub(super) fn push(&mut self, at: Duration, event: Due) {
-        self.queued += 1;
-        let slot = self.due.insert(event);
-        self.queue.push(Reverse((at, self.queued, slot)));
+    /// Schedules an event.
+    pub(super) fn schedule(&mut self, at: Duration, event: ScheduledEvent) {
+        self.scheduled_count += 1;
+        let slot = self.scheduled.insert(event);
+        self.queue.push(Reverse((at, self.scheduled_count, slot)));
     }
 
-    /// Lets something happen to a node after a while, in its present life.
-    pub(super) fn push_at(&mut self, node: usize, after: Duration, happening: Happening) {
+    /// Schedules an event for a node's current incarnation after a delay.
+    pub(super) fn schedule_for_node(&mut self, node: usize, after: Duration, event: NodeEvent) {
         let incarnation = self.nodes[node].incarnation;
-        self.push(
+        self.schedule(
             self.now + after,
-            Due::At {
+            ScheduledEvent::ForNode {
                 node,
                 incarnation,
-                happening,
+                event,
             },
         );
     }
 
-    /// Runs until the end of the day, then reads everything back.
+    /// Runs until the end of the day, then checks the final state.
     pub fn run(&mut self) {
         let end = self.day.length;
         self.run_until(end);
-        self.read_back();
-        self.observers.judge_recovery(end);
+        self.check_final_state();
+        self.observers.check_recovery(end);
     }
 
-    /// Runs until a moment.
+    /// Runs until the given time.
     pub fn run_until(&mut self, end: Duration) {
         while let Some(Reverse((at, _, slot))) = self.queue.peek().copied() {
             if at > end {
@@ -67,100 +70,100 @@
             }
             self.queue.pop();
             self.now = at;
-            let due = self.due.remove(slot);
-            self.take_up(due);
+            let scheduled = self.scheduled.remove(slot);
+            self.dispatch(scheduled);
         }
         self.now = end;
     }
 
-    fn take_up(&mut self, due: Due) {
-        match due {
-            Due::At {
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::ForNode {
                 node,
                 incarnation,
-                happening,
-            } => self.happen(node, incarnation, happening),
-            Due::Caller { kind } => self.caller(kind),
-            Due::HotCaller => self.hot_caller(),
-            Due::Operator => self.operator(),
-            Due::Reader => self.reader(),
-            Due::Fault { index } => {
+                event,
+            } => self.deliver(node, incarnation, event),
+            ScheduledEvent::ClientTraffic { kind } => self.generate_traffic(kind),
+            ScheduledEvent::HotKeyTraffic => self.generate_hot_key_traffic(),
+            ScheduledEvent::Operator => self.run_operator(),
+            ScheduledEvent::Reader => self.run_reader(),
+            ScheduledEvent::Fault { index } => {
                 let fault = self.day.faults[index].clone();
-                if fault.on_yes {
-                    self.on_yes.push(fault);
+                if fault.on_acceptance {
+                    self.on_acceptance.push(fault);
                 } else {
                     self.fault(&fault);
                 }
             }
-            Due::Observe => self.observe(),
-            Due::NarrowLinks => self.carry_narrow_links(),
-            Due::Segment { segment } => self.at_receivers_link(*segment),
+            ScheduledEvent::Observe => self.observe(),
+            ScheduledEvent::AdvanceLinks => self.advance_limited_links(),
+            ScheduledEvent::Segment { segment } => self.enter_receiver_link(*segment),
         }
     }
 
-    /// Hands a node what happens to it, if it still is what it was meant for.
-    fn happen(&mut self, index: usize, incarnation: u64, happening: Happening) {
+    /// Delivers an event to a node, if it is still the incarnation that the event is for.
+    fn deliver(&mut self, index: usize, incarnation: u64, event: NodeEvent) {
         let node = &mut self.nodes[index];
-        // Why whatever its life: a connection is opened to an address, and so is a heartbeat's; whoever
-        // lives there now takes it.
+        // Connections and heartbeats go to an address, so any incarnation at that address receives
+        // them.
         let by_address = matches!(
-            happening,
-            Happening::Open { .. } | Happening::HeartbeatTarget { .. }
+            event,
+            NodeEvent::Connect { .. } | NodeEvent::HeartbeatArrived { .. }
         );
-        if node.body.is_none() || (node.incarnation != incarnation && !by_address) {
-            // Why an answer: a live machine resets what comes in for a process that is gone.
-            if !node.dark {
-                self.reset(index, &happening);
+        if node.process.is_none() || (node.incarnation != incarnation && !by_address) {
+            // A running machine resets connections to a process that has ended.
+            if !node.powered_off {
+                self.reset(index, &event);
             }
             return;
         }
-        if matches!(happening, Happening::Ends) {
-            self.end(index, false);
+        if matches!(event, NodeEvent::ShutdownFinished) {
+            self.end_process(index, false);
             return;
         }
         let frozen = node.frozen;
-        // Why here and not when it is taken up: a request has reached an instance when it is at its
-        // machine; a frozen process that finds it later has had it all the while.
-        if let Happening::Arrive {
+        // Recorded on arrival: a request has reached an instance once it is at its machine, even if
+        // the process is frozen and reads it later.
+        if let NodeEvent::AttemptArrived {
             request,
             proxy,
             route,
             configuration,
             ..
-        } = &happening
+        } = &event
         {
             self.record_reached(index, *request, *proxy, route, *configuration);
         }
-        if let Happening::Open {
+        if let NodeEvent::Connect {
             request,
             attempt,
             proxy,
             proxy_incarnation,
             ..
-        } = happening
+        } = event
         {
-            // Why whether frozen or not: it is the machine that takes a connection, not the process.
+            // The machine's kernel accepts connections, also while the process is frozen.
             if self.nodes[proxy].incarnation == proxy_incarnation {
-                self.send(index, proxy, Happening::Opened { request, attempt });
+                self.send(index, proxy, NodeEvent::Connected { request, attempt });
             }
             return;
         }
         let node = &mut self.nodes[index];
         if frozen {
-            if matches!(happening, Happening::Tick) {
-                self.push_at(index, super::TICK, Happening::Tick);
+            if matches!(event, NodeEvent::Tick) {
+                self.schedule_for_node(index, super::TICK, NodeEvent::Tick);
             } else {
-                node.backlog.push(happening);
+                node.backlog.push(event);
             }
             return;
         }
-        self.act(index, happening);
+        self.handle_event(index, event);
     }
 
-    /// Answers for a process that is gone: its machine resets the connection.
-    fn reset(&mut self, index: usize, happening: &Happening) {
-        let (request, attempt, proxy, proxy_incarnation, end) = match happening {
-            Happening::Open {
+    /// Responds in place of a process that has ended: its machine resets the connection.
+    fn reset(&mut self, index: usize, event: &NodeEvent) {
+        let (request, attempt, proxy, proxy_incarnation, end) = match event {
+            NodeEvent::Connect {
                 request,
                 attempt,
                 proxy,
@@ -173,7 +176,7 @@
                 *proxy_incarnation,
                 AttemptEnd::NotOpened,
             ),
-            Happening::Arrive {
+            NodeEvent::AttemptArrived {
                 request,
                 attempt,
                 proxy,
@@ -189,7 +192,7 @@
             _ => return,
         };
         if self.nodes[proxy].incarnation == proxy_incarnation {
-            let ended = Happening::Ended {
+            let ended = NodeEvent::AttemptEnded {
                 request,
                 attempt,
                 end,
@@ -199,43 +202,49 @@
         }
     }
 
-    /// Takes a happening for one that was sent just now; only for proving the observers.
-    fn undate(&self, index: usize, happening: &mut Happening) {
-        let at = self.local(index);
+    /// Treats an event as sent just now; used only to test the observers.
+    fn mark_as_fresh(&self, index: usize, event: &mut NodeEvent) {
+        let at = self.local_time(index);
         let fresh = |incarnation: NodeId| {
             let stamp = Stamp { incarnation, at };
             let held = Duration::ZERO;
             Some(Echo { stamp, held })
         };
-        match (happening, &self.nodes[index].body) {
-            (Happening::Control { envelope }, Some(Body::Controller(machine))) => {
+        match (event, &self.nodes[index].process) {
+            (NodeEvent::Control { envelope }, Some(Process::Controller(machine))) => {
                 envelope.echo = fresh(machine.state.incarnation);
             }
-            (Happening::HeartbeatTarget { echo, .. }, Some(Body::Agent(machine))) => {
+            (NodeEvent::HeartbeatArrived { echo, .. }, Some(Process::Agent(machine))) => {
                 *echo = fresh(machine.node());
             }
             _ => {}
         }
     }
 
-    /// Lets a node's process take up what happened to it.
-    pub(super) fn act(&mut self, index: usize, mut happening: Happening) {
-        if self.day.undated {
-            self.undate(index, &mut happening);
+    /// Passes an event to the state machine of a node's process.
+    pub(super) fn handle_event(&mut self, index: usize, mut event: NodeEvent) {
+        if self.day.input_counts_as_fresh {
+            self.mark_as_fresh(index, &mut event);
         }
-        let local = self.local(index);
-        let Some(body) = self.nodes[index].body.take() else {
+        let local = self.local_time(index);
+        let Some(process) = self.nodes[index].process.take() else {
             return;
         };
-        if matches!(happening, Happening::Tick) {
-            self.push_at(index, super::TICK, Happening::Tick);
+        if matches!(event, NodeEvent::Tick) {
+            self.schedule_for_node(index, super::TICK, NodeEvent::Tick);
         }
-        match body {
-            Body::Controller(machine) => self.act_controller(index, local, machine, happening),
-            Body::Agent(machine) => self.act_agent(index, local, machine, happening),
-            Body::Directory(machine) => self.act_directory(index, local, machine, happening),
-            Body::Proxy(proxy) => self.act_proxy(index, local, proxy, happening),
-            Body::Instance(instance) => self.act_instance(index, local, instance, happening),
+        match process {
+            Process::Controller(machine) => {
+                self.handle_controller_event(index, local, machine, event)
+            }
+            Process::Agent(machine) => self.handle_agent_event(index, local, machine, event),
+            Process::Directory(machine) => {
+                self.handle_directory_event(index, local, machine, event)
+            }
+            Process::Proxy(proxy) => self.handle_proxy_event(index, local, proxy, event),
+            Process::Instance(instance) => {
+                self.handle_instance_event(index, local, instance, event)
+            }
         }
     }
 }
--- a/crates/simulator/src/world/segments.rs
+++ b/crates/simulator/src/world/segments.rs
@@ -1,52 +1,53 @@
-//! Segments of connections on their way: out over the sender's link, across, in over the receiver's.
+//! Segments in transit: over the sender's link, across the network, over the receiver's link.
 
 use crate::connections::Segment;
 use crate::connections::SegmentKind;
-use crate::narrow_link::FromLink;
-use crate::narrow_link::LINK_STEP;
-use crate::world::events::Due;
-use crate::world::events::Happening;
-use crate::world::nodes::Kind;
+use crate::limited_link::LinkOutput;
+use crate::limited_link::LINK_STEP;
+use crate::world::events::NodeEvent;
+use crate::world::events::ScheduledEvent;
+use crate::world::nodes::NodeKind;
 use crate::world::World;
 use caperworks::messages::Envelope;
 use std::time::Duration;
 
 impl World {
-    /// Whether control messages between two nodes go over a narrow link.
+    /// Returns whether control messages between two nodes go over a bandwidth-limited link.
     fn is_over_link(&self, from: usize, to: usize) -> bool {
-        let links = &self.network.narrow_links;
-        let is_controller = |index: usize| matches!(self.nodes[index].kind, Kind::Controller);
+        let links = &self.network.limited_links;
+        let is_controller = |index: usize| matches!(self.nodes[index].kind, NodeKind::Controller);
         (is_controller(from) || is_controller(to))
             && (links.contains_key(&from) || links.contains_key(&to))
     }
 
-    /// Writes a control message into a connection if it goes over a narrow link; gives back what does not.
-    pub(super) fn onto_connection(
+    /// Writes a control message to a connection if it goes over a bandwidth-limited link; otherwise
+    /// returns the event.
+    pub(super) fn send_on_connection(
         &mut self,
         from: usize,
         to: usize,
-        happening: Happening,
-    ) -> Option<Happening> {
+        event: NodeEvent,
+    ) -> Option<NodeEvent> {
         let sender = (from, self.nodes[from].incarnation);
         let receiver = (to, self.nodes[to].incarnation);
-        match happening {
-            Happening::Control { envelope } if self.is_over_link(from, to) => {
+        match event {
+            NodeEvent::Control { envelope } if self.is_over_link(from, to) => {
                 self.write_control(sender, receiver, envelope);
                 None
             }
-            Happening::Control { .. } if self.day.narrows_links() => {
-                if self.nodes[to].body.is_some() && !self.network.is_cut(from, to) {
-                    self.network.connections.spoke(sender, receiver);
+            NodeEvent::Control { .. } if self.day.limits_links() => {
+                if self.nodes[to].process.is_some() && !self.network.is_blocked(from, to) {
+                    self.network.connections.record_exchange(sender, receiver);
                 }
-                Some(happening)
+                Some(event)
             }
-            happening => Some(happening),
+            event => Some(event),
         }
     }
 
     fn write_control(&mut self, from: (usize, u64), to: (usize, u64), envelope: Box<Envelope>) {
         let connections = &mut self.network.connections;
-        let segment = connections.write(self.now, from, to, envelope);
+        let segment = connections.send(self.now, from, to, envelope);
         self.transmit_all(segment);
     }
 
@@ -56,72 +57,74 @@
         }
     }
 
-    /// Puts a segment onto the sender's link, unless a cut drops it.
+    /// Puts a segment onto the sender's link, unless a partition drops it.
     fn transmit(&mut self, segment: Segment) {
-        if self.network.is_cut(segment.from, segment.to) {
+        if self.network.is_blocked(segment.from, segment.to) {
             if let SegmentKind::Message { .. } = segment.kind {
-                self.network.connections.dropped(&segment);
+                self.network.connections.on_message_dropped(&segment);
             }
             return;
         }
-        let link = self.network.narrow_links.get_mut(&segment.from);
+        let link = self.network.limited_links.get_mut(&segment.from);
         match link.filter(|link| !link.outward.is_free()) {
             Some(link) => link.outward.add(self.now, segment),
-            None => self.cross(segment),
+            None => self.transfer(segment),
         }
     }
 
-    /// Takes a segment from the sender's link to the receiver's.
-    fn cross(&mut self, segment: Segment) {
+    /// Transfers a segment from the sender's link to the receiver's.
+    fn transfer(&mut self, segment: Segment) {
         let delay = self.delay(segment.from, segment.to);
         let segment = Box::new(segment);
-        self.push(self.now + delay, Due::Segment { segment });
+        self.schedule(self.now + delay, ScheduledEvent::Segment { segment });
     }
 
     /// Puts a segment onto the receiver's link.
-    pub(super) fn at_receivers_link(&mut self, segment: Segment) {
-        let link = self.network.narrow_links.get_mut(&segment.to);
+    pub(super) fn enter_receiver_link(&mut self, segment: Segment) {
+        let link = self.network.limited_links.get_mut(&segment.to);
         match link.filter(|link| !link.inward.is_free()) {
             Some(link) => link.inward.add(self.now, segment),
             None => self.arrive(segment),
         }
     }
 
-    /// Carries on what waits on narrow links, again and again.
-    pub(super) fn carry_narrow_links(&mut self) {
+    /// Transmits what is queued on bandwidth-limited links, and schedules the next step.
+    pub(super) fn advance_limited_links(&mut self) {
         let now = self.now;
         let attempts = self.network.connections.tick(now);
         self.transmit_all(attempts);
-        let mut out = Vec::new();
-        let mut come = Vec::new();
-        for (index, link) in &mut self.network.narrow_links {
-            link.draw_queues(now, &mut self.chance);
-            out.extend(link.outward.carry(now));
-            let inward = link.inward.carry(now).into_iter();
-            come.extend(inward.map(|come| (*index, come)));
+        let mut departures = Vec::new();
+        let mut arrivals = Vec::new();
+        for (index, link) in &mut self.network.limited_links {
+            link.redraw_queues(now, &mut self.random);
+            departures.extend(link.outward.advance(now));
+            let inward = link.inward.advance(now).into_iter();
+            arrivals.extend(inward.map(|output| (*index, output)));
         }
-        for from_link in out {
-            if let FromLink::Snapshot(segment) = from_link {
-                self.cross(segment);
+        for output in departures {
+            if let LinkOutput::Complete(segment) = output {
+                self.transfer(segment);
             }
         }
-        for (index, from_link) in come {
-            match from_link {
-                FromLink::Snapshot(segment) => self.arrive(segment),
-                FromLink::Part => self.push_at(index, Duration::ZERO, Happening::ControlPart),
+        for (index, output) in arrivals {
+            match output {
+                LinkOutput::Complete(segment) => self.arrive(segment),
+                LinkOutput::Progress => {
+                    self.schedule_for_node(index, Duration::ZERO, NodeEvent::ControlProgress)
+                }
             }
         }
-        self.push(now + LINK_STEP, Due::NarrowLinks);
+        self.schedule(now + LINK_STEP, ScheduledEvent::AdvanceLinks);
     }
 
-    /// A segment is at the machine that it was sent to.
+    /// Handles a segment that has arrived at its receiver.
     fn arrive(&mut self, segment: Segment) {
         let receiver = &self.nodes[segment.to];
-        if receiver.body.is_none() && receiver.dark {
+        if receiver.process.is_none() && receiver.powered_off {
             return;
         }
         let sender_incarnation = Some(self.nodes[segment.from].incarnation);
-        let is_gone = receiver.body.is_none()
+        let is_gone = receiver.process.is_none()
             || segment
                 .receiver_incarnation
                 .is_some_and(|incarnation| incarnation != receiver.incarnation);
@@ -137,28 +140,31 @@
                 kind: SegmentKind::SynAck { incarnation },
             }),
             SegmentKind::SynAck { incarnation } => {
-                let waited = self.network.connections.established(&segment, incarnation);
+                let waited = self
+                    .network
+                    .connections
+                    .on_established(&segment, incarnation);
                 self.transmit_all(waited);
             }
             SegmentKind::Message { envelope } => {
-                self.push_at(segment.to, Duration::ZERO, Happening::Control { envelope });
+                self.schedule_for_node(segment.to, Duration::ZERO, NodeEvent::Control { envelope });
             }
-            SegmentKind::Reset => self.reset_came(&segment),
+            SegmentKind::Reset => self.handle_reset(&segment),
         }
     }
 
-    fn reset_came(&mut self, reset: &Segment) {
-        let unanswered = self.network.connections.reset_came(reset);
+    fn handle_reset(&mut self, reset: &Segment) {
+        let unanswered = self.network.connections.handle_reset(reset);
         if let Some(envelope) = unanswered {
             let to = (reset.from, self.nodes[reset.from].incarnation);
             self.write_control((reset.to, self.nodes[reset.to].incarnation), to, envelope);
         }
     }
 
-    /// A process ends on a machine that lives on: the connections that it accepted are reset.
+    /// Resets the accepted connections of a process that ends while its machine goes on running.
     pub(super) fn close_connections(&mut self, index: usize) {
-        if self.network.connections.model.notices_resets {
-            let resets = self.network.connections.closing(index);
+        if self.network.connections.model.detects_resets {
+            let resets = self.network.connections.resets_on_exit(index);
             self.transmit_all(resets);
         }
     }
--- a/crates/simulator/src/world/targets.rs
+++ b/crates/simulator/src/world/targets.rs
@@ -1,24 +1,24 @@
-//! The targets of faults: which nodes a name stands for.
+//! The targets of faults: which nodes a name selects.
 
-use crate::world::nodes::{Body, Kind};
+use crate::world::nodes::{NodeKind, Process};
 use crate::world::World;
 use caperworks::identifiers::Version;
 use caperworks::leadership::OWNERSHIP;
 use caperworks::replicated_map::MapName;
 
 impl World {
-    /// The places that a fault's target names: a node, a program, a zone, a region, a program in one of
-    /// these, or `any-PROGRAM`.
+    /// Returns the nodes that a fault's target selects: a node, a program, a zone, a region, a
+    /// program in one of these, or `any-PROGRAM`.
     pub fn targets(&mut self, name: &str) -> Vec<usize> {
         if let Some(program) = name.strip_prefix("any-") {
             let all: Vec<usize> = self.targets(program);
             let live: Vec<usize> = all
                 .into_iter()
-                .filter(|index| self.nodes[*index].body.is_some())
+                .filter(|index| self.nodes[*index].process.is_some())
                 .collect();
             return match live.len() {
                 0 => Vec::new(),
-                count => vec![live[self.chance.below(count as u64) as usize]],
+                count => vec![live[self.random.below(count as u64) as usize]],
             };
         }
         (0..self.nodes.len())
@@ -32,28 +32,28 @@
                     || region.is_some_and(|region| name == format!("{program}-{region}"))
                     || node.zone.as_str() == name
                     || region.is_some_and(|region| region.as_str() == name)
-                    || (name == "instance" && matches!(node.kind, Kind::Instance { .. }))
-                    || (name == "holder" && self.is_holder(*index))
-                    || (name == "answering" && self.answering == Some(*index))
-                    || (name == "knowing" && self.knows_last_yes(*index) == Some(true))
-                    || (name == "unknowing" && self.knows_last_yes(*index) == Some(false))
+                    || (name == "instance" && matches!(node.kind, NodeKind::Instance { .. }))
+                    || (name == "holder" && self.is_owner_manager(*index))
+                    || (name == "answering" && self.last_accepting_controller == Some(*index))
+                    || (name == "knowing" && self.knows_last_accepted(*index) == Some(true))
+                    || (name == "unknowing" && self.knows_last_accepted(*index) == Some(false))
             })
             .collect()
     }
 
-    /// Whether an agent holds what was accepted last; nothing of what is no agent.
-    fn knows_last_yes(&self, index: usize) -> Option<bool> {
-        let version = match (&self.nodes[index].body, &self.nodes[index].kind) {
-            (Some(Body::Agent(machine)), _) => machine.link().versions()[0],
-            (None, Kind::Agent) => Version(0),
+    /// Returns whether an agent has the last accepted version; `None` for other nodes.
+    fn knows_last_accepted(&self, index: usize) -> Option<bool> {
+        let version = match (&self.nodes[index].process, &self.nodes[index].kind) {
+            (Some(Process::Agent(machine)), _) => machine.link().versions()[0],
+            (None, NodeKind::Agent) => Version(0),
             _ => return None,
         };
         Some(version >= self.observers.last_accepted())
     }
 
-    pub(super) fn is_holder(&self, index: usize) -> bool {
-        match &self.nodes[index].body {
-            Some(Body::Controller(machine)) => {
+    pub(super) fn is_owner_manager(&self, index: usize) -> bool {
+        match &self.nodes[index].process {
+            Some(Process::Controller(machine)) => {
                 let membership = machine.state.map(MapName::Membership);
                 membership
                     .leadership(OWNERSHIP)
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,20 +1,21 @@
-//! Plays every day file with its fixed seeds; a failing run prints its seed.
+//! Runs every day file with its fixed seeds; a failing run prints its seed.
 
 use std::path::Path;
 
-use simulator::day::{deployment, Day};
+use simulator::day::{read_deployment, Day};
 
 fn play(path: &Path) -> datatest_stable::Result<()> {
     let day = Day::read(path).map_err(|faults| format!("{faults:?}"))?;
-    let scenario = deployment(&day.deployment)?;
+    let scenario = read_deployment(&day.deployment)?;
     let mut failures = Vec::new();
     for seed in &day.seeds {
         let observers = day.play(&scenario, *seed);
-        // Why not to the standard output: there it could part a result line that scripts read.
+        // Printed to standard error: on standard output it could split a result line that scripts
+        // read.
         eprintln!("seed {seed}: {:?}", observers.tally);
-        let wrong = day.judge(&observers);
+        let problems = day.check_run(&observers);
         failures.extend(
-            wrong
+            problems
                 .iter()
                 .take(5)
                 .map(|what| format!("seed {seed}: {what}")),
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -1,4 +1,4 @@
-//! The runbooks that we ship, run against the fleet in memory.
+//! The shipped runbooks, run against the simulated fleet.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use caperworks::identifiers::Zone;
 use runbook_runner::runbook::{Action, Runbook};
 use runbook_runner::runner::{Runner, Seen, Wish};
-use simulator::day::{deployment, Act, Day, FaultStep};
+use simulator::day::{read_deployment, Day, FaultAction, FaultStep};
 use simulator::world::World;
 
 fn fleet(seed: u64) -> World {
@@ -16,7 +16,7 @@
     day.length = Duration::from_secs(400);
     day.traffic_until = day.length;
     let mut world = World::new(
-        deployment("tallowgum").expect("the scenario reads"),
+        read_deployment("tallowgum").expect("the scenario reads"),
         day,
         seed,
     );
@@ -24,18 +24,18 @@
     world
 }
 
-fn fault_step(world: &mut World, act: Act, target: &str) {
+fn fault_step(world: &mut World, action: FaultAction, target: &str) {
     world.fault(&FaultStep {
         at: world.now,
-        act,
+        action,
         target: target.to_string(),
-        big: false,
-        keyed_waits: false,
-        on_yes: false,
+        is_major: false,
+        blocks_keyed_traffic: false,
+        on_acceptance: false,
     });
 }
 
-/// Runs a runbook; `by_hand` does what a step asks the operator to do, by the step's number.
+/// Runs a runbook; `by_hand` performs the manual steps, by the number of the step.
 fn run(
     world: &mut World,
     name: &str,
@@ -78,7 +78,7 @@
             Wish::Look => {
                 let next = world.now + Duration::from_millis(250);
                 world.run_until(next);
-                let (status, configuration) = world.look();
+                let (status, configuration) = world.operator_view();
                 let seen = Seen {
                     status: &status,
                     configuration: &configuration,
@@ -98,11 +98,11 @@
     );
     let later = world.now + Duration::from_secs(8);
     world.run_until(later);
-    fault_step(&mut world, Act::Kill, "holder");
-    fault_step(&mut world, Act::Start, "controller");
+    fault_step(&mut world, FaultAction::Kill, "holder");
+    fault_step(&mut world, FaultAction::Start, "controller");
     let later = world.now + Duration::from_secs(10);
     world.run_until(later);
-    world.observers.opening(&Zone::new("east-2"));
+    world.observers.zone_reopened(&Zone::new("east-2"));
     assert_eq!(
         run(
             &mut world,
@@ -112,14 +112,14 @@
         ),
         Ok(())
     );
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
 fn given_a_core_without_a_majority_when_a_zone_is_to_be_emptied_then_the_runbook_stops_at_once() {
     let mut world = fleet(2);
     for name in ["controller-1", "controller-2", "agent"] {
-        fault_step(&mut world, Act::PowerOff, name);
+        fault_step(&mut world, FaultAction::PowerOff, name);
     }
     let stopped = run(&mut world, "empty-area", &[("area", "east-2")], |_, _| {});
     let (step, why, remedy) = stopped.expect_err("nothing may be changed now");
@@ -137,10 +137,10 @@
     let new = new.to_string();
     let inputs = [("old", old.as_str()), ("new", new.as_str())];
     let ended = run(&mut world, "replace-core-machine", &inputs, |world, _| {
-        fault_step(world, Act::Move, "controller-2");
+        fault_step(world, FaultAction::MoveToNewAddress, "controller-2");
     });
     assert_eq!(ended, Ok(()));
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
@@ -152,30 +152,30 @@
         &[("proxies", "12")],
         |world, step| {
             let name = format!("controller-{}", step - 1);
-            fault_step(world, Act::Kill, &name);
+            fault_step(world, FaultAction::Kill, &name);
             let later = world.now + Duration::from_secs(2);
             world.run_until(later);
-            fault_step(world, Act::Start, &name);
+            fault_step(world, FaultAction::Start, &name);
         },
     );
     assert_eq!(ended, Ok(()));
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
 fn given_a_lost_majority_when_brought_back_by_the_runbook_then_leaderships_and_voters_are_taken_up()
 {
     let mut world = fleet(5);
-    fault_step(&mut world, Act::PowerOff, "controller");
-    fault_step(&mut world, Act::PowerOff, "agent");
+    fault_step(&mut world, FaultAction::PowerOff, "controller");
+    fault_step(&mut world, FaultAction::PowerOff, "agent");
     let later = world.now + Duration::from_secs(10);
     world.run_until(later);
     let ended = run(&mut world, "core-majority-lost", &[], |world, _| {
-        fault_step(world, Act::Start, "controller");
-        fault_step(world, Act::Start, "agent");
+        fault_step(world, FaultAction::Start, "controller");
+        fault_step(world, FaultAction::Start, "agent");
     });
     assert_eq!(ended, Ok(()));
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
@@ -195,7 +195,7 @@
         run(&mut world, "try-and-take-back", &inputs, |_, _| {}),
         Ok(())
     );
-    let (_, configuration) = world.look();
+    let (_, configuration) = world.operator_view();
     let item = configuration["items"]
         .members()
         .find(|item| item["name"] == "swell")
