--- a/crates/simulator/tests/coverage.rs
+++ b/crates/simulator/tests/coverage.rs
@@ -1,4 +1,4 @@
-//! Reads the pages that claim something is proved, and fails if what they name is not there.
+//! Reads the pages that claim proofs, and fails if a named proof does not exist.
 //!
 //! The pages name proofs in code marks as `day/NAME`, `story/NAME`, `variant/NAME`, `drill/NAME` or
 //! `runbook/NAME`.
@@ -12,7 +12,7 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
 
-/// Every proof that a page names, by kind and name.
+/// Returns every proof that a page names, by kind and name.
 fn named(page: &str) -> Vec<(String, String)> {
     page.split('`')
         .skip(1)
@@ -23,7 +23,7 @@
         .collect()
 }
 
-/// What there is to be named.
+/// The proofs that exist.
 struct Proofs {
     days: BTreeSet<String>,
     drills: BTreeSet<String>,
@@ -127,7 +127,7 @@
         "seen on `day/quiet`, `day/never-played`, `story/given_nothing`, `variant/Unbroken`, \
                 `drill/none` and `runbook/none`; `crates/a/b` is no proof";
     let mut missing = Proofs::gather().missing(page);
-    // Why: this very file holds the story's name in its text, but not as a function.
+    // This file contains the name `given_nothing`, but no function of that name.
     missing.sort();
     let expected = [
         "day/never-played",
--- a/crates/simulator/tests/known_red.rs
+++ b/crates/simulator/tests/known_red.rs
@@ -2,13 +2,13 @@
 
 use std::path::Path;
 
-/// A run in which `broken` failed, as cargo and the test harnesses write it.
+/// Output of a run in which `broken` failed, as cargo and the test harnesses print it.
 const ONE_FAILS: &str = "\nrunning 3 tests\ntest fine ... ok\ntest skipped ... ignored, by hand\n\
     test tests::broken - should panic ... FAILED\n\nfailures:\n\n---- tests::broken stdout ----\n\
     running 1 test\ntest of_the_output ... FAILED\n\nfailures:\n    tests::broken\n\n\
     test result: FAILED. 1 passed; 1 failed; 1 ignored; 0 measured; 0 filtered out; finished in 0.00s\n\n";
 
-/// A run of padded names without a failure.
+/// Output of a run without failures, with padded test names.
 const NONE_FAILS: &str =
     "\nrunning 2 tests\ntest days::a.json      ... ok\ntest days::longer.json ... ok\n\n\
     test result: ok. 2 passed; 0 failed; 0 ignored; 0 measured; 0 filtered out; finished in 1.00s\n\n";
@@ -18,7 +18,7 @@
 
 const LISTED: &str = "# A note.\n\ntests::broken | it counts wrongly | 7\n";
 
-/// Compares; gives whether that passed, and what was written.
+/// Runs the comparison; returns whether it passed, and its output.
 fn compare(case: &str, list: &str, output: &str, errors: &str, status: u8) -> (bool, String) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join("known_red")
@@ -199,7 +199,7 @@
     );
 }
 
-/// A run in which this many tests failed, and the list of all of them.
+/// Returns the output of a run in which this many tests failed, and a list of all of them.
 fn failures(count: usize) -> (String, String) {
     let reported = |index| format!("test broken_{index} ... FAILED\n");
     let listed = |index| format!("broken_{index} | it counts wrongly | 7\n");
--- a/crates/simulator/tests/seam.rs
+++ b/crates/simulator/tests/seam.rs
@@ -1,9 +1,11 @@
-//! The seam to the operators' platform: its names stay on its own side, and that side stays thin.
+//! The boundary to the operators' platform: its names stay on its own side, and that side stays
+//! thin.
 
 use std::path::{Path, PathBuf};
 
 /// Names that the platform's pages give to things on its wire, in its files and in its environment.
-/// Ordinary words among them are left out: they would be told where nothing of the platform is meant.
+/// Ordinary words among them are left out, since they would be reported where the platform is not
+/// meant.
 const PLATFORM_NAMES: [&str; 31] = [
     "Attempt-Id",
     "Deadline-Remaining",
@@ -38,9 +40,9 @@
     "target_latency_s",
 ];
 
-/// What only the core may do: the platform translates, and neither waits nor works on its own.
+/// Timers and threads are reserved to the core: the platform only translates.
 const TIMERS_AND_THREADS: [&str; 5] = [
-    // Why in two parts: the house style finds the whole word in stories.
+    // Written in two parts, because the style check looks for the full word in tests.
     concat!("sleep", "("),
     "interval(",
     "timeout(",
@@ -56,7 +58,7 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
 
-/// The files of a folder and of those in it, by their path in the repository.
+/// Collects the files of a folder and its subfolders with their paths in the repository.
 fn files(folder: &Path, endings: &[&str], found: &mut Vec<(String, String)>) {
     for entry in std::fs::read_dir(folder)
         .expect("the folder is there")
@@ -68,7 +70,7 @@
             .map(|ending| ending.to_string_lossy().to_string())
             .unwrap_or_default();
         if path.is_dir() {
-            // Why not of a build: its files are copies of others.
+            // Files of a build are copies of others.
             if !path.ends_with("target") {
                 files(&path, endings, found);
             }
@@ -82,7 +84,7 @@
     }
 }
 
-/// Every line that speaks of the platform, with the name it uses.
+/// Returns every line that contains a name of the platform, with that name.
 fn platform_names(path: &str, text: &str) -> Vec<String> {
     let mut reported = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -96,7 +98,7 @@
     reported
 }
 
-/// Where the platform's side is more than a thin translation.
+/// Returns where the platform's side is more than a thin translation.
 fn platform_breaches(sources: &[(String, String)]) -> Vec<String> {
     let mut reported = Vec::new();
     let lines: usize = sources
@@ -131,7 +133,7 @@
     ] {
         let mut found = Vec::new();
         files(&root().join(folder), endings, &mut found);
-        // Why counted: a scan that finds nothing to read would prove nothing.
+        // The count guards against a scan that finds no files and so proves nothing.
         assert!(found.len() >= at_least, "{folder}: {} files", found.len());
         for (path, text) in found.iter().filter(|(path, _)| path != THIS_FILE) {
             reported.extend(platform_names(path, text));
@@ -143,7 +145,7 @@
 #[test]
 fn given_the_platform_when_read_then_it_is_small_and_has_neither_timers_nor_threads() {
     let folder = root().join("platform");
-    // Why it may be missing: the core stands without any platform.
+    // The platform is optional: the core works without any.
     if !folder.is_dir() {
         return;
     }
--- a/crates/simulator/tests/style.rs
+++ b/crates/simulator/tests/style.rs
@@ -12,7 +12,7 @@
         .flatten()
     {
         let path = entry.path();
-        // Why not of a build: what it writes is nobody's style.
+        // Build output is not subject to the style.
         if path.is_dir() && !path.ends_with("target") {
             sources(&path, found);
         } else if path.extension().is_some_and(|ending| ending == "rs") {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Every source by its path in the repository.
+/// Returns every source with its path in the repository.
 fn all() -> Vec<(String, String)> {
     let mut found = Vec::new();
     sources(&root().join("crates"), &mut found);
@@ -36,8 +36,8 @@
     found
 }
 
-/// Imports of whole modules or enums (`use a::*`, also inside braces and in re-exports), and preludes
-/// of our own: each file is to name what it uses.
+/// Returns wildcard imports (`use a::*`, also inside braces and in re-exports) and preludes of our
+/// own: each file has to name what it uses.
 fn wildcard_imports(text: &str) -> Vec<String> {
     let mut found = Vec::new();
     let mut statement = String::new();
@@ -142,12 +142,12 @@
     "rounds",
 ];
 
-/// Names in which an order is one of sorting.
+/// Names in which "order" refers to sorting.
 const SORTING_NAMES: [&str; 2] = ["in_order", "first_in_order"];
 
-/// The words of a name, whichever way it is written.
+/// Splits a name in snake case, camel case or capitals into its words.
 fn words_of(name: &str) -> Vec<String> {
-    // Why apart: each capital of a constant would count as the start of a word.
+    // In a constant each capital letter would count as the start of a word.
     if !name.contains(char::is_lowercase) {
         return name.split('_').map(str::to_lowercase).collect();
     }
@@ -165,7 +165,7 @@
     words
 }
 
-/// The name that a text begins with, if it begins with one.
+/// Returns the name that a text begins with, if any.
 fn leading_name(text: &str) -> Option<&str> {
     let end = text
         .find(|sign: char| !sign.is_alphanumeric() && sign != '_')
@@ -174,7 +174,7 @@
     starts_well.then(|| &text[..end])
 }
 
-/// A line without the words that may stand before a declaration.
+/// Returns a line without the modifiers that may precede a declaration.
 fn without_modifiers(line: &str) -> &str {
     let mut bare = line;
     if let Some((_, rest)) = bare
@@ -188,7 +188,7 @@
             .iter()
             .find_map(|modifier| bare.strip_prefix(modifier).map(|rest| (*modifier, rest)));
         match shorter {
-            // Why put back: `const` goes before a function and before a constant.
+            // `const` precedes functions and constants, so it is put back before a constant.
             Some(("const fn ", _)) => return &bare["const ".len()..],
             Some((_, rest)) => bare = rest,
             None => return bare,
@@ -196,7 +196,7 @@
     }
 }
 
-/// The names of fields in a line of an enum.
+/// Returns the names of fields in a line of an enum.
 fn field_names(line: &str) -> Vec<String> {
     let single = line.replace("::", " ");
     let mut parts: Vec<&str> = single.split(':').collect();
@@ -212,8 +212,8 @@
         .collect()
 }
 
-/// The names that a source declares: types, functions, constants, modules, public fields, variants
-/// with their fields, and what the macros of messages and events declare.
+/// Returns the names that a source declares: types, functions, constants, modules, public fields,
+/// variants with their fields, and the declarations of the macros for messages and events.
 fn declared_names(text: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut depth_in_enum = 0_usize;
@@ -222,7 +222,7 @@
             continue;
         }
         let bare = without_modifiers(line);
-        // Why not of stories: their names are sentences, and speak of what users see.
+        // Test names of this form are sentences and use the words that users see.
         if bare.starts_with("fn given_") {
             continue;
         }
@@ -236,7 +236,7 @@
             names.extend(variant.map(str::to_string));
             names.extend(field_names(member));
         } else if numbered {
-            // Why the second: an event has its level between its number and its name.
+            // An event has its level between its number and its name.
             let second = tokens.next().unwrap_or_default();
             let is_level = ["Error", "Warn", "Info", "Debug", "Trace"].contains(&second);
             let declared = if is_level {
@@ -252,7 +252,7 @@
             let declared = bare.strip_prefix(kind).and_then(leading_name);
             names.extend(declared.map(str::to_string));
         }
-        // Why with the semicolon: these words declare newtypes only in that form.
+        // These words declare newtypes only in the form that ends with a semicolon.
         for kind in ["number ", "text "] {
             let declared = bare
                 .strip_prefix(kind)
@@ -263,7 +263,7 @@
             .split_once(": ")
             .filter(|_| line.ends_with(',') && line.starts_with("pub"));
         names.extend(field.map(|(name, _)| name.to_string()));
-        // Why with the end: only messages write a whole type in a line, and their fields are public.
+        // Only messages have a whole type on one line; their fields are public.
         let inside = line
             .split_once('{')
             .and_then(|(_, rest)| rest.rsplit_once('}'));
@@ -289,7 +289,7 @@
     names
 }
 
-/// Declared names that use an old word where the field has a standard term.
+/// Returns declared names that use an old word where the field has a standard term.
 fn old_names(text: &str) -> Vec<String> {
     let mut names = declared_names(text);
     names.retain(|name| {
@@ -299,7 +299,7 @@
     names
 }
 
-/// Every declared name that uses an old word, with its file.
+/// Returns every declared name that uses an old word, with its file.
 fn old_names_reported(sources: &[(String, String)]) -> Vec<String> {
     sources
         .iter()
