--- a/crates/simulator/examples/play.rs
+++ b/crates/simulator/examples/play.rs
@@ -21,7 +21,7 @@
         std::process::exit(2);
     };
     let (Ok(first), Ok(count)) = (first.parse::<u64>(), count.parse::<u64>()) else {
-        eprintln!("FIRST_SEED and COUNT must be whole numbers");
+        eprintln!("FIRST_SEED and COUNT must be unsigned integers");
         std::process::exit(2);
     };
     let mut day = Day::read(Path::new(file)).unwrap_or_else(|faults| {
@@ -31,14 +31,15 @@
         std::process::exit(2);
     });
     for change in changes {
-        if !make(&mut day, change) {
-            eprintln!("{change} is no known change");
+        if !apply_change(&mut day, change) {
+            eprintln!("unknown change: {change}");
             std::process::exit(2);
         }
     }
-    let scenario = read_deployment(&day.deployment).expect("the day was checked against it");
+    let scenario =
+        read_deployment(&day.deployment).expect("the scenario was read when the day was checked");
     let next = std::sync::atomic::AtomicU64::new(first);
-    let bad = std::sync::atomic::AtomicU64::new(0);
+    let failed = std::sync::atomic::AtomicU64::new(0);
     let ordering = std::sync::atomic::Ordering::SeqCst;
     std::thread::scope(|scope| {
         for _ in 0..std::thread::available_parallelism().map_or(4, usize::from) {
@@ -52,24 +53,24 @@
                 let problems = day.check_run(&observers);
                 if !problems.is_empty() {
                     if count == 1 {
-                        println!("{}", observers.notes.join("\n"));
+                        println!("{}", observers.event_log.join("\n"));
                     }
-                    bad.fetch_add(1, ordering);
-                    println!("seed {seed} crossed {:?}", observers.violated());
+                    failed.fetch_add(1, ordering);
+                    println!("seed {seed} violated {:?}", observers.violated());
                 }
-                for what in problems.iter().take(4) {
-                    println!("seed {seed} BREACH {what}");
+                for details in problems.iter().take(4) {
+                    println!("seed {seed} VIOLATION {details}");
                 }
             });
         }
     });
-    let bad = bad.load(ordering);
-    println!("{count} seeds, {bad} with breaches");
-    std::process::exit(i32::from(bad > 0));
+    let failed = failed.load(ordering);
+    println!("{count} seeds, {failed} with violations");
+    std::process::exit(i32::from(failed > 0));
 }
 
 /// Applies a change to the day; returns whether the change is known.
-fn make(day: &mut Day, change: &str) -> bool {
+fn apply_change(day: &mut Day, change: &str) -> bool {
     let model = &mut day.connection_model;
     match change {
         "patient" => {
@@ -82,8 +83,8 @@
         "no-queue" => {
             for fault in &mut day.faults {
                 if let FaultAction::LoadLink(link_load) = &mut fault.action {
-                    link_load.inward.queue = Default::default();
-                    link_load.outward.queue = Default::default();
+                    link_load.inward.queue_delay = Default::default();
+                    link_load.outward.queue_delay = Default::default();
                 }
             }
         }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -131,7 +131,7 @@
         }
         self.next_pull = now + Duration::from_millis(150);
         if now.saturating_sub(self.demand_at) >= Duration::from_secs(1) {
-            let span = now.saturating_sub(self.demand_at).as_secs_f64().max(1.0);
+            let elapsed_s = now.saturating_sub(self.demand_at).as_secs_f64().max(1.0);
             self.demand_at = now;
             self.demand = self
                 .measured
@@ -139,7 +139,7 @@
                 .map(|((group, route), (requests, locality))| Demand {
                     group,
                     route,
-                    requests: (f64::from(requests) / span).ceil() as u32,
+                    requests: (f64::from(requests) / elapsed_s).ceil() as u32,
                     locality,
                 })
                 .collect();
@@ -172,14 +172,14 @@
             .collect()
     }
 
-    pub fn take_view(&mut self, now: Duration, view: &ProxyView) {
+    pub fn apply_view(&mut self, now: Duration, view: &ProxyView) {
         let Some((_, requested_at)) = self.pulls.iter().find(|(number, _)| *number == view.number)
         else {
             return;
         };
         let requested_at = *requested_at;
-        let took = now.saturating_sub(requested_at);
-        self.pace.answered(view.number, Some(took));
+        let elapsed = now.saturating_sub(requested_at);
+        self.pace.answered(view.number, Some(elapsed));
         if self.fault == ProxyFault::GoesBack && view.number.is_multiple_of(40) {
             self.knowledge.maps = Arc::default();
         }
@@ -224,13 +224,13 @@
         if self.fault != ProxyFault::DelaysRejections {
             return actions;
         }
-        let refusal =
+        let rejection =
             |action: &ProxyAction| matches!(action, ProxyAction::Respond { unsent: true, .. });
-        let (refusals, actions): (Vec<ProxyAction>, Vec<ProxyAction>) =
-            actions.into_iter().partition(refusal);
+        let (rejections, actions): (Vec<ProxyAction>, Vec<ProxyAction>) =
+            actions.into_iter().partition(rejection);
         let until = now + Duration::from_millis(800);
-        let refusals = refusals.into_iter().map(|refusal| (until, refusal));
-        self.delayed_rejections.extend(refusals);
+        let rejections = rejections.into_iter().map(|rejection| (until, rejection));
+        self.delayed_rejections.extend(rejections);
         actions
     }
 
@@ -304,7 +304,7 @@
         ProxyAction::Respond {
             request,
             reported,
-            answered: None,
+            response_for: None,
             failure: Some(failure),
             unsent,
         }
@@ -379,10 +379,10 @@
         if in_flight.attempt != attempt {
             return Vec::new();
         }
-        let good = self
+        let checked = self
             .knowledge
             .still_good(now, &self.zone, &in_flight.route, &target);
-        if let Err(failure) = good {
+        if let Err(failure) = checked {
             if let Some(shard) = self.shards.get_mut(&in_flight.route.service) {
                 shard.end(now, &target, true, None);
             }
@@ -413,7 +413,7 @@
         end: AttemptEnd,
         response: Option<InstanceResponse>,
     ) -> Vec<ProxyAction> {
-        let (end, load, answered) = match response {
+        let (end, load, response_for) = match response {
             Some(InstanceResponse::Ran { request, load }) => (end, Some(load), Some(request)),
             Some(InstanceResponse::NotRun | InstanceResponse::Misdirected) => {
                 (AttemptEnd::RefusedByInstance, None, None)
@@ -432,17 +432,17 @@
         };
         let mut end = end;
         if end == AttemptEnd::Answered
-            && answered != Some(number)
+            && response_for != Some(number)
             && self.fault != ProxyFault::TakesAnyResponse
         {
             end = AttemptEnd::Garbage;
         }
-        let good = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
+        let succeeded = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
         let no_budget = self.fault == ProxyFault::NoBudget;
         let Some(shard) = self.shards.get_mut(&in_flight.route.service) else {
             return Vec::new();
         };
-        shard.end(now, &target, good, load);
+        shard.end(now, &target, succeeded, load);
         if response == Some(InstanceResponse::Misdirected) {
             shard.incarnation_is_over(&target);
         }
@@ -457,7 +457,7 @@
                 Some(in_flight) => vec![ProxyAction::Respond {
                     request: in_flight.request,
                     reported: ClientOutcome::Served,
-                    answered,
+                    response_for,
                     failure: None,
                     unsent: false,
                 }],
--- a/crates/simulator/src/actors/request.rs
+++ b/crates/simulator/src/actors/request.rs
@@ -58,7 +58,7 @@
     Respond {
         request: ClientRequest,
         reported: ClientOutcome,
-        answered: Option<u64>,
+        response_for: Option<u64>,
         failure: Option<Failure>,
         /// Rejected by the proxy before any attempt.
         unsent: bool,
--- a/crates/simulator/src/connections.rs
+++ b/crates/simulator/src/connections.rs
@@ -108,7 +108,7 @@
     Connecting {
         began_at: Duration,
         attempted_at: Duration,
-        waiting: VecDeque<Box<Envelope>>,
+        queued: VecDeque<Box<Envelope>>,
     },
     Established {
         acceptor_incarnation: u64,
@@ -193,8 +193,8 @@
             return Some(self.open(now, from, to.0, envelope));
         };
         match &mut connection.state {
-            ConnectionState::Connecting { waiting, .. } => {
-                enqueue(waiting, envelope);
+            ConnectionState::Connecting { queued, .. } => {
+                enqueue(queued, envelope);
                 None
             }
             ConnectionState::Established {
@@ -251,7 +251,7 @@
             state: ConnectionState::Connecting {
                 began_at: now,
                 attempted_at: now,
-                waiting: VecDeque::from([envelope]),
+                queued: VecDeque::from([envelope]),
             },
             last_written: None,
         };
@@ -299,16 +299,16 @@
         if connection.number != response.connection {
             return Vec::new();
         }
-        let ConnectionState::Connecting { waiting, .. } = &mut connection.state else {
+        let ConnectionState::Connecting { queued, .. } = &mut connection.state else {
             return Vec::new();
         };
-        let waiting = std::mem::take(waiting);
+        let queued = std::mem::take(queued);
         connection.state = ConnectionState::Established {
             acceptor_incarnation,
         };
-        connection.last_written = waiting.back().filter(|_| keeps_last).cloned();
+        connection.last_written = queued.back().filter(|_| keeps_last).cloned();
         let number = connection.number;
-        let segments = waiting.into_iter().map(|envelope| Segment {
+        let segments = queued.into_iter().map(|envelope| Segment {
             connection: number,
             from,
             to,
@@ -387,13 +387,13 @@
 }
 
 /// Queues a message until the connection is open, replacing an earlier one that it supersedes.
-fn enqueue(waiting: &mut VecDeque<Box<Envelope>>, envelope: Box<Envelope>) {
+fn enqueue(queued: &mut VecDeque<Box<Envelope>>, envelope: Box<Envelope>) {
     let kind = superseding_kind(&envelope);
-    let earlier = waiting
+    let earlier = queued
         .iter()
         .position(|earlier| kind.is_some() && superseding_kind(earlier) == kind);
     match earlier {
-        Some(index) => waiting[index] = envelope,
-        None => waiting.push_back(envelope),
+        Some(index) => queued[index] = envelope,
+        None => queued.push_back(envelope),
     }
 }
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -57,9 +57,9 @@
     /// Messages to and from the node are delayed by up to `max_delay`, and some are duplicated.
     DelayAndDuplicate {
         max_delay: Duration,
-        doubled_per_thousand: u64,
+        duplicated_per_thousand: u64,
     },
-    /// Limits the bandwidth of the node's link for messages to and from controllers.
+    /// Limits the bandwidth at which the node receives messages from controllers.
     LimitBandwidth {
         bytes_per_second: u64,
     },
@@ -216,7 +216,7 @@
         "deafen" => FaultAction::BlockInboundConsensus,
         "muddle" => FaultAction::DelayAndDuplicate {
             max_delay: Duration::from_millis(item["late_ms"].as_u64()?),
-            doubled_per_thousand: item["doubled_per_thousand"].as_u64()?,
+            duplicated_per_thousand: item["doubled_per_thousand"].as_u64()?,
         },
         "narrow" => FaultAction::LimitBandwidth {
             bytes_per_second: item["bytes_per_second"].as_u64()?,
@@ -242,7 +242,7 @@
         let millis = |index: usize| item[field][index].as_u64().map(Duration::from_millis);
         Some(BackgroundLoad {
             bytes_per_second: background,
-            queue: (millis(0)?, millis(1)?),
+            queue_delay: (millis(0)?, millis(1)?),
         })
     };
     Some(LinkLoad {
@@ -341,7 +341,8 @@
                 }
                 _ => fault(
                     format!("faults[{index}]"),
-                    "give at_ms or on_yes_after_ms, and a known act with its numbers".to_string(),
+                    "give either at_ms or on_yes_after_ms, and a known act with its arguments"
+                        .to_string(),
                 ),
             }
         }
@@ -354,7 +355,8 @@
         }
         let heartbeats_to = &value["heartbeats_to"];
         if !heartbeats_to.is_null() && heartbeats_to != "controllers" {
-            let remedy = "say controllers, or leave it out: then agents hear them".to_string();
+            let remedy =
+                "set it to controllers, or omit it to send heartbeats to agents".to_string();
             fault("heartbeats_to".to_string(), remedy);
         }
         let out_of_touch = &value["out_of_touch"];
@@ -363,7 +365,7 @@
             .any(|known| out_of_touch == *known)
             && !out_of_touch.is_null()
         {
-            let remedy = "say silent or serve-on, or leave it out".to_string();
+            let remedy = "set it to silent or serve-on, or omit it".to_string();
             fault("out_of_touch".to_string(), remedy);
         }
         let deployment_name = value["deployment"].as_str().unwrap_or("tallowgum");
@@ -377,7 +379,7 @@
                         fault(
                             format!("faults[{index}].target"),
                             format!(
-                                "{} is no node, program or area of {deployment_name}",
+                                "{} is not a node, program or zone of {deployment_name}",
                                 fault_step.target
                             ),
                         );
@@ -386,7 +388,9 @@
                         if !is_known_target(&scenario, other) {
                             fault(
                                 format!("faults[{index}].other"),
-                                format!("{other} is no node, program or area of {deployment_name}"),
+                                format!(
+                                    "{other} is not a node, program or zone of {deployment_name}"
+                                ),
                             );
                         }
                     }
@@ -446,15 +450,18 @@
             .map(|violation| {
                 format!(
                     "{:?} at {:?}: {}",
-                    violation.invariant, violation.at, violation.what
+                    violation.invariant, violation.at, violation.details
                 )
             })
             .collect();
         if tally.served * 100 < tally.sent * self.min_served_percent {
-            problems.push(format!("only {} of {} served", tally.served, tally.sent));
+            problems.push(format!(
+                "only {} of {} requests were served",
+                tally.served, tally.sent
+            ));
         }
         if tally.accepted == 0 || tally.reads == 0 {
-            problems.push("no change was accepted, or nothing was read".to_string());
+            problems.push("no change was accepted, or no read completed".to_string());
         }
         problems
     }
--- a/crates/simulator/src/disks.rs
+++ b/crates/simulator/src/disks.rs
@@ -13,11 +13,11 @@
     pub fails_writes: bool,
 }
 
-fn write_at(bytes: &mut Vec<u8>, offset: usize, part: &[u8]) {
-    if bytes.len() < offset + part.len() {
-        bytes.resize(offset + part.len(), 0);
+fn write_at(bytes: &mut Vec<u8>, offset: usize, bytes_written: &[u8]) {
+    if bytes.len() < offset + bytes_written.len() {
+        bytes.resize(offset + bytes_written.len(), 0);
     }
-    bytes[offset..offset + part.len()].copy_from_slice(part);
+    bytes[offset..offset + bytes_written.len()].copy_from_slice(bytes_written);
 }
 
 impl SimDisk {
--- a/crates/simulator/src/limited_link.rs
+++ b/crates/simulator/src/limited_link.rs
@@ -23,7 +23,7 @@
 struct QueuedSegment {
     segment: Segment,
     bytes: f64,
-    carried: f64,
+    sent_bytes: f64,
     /// When the background traffic queued in front of it has been transmitted.
     ready_at: Duration,
     began_at: Option<Duration>,
@@ -43,7 +43,7 @@
 pub struct BackgroundLoad {
     pub bytes_per_second: u64,
     /// Minimum and maximum delay by the queue in front of each new segment.
-    pub queue: (Duration, Duration),
+    pub queue_delay: (Duration, Duration),
 }
 
 /// One direction of a link.
@@ -52,74 +52,74 @@
     /// Unlimited if `None`.
     pub bytes_per_second: Option<u64>,
     pub background: BackgroundLoad,
-    queue: Duration,
-    waiting: VecDeque<QueuedSegment>,
+    queue_delay: Duration,
+    queued: VecDeque<QueuedSegment>,
 }
 
 impl LinkDirection {
     /// Returns whether a segment would be transmitted at once.
     pub fn is_free(&self) -> bool {
-        self.bytes_per_second.is_none() && self.queue.is_zero() && self.waiting.is_empty()
+        self.bytes_per_second.is_none() && self.queue_delay.is_zero() && self.queued.is_empty()
     }
 
     /// Queues a segment. A grant replaces an earlier one of the same controller whose transmission
     /// has not started, as in the runtime's queues. It does not if it waits behind background
     /// traffic, because by then it has left the runtime's queue.
     pub fn add(&mut self, now: Duration, segment: Segment) {
-        let last_turn = self.waiting.back().map(|last| last.ready_at);
-        let ready_at = (now + self.queue).max(last_turn.unwrap_or_default());
+        let last_ready_at = self.queued.back().map(|last| last.ready_at);
+        let ready_at = (now + self.queue_delay).max(last_ready_at.unwrap_or_default());
         let is_grant = |segment: &Segment| match &segment.kind {
             SegmentKind::Message { envelope } => is_superseding(envelope),
             _ => false,
         };
-        let supersedes = is_grant(&segment) && self.queue.is_zero();
-        let earlier = self.waiting.iter().position(|waiting| {
-            waiting.segment.from == segment.from
-                && waiting.began_at.is_none()
-                && is_grant(&waiting.segment)
+        let supersedes = is_grant(&segment) && self.queue_delay.is_zero();
+        let earlier = self.queued.iter().position(|queued| {
+            queued.segment.from == segment.from
+                && queued.began_at.is_none()
+                && is_grant(&queued.segment)
         });
         let added = QueuedSegment {
             bytes: segment.bytes(),
-            carried: 0.0,
+            sent_bytes: 0.0,
             ready_at,
             began_at: None,
             reported_progress: 0,
             segment,
         };
         match earlier.filter(|_| supersedes) {
-            Some(index) => self.waiting[index] = added,
-            None => self.waiting.push_back(added),
+            Some(index) => self.queued[index] = added,
+            None => self.queued.push_back(added),
         }
     }
 
     /// Transmits as much as one step allows.
     pub fn advance(&mut self, now: Duration) -> Vec<LinkOutput> {
-        let left_over = self
+        let available = self
             .bytes_per_second
             .map(|all| all.saturating_sub(self.background.bytes_per_second));
-        let mut budget = left_over.map_or(f64::INFINITY, |left_over| {
-            left_over as f64 * LINK_STEP.as_secs_f64()
+        let mut budget = available.map_or(f64::INFINITY, |available| {
+            available as f64 * LINK_STEP.as_secs_f64()
         });
         let mut output = Vec::new();
         while budget > 0.0 {
-            let Some(first) = self.waiting.front_mut() else {
+            let Some(first) = self.queued.front_mut() else {
                 break;
             };
             if first.ready_at > now {
                 break;
             }
             let began_at = *first.began_at.get_or_insert(now);
-            let carried = budget.min(first.bytes - first.carried);
-            first.carried += carried;
-            budget -= carried;
-            if first.carried < first.bytes {
-                let parts = (first.carried / MAX_SEGMENT_BYTES) as u64;
+            let sent_bytes = budget.min(first.bytes - first.sent_bytes);
+            first.sent_bytes += sent_bytes;
+            budget -= sent_bytes;
+            if first.sent_bytes < first.bytes {
+                let segments = (first.sent_bytes / MAX_SEGMENT_BYTES) as u64;
                 let is_slow = now.saturating_sub(began_at) >= SLOW_MESSAGE;
-                if is_slow && parts > first.reported_progress {
+                if is_slow && segments > first.reported_progress {
                     output.push(LinkOutput::Progress);
                 }
-                first.reported_progress = parts;
-            } else if let Some(done) = self.waiting.pop_front() {
+                first.reported_progress = segments;
+            } else if let Some(done) = self.queued.pop_front() {
                 output.push(LinkOutput::Complete(done.segment));
             }
         }
@@ -144,8 +144,8 @@
         }
         self.queues_redrawn_at = Some(now);
         for direction in [&mut self.inward, &mut self.outward] {
-            let (min_delay, max_delay) = direction.background.queue;
-            direction.queue = match min_delay < max_delay {
+            let (min_delay, max_delay) = direction.background.queue_delay;
+            direction.queue_delay = match min_delay < max_delay {
                 true => random.between(min_delay, max_delay),
                 false => min_delay,
             };
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -18,9 +18,9 @@
 /// Nodes whose messages are delayed, reordered and duplicated.
 #[derive(Debug, Clone)]
 pub struct MessageFault {
-    pub places: BTreeSet<usize>,
+    pub nodes: BTreeSet<usize>,
     pub max_delay: Duration,
-    pub doubled_per_thousand: u64,
+    pub duplicated_per_thousand: u64,
 }
 
 #[derive(Debug, Clone)]
@@ -79,7 +79,7 @@
     /// Returns the message fault between two nodes, if there is one.
     pub fn message_fault(&self, from: usize, to: usize) -> Option<&MessageFault> {
         self.message_faults.iter().find(|message_fault| {
-            message_fault.places.contains(&from) || message_fault.places.contains(&to)
+            message_fault.nodes.contains(&from) || message_fault.nodes.contains(&to)
         })
     }
 
--- a/crates/simulator/src/observers/attempts.rs
+++ b/crates/simulator/src/observers/attempts.rs
@@ -69,9 +69,9 @@
         let retries = attempts.retries;
         let first = attempts.window.len() as u64 - retries;
         if retries > first / 5 + RETRY_ALLOWANCE {
-            let what =
+            let details =
                 format!("service {service}: {retries} retries to {first} first attempts in 10 s");
-            self.record_violation(Invariant::TooManyRetries, at, what);
+            self.record_violation(Invariant::TooManyRetries, at, details);
         }
     }
 
@@ -95,11 +95,11 @@
         let key = (heartbeat.id.clone(), heartbeat.incarnation);
         if let Some(since) = self.draining.get(&key) {
             if at.saturating_sub(*since) > DRAINING_LIMIT {
-                let what = format!(
-                    "request {} reached leaving {}",
+                let details = format!(
+                    "request {} reached the draining instance {}",
                     reached.request, heartbeat.id
                 );
-                self.record_violation(Invariant::ReachedLeaving, at, what);
+                self.record_violation(Invariant::ReachedLeaving, at, details);
             }
         }
     }
@@ -113,11 +113,11 @@
             self.due_version = self.due_version.max(version);
         }
         if reached.configuration < self.due_version {
-            let what = format!(
-                "request {} went under version {}, {} was accepted long before",
+            let details = format!(
+                "request {} was sent under version {}, but {} was accepted before the limit",
                 reached.request, reached.configuration, self.due_version
             );
-            self.record_violation(Invariant::OldConfiguration, at, what);
+            self.record_violation(Invariant::OldConfiguration, at, details);
         }
     }
 
@@ -125,8 +125,11 @@
         for zone in [&reached.instance.zone, reached.proxy_zone] {
             if let Some(since) = self.closed.get(zone) {
                 if at.saturating_sub(*since) > CLOSED_ZONE_LIMIT {
-                    let what = format!("request {} in closed zone {zone}", reached.request);
-                    self.record_violation(Invariant::ClosedZone, at, what);
+                    let details = format!(
+                        "request {} was served in closed zone {zone}",
+                        reached.request
+                    );
+                    self.record_violation(Invariant::ClosedZone, at, details);
                 }
             }
         }
@@ -136,11 +139,11 @@
         let homes = &reached.route.homes;
         let is_allowed = |region: &Region| homes.is_empty() || homes.contains(region);
         if !is_allowed(reached.region) || !is_allowed(reached.proxy_region) {
-            let what = format!(
-                "request {} at {} in {}",
+            let details = format!(
+                "request {} reached {} in {}; proxy or instance is outside the home regions",
                 reached.request, reached.instance.id, reached.region
             );
-            self.record_violation(Invariant::LeftHome, at, what);
+            self.record_violation(Invariant::LeftHome, at, details);
         }
     }
 
@@ -157,8 +160,12 @@
         }
         let limit = (reached.service.slow_start_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
         if window.len() > limit {
-            let what = format!("{} got {} requests in 3 s", heartbeat.id, window.len());
-            self.record_violation(Invariant::ColdFlooded, at, what);
+            let details = format!(
+                "{} received {} requests in 3 s while warming up",
+                heartbeat.id,
+                window.len()
+            );
+            self.record_violation(Invariant::ColdFlooded, at, details);
         }
     }
 }
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -25,8 +25,8 @@
             known.push(change.clone());
             for put in &change.puts {
                 if let Some(value) = &put.value {
-                    let wanted = self.wanted.entry(put.key.clone()).or_default();
-                    wanted.push((value.clone(), change.id.clone()));
+                    let proposed_values = self.proposed_values.entry(put.key.clone()).or_default();
+                    proposed_values.push((value.clone(), change.id.clone()));
                 }
             }
         }
@@ -64,17 +64,17 @@
 
     fn accept(&mut self, at: Duration, change: &Change, version: Version) {
         self.tally.accepted += 1;
-        let clash = self
+        let conflict = self
             .accepted
             .iter()
             .find(|known| (known.version == version) != (known.id == change.id))
             .cloned();
-        if let Some(known) = clash {
-            let what = format!(
-                "{} at {version}, but {} at {}",
+        if let Some(known) = conflict {
+            let details = format!(
+                "{} was accepted at {version}, but {} at {}",
                 change.id, known.id, known.version
             );
-            self.record_violation(Invariant::ForkedMap, at, what);
+            self.record_violation(Invariant::ForkedMap, at, details);
         }
         if self.accepted.iter().any(|known| known.id == change.id) {
             return;
@@ -113,22 +113,22 @@
             return;
         }
         self.checked_versions.insert(name.to_string(), map.version);
-        let strays: Vec<String> = map
+        let unexpected_keys: Vec<String> = map
             .items
             .iter()
             .filter(|(_, item)| item.version > known)
             .filter(|(key, item)| {
-                let wanted = self.wanted.get(*key);
-                !wanted.into_iter().flatten().any(|(value, id)| {
+                let proposed_values = self.proposed_values.get(*key);
+                !proposed_values.into_iter().flatten().any(|(value, id)| {
                     let (calls, refused) = self.calls.get(id).copied().unwrap_or_default();
                     *value == item.value && calls > refused
                 })
             })
             .map(|(key, _)| key.clone())
             .collect();
-        for key in strays {
-            let what = format!("{name} holds {key} of a change set that was refused");
-            self.record_violation(Invariant::PartiallyApplied, at, what);
+        for key in unexpected_keys {
+            let details = format!("{name} contains {key} of a rejected change set");
+            self.record_violation(Invariant::PartiallyApplied, at, details);
         }
     }
 
@@ -149,11 +149,11 @@
             let forgotten = map.version.0 > accepted.version.0 + REMEMBERED_CHANGES as u64 - 1;
             let good = found.is_some_and(|answered| answered.version == accepted.version);
             if !good && !forgotten {
-                let what = format!(
-                    "{name} lacks {} of version {}",
+                let details = format!(
+                    "{name} is missing {} of version {}",
                     accepted.id, accepted.version
                 );
-                self.record_violation(Invariant::LostChange, at, what);
+                self.record_violation(Invariant::LostChange, at, details);
             }
         }
     }
@@ -177,12 +177,12 @@
                 self.record_violation(
                     Invariant::PartiallyApplied,
                     at,
-                    format!("{name} holds refused {}", answered.id),
+                    format!("{name} contains the rejected change {}", answered.id),
                 );
             }
             if replayed.weigh(&change) != Standpoint::Fits {
-                let what = format!("{name}: {} does not fit where it stands", answered.id);
-                self.record_violation(Invariant::ForkedMap, at, what);
+                let details = format!("{name}: {} does not apply at its position", answered.id);
+                self.record_violation(Invariant::ForkedMap, at, details);
             }
             replayed.apply(&change);
         }
@@ -190,7 +190,7 @@
             self.record_violation(
                 Invariant::LostChange,
                 at,
-                format!("{name} does not read back intact"),
+                format!("{name} differs from the replay of its changes"),
             );
         }
     }
--- a/crates/simulator/src/observers/invariants.rs
+++ b/crates/simulator/src/observers/invariants.rs
@@ -7,7 +7,7 @@
 pub struct Violation {
     pub invariant: Invariant,
     pub at: Duration,
-    pub what: String,
+    pub details: String,
 }
 
 /// The invariants, named by how they are violated.
--- a/crates/simulator/src/observers/lag.rs
+++ b/crates/simulator/src/observers/lag.rs
@@ -18,22 +18,22 @@
     /// Checks a follower's version against the accepted ones; reports a violation once per missing
     /// version.
     pub fn check_lag(&mut self, at: Duration, follower: &FollowerLag<'_>, max_lag: Duration) {
-        let lacking = self.accepted_at.range(follower.held.next()..).next();
-        let Some((version, accepted_at)) = lacking else {
+        let missing = self.accepted_at.range(follower.held.next()..).next();
+        let Some((version, accepted_at)) = missing else {
             return;
         };
         let version = *version;
         let lag = at.saturating_sub((*accepted_at).max(follower.measured_from));
         self.tally.most_lag = self.tally.most_lag.max(lag);
-        let known = self.late_for.get(&follower.index);
+        let known = self.reported_late_versions.get(&follower.index);
         if lag <= max_lag || known == Some(&version) {
             return;
         }
-        self.late_for.insert(follower.index, version);
-        let what = format!(
-            "{} holds version {}, {version} was accepted at {accepted_at:?}",
+        self.reported_late_versions.insert(follower.index, version);
+        let details = format!(
+            "{} has version {}, but {version} was accepted at {accepted_at:?}",
             follower.name, follower.held
         );
-        self.record_violation(Invariant::LateFollower, at, what);
+        self.record_violation(Invariant::LateFollower, at, details);
     }
 }
--- a/crates/simulator/src/observers/mod.rs
+++ b/crates/simulator/src/observers/mod.rs
@@ -34,7 +34,7 @@
     pub violations: Vec<Violation>,
     pub tally: Tally,
     /// Events of membership and leadership that controllers logged, to diagnose a failing seed.
-    pub notes: Vec<String>,
+    pub event_log: Vec<String>,
     runs: HashMap<u64, u32>,
     reported: HashMap<u64, ClientOutcome>,
     writes: HashSet<u64>,
@@ -43,7 +43,7 @@
     /// Changes proposed under each id; an id may be used again for a different change.
     proposed: HashMap<ChangeId, Vec<Change>>,
     /// By item: the values that proposed change sets would give it.
-    wanted: HashMap<String, Vec<(Value, ChangeId)>>,
+    proposed_values: HashMap<String, Vec<(Value, ChangeId)>>,
     /// Up to which version each controller's map was checked.
     checked_versions: HashMap<String, Version>,
     /// Versions that were accepted or read, and that proxies must have applied once the limit has
@@ -53,7 +53,7 @@
     /// When each version was accepted.
     accepted_at: BTreeMap<Version, Duration>,
     /// The version for which each follower was last found late.
-    late_for: HashMap<usize, Version>,
+    reported_late_versions: HashMap<usize, Version>,
     /// How many calls carried a change, and how many of them were rejected.
     calls: HashMap<ChangeId, (u32, u32)>,
     closed: HashMap<Zone, Duration>,
@@ -78,13 +78,13 @@
         &mut self,
         invariant: Invariant,
         at: Duration,
-        what: impl Into<String>,
+        details: impl Into<String>,
     ) {
         if self.violations.len() < 200 {
             self.violations.push(Violation {
                 invariant,
                 at,
-                what: what.into(),
+                details: details.into(),
             });
         }
     }
@@ -98,13 +98,13 @@
     }
 
     /// Records a logged event of a controller, if it concerns membership or leadership.
-    pub fn record_note(&mut self, at: Duration, name: String, event: Event) {
-        let of_membership = match &event {
+    pub fn log_event(&mut self, at: Duration, name: String, event: Event) {
+        let is_relevant = match &event {
             Event::MapUpdated { map, .. } => *map == MapName::Membership,
             _ => true,
         };
-        if of_membership && self.notes.len() < 5000 {
-            self.notes.push(format!("{at:?} {name} {event:?}"));
+        if is_relevant && self.event_log.len() < 5000 {
+            self.event_log.push(format!("{at:?} {name} {event:?}"));
         }
     }
 }
--- a/crates/simulator/src/observers/ownership.rs
+++ b/crates/simulator/src/observers/ownership.rs
@@ -46,16 +46,17 @@
             .work_intervals
             .entry((service.clone(), key_range))
             .or_default();
-        let clash = work_intervals
+        let conflict = work_intervals
             .iter()
             .rev()
             .take(64)
             .find(|(start, end, other)| other != instance && *start < to && from < *end)
             .map(|(_, _, other)| other.clone());
         work_intervals.push((from, to, instance.clone()));
-        if let Some(other) = clash {
-            let what = format!("key range {key_range} of {service} at {instance} and {other}");
-            self.record_violation(Invariant::TwoOwners, to, what);
+        if let Some(other) = conflict {
+            let details =
+                format!("key range {key_range} of {service} served by {instance} and {other}");
+            self.record_violation(Invariant::TwoOwners, to, details);
         }
     }
 
@@ -66,25 +67,25 @@
         live: &[(&ServiceName, &InstanceId, Vec<u32>, Duration)],
     ) {
         let mut holders: HashMap<(&ServiceName, u32), &InstanceId> = HashMap::new();
-        let mut clashes = Vec::new();
+        let mut conflicts = Vec::new();
         for (service, instance, key_ranges, longest) in live {
             if *longest > Duration::from_secs(10) {
-                clashes.push((
+                conflicts.push((
                     Invariant::LeaseTooLong,
-                    format!("{instance} holds for {longest:?}"),
+                    format!("{instance} has a lease for another {longest:?}"),
                 ));
             }
             for key_range in key_ranges {
                 if let Some(other) = holders.insert((service, *key_range), instance) {
-                    let what = format!(
-                        "key range {key_range} of {service} held by {instance} and {other}"
+                    let details = format!(
+                        "key range {key_range} of {service} leased to {instance} and {other}"
                     );
-                    clashes.push((Invariant::TwoOwners, what));
+                    conflicts.push((Invariant::TwoOwners, details));
                 }
             }
         }
-        for (invariant, what) in clashes {
-            self.record_violation(invariant, at, what);
+        for (invariant, details) in conflicts {
+            self.record_violation(invariant, at, details);
         }
     }
 }
--- a/crates/simulator/src/observers/reads.rs
+++ b/crates/simulator/src/observers/reads.rs
@@ -22,8 +22,11 @@
             accepted.version > version && accepted.at + CONFIGURATION_LIMIT < requested_at
         });
         if let Some(missed) = missed {
-            let what = format!("{name} showed {version}, {} was accepted", missed.version);
-            self.record_violation(Invariant::StaleRead, at, what);
+            let details = format!(
+                "{name} returned {version}, but {} was accepted before",
+                missed.version
+            );
+            self.record_violation(Invariant::StaleRead, at, details);
         }
         self.due_versions.push_back((at, version));
     }
@@ -35,8 +38,8 @@
             .insert(proxy, version)
             .unwrap_or_default();
         if version < before {
-            let what = format!("proxy {proxy} went from {before} to {version}");
-            self.record_violation(Invariant::SlippedBack, at, what);
+            let details = format!("proxy {proxy} went back from {before} to {version}");
+            self.record_violation(Invariant::SlippedBack, at, details);
         }
     }
 
--- a/crates/simulator/src/observers/recovery.rs
+++ b/crates/simulator/src/observers/recovery.rs
@@ -39,8 +39,8 @@
                     (sum.0 + second.0, sum.1 + second.1)
                 });
             if served * 100 < sent * min_kept_percent {
-                let what = format!("kind {kind}: {served} of {sent} served");
-                self.record_violation(Invariant::Sunk, at, what);
+                let details = format!("traffic kind {kind}: {served} of {sent} requests served");
+                self.record_violation(Invariant::Sunk, at, details);
             }
             self.kind_seconds.insert(kind, seconds);
         }
@@ -70,15 +70,18 @@
                 ..(limit_second + RECOVERY_CHECK_SECONDS)
                     .min(last)
                     .min(fault.next.as_secs());
-            let within = |seconds: &BTreeMap<u64, (u64, u64)>| {
-                let good = |second: u64| {
+            let time_to_recover = |seconds: &BTreeMap<u64, (u64, u64)>| {
+                let is_served = |second: u64| {
                     let (sent, served) = seconds.get(&second).copied().unwrap_or_default();
                     served * 2 > sent
                 };
-                let last_bad = checked_seconds.clone().rev().find(|second| !good(*second));
+                let last_bad = checked_seconds
+                    .clone()
+                    .rev()
+                    .find(|second| !is_served(*second));
                 // Three seconds in a row are required: a single good second between bad ones is no
                 // recovery.
-                let first = (begin..last).find(|second| (*second..*second + 3).all(good));
+                let first = (begin..last).find(|second| (*second..*second + 3).all(is_served));
                 match (last_bad, first) {
                     (Some(second), _) => Duration::from_secs(second + 1 - begin),
                     (None, Some(second)) => Duration::from_secs(second + 1 - begin),
@@ -92,17 +95,17 @@
                 .filter(|(kind, _)| {
                     !(fault.blocks_keyed_traffic && self.keyed_kinds.contains(kind))
                 })
-                .map(|(kind, seconds)| (format!("kind {kind} of the traffic"), within(seconds)))
+                .map(|(kind, seconds)| (format!("traffic kind {kind}"), time_to_recover(seconds)))
                 .collect();
             let slowest = kinds.iter().map(|(_, recovery_time)| *recovery_time).max();
             self.tally.slowest_recoveries.extend(slowest);
-            let recovery_time = within(&self.seconds);
+            let recovery_time = time_to_recover(&self.seconds);
             self.tally.recoveries.push(recovery_time);
             kinds.push(("most traffic".to_string(), recovery_time));
-            for (which, recovery_time) in kinds {
+            for (traffic, recovery_time) in kinds {
                 if recovery_time > RECOVERY_LIMIT {
-                    let what = format!("{which} was still unserved after {recovery_time:?}");
-                    self.record_violation(Invariant::NotRecovered, fault.at, what);
+                    let details = format!("{traffic} recovered only after {recovery_time:?}");
+                    self.record_violation(Invariant::NotRecovered, fault.at, details);
                 }
             }
         }
--- a/crates/simulator/src/observers/requests.rs
+++ b/crates/simulator/src/observers/requests.rs
@@ -44,14 +44,14 @@
             self.record_violation(
                 Invariant::RanTwice,
                 at,
-                format!("request {request} at {instance}"),
+                format!("request {request} ran at {instance}"),
             );
         }
         if self.reported.get(&request) == Some(&ClientOutcome::NotRun) {
             self.record_violation(
                 Invariant::RanAfterNotRun,
                 at,
-                format!("request {request} at {instance}"),
+                format!("request {request} ran at {instance}"),
             );
         }
     }
@@ -61,7 +61,7 @@
         self.record_violation(
             Invariant::RanForAnother,
             at,
-            format!("request {request} at {instance}"),
+            format!("request {request} ran at {instance}"),
         );
     }
 
@@ -71,7 +71,7 @@
         at: Duration,
         request: &ClientRequest,
         reported: ClientOutcome,
-        answered: Option<u64>,
+        response_for: Option<u64>,
     ) {
         let number = request.number;
         self.reported.insert(number, reported);
@@ -87,16 +87,16 @@
                     }
                     None => self.tally.hot_served += 1,
                 }
-                if answered != Some(number) || !self.runs.contains_key(&number) {
-                    let what = format!("request {number} was answered with {answered:?}");
-                    self.record_violation(Invariant::WrongResponse, at, what);
+                if response_for != Some(number) || !self.runs.contains_key(&number) {
+                    let details = format!("request {number} got the response to {response_for:?}");
+                    self.record_violation(Invariant::WrongResponse, at, details);
                 }
             }
             ClientOutcome::NotRun => {
                 self.tally.not_run += 1;
                 if self.runs.contains_key(&number) {
-                    let what = format!("request {number} had run");
-                    self.record_violation(Invariant::RanAfterNotRun, at, what);
+                    let details = format!("request {number} was reported as not run, but it ran");
+                    self.record_violation(Invariant::RanAfterNotRun, at, details);
                 }
             }
             ClientOutcome::Unknown => self.tally.unknown += 1,
@@ -107,8 +107,11 @@
     pub fn request_rejected(&mut self, at: Duration, request: &ClientRequest) {
         let delay = at.saturating_sub(request.received_at);
         if delay > REJECTION_LIMIT {
-            let what = format!("request {} was kept for {delay:?}", request.number);
-            self.record_violation(Invariant::LateRefusal, at, what);
+            let details = format!(
+                "request {} was rejected only after {delay:?}",
+                request.number
+            );
+            self.record_violation(Invariant::LateRefusal, at, details);
         }
     }
 }
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -39,7 +39,7 @@
 
     /// Looks up a proxy and sends it one request; `counted` is the kind of traffic, or `None` for a
     /// hot key.
-    fn send_request(&mut self, kind: usize, key: Option<String>, counted: Option<usize>) {
+    fn send_request(&mut self, kind: usize, key: Option<String>, counted_kind: Option<usize>) {
         let traffic = self.scenario.traffic[kind].clone();
         self.next_request += 1;
         let number = self.next_request;
@@ -49,7 +49,7 @@
         let home =
             Zone::new(&self.scenario.zones[usize::from(group) % self.scenario.zones.len()].0);
         let write = traffic.method != "GET";
-        self.observers.sent(self.now, number, write, counted);
+        self.observers.sent(self.now, number, write, counted_kind);
         // Some clients keep addresses for long and skip the lookup. The invariants must hold for
         // them as well.
         let uses_remembered_proxy = self.random.below(100) < REMEMBERED_PROXY_PERCENT;
@@ -60,8 +60,8 @@
         let mut addresses = Vec::new();
         if uses_remembered_proxy {
             let proxies = self.targets("proxy");
-            let pick = proxies[self.random.below(proxies.len() as u64) as usize];
-            addresses.push(self.nodes[pick].address);
+            let proxy = proxies[self.random.below(proxies.len() as u64) as usize];
+            addresses.push(self.nodes[proxy].address);
         } else if !directories.is_empty() {
             let start = self.random.below(directories.len() as u64) as usize;
             for offset in 0..directories.len() {
@@ -83,17 +83,18 @@
             key,
             sent_at: self.now,
             received_at: self.now,
-            kind: counted,
+            kind: counted_kind,
         };
         for address in addresses {
             let Some(index) = self.by_address.get(&address).copied() else {
                 continue;
             };
             if self.nodes[index].process.is_some() {
-                let near = self.regions.get(&home) == self.regions.get(&self.nodes[index].zone);
+                let same_region =
+                    self.regions.get(&home) == self.regions.get(&self.nodes[index].zone);
                 let distance = if home == self.nodes[index].zone {
                     Duration::from_millis(4)
-                } else if near {
+                } else if same_region {
                     Duration::from_millis(6)
                 } else {
                     self.scenario.region_distance + Duration::from_millis(4)
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -97,7 +97,7 @@
         }
         if change_accepted {
             for fault_step in std::mem::take(&mut self.on_acceptance) {
-                self.fault(&fault_step);
+                self.apply_fault(&fault_step);
             }
         }
     }
@@ -180,7 +180,7 @@
             }
         }
         let name = node.name.clone();
-        self.observers.record_note(self.now, name, event);
+        self.observers.log_event(self.now, name, event);
     }
 
     fn proposal_outcome(&mut self, change: &Change, proposal_outcome: &ProposalOutcome) {
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -48,7 +48,7 @@
         target: Box<Target>,
         route: Box<Route>,
         configuration: Version,
-        need: Duration,
+        remaining: Duration,
     },
     AttemptEnded {
         request: u64,
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -13,75 +13,73 @@
 
 impl World {
     /// Applies a fault.
-    pub fn fault(&mut self, fault: &FaultStep) {
-        let places = self.targets(&fault.target);
-        self.record_fault(fault, &places);
+    pub fn apply_fault(&mut self, fault: &FaultStep) {
+        let nodes = self.targets(&fault.target);
+        self.record_fault(fault, &nodes);
         match &fault.action {
             FaultAction::Kill => {
-                self.on_each(&places, |world, index| world.end_process(index, false))
+                self.on_each(&nodes, |world, index| world.end_process(index, false))
             }
-            FaultAction::Stop => self.on_each(&places, Self::stop),
+            FaultAction::Stop => self.on_each(&nodes, Self::stop),
             FaultAction::PowerOff => {
-                self.on_each(&places, |world, index| world.end_process(index, true))
+                self.on_each(&nodes, |world, index| world.end_process(index, true))
             }
-            FaultAction::Start => self.on_each(&places, Self::start),
-            FaultAction::LoseDisk => self.on_each(&places, Self::lose_disk),
-            FaultAction::MoveToNewAddress => self.on_each(&places, Self::move_to_new_address),
-            FaultAction::AddNode => self.on_each(&places, Self::add_empty_node),
-            FaultAction::LosePermanently => self.on_each(&places, Self::lose_permanently),
+            FaultAction::Start => self.on_each(&nodes, Self::start),
+            FaultAction::LoseDisk => self.on_each(&nodes, Self::lose_disk),
+            FaultAction::MoveToNewAddress => self.on_each(&nodes, Self::move_to_new_address),
+            FaultAction::AddNode => self.on_each(&nodes, Self::add_empty_node),
+            FaultAction::LosePermanently => self.on_each(&nodes, Self::lose_permanently),
             FaultAction::ReuseAddress { service } => {
-                self.on_each(&places, |world, index| world.reuse_address(index, service));
+                self.on_each(&nodes, |world, index| world.reuse_address(index, service));
             }
-            FaultAction::Freeze => self.on_each(&places, Self::freeze),
-            FaultAction::Unfreeze => self.on_each(&places, Self::unfreeze),
-            FaultAction::JumpClock(by) => self.on_nodes(&places, |node| node.wall_offset += by),
+            FaultAction::Freeze => self.on_each(&nodes, Self::freeze),
+            FaultAction::Unfreeze => self.on_each(&nodes, Self::unfreeze),
+            FaultAction::JumpClock(by) => self.on_nodes(&nodes, |node| node.wall_offset += by),
             FaultAction::FailDiskWrites => {
-                self.on_nodes(&places, |node| node.disk.fails_writes = true)
+                self.on_nodes(&nodes, |node| node.disk.fails_writes = true)
             }
-            FaultAction::RepairDisk => {
-                self.on_nodes(&places, |node| node.disk.fails_writes = false)
-            }
-            FaultAction::Drain => self.on_instances(&places, SimInstance::start_draining),
+            FaultAction::RepairDisk => self.on_nodes(&nodes, |node| node.disk.fails_writes = false),
+            FaultAction::Drain => self.on_instances(&nodes, SimInstance::start_draining),
             FaultAction::LoseResponses(count) => {
-                self.on_instances(&places, |instance| instance.responses_to_lose = *count);
+                self.on_instances(&nodes, |instance| instance.responses_to_lose = *count);
             }
             FaultAction::SendMalformedResponses(count) => {
-                self.on_instances(&places, |instance| {
+                self.on_instances(&nodes, |instance| {
                     instance.malformed_responses_to_send = *count
                 });
             }
             FaultAction::RejectRequests(count) => {
-                self.on_instances(&places, |instance| instance.requests_to_reject = *count);
+                self.on_instances(&nodes, |instance| instance.requests_to_reject = *count);
             }
-            FaultAction::Partition { one_way } => self.partition_nodes(&places, *one_way),
-            FaultAction::PartitionInbound => self.partition_inbound(&places),
-            FaultAction::PartitionBetween { other } => self.partition_between(&places, other),
+            FaultAction::Partition { one_way } => self.partition_nodes(&nodes, *one_way),
+            FaultAction::PartitionInbound => self.partition_inbound(&nodes),
+            FaultAction::PartitionBetween { other } => self.partition_between(&nodes, other),
             FaultAction::DelayAndDuplicate {
                 max_delay,
-                doubled_per_thousand,
+                duplicated_per_thousand,
             } => self.network.message_faults.push(MessageFault {
-                places: places.into_iter().collect(),
+                nodes: nodes.into_iter().collect(),
                 max_delay: *max_delay,
-                doubled_per_thousand: *doubled_per_thousand,
+                duplicated_per_thousand: *duplicated_per_thousand,
             }),
             FaultAction::LimitBandwidth { bytes_per_second } => {
-                self.on_links(&places, |network, index| {
+                self.on_links(&nodes, |network, index| {
                     network.limit_bandwidth(index, *bytes_per_second)
                 });
             }
             FaultAction::LoadLink(link_load) => {
-                self.on_links(&places, |network, index| {
+                self.on_links(&nodes, |network, index| {
                     network.apply_load(index, link_load)
                 });
             }
-            FaultAction::IsolateVoter => self.network.isolated_voters.extend(places),
+            FaultAction::IsolateVoter => self.network.isolated_voters.extend(nodes),
             FaultAction::BlockInboundConsensus => {
-                self.network.inbound_consensus_blocked.extend(places)
+                self.network.inbound_consensus_blocked.extend(nodes)
             }
             FaultAction::HealNetwork => self.network.heal(),
             FaultAction::SlowInstances(times) => {
                 self.observers.load_started(self.now);
-                self.on_each(&places, |world, index| world.set_slowdown(index, *times));
+                self.on_each(&nodes, |world, index| world.set_slowdown(index, *times));
             }
             FaultAction::HotKey(per_second) => self.start_hot_key(&fault.target, *per_second),
             FaultAction::Surge(percent) => {
@@ -98,13 +96,13 @@
     }
 
     /// Reports to the observers a major fault, and one that hits the owner manager's controller.
-    fn record_fault(&mut self, fault: &FaultStep, places: &[usize]) {
+    fn record_fault(&mut self, fault: &FaultStep, nodes: &[usize]) {
         if fault.is_major {
             let next = self.day.next_disruption(self.now);
             self.observers
                 .major_fault(self.now, fault.blocks_keyed_traffic, next);
         }
-        let ends = matches!(
+        let stops_controller = matches!(
             fault.action,
             FaultAction::Kill
                 | FaultAction::LoseDisk
@@ -113,25 +111,25 @@
                 | FaultAction::MoveToNewAddress
                 | FaultAction::Partition { one_way: false }
         );
-        if ends && places.iter().any(|index| self.is_owner_manager(*index)) {
+        if stops_controller && nodes.iter().any(|index| self.is_owner_manager(*index)) {
             self.observers.owner_manager_lost(self.now);
         }
     }
 
-    fn on_each(&mut self, places: &[usize], mut apply: impl FnMut(&mut Self, usize)) {
-        for index in places {
+    fn on_each(&mut self, nodes: &[usize], mut apply: impl FnMut(&mut Self, usize)) {
+        for index in nodes {
             apply(self, *index);
         }
     }
 
-    fn on_nodes(&mut self, places: &[usize], mut apply: impl FnMut(&mut Node)) {
-        for index in places {
+    fn on_nodes(&mut self, nodes: &[usize], mut apply: impl FnMut(&mut Node)) {
+        for index in nodes {
             apply(&mut self.nodes[*index]);
         }
     }
 
-    fn on_instances(&mut self, places: &[usize], mut apply: impl FnMut(&mut SimInstance)) {
-        for index in places {
+    fn on_instances(&mut self, nodes: &[usize], mut apply: impl FnMut(&mut SimInstance)) {
+        for index in nodes {
             if let Some(Process::Instance(instance)) = &mut self.nodes[*index].process {
                 apply(instance);
             }
@@ -140,12 +138,12 @@
 
     /// Changes the links of these nodes; the first change starts the periodic transmission on
     /// links.
-    fn on_links(&mut self, places: &[usize], mut apply: impl FnMut(&mut Network, usize)) {
+    fn on_links(&mut self, nodes: &[usize], mut apply: impl FnMut(&mut Network, usize)) {
         let had_none = self.network.limited_links.is_empty();
-        for index in places {
+        for index in nodes {
             apply(&mut self.network, *index);
         }
-        if had_none && !places.is_empty() {
+        if had_none && !nodes.is_empty() {
             self.schedule(self.now, ScheduledEvent::AdvanceLinks);
         }
     }
@@ -170,29 +168,29 @@
     }
 
     /// Returns both sides of a partition: these nodes, and all others.
-    fn split_nodes(&self, places: &[usize]) -> (BTreeSet<usize>, BTreeSet<usize>) {
-        let inside: BTreeSet<usize> = places.iter().copied().collect();
+    fn split_nodes(&self, nodes: &[usize]) -> (BTreeSet<usize>, BTreeSet<usize>) {
+        let inside: BTreeSet<usize> = nodes.iter().copied().collect();
         let outside = (0..self.nodes.len())
             .filter(|index| !inside.contains(index))
             .collect();
         (inside, outside)
     }
 
-    fn partition_nodes(&mut self, places: &[usize], one_way: bool) {
-        let (inside, outside) = self.split_nodes(places);
+    fn partition_nodes(&mut self, nodes: &[usize], one_way: bool) {
+        let (inside, outside) = self.split_nodes(nodes);
         self.network.block(&inside, &outside);
         if !one_way {
             self.network.block(&outside, &inside);
         }
     }
 
-    fn partition_inbound(&mut self, places: &[usize]) {
-        let (inside, outside) = self.split_nodes(places);
+    fn partition_inbound(&mut self, nodes: &[usize]) {
+        let (inside, outside) = self.split_nodes(nodes);
         self.network.block(&outside, &inside);
     }
 
-    fn partition_between(&mut self, places: &[usize], other: &str) {
-        let one: BTreeSet<usize> = places.iter().copied().collect();
+    fn partition_between(&mut self, nodes: &[usize], other: &str) {
+        let one: BTreeSet<usize> = nodes.iter().copied().collect();
         let other: BTreeSet<usize> = self.targets(other).into_iter().collect();
         self.network.block(&one, &other);
         self.network.block(&other, &one);
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -29,10 +29,10 @@
                 Some(self.next_heartbeat(index, local, &mut instance))
             }
             NodeEvent::HeartbeatResponse { number, response } => {
-                let named = response
+                let address = response
                     .as_ref()
-                    .and_then(|dated| dated.response.owner_manager);
-                let owner_manager = named.and_then(|named| self.by_address.get(&named));
+                    .and_then(|stamped| stamped.response.owner_manager);
+                let owner_manager = address.and_then(|address| self.by_address.get(&address));
                 if let Some(owner_manager) = owner_manager {
                     instance.use_target(*owner_manager);
                 }
@@ -101,23 +101,24 @@
             proxy_incarnation,
             target,
             route,
-            need,
+            remaining,
             ..
         } = event
         else {
             return None;
         };
-        let ours = target.instance == instance.id && target.incarnation == instance.incarnation;
-        let held = target.key_range.is_none_or(|(key_range, epoch)| {
+        let is_addressee =
+            target.instance == instance.id && target.incarnation == instance.incarnation;
+        let has_lease = target.key_range.is_none_or(|(key_range, epoch)| {
             instance
                 .held_leases
-                .may_start(local, key_range, epoch, need)
+                .may_start(local, key_range, epoch, remaining)
         });
         let rejects = instance.requests_to_reject > 0;
         instance.requests_to_reject = instance.requests_to_reject.saturating_sub(1);
-        let fits = instance.careless || (ours && held);
-        if rejects || !fits {
-            let response = match ours {
+        let may_run = instance.careless || (is_addressee && has_lease);
+        if rejects || !may_run {
+            let response = match is_addressee {
                 true => InstanceResponse::NotRun,
                 false => InstanceResponse::Misdirected,
             };
@@ -141,8 +142,8 @@
             service: route.service.clone(),
             from: self.now,
         });
-        let span = self.sample_work_time(instance);
-        self.schedule_for_node(index, span, NodeEvent::WorkDone { work });
+        let work_time = self.sample_work_time(instance);
+        self.schedule_for_node(index, work_time, NodeEvent::WorkDone { work });
         None
     }
 
@@ -150,10 +151,10 @@
     fn sample_work_time(&mut self, instance: &SimInstance) -> Duration {
         // Beyond its capacity an overloaded instance becomes disproportionately slow for all its
         // requests.
-        let under_way = instance.work.len() as u32;
-        let over = under_way / instance.capacity.max(1);
-        let busy = (1 + under_way / 8 + 40 * over) * instance.slowdown;
-        instance.work_time * busy + Duration::from_micros(self.random.below(2000))
+        let running_count = instance.work.len() as u32;
+        let overload = running_count / instance.capacity.max(1);
+        let slowdown_factor = (1 + running_count / 8 + 40 * overload) * instance.slowdown;
+        instance.work_time * slowdown_factor + Duration::from_micros(self.random.below(2000))
     }
 
     /// Completes a piece of work, which takes effect now, and responds to the proxy.
@@ -164,7 +165,7 @@
         work: usize,
     ) -> Option<(usize, NodeEvent)> {
         let done = instance.work.try_remove(work)?;
-        let still = done.key_range.is_none_or(|(key_range, epoch)| {
+        let still_has_lease = done.key_range.is_none_or(|(key_range, epoch)| {
             instance
                 .held_leases
                 .may_start(local, key_range, epoch, Duration::ZERO)
@@ -173,7 +174,7 @@
             instance.held_leases.ended(key_range);
         }
         let mut response = Some(InstanceResponse::NotRun);
-        if still || instance.careless {
+        if still_has_lease || instance.careless {
             self.record_work(instance, &done);
             response = response_of(instance, done.request);
         }
@@ -221,10 +222,10 @@
         return;
     };
     match response {
-        Some(dated) => {
-            instance.held_leases.answered(sent, &dated.response);
-            instance.stamps.insert(target, (dated.stamp, local));
-            if dated.again {
+        Some(stamped) => {
+            instance.held_leases.answered(sent, &stamped.response);
+            instance.stamps.insert(target, (stamped.stamp, local));
+            if stamped.again {
                 instance.next_heartbeat = local;
             }
         }
--- a/crates/simulator/src/world/lifecycle.rs
+++ b/crates/simulator/src/world/lifecycle.rs
@@ -38,21 +38,21 @@
     }
 
     /// Ends a process. On a power loss, unsynced writes may be lost and no connection is reset.
-    pub fn end_process(&mut self, index: usize, power: bool) {
+    pub fn end_process(&mut self, index: usize, power_loss: bool) {
         let Some(process) = self.nodes[index].process.take() else {
             return;
         };
         let node = &mut self.nodes[index];
         node.incarnation += 1;
         node.frozen = false;
-        node.powered_off = power;
+        node.powered_off = power_loss;
         node.backlog.clear();
-        if power {
+        if power_loss {
             node.disk.on_power_loss(&mut self.random);
         } else {
             node.disk.on_process_exit();
         }
-        if power {
+        if power_loss {
             return;
         }
         self.close_connections(index);
@@ -86,7 +86,7 @@
     /// Requests a graceful shutdown, as the platform does.
     pub(super) fn stop(&mut self, index: usize) {
         let local = self.local_time(index);
-        let after = match &mut self.nodes[index].process {
+        let delay = match &mut self.nodes[index].process {
             Some(Process::Controller(machine)) => {
                 let outputs = machine.input(local, ControllerInput::Shutdown);
                 self.execute_outputs(index, outputs);
@@ -110,7 +110,7 @@
             }
             None => return,
         };
-        self.schedule_for_node(index, after, NodeEvent::ShutdownFinished);
+        self.schedule_for_node(index, delay, NodeEvent::ShutdownFinished);
     }
 
     /// Replaces a machine permanently by an empty one at a new address in the same zone.
@@ -123,7 +123,7 @@
     pub(super) fn add_empty_node(&mut self, index: usize) {
         let node = &self.nodes[index];
         let (name, zone, kind) = (node.name.clone(), node.zone.clone(), node.kind.clone());
-        let next = self.add(format!("{name}-new"), zone.as_str(), kind);
+        let next = self.add_node(format!("{name}-new"), zone.as_str(), kind);
         self.start(next);
     }
 
--- a/crates/simulator/src/world/messages.rs
+++ b/crates/simulator/src/world/messages.rs
@@ -44,11 +44,11 @@
         }
         let mut delay = self.delay(from, to);
         let message_fault = self.network.message_fault(from, to);
-        if let Some((max_delay, doubled)) =
-            message_fault.map(|way| (way.max_delay, way.doubled_per_thousand))
+        if let Some((max_delay, duplicated_per_thousand)) =
+            message_fault.map(|fault| (fault.max_delay, fault.duplicated_per_thousand))
         {
             // Only control messages are duplicated; HTTP runs over TCP, which removes duplicates.
-            if control && self.random.below(1000) < doubled {
+            if control && self.random.below(1000) < duplicated_per_thousand {
                 let again = delay + self.random.between(Duration::ZERO, max_delay);
                 self.schedule_for_node(to, again, event.clone());
             }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -89,7 +89,7 @@
 
 impl World {
     /// Adds a node whose process is not running yet.
-    pub(super) fn add(&mut self, name: String, zone: &str, kind: NodeKind) -> usize {
+    pub(super) fn add_node(&mut self, name: String, zone: &str, kind: NodeKind) -> usize {
         let index = self.nodes.len();
         let address = address_of(index);
         self.by_address.insert(address, index);
@@ -122,7 +122,7 @@
         let controllers = self.add_controllers(&scenario);
         let agents = self.add_agents_and_proxies(&scenario);
         for (number, zone) in scenario.directories.iter().enumerate() {
-            self.add(
+            self.add_node(
                 format!("directory-{}", number + 1),
                 zone,
                 NodeKind::Directory,
@@ -141,7 +141,7 @@
     fn add_controllers(&mut self, scenario: &Scenario) -> Vec<usize> {
         let mut controllers = Vec::new();
         for (number, zone) in scenario.controllers.iter().enumerate() {
-            let index = self.add(
+            let index = self.add_node(
                 format!("controller-{}", number + 1),
                 zone,
                 NodeKind::Controller,
@@ -158,13 +158,13 @@
         let mut agents = Vec::new();
         for (zone, _) in &scenario.zones {
             for number in 1..=scenario.proxies_per_zone {
-                let agent = self.add(format!("agent-{zone}-{number}"), zone, NodeKind::Agent);
+                let agent = self.add_node(format!("agent-{zone}-{number}"), zone, NodeKind::Agent);
                 agents.push(agent);
                 let kind = NodeKind::Proxy {
                     agent,
                     capacity: scenario.proxy_capacity,
                 };
-                self.add(format!("proxy-{zone}-{number}"), zone, kind);
+                self.add_node(format!("proxy-{zone}-{number}"), zone, kind);
             }
         }
         agents
@@ -180,7 +180,7 @@
                     work_time: Duration::from_millis(service.work_ms),
                     heartbeat_targets: heartbeat_targets_of(number, candidates),
                 };
-                self.add(format!("{}-{}", service.name, number + 1), zone, kind);
+                self.add_node(format!("{}-{}", service.name, number + 1), zone, kind);
             }
         }
     }
--- a/crates/simulator/src/world/observation.rs
+++ b/crates/simulator/src/world/observation.rs
@@ -46,7 +46,7 @@
             ),
             ..Service::default()
         };
-        let nowhere = Region::new("");
+        let unknown_region = Region::new("");
         let proxy_zone = self.nodes[proxy].zone.clone();
         // The scenario's route is used, since a broken proxy may hold a different one.
         let true_route = self
@@ -71,9 +71,9 @@
             is_warming_up: heartbeat.is_warming_up(service.warm_up_span),
             service: &service,
             route: &true_route,
-            region: self.regions.get(&heartbeat.zone).unwrap_or(&nowhere),
+            region: self.regions.get(&heartbeat.zone).unwrap_or(&unknown_region),
             proxy_zone: &proxy_zone,
-            proxy_region: self.regions.get(&proxy_zone).unwrap_or(&nowhere),
+            proxy_region: self.regions.get(&proxy_zone).unwrap_or(&unknown_region),
             configuration,
             must_follow: self.must_follow(proxy),
         };
--- a/crates/simulator/src/world/proxies.rs
+++ b/crates/simulator/src/world/proxies.rs
@@ -25,7 +25,7 @@
             NodeEvent::Tick => proxy.tick(local),
             NodeEvent::Control { envelope } => {
                 if let Message::View { view } = &envelope.message {
-                    proxy.take_view(local, view);
+                    proxy.apply_view(local, view);
                     let version = proxy.knowledge.maps.map(MapName::Configuration).version;
                     self.observers.proxy_version_seen(self.now, index, version);
                 }
@@ -72,7 +72,7 @@
                 ProxyAction::Respond {
                     request,
                     reported,
-                    answered,
+                    response_for,
                     failure,
                     unsent,
                 } => {
@@ -88,7 +88,7 @@
                             .or_default() += 1;
                     }
                     self.observers
-                        .reported(self.now, &request, reported, answered);
+                        .reported(self.now, &request, reported, response_for);
                 }
                 ProxyAction::Connect {
                     request,
@@ -145,7 +145,7 @@
             return;
         };
         let (route, configuration) = (in_flight.route.clone(), in_flight.configuration);
-        let need = in_flight.lifecycle.deadline().saturating_sub(local);
+        let remaining = in_flight.lifecycle.deadline().saturating_sub(local);
         self.observers.attempt(self.now, &route.service, is_retry);
         let Some(to) = self.by_address.get(&target.address).copied() else {
             return;
@@ -158,7 +158,7 @@
             target: Box::new(target),
             route: Box::new(route),
             configuration,
-            need,
+            remaining,
         };
         self.send(index, to, arrive);
     }
--- a/crates/simulator/src/world/schedule.rs
+++ b/crates/simulator/src/world/schedule.rs
@@ -92,7 +92,7 @@
                 if fault.on_acceptance {
                     self.on_acceptance.push(fault);
                 } else {
-                    self.fault(&fault);
+                    self.apply_fault(&fault);
                 }
             }
             ScheduledEvent::Observe => self.observe(),
--- a/crates/simulator/tests/connections.rs
+++ b/crates/simulator/tests/connections.rs
@@ -105,13 +105,13 @@
 fn given_no_connection_when_messages_are_written_then_they_wait_until_it_is_open() {
     let mut connections = Connections::new(persistent_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
-    let syn = syn.expect("the first message opens");
+    let syn = syn.expect("first message opens a connection");
     assert!(matches!(syn.kind, SegmentKind::Syn));
     assert!(connections
         .send(ms(100), OPENER, ACCEPTOR, envelope(2))
         .is_none());
-    let left = connections.on_established(&accepted(&syn, ACCEPTOR.1), ACCEPTOR.1);
-    assert_eq!(messages(left), [1, 2]);
+    let sent = connections.on_established(&accepted(&syn, ACCEPTOR.1), ACCEPTOR.1);
+    assert_eq!(messages(sent), [1, 2]);
     let next = connections.send(ms(200), OPENER, ACCEPTOR, envelope(3));
     assert_eq!(messages(next), [3]);
 }
@@ -121,13 +121,16 @@
 ) {
     let mut connections = Connections::new(impatient_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
-    let syn = syn.expect("the first message opens");
+    let syn = syn.expect("first message opens a connection");
     assert!(connections.tick(ms(299)).is_empty());
     assert!(connections.tick(ms(300)).is_empty());
-    let left = connections.on_established(&accepted(&syn, ACCEPTOR.1), ACCEPTOR.1);
-    assert_eq!(messages(left), [0; 0]);
+    let sent = connections.on_established(&accepted(&syn, ACCEPTOR.1), ACCEPTOR.1);
+    assert_eq!(messages(sent), [0; 0]);
     let next = connections.send(ms(400), OPENER, ACCEPTOR, envelope(2));
-    assert!(matches!(next.expect("opens anew").kind, SegmentKind::Syn));
+    assert!(matches!(
+        next.expect("opens a new connection").kind,
+        SegmentKind::Syn
+    ));
 }
 
 #[test]
@@ -135,13 +138,13 @@
 ) {
     let mut connections = Connections::new(persistent_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
-    let syn = syn.expect("the first message opens");
+    let syn = syn.expect("first message opens a connection");
     assert!(connections.tick(ms(475)).is_empty());
     assert_eq!(connections.tick(ms(500)).len(), 1);
     assert!(connections.tick(ms(525)).is_empty());
     assert_eq!(connections.tick(ms(1000)).len(), 1);
-    let left = connections.on_established(&accepted(&syn, ACCEPTOR.1), ACCEPTOR.1);
-    assert_eq!(messages(left), [1]);
+    let sent = connections.on_established(&accepted(&syn, ACCEPTOR.1), ACCEPTOR.1);
+    assert_eq!(messages(sent), [1]);
     assert!(connections.tick(ms(3500)).is_empty());
     let next = connections.send(ms(3500), OPENER, ACCEPTOR, envelope(2));
     assert_eq!(messages(next), [2]);
@@ -154,21 +157,27 @@
     assert_eq!(messages(response), [1]);
     let mut connections = established(impatient_model());
     let syn = connections.send(ms(0), ACCEPTOR, OPENER, envelope(1));
-    assert!(matches!(syn.expect("opens").kind, SegmentKind::Syn));
+    assert!(matches!(
+        syn.expect("opens a connection").kind,
+        SegmentKind::Syn
+    ));
 }
 
 #[test]
 fn given_an_acceptor_that_restarted_when_it_writes_then_it_opens_a_connection_of_its_own() {
     let mut connections = established(persistent_model());
     let syn = connections.send(ms(0), ACCEPTOR_AGAIN, OPENER, envelope(1));
-    assert!(matches!(syn.expect("opens").kind, SegmentKind::Syn));
+    assert!(matches!(
+        syn.expect("opens a connection").kind,
+        SegmentKind::Syn
+    ));
 }
 
 #[test]
 fn given_a_peer_that_lost_power_when_a_message_is_written_then_it_is_meant_for_the_life_before() {
     let mut connections = established(impatient_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR_AGAIN, envelope(1));
-    let written = written.expect("the connection still stands");
+    let written = written.expect("connection is still established");
     assert_eq!(written.receiver_incarnation, Some(ACCEPTOR.1));
 }
 
@@ -177,23 +186,29 @@
 {
     let mut connections = established(impatient_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR_AGAIN, envelope(1));
-    let reset = written.expect("it is written").reset(Some(OPENER.1));
+    let reset = written.expect("message is written").reset(Some(OPENER.1));
     assert!(connections.handle_reset(&reset).is_none());
     let second = connections.send(ms(300), OPENER, ACCEPTOR_AGAIN, envelope(2));
     assert!(second.is_none());
     let third = connections.send(ms(600), OPENER, ACCEPTOR_AGAIN, envelope(3));
-    assert!(matches!(third.expect("opens").kind, SegmentKind::Syn));
+    assert!(matches!(
+        third.expect("opens a connection").kind,
+        SegmentKind::Syn
+    ));
 }
 
 #[test]
 fn given_a_runtime_that_notices_resets_when_one_comes_then_the_message_is_sent_again() {
     let mut connections = established(persistent_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR_AGAIN, envelope(1));
-    let reset = written.expect("it is written").reset(Some(OPENER.1));
-    let again = connections.handle_reset(&reset).expect("it is sent again");
+    let reset = written.expect("message is written").reset(Some(OPENER.1));
+    let again = connections.handle_reset(&reset).expect("message is resent");
     assert_eq!(again.from, NodeId(1));
     let syn = connections.send(ms(300), OPENER, ACCEPTOR_AGAIN, again);
-    assert!(matches!(syn.expect("opens").kind, SegmentKind::Syn));
+    assert!(matches!(
+        syn.expect("opens a connection").kind,
+        SegmentKind::Syn
+    ));
 }
 
 #[test]
@@ -201,30 +216,36 @@
 ) {
     let mut connections = established(impatient_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
-    connections.on_message_dropped(&written.expect("it is written"));
+    connections.on_message_dropped(&written.expect("message is written"));
     assert!(connections
         .send(ms(300), OPENER, ACCEPTOR, envelope(2))
         .is_none());
     let third = connections.send(ms(600), OPENER, ACCEPTOR, envelope(3));
-    assert!(matches!(third.expect("opens").kind, SegmentKind::Syn));
+    assert!(matches!(
+        third.expect("opens a connection").kind,
+        SegmentKind::Syn
+    ));
 }
 
 #[test]
 fn given_an_opener_that_restarted_when_it_writes_then_it_opens_anew() {
     let mut connections = established(impatient_model());
     let syn = connections.send(ms(0), (OPENER.0, 3), ACCEPTOR, envelope(1));
-    assert!(matches!(syn.expect("opens").kind, SegmentKind::Syn));
+    assert!(matches!(
+        syn.expect("opens a connection").kind,
+        SegmentKind::Syn
+    ));
 }
 
 /// Returns when a segment queued on a loaded link at time 0 is through, inbound and outbound.
-fn through_at(link_load: &LinkLoad) -> (Duration, Duration) {
+fn transmitted_at(link_load: &LinkLoad) -> (Duration, Duration) {
     let mut link = LimitedLink::default();
     link.apply_load(link_load);
     link.redraw_queues(ms(0), &mut Chance::seeded(1));
     let mut connections = Connections::new(impatient_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
-    let syn = syn.expect("the first message opens");
-    let through = |direction: &mut LinkDirection| {
+    let syn = syn.expect("first message opens a connection");
+    let transmit = |direction: &mut LinkDirection| {
         direction.add(ms(0), syn.clone());
         let mut now = ms(0);
         while direction.advance(now).is_empty() {
@@ -232,35 +253,35 @@
         }
         now
     };
-    (through(&mut link.inward), through(&mut link.outward))
+    (transmit(&mut link.inward), transmit(&mut link.outward))
 }
 
 #[test]
 fn given_a_full_link_when_a_segment_comes_then_it_waits_behind_the_queue_each_way() {
-    let load = |queue: u64| BackgroundLoad {
+    let load = |queue_delay: u64| BackgroundLoad {
         bytes_per_second: 300_000,
-        queue: (ms(queue), ms(queue)),
+        queue_delay: (ms(queue_delay), ms(queue_delay)),
     };
     let link_load = LinkLoad {
         bytes_per_second: 375_000,
         inward: load(800),
         outward: load(200),
     };
-    assert_eq!(through_at(&link_load), (ms(800), ms(200)));
+    assert_eq!(transmitted_at(&link_load), (ms(800), ms(200)));
 }
 
 #[test]
 fn given_a_full_link_when_queues_have_a_span_then_they_stay_within_it() {
     let load = BackgroundLoad {
         bytes_per_second: 300_000,
-        queue: (ms(450), ms(800)),
+        queue_delay: (ms(450), ms(800)),
     };
     let link_load = LinkLoad {
         bytes_per_second: 375_000,
         inward: load,
         outward: load,
     };
-    let (inward, outward) = through_at(&link_load);
+    let (inward, outward) = transmitted_at(&link_load);
     for waited in [inward, outward] {
         assert!(
             waited >= ms(450) && waited <= ms(800) + LINK_STEP,
@@ -284,7 +305,7 @@
     let mut connections = Connections::new(impatient_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
     link.inward
-        .add(ms(0), syn.expect("the first message opens"));
+        .add(ms(0), syn.expect("first message opens a connection"));
     for step in 0..100 {
         assert!(link.inward.advance(LINK_STEP * step).is_empty());
     }
--- a/crates/simulator/tests/coverage.rs
+++ b/crates/simulator/tests/coverage.rs
@@ -33,7 +33,7 @@
 }
 
 fn stems(folder: &str) -> BTreeSet<String> {
-    let entries = std::fs::read_dir(root().join(folder)).expect("the folder is there");
+    let entries = std::fs::read_dir(root().join(folder)).expect("folder exists");
     entries
         .filter_map(|entry| {
             let path = entry.ok()?.path();
@@ -70,7 +70,7 @@
             drills: stems("drills"),
             runbooks: stems("runbooks"),
             sources,
-            variants: std::fs::read_to_string(variants).expect("the variants are there"),
+            variants: std::fs::read_to_string(variants).expect("file with the variants exists"),
         }
     }
 
@@ -94,7 +94,7 @@
 }
 
 fn page(name: &str) -> String {
-    std::fs::read_to_string(root().join("docs").join(name)).expect("the page is there")
+    std::fs::read_to_string(root().join("docs").join(name)).expect("page exists")
 }
 
 #[test]
@@ -108,11 +108,11 @@
     ];
     for name in pages {
         let page = page(name);
-        assert!(named(&page).len() > 30, "{name} names too little");
+        assert!(named(&page).len() > 30, "{name} names too few proofs");
         let missing = proofs.missing(&page);
         assert!(
             missing.is_empty(),
-            "{name} names what is not there: {missing:?}"
+            "{name} names proofs that do not exist: {missing:?}"
         );
         let named = named(&page).into_iter().filter(|(kind, _)| kind == "day");
         days.extend(named.map(|(_, day)| day));
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -18,7 +18,7 @@
             problems
                 .iter()
                 .take(5)
-                .map(|what| format!("seed {seed}: {what}")),
+                .map(|details| format!("seed {seed}: {details}")),
         );
     }
     if failures.is_empty() {
--- a/crates/simulator/tests/known_red.rs
+++ b/crates/simulator/tests/known_red.rs
@@ -23,10 +23,10 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join("known_red")
         .join(case);
-    std::fs::create_dir_all(&folder).expect("the folder is made");
+    std::fs::create_dir_all(&folder).expect("folder is created");
     let written = |name: &str, text: &str| {
         let path = folder.join(name);
-        std::fs::write(&path, text).expect("the file is written");
+        std::fs::write(&path, text).expect("file is written");
         path
     };
     let done = std::process::Command::new("bash")
@@ -39,16 +39,16 @@
         .arg(written("errors", errors))
         .arg(status.to_string())
         .output()
-        .expect("bash is there");
+        .expect("bash is installed");
     let text = [done.stdout, done.stderr].concat();
     (
         done.status.success(),
-        String::from_utf8(text).expect("it is text"),
+        String::from_utf8(text).expect("output is UTF-8"),
     )
 }
 
-fn failed_with(said: &str) -> (bool, String) {
-    (false, format!("known-red: {said}\n"))
+fn failed_with(message: &str) -> (bool, String) {
+    (false, format!("known-red: {message}\n"))
 }
 
 #[test]
@@ -67,8 +67,8 @@
 fn given_a_listed_test_when_it_fails_then_it_is_passed_over_and_printed() {
     let both = format!("{NONE_FAILS}{ONE_FAILS}{NONE_FAILS}");
     let run = compare("listed", LISTED, &both, ONE_TARGET_FAILED, 101);
-    let said = "known red, passed over: tests::broken | it counts wrongly | 7\n";
-    assert_eq!(run, (true, said.to_string()));
+    let message = "known red, passed over: tests::broken | it counts wrongly | 7\n";
+    assert_eq!(run, (true, message.to_string()));
 }
 
 #[test]
@@ -106,11 +106,11 @@
 #[test]
 fn given_a_listed_test_when_it_is_ignored_then_the_run_fails() {
     let list = format!("{LISTED}skipped | it counts wrongly | 7\n");
-    let (passed, said) = compare("ignored", &list, ONE_FAILS, ONE_TARGET_FAILED, 101);
+    let (passed, message) = compare("ignored", &list, ONE_FAILS, ONE_TARGET_FAILED, 101);
     assert!(!passed);
     assert!(
-        said.ends_with("known-red: listed, but it is ignored and did not run: skipped\n"),
-        "{said}"
+        message.ends_with("known-red: listed, but it is ignored and did not run: skipped\n"),
+        "{message}"
     );
 }
 
@@ -119,22 +119,22 @@
     let output = ONE_FAILS
         .replace("fine ... ok", "fine ... FAILED")
         .replace("1 failed", "2 failed");
-    let (passed, said) = compare("another", LISTED, &output, ONE_TARGET_FAILED, 101);
+    let (passed, message) = compare("another", LISTED, &output, ONE_TARGET_FAILED, 101);
     assert!(!passed);
     assert!(
-        said.contains("known-red: failed and not listed: fine\n"),
-        "{said}"
+        message.contains("known-red: failed and not listed: fine\n"),
+        "{message}"
     );
 }
 
 #[test]
 fn given_a_listed_failure_when_another_program_dies_without_a_word_then_the_run_fails() {
     let errors = ONE_TARGET_FAILED.replace("1 target failed", "2 targets failed");
-    let (passed, said) = compare("dies", LISTED, ONE_FAILS, &errors, 101);
+    let (passed, message) = compare("dies", LISTED, ONE_FAILS, &errors, 101);
     assert!(!passed);
     assert!(
-        said.contains("2 failed test programs; 1 told of failures"),
-        "{said}"
+        message.contains("2 failed test programs; 1 told of failures"),
+        "{message}"
     );
 }
 
@@ -176,7 +176,7 @@
 
 #[test]
 fn given_lists_that_are_malformed_when_compared_then_the_run_fails() {
-    for (case, list, said) in [
+    for (case, list, message) in [
         (
             "no_issue",
             "days::a.json | it counts wrongly\n",
@@ -188,14 +188,14 @@
             "a line is not 'test-name | cause | issue': days::a.json | it | counts | wrongly",
         ),
     ] {
-        assert_eq!(compare(case, list, NONE_FAILS, "", 0), failed_with(said));
+        assert_eq!(compare(case, list, NONE_FAILS, "", 0), failed_with(message));
     }
     let twice = format!("{LISTED}tests::broken | it counts wrongly | 8\n");
-    let (passed, said) = compare("twice", &twice, ONE_FAILS, ONE_TARGET_FAILED, 101);
+    let (passed, message) = compare("twice", &twice, ONE_FAILS, ONE_TARGET_FAILED, 101);
     assert!(!passed);
     assert!(
-        said.contains("known-red: listed twice: tests::broken\n"),
-        "{said}"
+        message.contains("known-red: listed twice: tests::broken\n"),
+        "{message}"
     );
 }
 
@@ -214,31 +214,31 @@
 #[test]
 fn given_a_list_of_three_lines_when_just_these_fail_then_they_are_passed_over() {
     let (output, list) = failures(3);
-    let (passed, said) = compare("three", &list, &output, ONE_TARGET_FAILED, 101);
-    assert!(passed, "{said}");
+    let (passed, message) = compare("three", &list, &output, ONE_TARGET_FAILED, 101);
+    assert!(passed, "{message}");
     assert_eq!(
-        said.matches("known red, passed over: ").count(),
+        message.matches("known red, passed over: ").count(),
         3,
-        "{said}"
+        "{message}"
     );
 }
 
 #[test]
 fn given_a_list_of_four_lines_when_just_these_fail_then_the_run_fails() {
     let (output, list) = failures(4);
-    let (passed, said) = compare("four", &list, &output, ONE_TARGET_FAILED, 101);
-    assert!(!passed, "{said}");
+    let (passed, message) = compare("four", &list, &output, ONE_TARGET_FAILED, 101);
+    assert!(!passed, "{message}");
     assert!(
-        said.contains("known-red: the list has 4 lines, at most 3 are allowed\n"),
-        "{said}"
+        message.contains("known-red: the list has 4 lines, at most 3 are allowed\n"),
+        "{message}"
     );
 }
 
 #[test]
 fn given_the_list_of_the_repository_when_read_then_its_lines_are_well_formed() {
     let list = include_str!("../../../KNOWN-RED.txt");
-    let (_, said) = compare("checked_in", list, NONE_FAILS, "", 0);
-    assert!(!said.contains("a line is not"), "{said}");
-    assert!(!said.contains("listed twice"), "{said}");
-    assert!(!said.contains("are allowed"), "{said}");
+    let (_, message) = compare("checked_in", list, NONE_FAILS, "", 0);
+    assert!(!message.contains("a line is not"), "{message}");
+    assert!(!message.contains("listed twice"), "{message}");
+    assert!(!message.contains("are allowed"), "{message}");
 }
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -12,11 +12,11 @@
 
 fn fleet(seed: u64) -> World {
     let path = format!("{}/days/quiet.json", env!("CARGO_MANIFEST_DIR"));
-    let mut day = Day::read(Path::new(&path)).expect("the day reads");
+    let mut day = Day::read(Path::new(&path)).expect("day file is valid");
     day.length = Duration::from_secs(400);
     day.traffic_until = day.length;
     let mut world = World::new(
-        read_deployment("tallowgum").expect("the scenario reads"),
+        read_deployment("tallowgum").expect("scenario is valid"),
         day,
         seed,
     );
@@ -24,8 +24,8 @@
     world
 }
 
-fn fault_step(world: &mut World, action: FaultAction, target: &str) {
-    world.fault(&FaultStep {
+fn apply_fault(world: &mut World, action: FaultAction, target: &str) {
+    world.apply_fault(&FaultStep {
         at: world.now,
         action,
         target: target.to_string(),
@@ -43,12 +43,12 @@
     mut by_hand: impl FnMut(&mut World, usize),
 ) -> Result<(), (usize, String, String)> {
     let path = format!("{}/../../runbooks/{name}.json", env!("CARGO_MANIFEST_DIR"));
-    let runbook = Runbook::read(Path::new(&path)).expect("the runbook reads");
+    let runbook = Runbook::read(Path::new(&path)).expect("runbook is valid");
     let inputs = inputs
         .iter()
         .map(|(name, value)| ((*name).to_string(), (*value).to_string()))
         .collect();
-    let mut runner = Runner::start(runbook, inputs, 7).expect("the inputs fit");
+    let mut runner = Runner::start(runbook, inputs, 7).expect("inputs are valid");
     let mut entered = 0;
     loop {
         let step = runner
@@ -64,14 +64,15 @@
             Wish::Done => return Ok(()),
             Wish::Stopped { step, why, remedy } => return Err((step, why, remedy)),
             Wish::Apply { change } => {
-                let change =
-                    controller::operator_json::read_change(&change.dump()).expect("it reads");
+                let change = controller::operator_json::read_change(&change.dump())
+                    .expect("change is valid");
                 let (status, response) = world.apply(change);
                 runner.applied(world.now, status, &response);
             }
             Wish::ApplyFile { file } => {
-                let text = std::fs::read_to_string(file).expect("the file reads");
-                let change = controller::operator_json::read_change(&text).expect("it reads");
+                let text = std::fs::read_to_string(file).expect("file is readable");
+                let change =
+                    controller::operator_json::read_change(&text).expect("change is valid");
                 let (status, response) = world.apply(change);
                 runner.applied(world.now, status, &response);
             }
@@ -98,8 +99,8 @@
     );
     let later = world.now + Duration::from_secs(8);
     world.run_until(later);
-    fault_step(&mut world, FaultAction::Kill, "holder");
-    fault_step(&mut world, FaultAction::Start, "controller");
+    apply_fault(&mut world, FaultAction::Kill, "holder");
+    apply_fault(&mut world, FaultAction::Start, "controller");
     let later = world.now + Duration::from_secs(10);
     world.run_until(later);
     world.observers.zone_reopened(&Zone::new("east-2"));
@@ -119,10 +120,10 @@
 fn given_a_core_without_a_majority_when_a_zone_is_to_be_emptied_then_the_runbook_stops_at_once() {
     let mut world = fleet(2);
     for name in ["controller-1", "controller-2", "agent"] {
-        fault_step(&mut world, FaultAction::PowerOff, name);
+        apply_fault(&mut world, FaultAction::PowerOff, name);
     }
     let stopped = run(&mut world, "empty-area", &[("area", "east-2")], |_, _| {});
-    let (step, why, remedy) = stopped.expect_err("nothing may be changed now");
+    let (step, why, remedy) = stopped.expect_err("runbook must stop without a majority");
     assert_eq!(step, 1, "{why}");
     assert!(!remedy.is_empty());
 }
@@ -137,7 +138,7 @@
     let new = new.to_string();
     let inputs = [("old", old.as_str()), ("new", new.as_str())];
     let ended = run(&mut world, "replace-core-machine", &inputs, |world, _| {
-        fault_step(world, FaultAction::MoveToNewAddress, "controller-2");
+        apply_fault(world, FaultAction::MoveToNewAddress, "controller-2");
     });
     assert_eq!(ended, Ok(()));
     assert_eq!(world.observers.violations, Vec::new());
@@ -152,10 +153,10 @@
         &[("proxies", "12")],
         |world, step| {
             let name = format!("controller-{}", step - 1);
-            fault_step(world, FaultAction::Kill, &name);
+            apply_fault(world, FaultAction::Kill, &name);
             let later = world.now + Duration::from_secs(2);
             world.run_until(later);
-            fault_step(world, FaultAction::Start, &name);
+            apply_fault(world, FaultAction::Start, &name);
         },
     );
     assert_eq!(ended, Ok(()));
@@ -166,13 +167,13 @@
 fn given_a_lost_majority_when_brought_back_by_the_runbook_then_leaderships_and_voters_are_taken_up()
 {
     let mut world = fleet(5);
-    fault_step(&mut world, FaultAction::PowerOff, "controller");
-    fault_step(&mut world, FaultAction::PowerOff, "agent");
+    apply_fault(&mut world, FaultAction::PowerOff, "controller");
+    apply_fault(&mut world, FaultAction::PowerOff, "agent");
     let later = world.now + Duration::from_secs(10);
     world.run_until(later);
     let ended = run(&mut world, "core-majority-lost", &[], |world, _| {
-        fault_step(world, FaultAction::Start, "controller");
-        fault_step(world, FaultAction::Start, "agent");
+        apply_fault(world, FaultAction::Start, "controller");
+        apply_fault(world, FaultAction::Start, "agent");
     });
     assert_eq!(ended, Ok(()));
     assert_eq!(world.observers.violations, Vec::new());
@@ -184,12 +185,13 @@
     let file = std::env::temp_dir().join(format!("caperworks-roll-{}.json", std::process::id()));
     let text = r#"{"id": "roll", "put": [{"kind": "rule", "name": "swell", "rule":
         {"host": "swell.example", "path": "/", "pool": "records", "deadline_ms": 700}}]}"#;
-    std::fs::write(&file, text.replace("\"roll\"", "\"first\"")).expect("a temporary file");
+    std::fs::write(&file, text.replace("\"roll\"", "\"first\""))
+        .expect("temporary file is written");
     let path = file.display().to_string();
     let change = controller::operator_json::read_change(
         &text.replace("\"roll\"", "\"zero\"").replace("700", "900"),
     );
-    assert_eq!(world.apply(change.expect("it reads")).0, 200);
+    assert_eq!(world.apply(change.expect("change is valid")).0, 200);
     let inputs = [("file", path.as_str()), ("item", "rule/swell")];
     assert_eq!(
         run(&mut world, "try-and-take-back", &inputs, |_, _| {}),
@@ -199,7 +201,7 @@
     let item = configuration["items"]
         .members()
         .find(|item| item["name"] == "swell")
-        .expect("the rule");
+        .expect("route is present");
     assert_eq!(item["rule"]["deadline_ms"], 900);
-    std::fs::remove_file(&file).expect("it was there");
+    std::fs::remove_file(&file).expect("temporary file is removed");
 }
--- a/crates/simulator/tests/seam.rs
+++ b/crates/simulator/tests/seam.rs
@@ -50,7 +50,7 @@
     "std::thread",
 ];
 
-const MOST_PLATFORM_LINES: usize = 1600;
+const MAX_PLATFORM_LINES: usize = 1600;
 
 const THIS_FILE: &str = "crates/simulator/tests/seam.rs";
 
@@ -60,10 +60,7 @@
 
 /// Collects the files of a folder and its subfolders with their paths in the repository.
 fn files(folder: &Path, endings: &[&str], found: &mut Vec<(String, String)>) {
-    for entry in std::fs::read_dir(folder)
-        .expect("the folder is there")
-        .flatten()
-    {
+    for entry in std::fs::read_dir(folder).expect("folder exists").flatten() {
         let path = entry.path();
         let ending = path
             .extension()
@@ -75,10 +72,10 @@
                 files(&path, endings, found);
             }
         } else if endings.contains(&ending.as_str()) {
-            let text = std::fs::read_to_string(&path).expect("a file reads");
+            let text = std::fs::read_to_string(&path).expect("file is readable");
             let inside = path
                 .strip_prefix(root())
-                .expect("it lies in the repository");
+                .expect("path is in the repository");
             found.push((inside.display().to_string(), text));
         }
     }
@@ -99,16 +96,16 @@
 }
 
 /// Returns where the platform's side is more than a thin translation.
-fn platform_breaches(sources: &[(String, String)]) -> Vec<String> {
+fn platform_violations(sources: &[(String, String)]) -> Vec<String> {
     let mut reported = Vec::new();
     let lines: usize = sources
         .iter()
         .filter(|(path, _)| path.starts_with("platform/src/"))
         .map(|(_, text)| text.lines().count())
         .sum();
-    if lines > MOST_PLATFORM_LINES {
+    if lines > MAX_PLATFORM_LINES {
         reported.push(format!(
-            "platform/src: {lines} lines, at most {MOST_PLATFORM_LINES}"
+            "platform/src: {lines} lines, at most {MAX_PLATFORM_LINES}"
         ));
     }
     for (path, text) in sources {
@@ -125,7 +122,7 @@
 #[test]
 fn given_everything_outside_the_platform_when_read_then_no_platform_name_occurs() {
     let mut reported = Vec::new();
-    for (folder, endings, at_least) in [
+    for (folder, endings, min_files) in [
         ("crates", ["rs", "json"].as_slice(), 60),
         ("runbooks", &["json", "md", "txt"], 1),
         ("scenarios", &["json", "md", "txt"], 1),
@@ -134,7 +131,7 @@
         let mut found = Vec::new();
         files(&root().join(folder), endings, &mut found);
         // The count guards against a scan that finds no files and so proves nothing.
-        assert!(found.len() >= at_least, "{folder}: {} files", found.len());
+        assert!(found.len() >= min_files, "{folder}: {} files", found.len());
         for (path, text) in found.iter().filter(|(path, _)| path != THIS_FILE) {
             reported.extend(platform_names(path, text));
         }
@@ -152,7 +149,7 @@
     let mut found = Vec::new();
     files(&folder, &["rs"], &mut found);
     assert!(!found.is_empty(), "the platform has no sources");
-    let reported = platform_breaches(&found);
+    let reported = platform_violations(&found);
     assert!(reported.is_empty(), "{}", reported.join("\n"));
 }
 
@@ -173,17 +170,17 @@
 fn given_a_platform_that_is_large_when_read_then_its_size_is_told() {
     let source = |path: &str, lines: usize| (path.to_string(), "let a = 1;\n".repeat(lines));
     let fitting = [
-        source("platform/src/lib.rs", MOST_PLATFORM_LINES - 10),
+        source("platform/src/lib.rs", MAX_PLATFORM_LINES - 10),
         source("platform/src/deep/wire.rs", 10),
-        source("platform/tests/wire.rs", MOST_PLATFORM_LINES),
+        source("platform/tests/wire.rs", MAX_PLATFORM_LINES),
     ];
-    assert_eq!(platform_breaches(&fitting), Vec::<String>::new());
+    assert_eq!(platform_violations(&fitting), Vec::<String>::new());
     let large = [
-        source("platform/src/lib.rs", MOST_PLATFORM_LINES),
+        source("platform/src/lib.rs", MAX_PLATFORM_LINES),
         source("platform/src/deep/wire.rs", 1),
     ];
     assert_eq!(
-        platform_breaches(&large),
+        platform_violations(&large),
         ["platform/src: 1601 lines, at most 1600"]
     );
 }
@@ -192,7 +189,7 @@
 fn given_a_platform_with_a_timer_or_a_thread_when_read_then_each_is_told() {
     for name in TIMERS_AND_THREADS {
         let text = format!("fn work() {{\n    tokio::{name}later);\n}}\n");
-        let reported = platform_breaches(&[("platform/src/lib.rs".to_string(), text)]);
+        let reported = platform_violations(&[("platform/src/lib.rs".to_string(), text)]);
         assert_eq!(reported, [format!("platform/src/lib.rs:2: {name}")]);
     }
 }
--- a/crates/simulator/tests/style.rs
+++ b/crates/simulator/tests/style.rs
@@ -7,19 +7,16 @@
 }
 
 fn sources(folder: &Path, found: &mut Vec<(String, String)>) {
-    for entry in std::fs::read_dir(folder)
-        .expect("the folder is there")
-        .flatten()
-    {
+    for entry in std::fs::read_dir(folder).expect("folder exists").flatten() {
         let path = entry.path();
         // Build output is not subject to the style.
         if path.is_dir() && !path.ends_with("target") {
             sources(&path, found);
         } else if path.extension().is_some_and(|ending| ending == "rs") {
-            let text = std::fs::read_to_string(&path).expect("a source file reads");
+            let text = std::fs::read_to_string(&path).expect("source file is readable");
             let inside = path
                 .strip_prefix(root())
-                .expect("it lies in the repository");
+                .expect("path is in the repository");
             found.push((inside.display().to_string(), text));
         }
     }
@@ -152,14 +149,15 @@
         return name.split('_').map(str::to_lowercase).collect();
     }
     let mut words = vec![String::new()];
-    for sign in name.chars() {
-        if sign == '_' || (sign.is_uppercase() && words.last().is_some_and(|word| !word.is_empty()))
+    for character in name.chars() {
+        if character == '_'
+            || (character.is_uppercase() && words.last().is_some_and(|word| !word.is_empty()))
         {
             words.push(String::new());
         }
-        if sign != '_' {
+        if character != '_' {
             let index = words.len() - 1;
-            words[index].extend(sign.to_lowercase());
+            words[index].extend(character.to_lowercase());
         }
     }
     words
@@ -168,9 +166,10 @@
 /// Returns the name that a text begins with, if any.
 fn leading_name(text: &str) -> Option<&str> {
     let end = text
-        .find(|sign: char| !sign.is_alphanumeric() && sign != '_')
+        .find(|character: char| !character.is_alphanumeric() && character != '_')
         .unwrap_or(text.len());
-    let starts_well = text.starts_with(|sign: char| sign.is_alphabetic() || sign == '_');
+    let starts_well =
+        text.starts_with(|character: char| character.is_alphabetic() || character == '_');
     starts_well.then(|| &text[..end])
 }
 
@@ -204,7 +203,7 @@
     parts
         .iter()
         .filter_map(|part| {
-            part.rsplit(|sign: char| !sign.is_alphanumeric() && sign != '_')
+            part.rsplit(|character: char| !character.is_alphanumeric() && character != '_')
                 .next()
         })
         .filter(|name| !name.is_empty())
@@ -229,9 +228,11 @@
         let mut tokens = bare.split_whitespace();
         let numbered = tokens
             .next()
-            .is_some_and(|token| token.chars().all(|sign| sign.is_ascii_digit()));
+            .is_some_and(|token| token.chars().all(|character| character.is_ascii_digit()));
         if depth_in_enum > 0 {
-            let member = bare.trim_start_matches(|sign: char| sign.is_ascii_digit() || sign == ' ');
+            let member = bare.trim_start_matches(|character: char| {
+                character.is_ascii_digit() || character == ' '
+            });
             let variant = leading_name(member).filter(|name| name.starts_with(char::is_uppercase));
             names.extend(variant.map(str::to_string));
             names.extend(field_names(member));
@@ -272,7 +273,8 @@
         {
             names.extend(field_names(members));
             let variants = members.split(',').map(|member| {
-                member.trim_matches(|sign: char| sign.is_ascii_digit() || sign == ' ')
+                member
+                    .trim_matches(|character: char| character.is_ascii_digit() || character == ' ')
             });
             names.extend(
                 variants
@@ -332,14 +334,14 @@
 
 #[test]
 fn given_all_stories_when_read_then_none_of_them_sleeps() {
-    let stories = all()
+    let tests = all()
         .into_iter()
         .filter(|(path, _)| path.contains("/tests/"));
-    let sleepy: Vec<String> = stories
+    let sleeping: Vec<String> = tests
         .filter(|(path, text)| !path.ends_with("style.rs") && text.contains("sleep("))
         .map(|(path, _)| path)
         .collect();
-    assert!(sleepy.is_empty(), "{}", sleepy.join("\n"));
+    assert!(sleeping.is_empty(), "{}", sleeping.join("\n"));
 }
 
 #[test]
