--- a/crates/simulator/tests/connections.rs
+++ b/crates/simulator/tests/connections.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn given_no_connection_when_messages_are_written_then_they_wait_until_it_is_open() {
+fn messages_are_queued_until_connection_opens() {
     let mut connections = Connections::new(persistent_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
     let syn = syn.expect("first message opens a connection");
@@ -117,8 +117,7 @@
 }
 
 #[test]
-fn given_an_opening_that_takes_longer_than_its_patience_when_it_succeeds_then_the_messages_are_lost(
-) {
+fn messages_are_lost_after_connect_timeout() {
     let mut connections = Connections::new(impatient_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
     let syn = syn.expect("first message opens a connection");
@@ -134,8 +133,7 @@
 }
 
 #[test]
-fn given_a_patient_runtime_when_an_opening_takes_long_then_fresh_attempts_are_made_and_the_first_counts(
-) {
+fn connecting_is_retried_and_first_success_is_used() {
     let mut connections = Connections::new(persistent_model());
     let syn = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
     let syn = syn.expect("first message opens a connection");
@@ -151,7 +149,7 @@
 }
 
 #[test]
-fn given_an_established_connection_when_answers_may_use_it_then_they_need_no_opening() {
+fn responses_use_established_connection() {
     let mut connections = established(persistent_model());
     let response = connections.send(ms(0), ACCEPTOR, OPENER, envelope(1));
     assert_eq!(messages(response), [1]);
@@ -164,7 +162,7 @@
 }
 
 #[test]
-fn given_an_acceptor_that_restarted_when_it_writes_then_it_opens_a_connection_of_its_own() {
+fn restarted_acceptor_opens_its_own_connection() {
     let mut connections = established(persistent_model());
     let syn = connections.send(ms(0), ACCEPTOR_AGAIN, OPENER, envelope(1));
     assert!(matches!(
@@ -174,7 +172,7 @@
 }
 
 #[test]
-fn given_a_peer_that_lost_power_when_a_message_is_written_then_it_is_meant_for_the_life_before() {
+fn message_after_power_loss_targets_previous_incarnation() {
     let mut connections = established(impatient_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR_AGAIN, envelope(1));
     let written = written.expect("connection is still established");
@@ -182,8 +180,7 @@
 }
 
 #[test]
-fn given_a_reset_when_it_is_found_by_the_next_write_then_that_one_is_lost_and_the_one_after_opens()
-{
+fn reset_detected_on_write_loses_that_message() {
     let mut connections = established(impatient_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR_AGAIN, envelope(1));
     let reset = written.expect("message is written").reset(Some(OPENER.1));
@@ -198,7 +195,7 @@
 }
 
 #[test]
-fn given_a_runtime_that_notices_resets_when_one_comes_then_the_message_is_sent_again() {
+fn message_is_resent_after_detected_reset() {
     let mut connections = established(persistent_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR_AGAIN, envelope(1));
     let reset = written.expect("message is written").reset(Some(OPENER.1));
@@ -212,8 +209,7 @@
 }
 
 #[test]
-fn given_a_message_that_a_cut_dropped_when_the_next_is_written_then_it_is_lost_and_the_one_after_opens(
-) {
+fn connection_is_dead_after_partition_drops_message() {
     let mut connections = established(impatient_model());
     let written = connections.send(ms(0), OPENER, ACCEPTOR, envelope(1));
     connections.on_message_dropped(&written.expect("message is written"));
@@ -228,7 +224,7 @@
 }
 
 #[test]
-fn given_an_opener_that_restarted_when_it_writes_then_it_opens_anew() {
+fn restarted_opener_reconnects() {
     let mut connections = established(impatient_model());
     let syn = connections.send(ms(0), (OPENER.0, 3), ACCEPTOR, envelope(1));
     assert!(matches!(
@@ -257,7 +253,7 @@
 }
 
 #[test]
-fn given_a_full_link_when_a_segment_comes_then_it_waits_behind_the_queue_each_way() {
+fn segment_waits_behind_queue_in_each_direction() {
     let load = |queue_delay: u64| BackgroundLoad {
         bytes_per_second: 300_000,
         queue_delay: (ms(queue_delay), ms(queue_delay)),
@@ -271,7 +267,7 @@
 }
 
 #[test]
-fn given_a_full_link_when_queues_have_a_span_then_they_stay_within_it() {
+fn queue_delay_stays_within_range() {
     let load = BackgroundLoad {
         bytes_per_second: 300_000,
         queue_delay: (ms(450), ms(800)),
@@ -291,7 +287,7 @@
 }
 
 #[test]
-fn given_other_traffic_that_takes_the_whole_link_when_a_segment_comes_then_nothing_is_carried() {
+fn background_traffic_at_link_bandwidth_blocks_segments() {
     let mut link = LimitedLink::default();
     let load = BackgroundLoad {
         bytes_per_second: 1000,
--- a/crates/simulator/tests/coverage.rs
+++ b/crates/simulator/tests/coverage.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn given_the_pages_when_they_name_a_proof_then_it_is_there_and_every_day_is_named() {
+fn proofs_named_in_pages_exist_and_every_day_is_named() {
     let proofs = Proofs::gather();
     let mut days = BTreeSet::new();
     let pages = [
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn given_a_page_that_names_what_is_not_there_when_checked_then_each_is_told() {
+fn missing_proofs_are_reported() {
     let page =
         "seen on `day/quiet`, `day/never-played`, `story/given_nothing`, `variant/Unbroken`, \
                 `drill/none` and `runbook/none`; `crates/a/b` is no proof";
--- a/crates/simulator/tests/known_red.rs
+++ b/crates/simulator/tests/known_red.rs
@@ -52,19 +52,19 @@
 }
 
 #[test]
-fn given_an_empty_list_when_all_tests_pass_then_the_run_passes() {
+fn empty_list_with_all_tests_passing_passes() {
     let run = compare("all_pass", "# A note.\n", NONE_FAILS, "", 0);
     assert_eq!(run, (true, String::new()));
 }
 
 #[test]
-fn given_an_empty_list_when_a_test_fails_then_the_run_fails() {
+fn unlisted_failure_fails_the_run() {
     let run = compare("empty_list", "", ONE_FAILS, ONE_TARGET_FAILED, 101);
     assert_eq!(run, failed_with("failed and not listed: tests::broken"));
 }
 
 #[test]
-fn given_a_listed_test_when_it_fails_then_it_is_passed_over_and_printed() {
+fn listed_failure_is_tolerated_and_printed() {
     let both = format!("{NONE_FAILS}{ONE_FAILS}{NONE_FAILS}");
     let run = compare("listed", LISTED, &both, ONE_TARGET_FAILED, 101);
     let message = "known red, passed over: tests::broken | it counts wrongly | 7\n";
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn given_a_listed_test_when_it_passes_then_the_run_fails() {
+fn listed_test_that_passes_fails_the_run() {
     let list = "days::a.json | it counts wrongly | 7\n";
     let run = compare("passes", list, NONE_FAILS, "", 0);
     assert_eq!(
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn given_a_listed_test_when_it_passes_in_one_program_and_fails_in_another_then_the_run_fails() {
+fn listed_test_that_passes_in_one_program_and_fails_in_another_fails_the_run() {
     let both = format!(
         "{ONE_FAILS}{}",
         NONE_FAILS.replace("days::a.json     ", "tests::broken")
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn given_a_listed_test_when_there_is_none_of_that_name_then_the_run_fails() {
+fn listed_test_that_does_not_exist_fails_the_run() {
     let run = compare("missing", LISTED, NONE_FAILS, "", 0);
     assert_eq!(
         run,
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn given_a_listed_test_when_it_is_ignored_then_the_run_fails() {
+fn listed_test_that_is_ignored_fails_the_run() {
     let list = format!("{LISTED}skipped | it counts wrongly | 7\n");
     let (passed, message) = compare("ignored", &list, ONE_FAILS, ONE_TARGET_FAILED, 101);
     assert!(!passed);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn given_a_listed_failure_when_another_test_fails_too_then_the_run_fails() {
+fn unlisted_failure_beside_a_listed_one_fails_the_run() {
     let output = ONE_FAILS
         .replace("fine ... ok", "fine ... FAILED")
         .replace("1 failed", "2 failed");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn given_a_listed_failure_when_another_program_dies_without_a_word_then_the_run_fails() {
+fn program_that_dies_without_a_report_fails_the_run() {
     let errors = ONE_TARGET_FAILED.replace("1 target failed", "2 targets failed");
     let (passed, message) = compare("dies", LISTED, ONE_FAILS, &errors, 101);
     assert!(!passed);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn given_a_program_that_ends_midway_when_compared_then_the_run_fails() {
+fn program_that_ends_midway_fails_the_run() {
     let output = format!("{NONE_FAILS}\nrunning 2 tests\ntest fine ... ok\n");
     let run = compare("midway", "", &output, "", 0);
     assert_eq!(
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn given_a_garbled_line_when_compared_then_the_run_fails() {
+fn garbled_line_fails_the_run() {
     let output = NONE_FAILS.replace("test days::a.json", "some words test days::a.json");
     let run = compare("garbled", "", &output, "", 0);
     assert_eq!(
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn given_cargo_that_fails_when_no_test_failed_then_the_run_fails() {
+fn cargo_failure_without_failed_tests_fails_the_run() {
     let errors = "error: could not compile `a`\n";
     let run = compare("no_build", "", NONE_FAILS, errors, 101);
     assert_eq!(
@@ -169,13 +169,13 @@
 }
 
 #[test]
-fn given_an_output_without_tests_when_compared_then_the_run_fails() {
+fn output_without_tests_fails_the_run() {
     let run = compare("nothing", "", "", "", 0);
     assert_eq!(run, failed_with("the output tells of no test"));
 }
 
 #[test]
-fn given_lists_that_are_malformed_when_compared_then_the_run_fails() {
+fn malformed_list_fails_the_run() {
     for (case, list, message) in [
         (
             "no_issue",
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn given_a_list_of_three_lines_when_just_these_fail_then_they_are_passed_over() {
+fn three_listed_failures_are_tolerated() {
     let (output, list) = failures(3);
     let (passed, message) = compare("three", &list, &output, ONE_TARGET_FAILED, 101);
     assert!(passed, "{message}");
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn given_a_list_of_four_lines_when_just_these_fail_then_the_run_fails() {
+fn four_listed_failures_fail_the_run() {
     let (output, list) = failures(4);
     let (passed, message) = compare("four", &list, &output, ONE_TARGET_FAILED, 101);
     assert!(!passed, "{message}");
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn given_the_list_of_the_repository_when_read_then_its_lines_are_well_formed() {
+fn repository_list_is_well_formed() {
     let list = include_str!("../../../KNOWN-RED.txt");
     let (_, message) = compare("checked_in", list, NONE_FAILS, "", 0);
     assert!(!message.contains("a line is not"), "{message}");
--- a/crates/simulator/tests/observers.rs
+++ b/crates/simulator/tests/observers.rs
@@ -33,98 +33,98 @@
 }
 
 #[test]
-fn given_proxies_that_repeat_writes_when_answers_are_lost_then_running_twice_is_seen() {
+fn repeated_write_after_lost_response_is_detected() {
     assert_detected("instances", Invariant::RanTwice, |day| {
         day.proxy_fault = ProxyFault::RepeatsWrites
     });
 }
 
 #[test]
-fn given_proxies_that_say_not_run_when_answers_are_lost_then_it_is_seen() {
+fn false_not_run_report_is_detected() {
     assert_detected("instances", Invariant::RanAfterNotRun, |day| {
         day.proxy_fault = ProxyFault::SaysNotRun
     });
 }
 
 #[test]
-fn given_proxies_that_take_any_answer_when_garbage_comes_then_it_is_seen() {
+fn accepted_malformed_response_is_detected() {
     assert_detected("instances", Invariant::WrongResponse, |day| {
         day.proxy_fault = ProxyFault::TakesAnyResponse;
     });
 }
 
 #[test]
-fn given_proxies_that_ignore_leaving_when_instances_leave_then_it_is_seen() {
+fn request_to_draining_instance_is_detected() {
     assert_detected("instances", Invariant::ReachedLeaving, |day| {
         day.proxy_fault = ProxyFault::IgnoresDraining;
     });
 }
 
 #[test]
-fn given_proxies_that_ignore_staleness_when_machines_are_cut_off_then_old_orders_are_seen() {
+fn stale_proxy_in_partition_is_detected() {
     assert_detected("cut-off-machines", Invariant::OldConfiguration, |day| {
         day.proxy_fault = ProxyFault::IgnoresStaleness;
     });
 }
 
 #[test]
-fn given_careless_leases_when_a_controller_hears_no_news_then_old_orders_are_seen() {
+fn lease_without_current_versions_is_detected() {
     assert_detected("deaf-controller", Invariant::OldConfiguration, |day| {
         day.agents_ignore_missing_versions = true
     });
 }
 
 #[test]
-fn given_controllers_that_grant_alone_when_one_is_cut_off_from_the_others_then_it_is_seen() {
+fn grant_without_quorum_is_detected() {
     assert_detected("controller-parted", Invariant::OldConfiguration, |day| {
         day.controller_fault = FaultInjection::GrantsWithoutQuorum;
     });
 }
 
 #[test]
-fn given_proxies_that_ignore_closed_zones_when_one_is_emptied_then_it_is_seen() {
+fn request_in_closed_zone_is_detected() {
     assert_detected("zones-emptied", Invariant::ClosedZone, |day| {
         day.proxy_fault = ProxyFault::IgnoresClosed;
     });
 }
 
 #[test]
-fn given_proxies_without_a_budget_when_instances_refuse_then_too_many_retries_are_seen() {
+fn retries_without_budget_are_detected() {
     assert_detected("storm", Invariant::TooManyRetries, |day| {
         day.proxy_fault = ProxyFault::NoBudget
     });
 }
 
 #[test]
-fn given_proxies_that_each_use_the_whole_gentle_rate_when_instances_are_cold_then_it_is_seen() {
+fn exceeded_slow_start_rate_is_detected() {
     assert_detected("cold", Invariant::ColdFlooded, |day| {
         day.proxy_fault = ProxyFault::FullSlowStartRate
     });
 }
 
 #[test]
-fn given_proxies_that_ignore_the_home_region_when_any_request_is_sent_then_it_is_seen() {
+fn request_outside_home_region_is_detected() {
     assert_detected("zones-emptied", Invariant::LeftHome, |day| {
         day.proxy_fault = ProxyFault::IgnoresHome
     });
 }
 
 #[test]
-fn given_proxies_that_go_back_when_time_passes_then_slipping_is_seen() {
+fn proxy_going_back_to_older_map_is_detected() {
     assert_detected("quiet", Invariant::SlippedBack, |day| {
         day.proxy_fault = ProxyFault::GoesBack
     });
 }
 
 #[test]
-fn given_one_vote_as_a_majority_when_a_controller_is_cut_off_then_a_fork_is_seen() {
+fn map_fork_by_single_vote_majority_is_detected() {
     assert_detected("controller-parted", Invariant::ForkedMap, |day| {
         day.controller_fault = FaultInjection::SingleVoteMajority;
     });
 }
 
 #[test]
-fn given_votes_that_leave_unsynced_when_power_is_lost_then_a_lost_change_is_seen() {
+fn lost_change_after_unsynced_votes_is_detected() {
     assert_detected("all-power", Invariant::LostChange, |day| {
         // A later write that is synced soon includes the earlier ones, so with faster disks hardly
         // any vote is still unsynced when the power is lost.
@@ -134,14 +134,14 @@
 }
 
 #[test]
-fn given_a_hasty_owner_manager_when_owners_are_cut_off_then_two_owners_are_seen() {
+fn early_reassignment_is_detected_as_two_owners() {
     assert_detected("cut-off-machines", Invariant::TwoOwners, |day| {
         day.controller_fault = FaultInjection::EarlyReassignment
     });
 }
 
 #[test]
-fn given_a_fleet_that_never_comes_back_when_a_big_fault_strikes_then_it_is_seen() {
+fn missing_recovery_is_detected() {
     assert_detected("herd-kills", Invariant::NotRecovered, |day| {
         day.faults
             .retain(|fault_step| fault_step.action != FaultAction::Start);
@@ -149,58 +149,56 @@
 }
 
 #[test]
-fn given_instances_that_do_not_look_whom_a_request_is_for_when_an_address_is_taken_over_then_it_is_seen(
-) {
+fn request_run_for_another_service_is_detected() {
     assert_detected("take-over", Invariant::RanForAnother, |day| {
         day.instances_skip_checks = true
     });
 }
 
 #[test]
-fn given_proxies_that_ignore_staleness_when_a_cut_off_zone_is_closed_then_it_is_seen() {
+fn stale_proxy_in_closed_partitioned_zone_is_detected() {
     assert_detected("close-while-cut", Invariant::ClosedZone, |day| {
         day.proxy_fault = ProxyFault::IgnoresStaleness;
     });
 }
 
 #[test]
-fn given_proxies_that_ignore_leaving_when_agents_are_cut_off_then_it_is_seen() {
+fn request_to_draining_instance_in_partition_is_detected() {
     assert_detected("leave-while-cut", Invariant::ReachedLeaving, |day| {
         day.proxy_fault = ProxyFault::IgnoresDraining;
     });
 }
 
 #[test]
-fn given_controllers_that_apply_parts_when_a_set_is_faulty_then_it_is_seen() {
+fn partially_applied_change_set_is_detected() {
     assert_detected("quiet", Invariant::PartiallyApplied, |day| {
         day.controller_fault = FaultInjection::PartialChangeSets
     });
 }
 
 #[test]
-fn given_an_owner_manager_that_gives_long_holds_when_time_passes_then_it_is_seen() {
+fn overlong_lease_is_detected() {
     assert_detected("quiet", Invariant::LeaseTooLong, |day| {
         day.controller_fault = FaultInjection::OverlongLeases
     });
 }
 
 #[test]
-fn given_an_owner_manager_that_takes_silence_for_release_when_heartbeats_are_late_then_two_owners_are_seen(
-) {
+fn lease_release_inferred_from_old_heartbeats_is_detected() {
     assert_detected("late-beats", Invariant::TwoOwners, |day| {
         day.controller_fault = FaultInjection::TrustsOldHeartbeats
     });
 }
 
 #[test]
-fn given_clocks_that_stop_asleep_when_processes_freeze_then_it_is_seen() {
+fn clock_stopped_while_frozen_is_detected() {
     assert_detected("freezes", Invariant::OldConfiguration, |day| {
         day.clocks_stop_while_frozen = true
     });
 }
 
 #[test]
-fn given_input_that_counts_as_new_when_processes_wake_then_orders_to_leaving_ones_are_seen() {
+fn request_to_draining_instance_after_old_input_is_detected() {
     // The second fault is needed because a controller that has just resumed accepts no heartbeats
     // before a majority has responded, which would mask the first fault on this day.
     assert_detected("old-input", Invariant::ReachedLeaving, |day| {
@@ -210,77 +208,77 @@
 }
 
 #[test]
-fn given_proxies_without_a_key_cap_when_one_key_is_hot_then_other_traffic_is_seen_to_sink() {
+fn traffic_starved_by_hot_key_is_detected() {
     assert_detected("hot-key-desk", Invariant::Sunk, |day| {
         day.proxy_fault = ProxyFault::NoKeyCap
     });
 }
 
 #[test]
-fn given_proxies_that_keep_refusals_back_when_one_key_is_hot_then_it_is_seen() {
+fn delayed_rejection_is_detected() {
     assert_detected("hot-key-desk", Invariant::LateRefusal, |day| {
         day.proxy_fault = ProxyFault::DelaysRejections
     });
 }
 
 #[test]
-fn given_controllers_that_answer_reads_alone_when_one_is_parted_then_a_stale_read_is_seen() {
+fn stale_read_without_quorum_is_detected() {
     assert_detected("controller-parted", Invariant::StaleRead, |day| {
         day.controller_fault = FaultInjection::ReadsWithoutQuorum
     });
 }
 
 #[test]
-fn given_agents_that_fall_silent_with_the_core_when_it_is_cut_off_then_it_is_seen() {
+fn missing_partition_fallback_is_detected() {
     assert_detected("island", Invariant::NotRecovered, |day| {
         day.fallback_fault = BrokenFallback::Silent
     });
 }
 
 #[test]
-fn given_a_yes_that_does_not_wait_for_agents_when_the_core_is_cut_off_then_old_orders_are_seen() {
+fn change_confirmed_without_agents_is_detected() {
     assert_detected("island", Invariant::OldConfiguration, |day| {
         day.controller_fault = FaultInjection::ConfirmsWithoutAgents
     });
 }
 
 #[test]
-fn given_an_island_that_does_not_pool_when_the_core_is_cut_off_then_old_orders_are_seen() {
+fn fallback_ignoring_newer_versions_is_detected() {
     assert_detected("island-after-yes", Invariant::OldConfiguration, |day| {
         day.fallback_fault = BrokenFallback::NoPooling
     });
 }
 
 #[test]
-fn given_an_island_of_those_that_answer_when_the_regions_are_cut_then_old_orders_are_seen() {
+fn fallback_counting_only_responders_is_detected() {
     assert_detected("regions-cut", Invariant::OldConfiguration, |day| {
         day.fallback_fault = BrokenFallback::CountsTheLiving
     });
 }
 
 #[test]
-fn given_agents_that_forget_when_they_restart_on_an_island_then_old_orders_are_seen() {
+fn fallback_by_restarted_agents_is_detected() {
     assert_detected("island-after-yes", Invariant::OldConfiguration, |day| {
         day.fallback_fault = BrokenFallback::Forgetful
     });
 }
 
 #[test]
-fn given_proxies_that_believe_silence_alone_when_heartbeats_are_cut_off_then_it_is_seen() {
+fn trust_in_missing_heartbeats_is_detected() {
     assert_detected("heartbeats-cut", Invariant::NotRecovered, |day| {
         day.proxy_fault = ProxyFault::BelievesSilence
     });
 }
 
 #[test]
-fn given_a_parted_owner_manager_that_acknowledges_alone_when_instances_leave_then_it_is_seen() {
+fn isolated_owner_manager_acknowledging_drain_is_detected() {
     assert_detected("owner-manager-parted", Invariant::ReachedLeaving, |day| {
         day.controller_fault = FaultInjection::AcknowledgesWithoutQuorum;
     });
 }
 
 #[test]
-fn given_a_parted_owner_manager_that_acknowledges_alone_when_proxies_believe_it_then_it_is_seen() {
+fn isolated_owner_manager_acknowledging_heartbeats_is_detected() {
     // The second fault is needed because proxies that go on using instances that respond would mask
     // the first.
     assert_detected("owner-manager-parted", Invariant::NotRecovered, |day| {
@@ -290,28 +288,28 @@
 }
 
 #[test]
-fn given_one_vote_as_a_majority_when_a_second_controller_is_lost_then_a_fork_is_seen() {
+fn map_fork_after_second_controller_loss_is_detected() {
     assert_detected("second-losses", Invariant::ForkedMap, |day| {
         day.controller_fault = FaultInjection::SingleVoteMajority;
     });
 }
 
 #[test]
-fn given_proxies_that_ignore_leaving_when_they_serve_on_in_touch_then_it_is_seen() {
+fn request_to_draining_instance_by_connected_stale_serving_proxy_is_detected() {
     assert_detected("serve-on", Invariant::ReachedLeaving, |day| {
         day.proxy_fault = ProxyFault::IgnoresDraining;
     });
 }
 
 #[test]
-fn given_controllers_that_grant_alone_when_proxies_serve_on_in_touch_then_it_is_seen() {
+fn grant_without_quorum_to_stale_serving_proxy_is_detected() {
     assert_detected("serve-on", Invariant::OldConfiguration, |day| {
         day.controller_fault = FaultInjection::GrantsWithoutQuorum;
     });
 }
 
 #[test]
-fn given_agents_that_notice_no_parts_of_messages_when_links_are_narrow_then_it_is_seen() {
+fn ignored_message_progress_is_detected() {
     assert_detected("narrow-links", Invariant::OldConfiguration, |day| {
         day.agents_ignore_progress = true;
     });
@@ -325,8 +323,7 @@
 }
 
 #[test]
-fn given_openings_that_are_given_up_soon_when_power_is_lost_behind_full_links_then_late_followers_are_seen(
-) {
+fn late_follower_after_short_connect_timeout_is_detected() {
     assert_detected(
         "power-behind-full-links",
         Invariant::LateFollower,
@@ -335,8 +332,7 @@
 }
 
 #[test]
-fn given_openings_that_are_given_up_soon_when_power_is_lost_behind_full_links_then_old_configurations_are_seen(
-) {
+fn old_configuration_after_short_connect_timeout_is_detected() {
     assert_detected(
         "power-behind-full-links",
         Invariant::OldConfiguration,
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn given_a_fleet_when_a_zone_is_emptied_and_given_back_by_the_runbook_then_nothing_is_breached() {
+fn zone_is_emptied_and_restored_without_violation() {
     let mut world = fleet(1);
     assert_eq!(
         run(&mut world, "empty-area", &[("area", "east-2")], |_, _| {}),
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn given_a_core_without_a_majority_when_a_zone_is_to_be_emptied_then_the_runbook_stops_at_once() {
+fn emptying_zone_stops_without_majority() {
     let mut world = fleet(2);
     for name in ["controller-1", "controller-2", "agent"] {
         apply_fault(&mut world, FaultAction::PowerOff, name);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn given_a_controller_lost_for_good_when_replaced_by_the_runbook_then_the_new_one_has_its_voter() {
+fn lost_controller_is_replaced_with_its_voter() {
     let mut world = fleet(3);
     let lost = world.targets("controller-2")[0];
     let old = world.nodes[lost].address.to_string();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn given_a_fleet_when_the_core_is_restarted_by_the_runbook_then_it_ends_well() {
+fn controllers_are_restarted() {
     let mut world = fleet(4);
     let ended = run(
         &mut world,
@@ -164,8 +164,7 @@
 }
 
 #[test]
-fn given_a_lost_majority_when_brought_back_by_the_runbook_then_leaderships_and_voters_are_taken_up()
-{
+fn lost_majority_is_restored() {
     let mut world = fleet(5);
     apply_fault(&mut world, FaultAction::PowerOff, "controller");
     apply_fault(&mut world, FaultAction::PowerOff, "agent");
@@ -180,7 +179,7 @@
 }
 
 #[test]
-fn given_a_change_rolled_out_when_taken_back_by_the_runbook_then_the_item_is_as_it_was() {
+fn rolled_out_change_is_reverted() {
     let mut world = fleet(6);
     let file = std::env::temp_dir().join(format!("caperworks-roll-{}.json", std::process::id()));
     let text = r#"{"id": "roll", "put": [{"kind": "rule", "name": "swell", "rule":
--- a/crates/simulator/tests/seam.rs
+++ b/crates/simulator/tests/seam.rs
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn given_everything_outside_the_platform_when_read_then_no_platform_name_occurs() {
+fn no_platform_name_occurs_outside_platform() {
     let mut reported = Vec::new();
     for (folder, endings, min_files) in [
         ("crates", ["rs", "json"].as_slice(), 60),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn given_the_platform_when_read_then_it_is_small_and_has_neither_timers_nor_threads() {
+fn platform_is_small_without_timers_or_threads() {
     let folder = root().join("platform");
     // The platform is optional: the core works without any.
     if !folder.is_dir() {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn given_a_text_with_any_platform_name_when_read_then_it_is_told_in_whichever_case() {
+fn platform_names_are_found_in_any_case() {
     for name in PLATFORM_NAMES {
         for written in [name.to_lowercase(), name.to_uppercase()] {
             let text = format!("first\nlet planted = \"{written}\";\n");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn given_a_platform_that_is_large_when_read_then_its_size_is_told() {
+fn oversized_platform_is_reported() {
     let source = |path: &str, lines: usize| (path.to_string(), "let a = 1;\n".repeat(lines));
     let fitting = [
         source("platform/src/lib.rs", MAX_PLATFORM_LINES - 10),
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn given_a_platform_with_a_timer_or_a_thread_when_read_then_each_is_told() {
+fn platform_timers_and_threads_are_reported() {
     for name in TIMERS_AND_THREADS {
         let text = format!("fn work() {{\n    tokio::{name}later);\n}}\n");
         let reported = platform_violations(&[("platform/src/lib.rs".to_string(), text)]);
--- a/crates/simulator/tests/style.rs
+++ b/crates/simulator/tests/style.rs
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn given_all_sources_when_read_then_none_imports_a_whole_module() {
+fn sources_have_no_wildcard_imports() {
     let mut wildcards = Vec::new();
     for (path, text) in all() {
         wildcards.extend(
@@ -327,13 +327,13 @@
 }
 
 #[test]
-fn given_all_sources_when_their_names_are_read_then_none_uses_an_old_word() {
+fn declared_names_have_no_old_words() {
     let reported = old_names_reported(&all());
     assert!(reported.is_empty(), "{}", reported.join("\n"));
 }
 
 #[test]
-fn given_all_stories_when_read_then_none_of_them_sleeps() {
+fn tests_do_not_sleep() {
     let tests = all()
         .into_iter()
         .filter(|(path, _)| path.contains("/tests/"));
@@ -345,14 +345,14 @@
 }
 
 #[test]
-fn given_sources_that_break_the_style_when_read_then_each_breach_is_told() {
+fn style_violations_are_reported() {
     let text = "use std::fmt;\nuse crate::prelude::*;\npub fn open_circuit() {}\n    pub area_name: Zone,\n";
     assert_eq!(wildcard_imports(text), ["use crate::prelude::*;"]);
     assert_eq!(old_names(text), ["open_circuit", "area_name"]);
 }
 
 #[test]
-fn given_each_way_to_import_a_whole_module_when_read_then_it_is_told() {
+fn wildcard_imports_are_reported() {
     for text in [
         "use crate::facts::*;",
         "    use super::*;",
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn given_explicit_imports_when_read_then_none_is_told() {
+fn explicit_imports_are_accepted() {
     for text in [
         "use std::fmt;",
         "use std::io::{self, Write as _};",
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn given_each_kind_of_declaration_when_it_uses_an_old_word_then_it_is_told() {
+fn old_words_are_reported_in_each_kind_of_declaration() {
     for (text, reported) in [
         ("struct FirstShot;", "FirstShot"),
         ("pub(crate) enum CircuitState {}", "CircuitState"),
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn given_standard_terms_and_sorting_names_when_read_then_none_is_told() {
+fn standard_terms_and_sorting_names_are_accepted() {
     for text in [
         "pub fn first_in_order() {}",
         "pub fn ordering() {}",
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn given_sources_with_old_names_when_read_then_each_is_told_with_its_file() {
+fn old_names_are_reported_with_file() {
     let source = |path: &str, text: &str| (path.to_string(), text.to_string());
     let sources = [
         source("clean.rs", "struct Attempt;"),
