--- a/crates/simulator/src/actors/instance.rs
+++ b/crates/simulator/src/actors/instance.rs
@@ -23,6 +23,7 @@
     pub from: Duration,
 }
 
+/// A simulated instance of a service.
 pub struct SimInstance {
     pub id: InstanceId,
     pub service: ServiceName,
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -53,6 +53,7 @@
     BelievesSilence,
 }
 
+/// A simulated proxy, with the dispatch logic of the daemon.
 pub struct SimProxy {
     pub zone: Zone,
     pub serving: SocketAddr,
@@ -75,6 +76,7 @@
     pub stopping_since: Option<Duration>,
 }
 
+/// Time after which an attempt to connect to an instance has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long the daemon still accepts requests after a shutdown request.
--- a/crates/simulator/src/actors/request.rs
+++ b/crates/simulator/src/actors/request.rs
@@ -23,12 +23,14 @@
     pub kind: Option<usize>,
 }
 
+/// The stage of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     Connecting,
     Sent,
 }
 
+/// A request that a proxy is handling.
 #[derive(Debug, Clone)]
 pub struct InFlightRequest {
     pub request: ClientRequest,
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -18,6 +18,7 @@
 use runtime::options::{read_json_file, OptionsFault};
 use runtime::scenario::Scenario;
 
+/// An action that a day file schedules: a fault, or the end of one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FaultAction {
     Kill,
@@ -25,19 +26,25 @@
     Stop,
     PowerOff,
     Start,
+    /// Powers the machine off and erases its disk.
     LoseDisk,
+    /// Replaces the node permanently by an empty one at a new address.
     MoveToNewAddress,
     /// Adds an empty node of the same kind at a new address.
     AddNode,
     Freeze,
     Unfreeze,
+    /// Instances start draining.
     Drain,
     /// Starts an instance of another service at the same address.
     ReuseAddress {
         service: String,
     },
+    /// The instance runs this many requests and loses their responses.
     LoseResponses(u32),
+    /// The instance sends malformed responses to this many requests.
     SendMalformedResponses(u32),
+    /// The instance rejects this many requests.
     RejectRequests(u32),
     FailDiskWrites,
     RepairDisk,
@@ -106,6 +113,7 @@
     }
 }
 
+/// A scheduled fault.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FaultStep {
     pub at: Duration,
@@ -142,15 +150,19 @@
     }
 }
 
+/// A day file, together with settings that only tests change.
 #[derive(Debug, Clone)]
 pub struct Day {
     pub deployment: String,
     pub length: Duration,
-    pub percent: u64,
+    /// Traffic as a percentage of the scenario's.
+    pub traffic_percent: u64,
     pub traffic_from: Duration,
     pub traffic_until: Duration,
+    /// Mean interval between the changes that operators propose.
     pub operator_interval: Duration,
     pub loss_per_thousand: u64,
+    /// Number of routes in a bulk change; no bulk changes if 0.
     pub bulk_change_routes: u32,
     /// Usual upper limit of a disk sync.
     pub max_sync_time: Duration,
@@ -406,7 +418,7 @@
                 .unwrap_or("tallowgum")
                 .to_string(),
             length: Duration::from_secs(seconds),
-            percent: number_field("percent", 20),
+            traffic_percent: number_field("percent", 20),
             traffic_from: Duration::from_secs(6),
             traffic_until: Duration::from_secs(seconds.saturating_sub(4)),
             operator_interval: Duration::from_millis(number_field("operator_every_ms", 1500)),
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -23,6 +23,7 @@
     pub duplicated_per_thousand: u64,
 }
 
+/// The state of the network between the nodes.
 #[derive(Debug, Clone)]
 pub struct Network {
     pub same_zone: Duration,
--- a/crates/simulator/src/observers/attempts.rs
+++ b/crates/simulator/src/observers/attempts.rs
@@ -10,10 +10,13 @@
 use caperworks::identifiers::{Region, ServiceName, Version, Zone};
 use caperworks::map_items::{Route, Service};
 
+/// How long requests may still reach an instance after a controller received that it is draining.
 pub const DRAINING_LIMIT: Duration = Duration::from_millis(4000);
 
+/// How long requests may still be served in a zone after its closing was accepted.
 pub const CLOSED_ZONE_LIMIT: Duration = Duration::from_millis(5000);
 
+/// Retries within ten seconds that are allowed on top of a fifth of the first attempts.
 const RETRY_ALLOWANCE: u64 = 36;
 
 /// The attempts at a service within the last ten seconds, and how many of them were retries.
@@ -24,7 +27,7 @@
 }
 
 /// A request as it arrived at an instance.
-pub struct Reached<'world> {
+pub struct ReceivedAttempt<'world> {
     pub request: u64,
     pub instance: &'world Heartbeat,
     pub is_warming_up: bool,
@@ -53,7 +56,7 @@
     }
 
     /// Records an attempt of a proxy and checks the share of retries.
-    pub fn attempt(&mut self, at: Duration, service: &ServiceName, is_retry: bool) {
+    pub fn attempt_sent(&mut self, at: Duration, service: &ServiceName, is_retry: bool) {
         self.tally.attempts += 1;
         self.tally.retries += u64::from(is_retry);
         let attempts = self.service_attempts.entry(service.clone()).or_default();
@@ -76,35 +79,35 @@
     }
 
     /// Checks a request that has arrived at an instance.
-    pub fn reached(&mut self, at: Duration, reached: &Reached<'_>) {
-        if reached.must_follow {
-            self.check_draining(at, reached);
-            self.check_configuration(at, reached);
-            self.check_closed(at, reached);
+    pub fn attempt_received(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        if received.must_follow {
+            self.check_draining(at, received);
+            self.check_configuration(at, received);
+            self.check_closed(at, received);
         }
-        self.check_home(at, reached);
-        self.tally.cross_zone += u64::from(reached.instance.zone != *reached.proxy_zone);
-        self.tally.cross_region += u64::from(reached.region != reached.proxy_region);
-        if reached.is_warming_up {
-            self.check_slow_start(at, reached);
+        self.check_home(at, received);
+        self.tally.cross_zone += u64::from(received.instance.zone != *received.proxy_zone);
+        self.tally.cross_region += u64::from(received.region != received.proxy_region);
+        if received.is_warming_up {
+            self.check_slow_start(at, received);
         }
     }
 
-    fn check_draining(&mut self, at: Duration, reached: &Reached<'_>) {
-        let heartbeat = reached.instance;
+    fn check_draining(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        let heartbeat = received.instance;
         let key = (heartbeat.id.clone(), heartbeat.incarnation);
         if let Some(since) = self.draining.get(&key) {
             if at.saturating_sub(*since) > DRAINING_LIMIT {
                 let details = format!(
                     "request {} reached the draining instance {}",
-                    reached.request, heartbeat.id
+                    received.request, heartbeat.id
                 );
                 self.record_violation(Invariant::ReachedLeaving, at, details);
             }
         }
     }
 
-    fn check_configuration(&mut self, at: Duration, reached: &Reached<'_>) {
+    fn check_configuration(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
         while let Some((since, version)) = self.due_versions.front().copied() {
             if at.saturating_sub(since) <= CONFIGURATION_LIMIT {
                 break;
@@ -112,22 +115,22 @@
             self.due_versions.pop_front();
             self.due_version = self.due_version.max(version);
         }
-        if reached.configuration < self.due_version {
+        if received.configuration < self.due_version {
             let details = format!(
                 "request {} was sent under version {}, but {} was accepted before the limit",
-                reached.request, reached.configuration, self.due_version
+                received.request, received.configuration, self.due_version
             );
             self.record_violation(Invariant::OldConfiguration, at, details);
         }
     }
 
-    fn check_closed(&mut self, at: Duration, reached: &Reached<'_>) {
-        for zone in [&reached.instance.zone, reached.proxy_zone] {
+    fn check_closed(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        for zone in [&received.instance.zone, received.proxy_zone] {
             if let Some(since) = self.closed.get(zone) {
                 if at.saturating_sub(*since) > CLOSED_ZONE_LIMIT {
                     let details = format!(
                         "request {} was served in closed zone {zone}",
-                        reached.request
+                        received.request
                     );
                     self.record_violation(Invariant::ClosedZone, at, details);
                 }
@@ -135,20 +138,20 @@
         }
     }
 
-    fn check_home(&mut self, at: Duration, reached: &Reached<'_>) {
-        let homes = &reached.route.homes;
+    fn check_home(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        let homes = &received.route.homes;
         let is_allowed = |region: &Region| homes.is_empty() || homes.contains(region);
-        if !is_allowed(reached.region) || !is_allowed(reached.proxy_region) {
+        if !is_allowed(received.region) || !is_allowed(received.proxy_region) {
             let details = format!(
                 "request {} reached {} in {}; proxy or instance is outside the home regions",
-                reached.request, reached.instance.id, reached.region
+                received.request, received.instance.id, received.region
             );
             self.record_violation(Invariant::LeftHome, at, details);
         }
     }
 
-    fn check_slow_start(&mut self, at: Duration, reached: &Reached<'_>) {
-        let heartbeat = reached.instance;
+    fn check_slow_start(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        let heartbeat = received.instance;
         let key = (heartbeat.id.clone(), heartbeat.incarnation);
         let window = self.slow_start_attempts.entry(key).or_default();
         window.push_back(at);
@@ -158,7 +161,7 @@
         {
             window.pop_front();
         }
-        let limit = (reached.service.slow_start_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
+        let limit = (received.service.slow_start_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
         if window.len() > limit {
             let details = format!(
                 "{} received {} requests in 3 s while warming up",
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -10,6 +10,7 @@
 use caperworks::map_weighing::Standpoint;
 use caperworks::replicated_map::{Change, ReplicatedMap, REMEMBERED_CHANGES};
 
+/// An accepted change, and when and at which version it was accepted.
 #[derive(Debug, Clone)]
 pub(crate) struct AcceptedChange {
     pub at: Duration,
@@ -120,8 +121,8 @@
             .filter(|(key, item)| {
                 let proposed_values = self.proposed_values.get(*key);
                 !proposed_values.into_iter().flatten().any(|(value, id)| {
-                    let (calls, refused) = self.calls.get(id).copied().unwrap_or_default();
-                    *value == item.value && calls > refused
+                    let (calls, rejected) = self.calls.get(id).copied().unwrap_or_default();
+                    *value == item.value && calls > rejected
                 })
             })
             .map(|(key, _)| key.clone())
@@ -147,8 +148,8 @@
                 .find(|answered| answered.id == accepted.id);
             // A map keeps only the most recent change ids.
             let forgotten = map.version.0 > accepted.version.0 + REMEMBERED_CHANGES as u64 - 1;
-            let good = found.is_some_and(|answered| answered.version == accepted.version);
-            if !good && !forgotten {
+            let is_kept = found.is_some_and(|answered| answered.version == accepted.version);
+            if !is_kept && !forgotten {
                 let details = format!(
                     "{name} is missing {} of version {}",
                     accepted.id, accepted.version
--- a/crates/simulator/src/observers/ownership.rs
+++ b/crates/simulator/src/observers/ownership.rs
@@ -61,7 +61,7 @@
     }
 
     /// Checks the leases that all live instances believe to hold.
-    pub fn held_leases(
+    pub fn check_leases(
         &mut self,
         at: Duration,
         live: &[(&ServiceName, &InstanceId, Vec<u32>, Duration)],
--- a/crates/simulator/src/observers/reads.rs
+++ b/crates/simulator/src/observers/reads.rs
@@ -6,6 +6,7 @@
 use crate::observers::Observers;
 use caperworks::identifiers::Version;
 
+/// How long after its acceptance a version may still be missing in reads and at proxies.
 pub const CONFIGURATION_LIMIT: Duration = Duration::from_millis(4000);
 
 impl Observers {
--- a/crates/simulator/src/observers/recovery.rs
+++ b/crates/simulator/src/observers/recovery.rs
@@ -6,11 +6,13 @@
 use crate::observers::invariants::Invariant;
 use crate::observers::Observers;
 
+/// Maximum time from a major fault until most traffic is served again.
 pub const RECOVERY_LIMIT: Duration = Duration::from_secs(15);
 
 /// Number of seconds after the limit in which service is checked.
 const RECOVERY_CHECK_SECONDS: u64 = 5;
 
+/// A fault after which recovery is checked.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MajorFault {
     at: Duration,
--- a/crates/simulator/src/observers/requests.rs
+++ b/crates/simulator/src/observers/requests.rs
@@ -20,7 +20,7 @@
 
 impl Observers {
     /// Records a request; requests of a hot key have no kind and are counted separately.
-    pub fn sent(&mut self, at: Duration, request: u64, write: bool, kind: Option<usize>) {
+    pub fn request_sent(&mut self, at: Duration, request: u64, write: bool, kind: Option<usize>) {
         match kind {
             Some(kind) => {
                 self.tally.sent += 1;
@@ -36,7 +36,7 @@
     }
 
     /// Records that the work of a request took effect.
-    pub fn ran(&mut self, at: Duration, request: u64, instance: &InstanceId) {
+    pub fn request_ran(&mut self, at: Duration, request: u64, instance: &InstanceId) {
         let runs = self.runs.entry(request).or_default();
         *runs += 1;
         let write = self.writes.contains(&request);
@@ -57,7 +57,12 @@
     }
 
     /// Records that an instance ran a request meant for another service.
-    pub fn ran_for_another(&mut self, at: Duration, request: u64, instance: &InstanceId) {
+    pub fn request_ran_for_another_service(
+        &mut self,
+        at: Duration,
+        request: u64,
+        instance: &InstanceId,
+    ) {
         self.record_violation(
             Invariant::RanForAnother,
             at,
@@ -66,7 +71,7 @@
     }
 
     /// Checks the outcome that a client received.
-    pub fn reported(
+    pub fn outcome_reported(
         &mut self,
         at: Duration,
         request: &ClientRequest,
--- a/crates/simulator/src/world/agents.rs
+++ b/crates/simulator/src/world/agents.rs
@@ -78,8 +78,8 @@
         let pending = self.heartbeat_tickets.remove(&(index, ticket))?;
         if self.nodes[pending.instance].incarnation == pending.instance_incarnation {
             let number = pending.number;
-            let answered = NodeEvent::HeartbeatResponse { number, response };
-            self.send(index, pending.instance, answered);
+            let response_event = NodeEvent::HeartbeatResponse { number, response };
+            self.send(index, pending.instance, response_event);
         }
         Some(pending)
     }
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -15,7 +15,7 @@
 
 impl World {
     pub(super) fn generate_traffic(&mut self, kind: usize) {
-        let percent = self.day.percent * self.surge_percent / 100;
+        let percent = self.day.traffic_percent * self.surge_percent / 100;
         let rate = (self.scenario.traffic[kind].per_second * percent).max(1);
         let mean = 100_000_000 / rate;
         let next = Duration::from_micros(mean / 2 + self.random.below(mean + 1));
@@ -49,7 +49,8 @@
         let home =
             Zone::new(&self.scenario.zones[usize::from(group) % self.scenario.zones.len()].0);
         let write = traffic.method != "GET";
-        self.observers.sent(self.now, number, write, counted_kind);
+        self.observers
+            .request_sent(self.now, number, write, counted_kind);
         // Some clients keep addresses for long and skip the lookup. The invariants must hold for
         // them as well.
         let uses_remembered_proxy = self.random.below(100) < REMEMBERED_PROXY_PERCENT;
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -12,6 +12,7 @@
 use caperworks::messages::Envelope;
 use caperworks::ownership::TimestampedResponse;
 
+/// An event that a node receives.
 #[derive(Debug, Clone)]
 pub enum NodeEvent {
     Tick,
@@ -78,6 +79,7 @@
     },
 }
 
+/// An event in the schedule.
 pub(crate) enum ScheduledEvent {
     ForNode {
         node: usize,
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -11,8 +11,10 @@
 use caperworks::envelope_clock::Echo;
 use caperworks::ownership::TimestampedResponse;
 
+/// Interval of the heartbeats of an instance.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Time after which a heartbeat without a response counts as lost.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl World {
@@ -195,10 +197,11 @@
 
     /// Reports work that took effect to the observers.
     fn record_work(&mut self, instance: &SimInstance, done: &Work) {
-        self.observers.ran(self.now, done.request, &instance.id);
+        self.observers
+            .request_ran(self.now, done.request, &instance.id);
         if done.service != instance.service {
             self.observers
-                .ran_for_another(self.now, done.request, &instance.id);
+                .request_ran_for_another_service(self.now, done.request, &instance.id);
         }
         if let Some((key_range, _)) = done.key_range {
             self.observers.work_finished(
--- a/crates/simulator/src/world/lifecycle.rs
+++ b/crates/simulator/src/world/lifecycle.rs
@@ -75,8 +75,12 @@
             Process::Proxy(proxy) => {
                 for in_flight in proxy.in_flight.into_values() {
                     let request = in_flight.request;
-                    self.observers
-                        .reported(self.now, &request, ClientOutcome::Unknown, None);
+                    self.observers.outcome_reported(
+                        self.now,
+                        &request,
+                        ClientOutcome::Unknown,
+                        None,
+                    );
                 }
             }
             _ => {}
--- a/crates/simulator/src/world/observation.rs
+++ b/crates/simulator/src/world/observation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::observers::attempts::Reached;
+use crate::observers::attempts::ReceivedAttempt;
 use crate::world::events::ScheduledEvent;
 use crate::world::nodes::Process;
 use crate::world::World;
@@ -11,7 +11,7 @@
 use caperworks::replicated_map::MapName;
 
 impl World {
-    pub(super) fn record_reached(
+    pub(super) fn record_received_attempt(
         &mut self,
         index: usize,
         request: u64,
@@ -65,7 +65,7 @@
                     ..route.clone()
                 },
             );
-        let reached = Reached {
+        let received = ReceivedAttempt {
             request,
             instance: heartbeat,
             is_warming_up: heartbeat.is_warming_up(service.warm_up_span),
@@ -77,7 +77,7 @@
             configuration,
             must_follow: self.must_follow(proxy),
         };
-        self.observers.reached(self.now, &reached);
+        self.observers.attempt_received(self.now, &received);
     }
 
     pub(super) fn observe(&mut self) {
@@ -98,7 +98,7 @@
             }
         }
         let now = self.now;
-        self.observers.held_leases(now, &live);
+        self.observers.check_leases(now, &live);
         for node in &self.nodes {
             if let Some(Process::Controller(machine)) = &node.process {
                 let map = machine.state.map(MapName::Configuration);
--- a/crates/simulator/src/world/proxies.rs
+++ b/crates/simulator/src/world/proxies.rs
@@ -88,7 +88,7 @@
                             .or_default() += 1;
                     }
                     self.observers
-                        .reported(self.now, &request, reported, response_for);
+                        .outcome_reported(self.now, &request, reported, response_for);
                 }
                 ProxyAction::Connect {
                     request,
@@ -146,7 +146,8 @@
         };
         let (route, configuration) = (in_flight.route.clone(), in_flight.configuration);
         let remaining = in_flight.lifecycle.deadline().saturating_sub(local);
-        self.observers.attempt(self.now, &route.service, is_retry);
+        self.observers
+            .attempt_sent(self.now, &route.service, is_retry);
         let Some(to) = self.by_address.get(&target.address).copied() else {
             return;
         };
--- a/crates/simulator/src/world/schedule.rs
+++ b/crates/simulator/src/world/schedule.rs
@@ -132,7 +132,7 @@
             ..
         } = &event
         {
-            self.record_reached(index, *request, *proxy, route, *configuration);
+            self.record_received_attempt(index, *request, *proxy, route, *configuration);
         }
         if let NodeEvent::Connect {
             request,
--- a/crates/simulator/src/world/segments.rs
+++ b/crates/simulator/src/world/segments.rs
@@ -124,14 +124,14 @@
             return;
         }
         let sender_incarnation = Some(self.nodes[segment.from].incarnation);
-        let is_gone = receiver.process.is_none()
+        let has_ended = receiver.process.is_none()
             || segment
                 .receiver_incarnation
                 .is_some_and(|incarnation| incarnation != receiver.incarnation);
         let incarnation = receiver.incarnation;
         match segment.kind {
-            SegmentKind::Reset if is_gone => {}
-            _ if is_gone => self.transmit(segment.reset(sender_incarnation)),
+            SegmentKind::Reset if has_ended => {}
+            _ if has_ended => self.transmit(segment.reset(sender_incarnation)),
             SegmentKind::Syn => self.transmit(Segment {
                 connection: segment.connection,
                 from: segment.to,
@@ -140,11 +140,11 @@
                 kind: SegmentKind::SynAck { incarnation },
             }),
             SegmentKind::SynAck { incarnation } => {
-                let waited = self
+                let queued = self
                     .network
                     .connections
                     .on_established(&segment, incarnation);
-                self.transmit_all(waited);
+                self.transmit_all(queued);
             }
             SegmentKind::Message { envelope } => {
                 self.schedule_for_node(segment.to, Duration::ZERO, NodeEvent::Control { envelope });
@@ -154,8 +154,8 @@
     }
 
     fn handle_reset(&mut self, reset: &Segment) {
-        let unanswered = self.network.connections.handle_reset(reset);
-        if let Some(envelope) = unanswered {
+        let message_to_resend = self.network.connections.handle_reset(reset);
+        if let Some(envelope) = message_to_resend {
             let to = (reset.from, self.nodes[reset.from].incarnation);
             self.write_control((reset.to, self.nodes[reset.to].incarnation), to, envelope);
         }
