--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -439,12 +439,12 @@
         {
             end = AttemptEnd::Garbage;
         }
-        let succeeded = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
+        let responded = matches!(end, AttemptEnd::Answered | AttemptEnd::RefusedByInstance);
         let no_budget = self.fault == ProxyFault::NoBudget;
         let Some(shard) = self.shards.get_mut(&in_flight.route.service) else {
             return Vec::new();
         };
-        shard.end(now, &target, succeeded, load);
+        shard.end(now, &target, responded, load);
         if response == Some(InstanceResponse::Misdirected) {
             shard.incarnation_is_over(&target);
         }
--- a/crates/simulator/src/disks.rs
+++ b/crates/simulator/src/disks.rs
@@ -13,11 +13,11 @@
     pub fails_writes: bool,
 }
 
-fn write_at(bytes: &mut Vec<u8>, offset: usize, bytes_written: &[u8]) {
-    if bytes.len() < offset + bytes_written.len() {
-        bytes.resize(offset + bytes_written.len(), 0);
+fn write_at(bytes: &mut Vec<u8>, offset: usize, written: &[u8]) {
+    if bytes.len() < offset + written.len() {
+        bytes.resize(offset + written.len(), 0);
     }
-    bytes[offset..offset + bytes_written.len()].copy_from_slice(bytes_written);
+    bytes[offset..offset + written.len()].copy_from_slice(written);
 }
 
 impl SimDisk {
--- a/crates/simulator/src/world/messages.rs
+++ b/crates/simulator/src/world/messages.rs
@@ -47,10 +47,10 @@
         if let Some((max_delay, duplicated_per_thousand)) =
             message_fault.map(|fault| (fault.max_delay, fault.duplicated_per_thousand))
         {
-            // Only control messages are duplicated; HTTP runs over TCP, which removes duplicates.
+            // Only control messages are duplicated: HTTP messages cannot be duplicated in transit.
             if control && self.random.below(1000) < duplicated_per_thousand {
-                let again = delay + self.random.between(Duration::ZERO, max_delay);
-                self.schedule_for_node(to, again, event.clone());
+                let duplicate_delay = delay + self.random.between(Duration::ZERO, max_delay);
+                self.schedule_for_node(to, duplicate_delay, event.clone());
             }
             delay += self.random.between(Duration::ZERO, max_delay);
         }
