--- a/crates/simulator/src/observers/attempts.rs
+++ b/crates/simulator/src/observers/attempts.rs
@@ -1,110 +1,113 @@
-//! Attempts: where requests may be sent, and how often.
+//! Checks of attempts: where requests may be sent, and how many retries are allowed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::observers::lines::Line;
+use crate::observers::invariants::Invariant;
 use crate::observers::reads::CONFIGURATION_LIMIT;
 use crate::observers::Observers;
 use caperworks::facts::Heartbeat;
 use caperworks::identifiers::{Region, ServiceName, Version, Zone};
 use caperworks::map_items::{Route, Service};
 
+/// How long requests may still reach an instance after a controller received that it is draining.
 pub const DRAINING_LIMIT: Duration = Duration::from_millis(4000);
 
-pub const CLOSED_LIMIT: Duration = Duration::from_millis(5000);
+/// How long requests may still be served in a zone after its closing was accepted.
+pub const CLOSED_ZONE_LIMIT: Duration = Duration::from_millis(5000);
 
-const RETRY_FEW_DOZEN: u64 = 36;
+/// Retries within ten seconds that are allowed on top of a fifth of the first attempts.
+const RETRY_ALLOWANCE: u64 = 36;
 
-/// The attempts at a service of the last ten seconds, and how many of them were further ones.
+/// The attempts at a service within the last ten seconds, and how many of them were retries.
 #[derive(Default)]
 pub(crate) struct ServiceAttempts {
     window: VecDeque<(Duration, bool)>,
-    further: u64,
+    retries: u64,
 }
 
-/// What an instance was sent, as seen when it got there.
-pub struct Reached<'order> {
+/// A request as it arrived at an instance.
+pub struct ReceivedAttempt<'world> {
     pub request: u64,
-    pub instance: &'order Heartbeat,
-    pub cold: bool,
-    pub service: &'order Service,
-    pub route: &'order Route,
-    pub region: &'order Region,
-    pub proxy_zone: &'order Zone,
-    pub proxy_region: &'order Region,
+    pub instance: &'world Heartbeat,
+    pub is_warming_up: bool,
+    pub service: &'world Service,
+    pub route: &'world Route,
+    pub region: &'world Region,
+    pub proxy_zone: &'world Zone,
+    pub proxy_region: &'world Region,
     pub configuration: Version,
-    /// Whether the proxy has to follow the core in time. One that serves on need not while it is out
-    /// of touch; one that falls silent always has to.
-    pub follows: bool,
+    /// Whether the proxy has to apply updates in time. A proxy that serves stale is exempt while it
+    /// is disconnected; one that stops without a valid lease is never exempt.
+    pub must_follow: bool,
 }
 
 impl Observers {
-    /// A controller heard that an instance is leaving.
-    pub fn heard_draining(&mut self, at: Duration, heartbeat: &Heartbeat) {
+    /// Records that a controller received a heartbeat of a draining instance.
+    pub fn draining_received(&mut self, at: Duration, heartbeat: &Heartbeat) {
         self.draining
             .entry((heartbeat.id.clone(), heartbeat.incarnation))
             .or_insert(at);
     }
 
-    /// A zone was asked to be opened: from here on a request there is no breach.
-    pub fn opening(&mut self, zone: &Zone) {
+    /// Records that a zone's reopening was requested: requests in it are allowed from now on.
+    pub fn zone_reopened(&mut self, zone: &Zone) {
         self.closed.remove(zone);
     }
 
-    /// A proxy sent an attempt; there must not be too many further ones.
-    pub fn attempt(&mut self, at: Duration, service: &ServiceName, further: bool) {
+    /// Records an attempt of a proxy and checks the share of retries.
+    pub fn attempt_sent(&mut self, at: Duration, service: &ServiceName, is_retry: bool) {
         self.tally.attempts += 1;
-        self.tally.retries += u64::from(further);
+        self.tally.retries += u64::from(is_retry);
         let attempts = self.service_attempts.entry(service.clone()).or_default();
-        attempts.window.push_back((at, further));
-        attempts.further += u64::from(further);
-        while let Some((first, further)) = attempts.window.front().copied() {
+        attempts.window.push_back((at, is_retry));
+        attempts.retries += u64::from(is_retry);
+        while let Some((first, is_retry)) = attempts.window.front().copied() {
             if at.saturating_sub(first) <= Duration::from_secs(10) {
                 break;
             }
             attempts.window.pop_front();
-            attempts.further -= u64::from(further);
+            attempts.retries -= u64::from(is_retry);
         }
-        let further = attempts.further;
-        let first = attempts.window.len() as u64 - further;
-        if further > first / 5 + RETRY_FEW_DOZEN {
-            let what =
-                format!("service {service}: {further} retries to {first} first attempts in 10 s");
-            self.breach(Line::TooManyRetries, at, what);
+        let retries = attempts.retries;
+        let first = attempts.window.len() as u64 - retries;
+        if retries > first / 5 + RETRY_ALLOWANCE {
+            let details =
+                format!("service {service}: {retries} retries to {first} first attempts in 10 s");
+            self.record_violation(Invariant::TooManyRetries, at, details);
         }
     }
 
-    /// A request reached an instance; it must be one that it may reach.
-    pub fn reached(&mut self, at: Duration, reached: &Reached<'_>) {
-        if reached.follows {
-            self.check_draining(at, reached);
-            self.check_configuration(at, reached);
-            self.check_closed(at, reached);
+    /// Checks a request that has arrived at an instance.
+    pub fn attempt_received(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        if received.must_follow {
+            self.check_draining(at, received);
+            self.check_configuration(at, received);
+            self.check_closed(at, received);
         }
-        self.check_home(at, reached);
-        self.tally.cross_zone += u64::from(reached.instance.zone != *reached.proxy_zone);
-        self.tally.cross_region += u64::from(reached.region != reached.proxy_region);
-        if reached.cold {
-            self.check_slow_start(at, reached);
+        self.check_home(at, received);
+        self.tally.cross_zone += u64::from(received.instance.zone != *received.proxy_zone);
+        self.tally.cross_region += u64::from(received.region != received.proxy_region);
+        if received.is_warming_up {
+            self.check_slow_start(at, received);
         }
     }
 
-    fn check_draining(&mut self, at: Duration, reached: &Reached<'_>) {
-        let heartbeat = reached.instance;
+    fn check_draining(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        let heartbeat = received.instance;
         let key = (heartbeat.id.clone(), heartbeat.incarnation);
         if let Some(since) = self.draining.get(&key) {
             if at.saturating_sub(*since) > DRAINING_LIMIT {
-                let what = format!(
-                    "request {} reached leaving {}",
-                    reached.request, heartbeat.id
+                let details = format!(
+                    "request {} reached the draining instance {}",
+                    received.request, heartbeat.id
                 );
-                self.breach(Line::ReachedLeaving, at, what);
+                self.record_violation(Invariant::ReachedLeaving, at, details);
             }
         }
     }
 
-    fn check_configuration(&mut self, at: Duration, reached: &Reached<'_>) {
+    fn check_configuration(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
         while let Some((since, version)) = self.due_versions.front().copied() {
             if at.saturating_sub(since) <= CONFIGURATION_LIMIT {
                 break;
@@ -112,40 +115,43 @@
             self.due_versions.pop_front();
             self.due_version = self.due_version.max(version);
         }
-        if reached.configuration < self.due_version {
-            let what = format!(
-                "request {} went under version {}, {} was accepted long before",
-                reached.request, reached.configuration, self.due_version
+        if received.configuration < self.due_version {
+            let details = format!(
+                "request {} was sent under version {}, but {} was accepted before the limit",
+                received.request, received.configuration, self.due_version
             );
-            self.breach(Line::OldConfiguration, at, what);
+            self.record_violation(Invariant::OldConfiguration, at, details);
         }
     }
 
-    fn check_closed(&mut self, at: Duration, reached: &Reached<'_>) {
-        for zone in [&reached.instance.zone, reached.proxy_zone] {
+    fn check_closed(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        for zone in [&received.instance.zone, received.proxy_zone] {
             if let Some(since) = self.closed.get(zone) {
-                if at.saturating_sub(*since) > CLOSED_LIMIT {
-                    let what = format!("request {} in closed zone {zone}", reached.request);
-                    self.breach(Line::ClosedZone, at, what);
+                if at.saturating_sub(*since) > CLOSED_ZONE_LIMIT {
+                    let details = format!(
+                        "request {} was served in closed zone {zone}",
+                        received.request
+                    );
+                    self.record_violation(Invariant::ClosedZone, at, details);
                 }
             }
         }
     }
 
-    fn check_home(&mut self, at: Duration, reached: &Reached<'_>) {
-        let homes = &reached.route.homes;
-        let at_home = |region: &Region| homes.is_empty() || homes.contains(region);
-        if !at_home(reached.region) || !at_home(reached.proxy_region) {
-            let what = format!(
-                "request {} at {} in {}",
-                reached.request, reached.instance.id, reached.region
+    fn check_home(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        let homes = &received.route.homes;
+        let is_allowed = |region: &Region| homes.is_empty() || homes.contains(region);
+        if !is_allowed(received.region) || !is_allowed(received.proxy_region) {
+            let details = format!(
+                "request {} reached {} in {}; proxy or instance is outside the home regions",
+                received.request, received.instance.id, received.region
             );
-            self.breach(Line::LeftHome, at, what);
+            self.record_violation(Invariant::LeftHome, at, details);
         }
     }
 
-    fn check_slow_start(&mut self, at: Duration, reached: &Reached<'_>) {
-        let heartbeat = reached.instance;
+    fn check_slow_start(&mut self, at: Duration, received: &ReceivedAttempt<'_>) {
+        let heartbeat = received.instance;
         let key = (heartbeat.id.clone(), heartbeat.incarnation);
         let window = self.slow_start_attempts.entry(key).or_default();
         window.push_back(at);
@@ -155,10 +161,14 @@
         {
             window.pop_front();
         }
-        let limit = (reached.service.slow_start_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
+        let limit = (received.service.slow_start_rate_milli / 1000) as usize * 3 * 5 / 4 + 6;
         if window.len() > limit {
-            let what = format!("{} got {} requests in 3 s", heartbeat.id, window.len());
-            self.breach(Line::ColdFlooded, at, what);
+            let details = format!(
+                "{} received {} requests in 3 s while warming up",
+                heartbeat.id,
+                window.len()
+            );
+            self.record_violation(Invariant::ColdFlooded, at, details);
         }
     }
 }
--- a/crates/simulator/tests/coverage.rs
+++ b/crates/simulator/tests/coverage.rs
@@ -1,4 +1,4 @@
-//! Reads the pages that claim something is proved, and fails if what they name is not there.
+//! Reads the pages that claim proofs, and fails if a named proof does not exist.
 //!
 //! The pages name proofs in code marks as `day/NAME`, `story/NAME`, `variant/NAME`, `drill/NAME` or
 //! `runbook/NAME`.
@@ -12,7 +12,7 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
 
-/// Every proof that a page names, by kind and name.
+/// Returns every proof that a page names, by kind and name.
 fn named(page: &str) -> Vec<(String, String)> {
     page.split('`')
         .skip(1)
@@ -23,7 +23,7 @@
         .collect()
 }
 
-/// What there is to be named.
+/// The proofs that exist.
 struct Proofs {
     days: BTreeSet<String>,
     drills: BTreeSet<String>,
@@ -33,7 +33,7 @@
 }
 
 fn stems(folder: &str) -> BTreeSet<String> {
-    let entries = std::fs::read_dir(root().join(folder)).expect("the folder is there");
+    let entries = std::fs::read_dir(root().join(folder)).expect("folder exists");
     entries
         .filter_map(|entry| {
             let path = entry.ok()?.path();
@@ -70,7 +70,7 @@
             drills: stems("drills"),
             runbooks: stems("runbooks"),
             sources,
-            variants: std::fs::read_to_string(variants).expect("the variants are there"),
+            variants: std::fs::read_to_string(variants).expect("file with the variants exists"),
         }
     }
 
@@ -94,11 +94,11 @@
 }
 
 fn page(name: &str) -> String {
-    std::fs::read_to_string(root().join("docs").join(name)).expect("the page is there")
+    std::fs::read_to_string(root().join("docs").join(name)).expect("page exists")
 }
 
 #[test]
-fn given_the_pages_when_they_name_a_proof_then_it_is_there_and_every_day_is_named() {
+fn proofs_named_in_pages_exist_and_every_day_is_named() {
     let proofs = Proofs::gather();
     let mut days = BTreeSet::new();
     let pages = [
@@ -108,11 +108,11 @@
     ];
     for name in pages {
         let page = page(name);
-        assert!(named(&page).len() > 30, "{name} names too little");
+        assert!(named(&page).len() > 30, "{name} names too few proofs");
         let missing = proofs.missing(&page);
         assert!(
             missing.is_empty(),
-            "{name} names what is not there: {missing:?}"
+            "{name} names proofs that do not exist: {missing:?}"
         );
         let named = named(&page).into_iter().filter(|(kind, _)| kind == "day");
         days.extend(named.map(|(_, day)| day));
@@ -122,12 +122,12 @@
 }
 
 #[test]
-fn given_a_page_that_names_what_is_not_there_when_checked_then_each_is_told() {
+fn missing_proofs_are_reported() {
     let page =
         "seen on `day/quiet`, `day/never-played`, `story/given_nothing`, `variant/Unbroken`, \
                 `drill/none` and `runbook/none`; `crates/a/b` is no proof";
     let mut missing = Proofs::gather().missing(page);
-    // Why: this very file holds the story's name in its text, but not as a function.
+    // This file contains the name `given_nothing`, but no function of that name.
     missing.sort();
     let expected = [
         "day/never-played",
--- a/crates/simulator/tests/known_red.rs
+++ b/crates/simulator/tests/known_red.rs
@@ -2,13 +2,13 @@
 
 use std::path::Path;
 
-/// A run in which `broken` failed, as cargo and the test harnesses write it.
+/// Output of a run in which `broken` failed, as cargo and the test harnesses print it.
 const ONE_FAILS: &str = "\nrunning 3 tests\ntest fine ... ok\ntest skipped ... ignored, by hand\n\
     test tests::broken - should panic ... FAILED\n\nfailures:\n\n---- tests::broken stdout ----\n\
     running 1 test\ntest of_the_output ... FAILED\n\nfailures:\n    tests::broken\n\n\
     test result: FAILED. 1 passed; 1 failed; 1 ignored; 0 measured; 0 filtered out; finished in 0.00s\n\n";
 
-/// A run of padded names without a failure.
+/// Output of a run without failures, with padded test names.
 const NONE_FAILS: &str =
     "\nrunning 2 tests\ntest days::a.json      ... ok\ntest days::longer.json ... ok\n\n\
     test result: ok. 2 passed; 0 failed; 0 ignored; 0 measured; 0 filtered out; finished in 1.00s\n\n";
@@ -18,15 +18,15 @@
 
 const LISTED: &str = "# A note.\n\ntests::broken | it counts wrongly | 7\n";
 
-/// Compares; gives whether that passed, and what was written.
+/// Runs the comparison; returns whether it passed, and its output.
 fn compare(case: &str, list: &str, output: &str, errors: &str, status: u8) -> (bool, String) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join("known_red")
         .join(case);
-    std::fs::create_dir_all(&folder).expect("the folder is made");
+    std::fs::create_dir_all(&folder).expect("folder is created");
     let written = |name: &str, text: &str| {
         let path = folder.join(name);
-        std::fs::write(&path, text).expect("the file is written");
+        std::fs::write(&path, text).expect("file is written");
         path
     };
     let done = std::process::Command::new("bash")
@@ -39,40 +39,40 @@
         .arg(written("errors", errors))
         .arg(status.to_string())
         .output()
-        .expect("bash is there");
+        .expect("bash is installed");
     let text = [done.stdout, done.stderr].concat();
     (
         done.status.success(),
-        String::from_utf8(text).expect("it is text"),
+        String::from_utf8(text).expect("output is UTF-8"),
     )
 }
 
-fn failed_with(said: &str) -> (bool, String) {
-    (false, format!("known-red: {said}\n"))
+fn failed_with(message: &str) -> (bool, String) {
+    (false, format!("known-red: {message}\n"))
 }
 
 #[test]
-fn given_an_empty_list_when_all_tests_pass_then_the_run_passes() {
+fn empty_list_with_all_tests_passing_passes() {
     let run = compare("all_pass", "# A note.\n", NONE_FAILS, "", 0);
     assert_eq!(run, (true, String::new()));
 }
 
 #[test]
-fn given_an_empty_list_when_a_test_fails_then_the_run_fails() {
+fn unlisted_failure_fails_the_run() {
     let run = compare("empty_list", "", ONE_FAILS, ONE_TARGET_FAILED, 101);
     assert_eq!(run, failed_with("failed and not listed: tests::broken"));
 }
 
 #[test]
-fn given_a_listed_test_when_it_fails_then_it_is_passed_over_and_printed() {
+fn listed_failure_is_tolerated_and_printed() {
     let both = format!("{NONE_FAILS}{ONE_FAILS}{NONE_FAILS}");
     let run = compare("listed", LISTED, &both, ONE_TARGET_FAILED, 101);
-    let said = "known red, passed over: tests::broken | it counts wrongly | 7\n";
-    assert_eq!(run, (true, said.to_string()));
+    let message = "known red, passed over: tests::broken | it counts wrongly | 7\n";
+    assert_eq!(run, (true, message.to_string()));
 }
 
 #[test]
-fn given_a_listed_test_when_it_passes_then_the_run_fails() {
+fn listed_test_that_passes_fails_the_run() {
     let list = "days::a.json | it counts wrongly | 7\n";
     let run = compare("passes", list, NONE_FAILS, "", 0);
     assert_eq!(
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn given_a_listed_test_when_it_passes_in_one_program_and_fails_in_another_then_the_run_fails() {
+fn listed_test_that_passes_in_one_program_and_fails_in_another_fails_the_run() {
     let both = format!(
         "{ONE_FAILS}{}",
         NONE_FAILS.replace("days::a.json     ", "tests::broken")
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn given_a_listed_test_when_there_is_none_of_that_name_then_the_run_fails() {
+fn listed_test_that_does_not_exist_fails_the_run() {
     let run = compare("missing", LISTED, NONE_FAILS, "", 0);
     assert_eq!(
         run,
@@ -104,42 +104,42 @@
 }
 
 #[test]
-fn given_a_listed_test_when_it_is_ignored_then_the_run_fails() {
+fn listed_test_that_is_ignored_fails_the_run() {
     let list = format!("{LISTED}skipped | it counts wrongly | 7\n");
-    let (passed, said) = compare("ignored", &list, ONE_FAILS, ONE_TARGET_FAILED, 101);
+    let (passed, message) = compare("ignored", &list, ONE_FAILS, ONE_TARGET_FAILED, 101);
     assert!(!passed);
     assert!(
-        said.ends_with("known-red: listed, but it is ignored and did not run: skipped\n"),
-        "{said}"
+        message.ends_with("known-red: listed, but it is ignored and did not run: skipped\n"),
+        "{message}"
     );
 }
 
 #[test]
-fn given_a_listed_failure_when_another_test_fails_too_then_the_run_fails() {
+fn unlisted_failure_beside_a_listed_one_fails_the_run() {
     let output = ONE_FAILS
         .replace("fine ... ok", "fine ... FAILED")
         .replace("1 failed", "2 failed");
-    let (passed, said) = compare("another", LISTED, &output, ONE_TARGET_FAILED, 101);
+    let (passed, message) = compare("another", LISTED, &output, ONE_TARGET_FAILED, 101);
     assert!(!passed);
     assert!(
-        said.contains("known-red: failed and not listed: fine\n"),
-        "{said}"
+        message.contains("known-red: failed and not listed: fine\n"),
+        "{message}"
     );
 }
 
 #[test]
-fn given_a_listed_failure_when_another_program_dies_without_a_word_then_the_run_fails() {
+fn program_that_dies_without_a_report_fails_the_run() {
     let errors = ONE_TARGET_FAILED.replace("1 target failed", "2 targets failed");
-    let (passed, said) = compare("dies", LISTED, ONE_FAILS, &errors, 101);
+    let (passed, message) = compare("dies", LISTED, ONE_FAILS, &errors, 101);
     assert!(!passed);
     assert!(
-        said.contains("2 failed test programs; 1 told of failures"),
-        "{said}"
+        message.contains("2 failed test programs; 1 told of failures"),
+        "{message}"
     );
 }
 
 #[test]
-fn given_a_program_that_ends_midway_when_compared_then_the_run_fails() {
+fn program_that_ends_midway_fails_the_run() {
     let output = format!("{NONE_FAILS}\nrunning 2 tests\ntest fine ... ok\n");
     let run = compare("midway", "", &output, "", 0);
     assert_eq!(
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn given_a_garbled_line_when_compared_then_the_run_fails() {
+fn garbled_line_fails_the_run() {
     let output = NONE_FAILS.replace("test days::a.json", "some words test days::a.json");
     let run = compare("garbled", "", &output, "", 0);
     assert_eq!(
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn given_cargo_that_fails_when_no_test_failed_then_the_run_fails() {
+fn cargo_failure_without_failed_tests_fails_the_run() {
     let errors = "error: could not compile `a`\n";
     let run = compare("no_build", "", NONE_FAILS, errors, 101);
     assert_eq!(
@@ -169,14 +169,14 @@
 }
 
 #[test]
-fn given_an_output_without_tests_when_compared_then_the_run_fails() {
+fn output_without_tests_fails_the_run() {
     let run = compare("nothing", "", "", "", 0);
     assert_eq!(run, failed_with("the output tells of no test"));
 }
 
 #[test]
-fn given_lists_that_are_malformed_when_compared_then_the_run_fails() {
-    for (case, list, said) in [
+fn malformed_list_fails_the_run() {
+    for (case, list, message) in [
         (
             "no_issue",
             "days::a.json | it counts wrongly\n",
@@ -188,18 +188,18 @@
             "a line is not 'test-name | cause | issue': days::a.json | it | counts | wrongly",
         ),
     ] {
-        assert_eq!(compare(case, list, NONE_FAILS, "", 0), failed_with(said));
+        assert_eq!(compare(case, list, NONE_FAILS, "", 0), failed_with(message));
     }
     let twice = format!("{LISTED}tests::broken | it counts wrongly | 8\n");
-    let (passed, said) = compare("twice", &twice, ONE_FAILS, ONE_TARGET_FAILED, 101);
+    let (passed, message) = compare("twice", &twice, ONE_FAILS, ONE_TARGET_FAILED, 101);
     assert!(!passed);
     assert!(
-        said.contains("known-red: listed twice: tests::broken\n"),
-        "{said}"
+        message.contains("known-red: listed twice: tests::broken\n"),
+        "{message}"
     );
 }
 
-/// A run in which this many tests failed, and the list of all of them.
+/// Returns the output of a run in which this many tests failed, and a list of all of them.
 fn failures(count: usize) -> (String, String) {
     let reported = |index| format!("test broken_{index} ... FAILED\n");
     let listed = |index| format!("broken_{index} | it counts wrongly | 7\n");
@@ -212,33 +212,33 @@
 }
 
 #[test]
-fn given_a_list_of_three_lines_when_just_these_fail_then_they_are_passed_over() {
+fn three_listed_failures_are_tolerated() {
     let (output, list) = failures(3);
-    let (passed, said) = compare("three", &list, &output, ONE_TARGET_FAILED, 101);
-    assert!(passed, "{said}");
+    let (passed, message) = compare("three", &list, &output, ONE_TARGET_FAILED, 101);
+    assert!(passed, "{message}");
     assert_eq!(
-        said.matches("known red, passed over: ").count(),
+        message.matches("known red, passed over: ").count(),
         3,
-        "{said}"
+        "{message}"
     );
 }
 
 #[test]
-fn given_a_list_of_four_lines_when_just_these_fail_then_the_run_fails() {
+fn four_listed_failures_fail_the_run() {
     let (output, list) = failures(4);
-    let (passed, said) = compare("four", &list, &output, ONE_TARGET_FAILED, 101);
-    assert!(!passed, "{said}");
+    let (passed, message) = compare("four", &list, &output, ONE_TARGET_FAILED, 101);
+    assert!(!passed, "{message}");
     assert!(
-        said.contains("known-red: the list has 4 lines, at most 3 are allowed\n"),
-        "{said}"
+        message.contains("known-red: the list has 4 lines, at most 3 are allowed\n"),
+        "{message}"
     );
 }
 
 #[test]
-fn given_the_list_of_the_repository_when_read_then_its_lines_are_well_formed() {
+fn repository_list_is_well_formed() {
     let list = include_str!("../../../KNOWN-RED.txt");
-    let (_, said) = compare("checked_in", list, NONE_FAILS, "", 0);
-    assert!(!said.contains("a line is not"), "{said}");
-    assert!(!said.contains("listed twice"), "{said}");
-    assert!(!said.contains("are allowed"), "{said}");
+    let (_, message) = compare("checked_in", list, NONE_FAILS, "", 0);
+    assert!(!message.contains("a line is not"), "{message}");
+    assert!(!message.contains("listed twice"), "{message}");
+    assert!(!message.contains("are allowed"), "{message}");
 }
--- a/crates/simulator/tests/runbooks.rs
+++ b/crates/simulator/tests/runbooks.rs
@@ -1,4 +1,4 @@
-//! The runbooks that we ship, run against the fleet in memory.
+//! The shipped runbooks, run against the simulated fleet.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,16 +7,16 @@
 use caperworks::identifiers::Zone;
 use runbook_runner::runbook::{Action, Runbook};
 use runbook_runner::runner::{NextAction, Observation, Runner};
-use simulator::day::{deployment, Act, Day, FaultStep};
+use simulator::day::{read_deployment, Day, FaultAction, FaultStep};
 use simulator::world::World;
 
 fn fleet(seed: u64) -> World {
     let path = format!("{}/days/quiet.json", env!("CARGO_MANIFEST_DIR"));
-    let mut day = Day::read(Path::new(&path)).expect("the day reads");
+    let mut day = Day::read(Path::new(&path)).expect("day file is valid");
     day.length = Duration::from_secs(400);
     day.traffic_until = day.length;
     let mut world = World::new(
-        deployment("tallowgum").expect("the scenario reads"),
+        read_deployment("tallowgum").expect("scenario is valid"),
         day,
         seed,
     );
@@ -24,18 +24,18 @@
     world
 }
 
-fn fault_step(world: &mut World, act: Act, target: &str) {
-    world.fault(&FaultStep {
+fn apply_fault(world: &mut World, action: FaultAction, target: &str) {
+    world.apply_fault(&FaultStep {
         at: world.now,
-        act,
+        action,
         target: target.to_string(),
-        big: false,
-        keyed_waits: false,
-        on_yes: false,
+        is_major: false,
+        blocks_keyed_traffic: false,
+        on_acceptance: false,
     });
 }
 
-/// Runs a runbook; `by_hand` does what a step asks the operator to do, by the step's number.
+/// Runs a runbook; `by_hand` performs the manual steps, by the number of the step.
 fn run(
     world: &mut World,
     name: &str,
@@ -43,12 +43,12 @@
     mut by_hand: impl FnMut(&mut World, usize),
 ) -> Result<(), (usize, String, String)> {
     let path = format!("{}/../../runbooks/{name}.json", env!("CARGO_MANIFEST_DIR"));
-    let runbook = Runbook::read(Path::new(&path)).expect("the runbook reads");
+    let runbook = Runbook::read(Path::new(&path)).expect("runbook is valid");
     let inputs = inputs
         .iter()
         .map(|(name, value)| ((*name).to_string(), (*value).to_string()))
         .collect();
-    let mut runner = Runner::start(runbook, inputs, 7).expect("the inputs fit");
+    let mut runner = Runner::start(runbook, inputs, 7).expect("inputs are valid");
     let mut entered = 0;
     loop {
         let step = runner
@@ -64,21 +64,22 @@
             NextAction::Done => return Ok(()),
             NextAction::Stopped { step, why, remedy } => return Err((step, why, remedy)),
             NextAction::Apply { change } => {
-                let change =
-                    controller::operator_json::read_change(&change.dump()).expect("it reads");
+                let change = controller::operator_json::read_change(&change.dump())
+                    .expect("change is valid");
                 let (status, response) = world.apply(change);
                 runner.applied(world.now, status, &response);
             }
             NextAction::ApplyFile { file } => {
-                let text = std::fs::read_to_string(file).expect("the file reads");
-                let change = controller::operator_json::read_change(&text).expect("it reads");
+                let text = std::fs::read_to_string(file).expect("file is readable");
+                let change =
+                    controller::operator_json::read_change(&text).expect("change is valid");
                 let (status, response) = world.apply(change);
                 runner.applied(world.now, status, &response);
             }
             NextAction::ReadStatus => {
                 let next = world.now + Duration::from_millis(250);
                 world.run_until(next);
-                let (status, configuration) = world.look();
+                let (status, configuration) = world.operator_view();
                 let seen = Observation {
                     status: &status,
                     configuration: &configuration,
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn given_a_fleet_when_a_zone_is_emptied_and_given_back_by_the_runbook_then_nothing_is_breached() {
+fn zone_is_emptied_and_restored_without_violation() {
     let mut world = fleet(1);
     assert_eq!(
         run(&mut world, "empty-area", &[("area", "east-2")], |_, _| {}),
@@ -98,11 +99,11 @@
     );
     let later = world.now + Duration::from_secs(8);
     world.run_until(later);
-    fault_step(&mut world, Act::Kill, "holder");
-    fault_step(&mut world, Act::Start, "controller");
+    apply_fault(&mut world, FaultAction::Kill, "holder");
+    apply_fault(&mut world, FaultAction::Start, "controller");
     let later = world.now + Duration::from_secs(10);
     world.run_until(later);
-    world.observers.opening(&Zone::new("east-2"));
+    world.observers.zone_reopened(&Zone::new("east-2"));
     assert_eq!(
         run(
             &mut world,
@@ -112,23 +113,23 @@
         ),
         Ok(())
     );
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
-fn given_a_core_without_a_majority_when_a_zone_is_to_be_emptied_then_the_runbook_stops_at_once() {
+fn emptying_zone_stops_without_majority() {
     let mut world = fleet(2);
     for name in ["controller-1", "controller-2", "agent"] {
-        fault_step(&mut world, Act::PowerOff, name);
+        apply_fault(&mut world, FaultAction::PowerOff, name);
     }
     let stopped = run(&mut world, "empty-area", &[("area", "east-2")], |_, _| {});
-    let (step, why, remedy) = stopped.expect_err("nothing may be changed now");
+    let (step, why, remedy) = stopped.expect_err("runbook must stop without a majority");
     assert_eq!(step, 1, "{why}");
     assert!(!remedy.is_empty());
 }
 
 #[test]
-fn given_a_controller_lost_for_good_when_replaced_by_the_runbook_then_the_new_one_has_its_voter() {
+fn lost_controller_is_replaced_with_its_voter() {
     let mut world = fleet(3);
     let lost = world.targets("controller-2")[0];
     let old = world.nodes[lost].address.to_string();
@@ -137,14 +138,14 @@
     let new = new.to_string();
     let inputs = [("old", old.as_str()), ("new", new.as_str())];
     let ended = run(&mut world, "replace-core-machine", &inputs, |world, _| {
-        fault_step(world, Act::Move, "controller-2");
+        apply_fault(world, FaultAction::MoveToNewAddress, "controller-2");
     });
     assert_eq!(ended, Ok(()));
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
-fn given_a_fleet_when_the_core_is_restarted_by_the_runbook_then_it_ends_well() {
+fn controllers_are_restarted() {
     let mut world = fleet(4);
     let ended = run(
         &mut world,
@@ -152,54 +153,54 @@
         &[("proxies", "12")],
         |world, step| {
             let name = format!("controller-{}", step - 1);
-            fault_step(world, Act::Kill, &name);
+            apply_fault(world, FaultAction::Kill, &name);
             let later = world.now + Duration::from_secs(2);
             world.run_until(later);
-            fault_step(world, Act::Start, &name);
+            apply_fault(world, FaultAction::Start, &name);
         },
     );
     assert_eq!(ended, Ok(()));
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
-fn given_a_lost_majority_when_brought_back_by_the_runbook_then_leaderships_and_voters_are_taken_up()
-{
+fn lost_majority_is_restored() {
     let mut world = fleet(5);
-    fault_step(&mut world, Act::PowerOff, "controller");
-    fault_step(&mut world, Act::PowerOff, "agent");
+    apply_fault(&mut world, FaultAction::PowerOff, "controller");
+    apply_fault(&mut world, FaultAction::PowerOff, "agent");
     let later = world.now + Duration::from_secs(10);
     world.run_until(later);
     let ended = run(&mut world, "core-majority-lost", &[], |world, _| {
-        fault_step(world, Act::Start, "controller");
-        fault_step(world, Act::Start, "agent");
+        apply_fault(world, FaultAction::Start, "controller");
+        apply_fault(world, FaultAction::Start, "agent");
     });
     assert_eq!(ended, Ok(()));
-    assert_eq!(world.observers.breaches, Vec::new());
+    assert_eq!(world.observers.violations, Vec::new());
 }
 
 #[test]
-fn given_a_change_rolled_out_when_taken_back_by_the_runbook_then_the_item_is_as_it_was() {
+fn rolled_out_change_is_reverted() {
     let mut world = fleet(6);
     let file = std::env::temp_dir().join(format!("caperworks-roll-{}.json", std::process::id()));
     let text = r#"{"id": "roll", "put": [{"kind": "rule", "name": "swell", "rule":
         {"host": "swell.example", "path": "/", "pool": "records", "deadline_ms": 700}}]}"#;
-    std::fs::write(&file, text.replace("\"roll\"", "\"first\"")).expect("a temporary file");
+    std::fs::write(&file, text.replace("\"roll\"", "\"first\""))
+        .expect("temporary file is written");
     let path = file.display().to_string();
     let change = controller::operator_json::read_change(
         &text.replace("\"roll\"", "\"zero\"").replace("700", "900"),
     );
-    assert_eq!(world.apply(change.expect("it reads")).0, 200);
+    assert_eq!(world.apply(change.expect("change is valid")).0, 200);
     let inputs = [("file", path.as_str()), ("item", "rule/swell")];
     assert_eq!(
         run(&mut world, "try-and-take-back", &inputs, |_, _| {}),
         Ok(())
     );
-    let (_, configuration) = world.look();
+    let (_, configuration) = world.operator_view();
     let item = configuration["items"]
         .members()
         .find(|item| item["name"] == "swell")
-        .expect("the rule");
+        .expect("route is present");
     assert_eq!(item["rule"]["deadline_ms"], 900);
-    std::fs::remove_file(&file).expect("it was there");
+    std::fs::remove_file(&file).expect("temporary file is removed");
 }
--- a/crates/simulator/tests/style.rs
+++ b/crates/simulator/tests/style.rs
@@ -7,25 +7,22 @@
 }
 
 fn sources(folder: &Path, found: &mut Vec<(String, String)>) {
-    for entry in std::fs::read_dir(folder)
-        .expect("the folder is there")
-        .flatten()
-    {
+    for entry in std::fs::read_dir(folder).expect("folder exists").flatten() {
         let path = entry.path();
-        // Why not of a build: what it writes is nobody's style.
+        // Build output is not subject to the style.
         if path.is_dir() && !path.ends_with("target") {
             sources(&path, found);
         } else if path.extension().is_some_and(|ending| ending == "rs") {
-            let text = std::fs::read_to_string(&path).expect("a source file reads");
+            let text = std::fs::read_to_string(&path).expect("source file is readable");
             let inside = path
                 .strip_prefix(root())
-                .expect("it lies in the repository");
+                .expect("path is in the repository");
             found.push((inside.display().to_string(), text));
         }
     }
 }
 
-/// Every source by its path in the repository.
+/// Returns every source with its path in the repository.
 fn all() -> Vec<(String, String)> {
     let mut found = Vec::new();
     sources(&root().join("crates"), &mut found);
@@ -36,8 +33,8 @@
     found
 }
 
-/// Imports of whole modules or enums (`use a::*`, also inside braces and in re-exports), and preludes
-/// of our own: each file is to name what it uses.
+/// Returns wildcard imports (`use a::*`, also inside braces and in re-exports) and preludes of our
+/// own: each file has to name what it uses.
 fn wildcard_imports(text: &str) -> Vec<String> {
     let mut found = Vec::new();
     let mut statement = String::new();
@@ -142,39 +139,41 @@
     "rounds",
 ];
 
-/// Names in which an order is one of sorting.
+/// Names in which "order" refers to sorting.
 const SORTING_NAMES: [&str; 2] = ["in_order", "first_in_order"];
 
-/// The words of a name, whichever way it is written.
+/// Splits a name in snake case, camel case or capitals into its words.
 fn words_of(name: &str) -> Vec<String> {
-    // Why apart: each capital of a constant would count as the start of a word.
+    // In a constant each capital letter would count as the start of a word.
     if !name.contains(char::is_lowercase) {
         return name.split('_').map(str::to_lowercase).collect();
     }
     let mut words = vec![String::new()];
-    for sign in name.chars() {
-        if sign == '_' || (sign.is_uppercase() && words.last().is_some_and(|word| !word.is_empty()))
+    for character in name.chars() {
+        if character == '_'
+            || (character.is_uppercase() && words.last().is_some_and(|word| !word.is_empty()))
         {
             words.push(String::new());
         }
-        if sign != '_' {
+        if character != '_' {
             let index = words.len() - 1;
-            words[index].extend(sign.to_lowercase());
+            words[index].extend(character.to_lowercase());
         }
     }
     words
 }
 
-/// The name that a text begins with, if it begins with one.
+/// Returns the name that a text begins with, if any.
 fn leading_name(text: &str) -> Option<&str> {
     let end = text
-        .find(|sign: char| !sign.is_alphanumeric() && sign != '_')
+        .find(|character: char| !character.is_alphanumeric() && character != '_')
         .unwrap_or(text.len());
-    let starts_well = text.starts_with(|sign: char| sign.is_alphabetic() || sign == '_');
+    let starts_well =
+        text.starts_with(|character: char| character.is_alphabetic() || character == '_');
     starts_well.then(|| &text[..end])
 }
 
-/// A line without the words that may stand before a declaration.
+/// Returns a line without the modifiers that may precede a declaration.
 fn without_modifiers(line: &str) -> &str {
     let mut bare = line;
     if let Some((_, rest)) = bare
@@ -188,7 +187,7 @@
             .iter()
             .find_map(|modifier| bare.strip_prefix(modifier).map(|rest| (*modifier, rest)));
         match shorter {
-            // Why put back: `const` goes before a function and before a constant.
+            // `const` precedes functions and constants, so it is put back before a constant.
             Some(("const fn ", _)) => return &bare["const ".len()..],
             Some((_, rest)) => bare = rest,
             None => return bare,
@@ -196,7 +195,7 @@
     }
 }
 
-/// The names of fields in a line of an enum.
+/// Returns the names of fields in a line of an enum.
 fn field_names(line: &str) -> Vec<String> {
     let single = line.replace("::", " ");
     let mut parts: Vec<&str> = single.split(':').collect();
@@ -204,7 +203,7 @@
     parts
         .iter()
         .filter_map(|part| {
-            part.rsplit(|sign: char| !sign.is_alphanumeric() && sign != '_')
+            part.rsplit(|character: char| !character.is_alphanumeric() && character != '_')
                 .next()
         })
         .filter(|name| !name.is_empty())
@@ -212,8 +211,8 @@
         .collect()
 }
 
-/// The names that a source declares: types, functions, constants, modules, public fields, variants
-/// with their fields, and what the macros of messages and events declare.
+/// Returns the names that a source declares: types, functions, constants, modules, public fields,
+/// variants with their fields, and the declarations of the macros for messages and events.
 fn declared_names(text: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut depth_in_enum = 0_usize;
@@ -222,21 +221,23 @@
             continue;
         }
         let bare = without_modifiers(line);
-        // Why not of stories: their names are sentences, and speak of what users see.
+        // Test names of this form are sentences and use the words that users see.
         if bare.starts_with("fn given_") {
             continue;
         }
         let mut tokens = bare.split_whitespace();
         let numbered = tokens
             .next()
-            .is_some_and(|token| token.chars().all(|sign| sign.is_ascii_digit()));
+            .is_some_and(|token| token.chars().all(|character| character.is_ascii_digit()));
         if depth_in_enum > 0 {
-            let member = bare.trim_start_matches(|sign: char| sign.is_ascii_digit() || sign == ' ');
+            let member = bare.trim_start_matches(|character: char| {
+                character.is_ascii_digit() || character == ' '
+            });
             let variant = leading_name(member).filter(|name| name.starts_with(char::is_uppercase));
             names.extend(variant.map(str::to_string));
             names.extend(field_names(member));
         } else if numbered {
-            // Why the second: an event has its level between its number and its name.
+            // An event has its level between its number and its name.
             let second = tokens.next().unwrap_or_default();
             let is_level = ["Error", "Warn", "Info", "Debug", "Trace"].contains(&second);
             let declared = if is_level {
@@ -252,7 +253,7 @@
             let declared = bare.strip_prefix(kind).and_then(leading_name);
             names.extend(declared.map(str::to_string));
         }
-        // Why with the semicolon: these words declare newtypes only in that form.
+        // These words declare newtypes only in the form that ends with a semicolon.
         for kind in ["number ", "text "] {
             let declared = bare
                 .strip_prefix(kind)
@@ -263,7 +264,7 @@
             .split_once(": ")
             .filter(|_| line.ends_with(',') && line.starts_with("pub"));
         names.extend(field.map(|(name, _)| name.to_string()));
-        // Why with the end: only messages write a whole type in a line, and their fields are public.
+        // Only messages have a whole type on one line; their fields are public.
         let inside = line
             .split_once('{')
             .and_then(|(_, rest)| rest.rsplit_once('}'));
@@ -272,7 +273,8 @@
         {
             names.extend(field_names(members));
             let variants = members.split(',').map(|member| {
-                member.trim_matches(|sign: char| sign.is_ascii_digit() || sign == ' ')
+                member
+                    .trim_matches(|character: char| character.is_ascii_digit() || character == ' ')
             });
             names.extend(
                 variants
@@ -289,7 +291,7 @@
     names
 }
 
-/// Declared names that use an old word where the field has a standard term.
+/// Returns declared names that use an old word where the field has a standard term.
 fn old_names(text: &str) -> Vec<String> {
     let mut names = declared_names(text);
     names.retain(|name| {
@@ -299,7 +301,7 @@
     names
 }
 
-/// Every declared name that uses an old word, with its file.
+/// Returns every declared name that uses an old word, with its file.
 fn old_names_reported(sources: &[(String, String)]) -> Vec<String> {
     sources
         .iter()
@@ -312,7 +314,7 @@
 }
 
 #[test]
-fn given_all_sources_when_read_then_none_imports_a_whole_module() {
+fn sources_have_no_wildcard_imports() {
     let mut wildcards = Vec::new();
     for (path, text) in all() {
         wildcards.extend(
@@ -325,32 +327,32 @@
 }
 
 #[test]
-fn given_all_sources_when_their_names_are_read_then_none_uses_an_old_word() {
+fn declared_names_have_no_old_words() {
     let reported = old_names_reported(&all());
     assert!(reported.is_empty(), "{}", reported.join("\n"));
 }
 
 #[test]
-fn given_all_stories_when_read_then_none_of_them_sleeps() {
-    let stories = all()
+fn tests_do_not_sleep() {
+    let tests = all()
         .into_iter()
         .filter(|(path, _)| path.contains("/tests/"));
-    let sleepy: Vec<String> = stories
+    let sleeping: Vec<String> = tests
         .filter(|(path, text)| !path.ends_with("style.rs") && text.contains("sleep("))
         .map(|(path, _)| path)
         .collect();
-    assert!(sleepy.is_empty(), "{}", sleepy.join("\n"));
+    assert!(sleeping.is_empty(), "{}", sleeping.join("\n"));
 }
 
 #[test]
-fn given_sources_that_break_the_style_when_read_then_each_breach_is_told() {
+fn style_violations_are_reported() {
     let text = "use std::fmt;\nuse crate::prelude::*;\npub fn open_circuit() {}\n    pub area_name: Zone,\n";
     assert_eq!(wildcard_imports(text), ["use crate::prelude::*;"]);
     assert_eq!(old_names(text), ["open_circuit", "area_name"]);
 }
 
 #[test]
-fn given_each_way_to_import_a_whole_module_when_read_then_it_is_told() {
+fn wildcard_imports_are_reported() {
     for text in [
         "use crate::facts::*;",
         "    use super::*;",
@@ -369,7 +371,7 @@
 }
 
 #[test]
-fn given_explicit_imports_when_read_then_none_is_told() {
+fn explicit_imports_are_accepted() {
     for text in [
         "use std::fmt;",
         "use std::io::{self, Write as _};",
@@ -382,7 +384,7 @@
 }
 
 #[test]
-fn given_each_kind_of_declaration_when_it_uses_an_old_word_then_it_is_told() {
+fn old_words_are_reported_in_each_kind_of_declaration() {
     for (text, reported) in [
         ("struct FirstShot;", "FirstShot"),
         ("pub(crate) enum CircuitState {}", "CircuitState"),
@@ -417,7 +419,7 @@
 }
 
 #[test]
-fn given_standard_terms_and_sorting_names_when_read_then_none_is_told() {
+fn standard_terms_and_sorting_names_are_accepted() {
     for text in [
         "pub fn first_in_order() {}",
         "pub fn ordering() {}",
@@ -434,7 +436,7 @@
 }
 
 #[test]
-fn given_sources_with_old_names_when_read_then_each_is_told_with_its_file() {
+fn old_names_are_reported_with_file() {
     let source = |path: &str, text: &str| (path.to_string(), text.to_string());
     let sources = [
         source("clean.rs", "struct Attempt;"),
