--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -1,8 +1,8 @@
-//! Changes: what was accepted is kept, whole, and what was refused has no effect.
+//! Checks of changes: accepted ones are kept completely, and rejected ones have no effect.
 
 use std::time::Duration;
 
-use crate::observers::lines::Line;
+use crate::observers::invariants::Invariant;
 use crate::observers::Observers;
 use caperworks::change_check::ChangeCheck;
 use caperworks::consensus::proposer::ProposalOutcome;
@@ -10,6 +10,7 @@
 use caperworks::map_items::Value;
 use caperworks::replicated_map::{Change, ReplicatedMap, REMEMBERED_CHANGES};
 
+/// An accepted change, and when and at which version it was accepted.
 #[derive(Debug, Clone)]
 pub(crate) struct AcceptedChange {
     pub at: Duration,
@@ -18,22 +19,22 @@
 }
 
 impl Observers {
-    /// An operator proposes a change set.
+    /// Records a change set that an operator proposes.
     pub fn proposed(&mut self, change: &Change) {
         let known = self.proposed.entry(change.id.clone()).or_default();
         if !known.contains(change) {
             known.push(change.clone());
             for put in &change.puts {
                 if let Some(value) = &put.value {
-                    let wanted = self.wanted.entry(put.key.clone()).or_default();
-                    wanted.push((value.clone(), change.id.clone()));
+                    let proposed_values = self.proposed_values.entry(put.key.clone()).or_default();
+                    proposed_values.push((value.clone(), change.id.clone()));
                 }
             }
         }
         self.calls.entry(change.id.clone()).or_default().0 += 1;
     }
 
-    /// An operator was told what became of a change set.
+    /// Records the outcome that an operator received for a change set.
     pub fn proposal_outcome(
         &mut self,
         at: Duration,
@@ -64,17 +65,17 @@
 
     fn accept(&mut self, at: Duration, change: &Change, version: Version) {
         self.tally.accepted += 1;
-        let clash = self
+        let conflict = self
             .accepted
             .iter()
             .find(|known| (known.version == version) != (known.id == change.id))
             .cloned();
-        if let Some(known) = clash {
-            let what = format!(
-                "{} at {version}, but {} at {}",
+        if let Some(known) = conflict {
+            let details = format!(
+                "{} was accepted at {version}, but {} at {}",
                 change.id, known.id, known.version
             );
-            self.breach(Line::ForkedMap, at, what);
+            self.record_violation(Invariant::ForkedMap, at, details);
         }
         if self.accepted.iter().any(|known| known.id == change.id) {
             return;
@@ -99,41 +100,42 @@
         });
     }
 
-    /// The highest version that was told yes.
+    /// Returns the highest accepted version.
     pub fn last_accepted(&self) -> Version {
         let versions = self.accepted.iter().map(|accepted| accepted.version);
         versions.max().unwrap_or_default()
     }
 
-    /// Looks through what is new in a controller's configuration: nothing of a change set that was
-    /// refused may be there.
-    pub fn held_map(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
-        let known = self.looked_through.get(name).copied().unwrap_or_default();
+    /// Checks the new items of a controller's configuration: none may come from a change set that
+    /// was rejected.
+    pub fn check_map(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
+        let known = self.checked_versions.get(name).copied().unwrap_or_default();
         if map.version <= known {
             return;
         }
-        self.looked_through.insert(name.to_string(), map.version);
-        let strays: Vec<String> = map
+        self.checked_versions.insert(name.to_string(), map.version);
+        let unexpected_keys: Vec<String> = map
             .items
             .iter()
             .filter(|(_, item)| item.version > known)
             .filter(|(key, item)| {
-                let wanted = self.wanted.get(*key);
-                !wanted.into_iter().flatten().any(|(value, id)| {
-                    let (calls, refused) = self.calls.get(id).copied().unwrap_or_default();
-                    *value == item.value && calls > refused
+                let proposed_values = self.proposed_values.get(*key);
+                !proposed_values.into_iter().flatten().any(|(value, id)| {
+                    let (calls, rejected) = self.calls.get(id).copied().unwrap_or_default();
+                    *value == item.value && calls > rejected
                 })
             })
             .map(|(key, _)| key.clone())
             .collect();
-        for key in strays {
-            let what = format!("{name} holds {key} of a change set that was refused");
-            self.breach(Line::PartiallyApplied, at, what);
+        for key in unexpected_keys {
+            let details = format!("{name} contains {key} of a rejected change set");
+            self.record_violation(Invariant::PartiallyApplied, at, details);
         }
     }
 
-    /// At day's end: every accepted change must be in the map, whole, and nothing refused.
-    pub fn read_back(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
+    /// Checks a map at the end of the day: it contains every accepted change completely, and no
+    /// rejected one.
+    pub fn check_final_state(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         self.check_accepted(at, name, map);
         self.replay(at, name, map);
     }
@@ -144,20 +146,20 @@
                 .answered
                 .iter()
                 .find(|answered| answered.id == accepted.id);
-            // Why the count: a map forgets the oldest change ids.
+            // A map keeps only the most recent change ids.
             let forgotten = map.version.0 > accepted.version.0 + REMEMBERED_CHANGES as u64 - 1;
-            let good = found.is_some_and(|answered| answered.version == accepted.version);
-            if !good && !forgotten {
-                let what = format!(
-                    "{name} lacks {} of version {}",
+            let is_kept = found.is_some_and(|answered| answered.version == accepted.version);
+            if !is_kept && !forgotten {
+                let details = format!(
+                    "{name} is missing {} of version {}",
                     accepted.id, accepted.version
                 );
-                self.breach(Line::LostChange, at, what);
+                self.record_violation(Invariant::LostChange, at, details);
             }
         }
     }
 
-    /// Applies all changes that a map remembers anew; the same must come of it.
+    /// Replays all changes that a map remembers; the result must equal the map.
     fn replay(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         let mut replayed = ReplicatedMap::empty();
         for answered in &map.answered {
@@ -169,26 +171,27 @@
             let Some(change) = change.cloned() else {
                 return;
             };
-            // Why all calls: one that was refused says nothing of another that was accepted.
+            // All calls are counted, since a rejected call does not mean that another call of the
+            // same change was not accepted.
             let calls = self.calls.get(&answered.id).copied().unwrap_or_default();
             if calls.0 == calls.1 {
-                self.breach(
-                    Line::PartiallyApplied,
+                self.record_violation(
+                    Invariant::PartiallyApplied,
                     at,
-                    format!("{name} holds refused {}", answered.id),
+                    format!("{name} contains the rejected change {}", answered.id),
                 );
             }
             if replayed.check_change(&change) != ChangeCheck::Fits {
-                let what = format!("{name}: {} does not fit where it stands", answered.id);
-                self.breach(Line::ForkedMap, at, what);
+                let details = format!("{name}: {} does not apply at its position", answered.id);
+                self.record_violation(Invariant::ForkedMap, at, details);
             }
             replayed.apply(&change);
         }
         if map.answered.len() < REMEMBERED_CHANGES && replayed.items != map.items {
-            self.breach(
-                Line::LostChange,
+            self.record_violation(
+                Invariant::LostChange,
                 at,
-                format!("{name} does not read back intact"),
+                format!("{name} differs from the replay of its changes"),
             );
         }
     }
--- a/crates/simulator/tests/seam.rs
+++ b/crates/simulator/tests/seam.rs
@@ -1,9 +1,11 @@
-//! The seam to the operators' platform: its names stay on its own side, and that side stays thin.
+//! The boundary to the operators' platform: its names stay on its own side, and that side stays
+//! thin.
 
 use std::path::{Path, PathBuf};
 
 /// Names that the platform's pages give to things on its wire, in its files and in its environment.
-/// Ordinary words among them are left out: they would be told where nothing of the platform is meant.
+/// Ordinary words among them are left out, since they would be reported where the platform is not
+/// meant.
 const PLATFORM_NAMES: [&str; 31] = [
     "Attempt-Id",
     "Deadline-Remaining",
@@ -38,9 +40,9 @@
     "target_latency_s",
 ];
 
-/// What only the core may do: the platform translates, and neither waits nor works on its own.
+/// Timers and threads are reserved to the core: the platform only translates.
 const TIMERS_AND_THREADS: [&str; 5] = [
-    // Why in two parts: the house style finds the whole word in stories.
+    // Written in two parts, because the style check looks for the full word in tests.
     concat!("sleep", "("),
     "interval(",
     "timeout(",
@@ -48,7 +50,7 @@
     "std::thread",
 ];
 
-const MOST_PLATFORM_LINES: usize = 1600;
+const MAX_PLATFORM_LINES: usize = 1600;
 
 const THIS_FILE: &str = "crates/simulator/tests/seam.rs";
 
@@ -56,33 +58,30 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
 
-/// The files of a folder and of those in it, by their path in the repository.
+/// Collects the files of a folder and its subfolders with their paths in the repository.
 fn files(folder: &Path, endings: &[&str], found: &mut Vec<(String, String)>) {
-    for entry in std::fs::read_dir(folder)
-        .expect("the folder is there")
-        .flatten()
-    {
+    for entry in std::fs::read_dir(folder).expect("folder exists").flatten() {
         let path = entry.path();
         let ending = path
             .extension()
             .map(|ending| ending.to_string_lossy().to_string())
             .unwrap_or_default();
         if path.is_dir() {
-            // Why not of a build: its files are copies of others.
+            // Files of a build are copies of others.
             if !path.ends_with("target") {
                 files(&path, endings, found);
             }
         } else if endings.contains(&ending.as_str()) {
-            let text = std::fs::read_to_string(&path).expect("a file reads");
+            let text = std::fs::read_to_string(&path).expect("file is readable");
             let inside = path
                 .strip_prefix(root())
-                .expect("it lies in the repository");
+                .expect("path is in the repository");
             found.push((inside.display().to_string(), text));
         }
     }
 }
 
-/// Every line that speaks of the platform, with the name it uses.
+/// Returns every line that contains a name of the platform, with that name.
 fn platform_names(path: &str, text: &str) -> Vec<String> {
     let mut reported = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -96,17 +95,17 @@
     reported
 }
 
-/// Where the platform's side is more than a thin translation.
-fn platform_breaches(sources: &[(String, String)]) -> Vec<String> {
+/// Returns where the platform's side is more than a thin translation.
+fn platform_violations(sources: &[(String, String)]) -> Vec<String> {
     let mut reported = Vec::new();
     let lines: usize = sources
         .iter()
         .filter(|(path, _)| path.starts_with("platform/src/"))
         .map(|(_, text)| text.lines().count())
         .sum();
-    if lines > MOST_PLATFORM_LINES {
+    if lines > MAX_PLATFORM_LINES {
         reported.push(format!(
-            "platform/src: {lines} lines, at most {MOST_PLATFORM_LINES}"
+            "platform/src: {lines} lines, at most {MAX_PLATFORM_LINES}"
         ));
     }
     for (path, text) in sources {
@@ -121,9 +120,9 @@
 }
 
 #[test]
-fn given_everything_outside_the_platform_when_read_then_no_platform_name_occurs() {
+fn no_platform_name_occurs_outside_platform() {
     let mut reported = Vec::new();
-    for (folder, endings, at_least) in [
+    for (folder, endings, min_files) in [
         ("crates", ["rs", "json"].as_slice(), 60),
         ("runbooks", &["json", "md", "txt"], 1),
         ("scenarios", &["json", "md", "txt"], 1),
@@ -131,8 +130,8 @@
     ] {
         let mut found = Vec::new();
         files(&root().join(folder), endings, &mut found);
-        // Why counted: a scan that finds nothing to read would prove nothing.
-        assert!(found.len() >= at_least, "{folder}: {} files", found.len());
+        // The count guards against a scan that finds no files and so proves nothing.
+        assert!(found.len() >= min_files, "{folder}: {} files", found.len());
         for (path, text) in found.iter().filter(|(path, _)| path != THIS_FILE) {
             reported.extend(platform_names(path, text));
         }
@@ -141,21 +140,21 @@
 }
 
 #[test]
-fn given_the_platform_when_read_then_it_is_small_and_has_neither_timers_nor_threads() {
+fn platform_is_small_without_timers_or_threads() {
     let folder = root().join("platform");
-    // Why it may be missing: the core stands without any platform.
+    // The platform is optional: the core works without any.
     if !folder.is_dir() {
         return;
     }
     let mut found = Vec::new();
     files(&folder, &["rs"], &mut found);
     assert!(!found.is_empty(), "the platform has no sources");
-    let reported = platform_breaches(&found);
+    let reported = platform_violations(&found);
     assert!(reported.is_empty(), "{}", reported.join("\n"));
 }
 
 #[test]
-fn given_a_text_with_any_platform_name_when_read_then_it_is_told_in_whichever_case() {
+fn platform_names_are_found_in_any_case() {
     for name in PLATFORM_NAMES {
         for written in [name.to_lowercase(), name.to_uppercase()] {
             let text = format!("first\nlet planted = \"{written}\";\n");
@@ -168,29 +167,29 @@
 }
 
 #[test]
-fn given_a_platform_that_is_large_when_read_then_its_size_is_told() {
+fn oversized_platform_is_reported() {
     let source = |path: &str, lines: usize| (path.to_string(), "let a = 1;\n".repeat(lines));
     let fitting = [
-        source("platform/src/lib.rs", MOST_PLATFORM_LINES - 10),
+        source("platform/src/lib.rs", MAX_PLATFORM_LINES - 10),
         source("platform/src/deep/wire.rs", 10),
-        source("platform/tests/wire.rs", MOST_PLATFORM_LINES),
+        source("platform/tests/wire.rs", MAX_PLATFORM_LINES),
     ];
-    assert_eq!(platform_breaches(&fitting), Vec::<String>::new());
+    assert_eq!(platform_violations(&fitting), Vec::<String>::new());
     let large = [
-        source("platform/src/lib.rs", MOST_PLATFORM_LINES),
+        source("platform/src/lib.rs", MAX_PLATFORM_LINES),
         source("platform/src/deep/wire.rs", 1),
     ];
     assert_eq!(
-        platform_breaches(&large),
+        platform_violations(&large),
         ["platform/src: 1601 lines, at most 1600"]
     );
 }
 
 #[test]
-fn given_a_platform_with_a_timer_or_a_thread_when_read_then_each_is_told() {
+fn platform_timers_and_threads_are_reported() {
     for name in TIMERS_AND_THREADS {
         let text = format!("fn work() {{\n    tokio::{name}later);\n}}\n");
-        let reported = platform_breaches(&[("platform/src/lib.rs".to_string(), text)]);
+        let reported = platform_violations(&[("platform/src/lib.rs".to_string(), text)]);
         assert_eq!(reported, [format!("platform/src/lib.rs:2: {name}")]);
     }
 }
