--- a/crates/caperworks/src/leadership/election.rs
+++ b/crates/caperworks/src/leadership/election.rs
@@ -20,7 +20,8 @@
     holder: Option<NodeId>,
 ) -> Option<NodeId> {
     let leader_is_alive = holder.is_some_and(|holder| {
-        liveness.alive(now, holder) && voters.holder(holder).is_some_and(|voter| voter.controller)
+        liveness.is_alive(now, holder)
+            && voters.holder(holder).is_some_and(|voter| voter.controller)
     });
     voters
         .holders
@@ -31,9 +32,9 @@
             Some(*node) == holder && leader_is_alive
                 || !liveness.is_behind(now, *node)
                     && if leader_is_alive {
-                        liveness.steady(now, *node)
+                        liveness.is_stable(now, *node)
                     } else {
-                        liveness.alive(now, *node)
+                        liveness.is_alive(now, *node)
                     }
         })
 }
--- a/crates/caperworks/src/leadership/liveness.rs
+++ b/crates/caperworks/src/leadership/liveness.rs
@@ -57,7 +57,7 @@
     /// That proves that `before` never returns: a process with another node number at the same
     /// address started there with an empty disk.
     pub fn is_successor(&self, now: Duration, node: NodeId, before: NodeId) -> bool {
-        let Some(seen) = self.seen.get(&node).filter(|_| self.alive(now, node)) else {
+        let Some(seen) = self.seen.get(&node).filter(|_| self.is_alive(now, node)) else {
             return false;
         };
         let earlier = self.seen.get(&before);
@@ -66,7 +66,7 @@
     }
 
     /// Suspects a node until its next message.
-    pub fn lose(&mut self, node: NodeId) {
+    pub fn mark_unreachable(&mut self, node: NodeId) {
         self.seen.remove(&node);
     }
 
@@ -76,15 +76,15 @@
     }
 
     /// Returns whether a node is not suspected.
-    pub fn alive(&self, now: Duration, node: NodeId) -> bool {
+    pub fn is_alive(&self, now: Duration, node: NodeId) -> bool {
         self.seen
             .get(&node)
             .is_some_and(|seen| now.saturating_sub(seen.last) < SUSPICION_TIMEOUT)
     }
 
     /// Returns whether a node has been reachable without a gap for [`MIN_STABLE_PERIOD`].
-    pub fn steady(&self, now: Duration, node: NodeId) -> bool {
-        self.alive(now, node)
+    pub fn is_stable(&self, now: Duration, node: NodeId) -> bool {
+        self.is_alive(now, node)
             && self
                 .seen
                 .get(&node)
--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -31,7 +31,7 @@
     /// Nothing to do.
     Wait,
     /// Propose this term, on the condition that the item of the role still has the expected version.
-    Take {
+    Propose {
         /// The new term, with the next epoch.
         term: LeadershipTerm,
         /// The expected version of the item of the role.
@@ -100,7 +100,7 @@
             return LeadershipStep::Wait;
         }
         self.requested_at = Some(now);
-        LeadershipStep::Take {
+        LeadershipStep::Propose {
             term: LeadershipTerm {
                 holder: node,
                 epoch: term.map_or(Epoch(1), |term| term.epoch.next()),
--- a/crates/caperworks/src/ownership/leases.rs
+++ b/crates/caperworks/src/ownership/leases.rs
@@ -47,7 +47,7 @@
         owner: &KeyRangeOwner,
         response: &mut HeartbeatResponse,
     ) {
-        let timings = self.spans;
+        let timings = self.timings;
         let lease = timings.lease * if self.grants_long_leases { 2 } else { 1 };
         let absence_is_release = self.infers_release;
         let is_accepted = heartbeat.key_ranges_in_use.contains(&key_range);
--- a/crates/caperworks/src/ownership/moves.rs
+++ b/crates/caperworks/src/ownership/moves.rs
@@ -110,7 +110,7 @@
         let should_move = case
             .target
             .is_some_and(|target| target.id != owner.instance);
-        let is_hasty = self.hasty;
+        let is_hasty = self.skips_lease_wait;
         let state = self.state(case.service, case.key_range, owner.epoch);
         if !state.is_releasing && should_move && (!is_alive || *moves < MAX_CONCURRENT_MOVES) {
             state.is_releasing = true;
--- a/crates/caperworks/src/ownership/owner_manager.rs
+++ b/crates/caperworks/src/ownership/owner_manager.rs
@@ -18,9 +18,9 @@
     /// Until when leases that were granted in earlier terms may be valid.
     earlier_leases_until: Duration,
     /// The time bounds.
-    pub spans: OwnerManagerTimings,
+    pub timings: OwnerManagerTimings,
     /// Fault injection, to prove the invariant checkers: moves key ranges before a lease has expired.
-    pub hasty: bool,
+    pub skips_lease_wait: bool,
     /// Fault injection, to prove the invariant checkers: treats a heartbeat that does not list a key
     /// range as a report of its release.
     pub infers_release: bool,
@@ -42,11 +42,11 @@
 impl OwnerManager {
     /// Starts a term. Leases of earlier terms may be valid until the wait is over; a shorter wait is
     /// enough when the previous owner manager was an earlier incarnation of this node.
-    pub fn take_up(&mut self, now: Duration, is_own_predecessor: bool) {
+    pub fn start_term(&mut self, now: Duration, is_own_predecessor: bool) {
         self.states.clear();
         let wait = match is_own_predecessor {
-            true => self.spans.wait_after_restart,
-            false => self.spans.wait,
+            true => self.timings.wait_after_restart,
+            false => self.timings.wait,
         };
         self.earlier_leases_until = now + wait;
     }
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -112,7 +112,7 @@
 impl Bench {
     fn new(key_ranges: u32) -> Self {
         let mut owner_manager = OwnerManager::default();
-        owner_manager.take_up(Duration::ZERO, false);
+        owner_manager.start_term(Duration::ZERO, false);
         Self {
             owner_manager,
             instances: Instances::default(),
@@ -409,7 +409,7 @@
         bench.run(seconds(2), &["a"], 2);
         if is_new_leader {
             bench.owner_manager = OwnerManager::default();
-            bench.owner_manager.take_up(seconds(3), false);
+            bench.owner_manager.start_term(seconds(3), false);
         }
         bench.instance("a").state = InstanceState::Draining;
         let heartbeat = bench.next_heartbeat("a");
@@ -468,7 +468,7 @@
         acceptance_timeout: millis(2000),
     };
     let mut bench = Bench::new(4);
-    bench.owner_manager.spans = spans;
+    bench.owner_manager.timings = spans;
     bench.run(seconds(1), &["a"], 30);
     let last = seconds(16);
     let response = bench.heartbeat(last, "a");
@@ -495,8 +495,8 @@
     bench.run(seconds(1), &["a"], 3);
     let wait = millis(5000);
     bench.owner_manager = OwnerManager::default();
-    bench.owner_manager.spans.wait = wait;
-    bench.owner_manager.take_up(seconds(30), false);
+    bench.owner_manager.timings.wait = wait;
+    bench.owner_manager.start_term(seconds(30), false);
     for step in 0..100 {
         let now = seconds(30) + millis(100 * step);
         bench.heartbeat(now, "b");
@@ -514,9 +514,11 @@
         let mut bench = Bench::new(4);
         bench.run(seconds(1), &["a"], 3);
         bench.owner_manager = OwnerManager::default();
-        bench.owner_manager.spans.wait = millis(8000);
-        bench.owner_manager.spans.wait_after_restart = millis(3500);
-        bench.owner_manager.take_up(seconds(30), is_own_predecessor);
+        bench.owner_manager.timings.wait = millis(8000);
+        bench.owner_manager.timings.wait_after_restart = millis(3500);
+        bench
+            .owner_manager
+            .start_term(seconds(30), is_own_predecessor);
         let moved_at = (0..100).find_map(|step| {
             let now = seconds(30) + millis(100 * step);
             bench.heartbeat(now, "b");
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -67,7 +67,7 @@
 
     /// Disables the safeguard in the owner manager.
     pub(crate) fn apply_to_owner_manager(self, manager: &mut OwnerManager) {
-        manager.hasty = self == Self::EarlyReassignment;
+        manager.skips_lease_wait = self == Self::EarlyReassignment;
         manager.infers_release = self == Self::TrustsOldHeartbeats;
         manager.grants_long_leases = self == Self::OverlongLeases;
     }
--- a/crates/controller/src/leadership/majority_loss.rs
+++ b/crates/controller/src/leadership/majority_loss.rs
@@ -21,7 +21,7 @@
         .map(|voter| voter.node)
         .collect();
     for node in replaced {
-        state.liveness.lose(node);
+        state.liveness.mark_unreachable(node);
     }
 }
 
@@ -53,7 +53,7 @@
         .voters()
         .into_iter()
         .flat_map(|voters| &voters.holders)
-        .filter(|voter| voter.node != state.node && !state.liveness.alive(now, voter.node))
+        .filter(|voter| voter.node != state.node && !state.liveness.is_alive(now, voter.node))
         .map(|voter| voter.address.to_string())
         .collect();
     let why = format!("unreachable voters: {}", unreachable.join(", "));
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -47,8 +47,8 @@
             }
             // A controller that is shutting down acquires no role, and neither does one that is behind: it
             // would act on outdated state.
-            LeadershipStep::Take { .. } if is_stopping || is_any_map_behind(state) => {}
-            LeadershipStep::Take { term, expected } => request_role(state, name, term, expected),
+            LeadershipStep::Propose { .. } if is_stopping || is_any_map_behind(state) => {}
+            LeadershipStep::Propose { term, expected } => request_role(state, name, term, expected),
             LeadershipStep::Lead { epoch, .. } if is_stopping => {
                 handover::hand_over(state, name, epoch);
             }
--- a/crates/controller/src/leadership/ownership.rs
+++ b/crates/controller/src/leadership/ownership.rs
@@ -54,9 +54,9 @@
     let fault_injection = state.options.fault_injection;
     let role = &mut state.ownership_role;
     role.epoch = Some(epoch);
-    role.manager.spans = state.options.core.owner_manager;
+    role.manager.timings = state.options.core.owner_manager;
     let after_own = role.previous_epoch == Some(epoch);
-    role.manager.take_up(state.now, after_own);
+    role.manager.start_term(state.now, after_own);
     fault_injection.apply_to_owner_manager(&mut role.manager);
     state.log_event(Event::OwnershipLeaderElected { epoch });
 }
@@ -141,7 +141,7 @@
         return None;
     }
     let leader = state.map(MapName::Membership).leadership(OWNERSHIP)?.holder;
-    let is_reachable = leader != state.node && state.liveness.alive(state.now, leader);
+    let is_reachable = leader != state.node && state.liveness.is_alive(state.now, leader);
     is_reachable.then(|| owner_manager_address(state)).flatten()
 }
 
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -63,7 +63,7 @@
     let now = state.now;
     for voter in &voters.holders {
         let lost_since = &mut state.voter_management.lost_since;
-        if voter.node == state.node || state.liveness.alive(now, voter.node) {
+        if voter.node == state.node || state.liveness.is_alive(now, voter.node) {
             lost_since.remove(&voter.node);
         } else {
             let since = state.liveness.last_seen(voter.node).unwrap_or(now);
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -213,7 +213,7 @@
             .flat_map(|voters| &voters.holders)
             .map(|voter| {
                 let is_alive =
-                    voter.node == state.node || state.liveness.alive(state.now, voter.node);
+                    voter.node == state.node || state.liveness.is_alive(state.now, voter.node);
                 (voter.clone(), is_alive)
             })
             .collect(),
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -231,7 +231,7 @@
     /// Returns whether a node is alive and has synced everything that this one has.
     pub fn is_synced_replica(&self, node: NodeId) -> bool {
         let own = self.versions();
-        self.liveness.alive(self.now, node)
+        self.liveness.is_alive(self.now, node)
             && self
                 .reported_synced_versions
                 .get(&node)
