--- a/crates/agent/src/heartbeats.rs
+++ b/crates/agent/src/heartbeats.rs
@@ -52,10 +52,10 @@
             });
             return;
         };
-        let heard = ReceivedHeartbeat { heartbeat, age };
-        self.link.instances.handle(now, &heard);
+        let received = ReceivedHeartbeat { heartbeat, age };
+        self.link.instances.handle(now, &received);
         self.unforwarded_heartbeats
-            .insert(heard.heartbeat.id.clone());
+            .insert(received.heartbeat.id.clone());
         self.next_heartbeat += 1;
         self.pending_heartbeats.push(PendingHeartbeat {
             ticket,
@@ -72,7 +72,7 @@
                 to,
                 message: Message::HeartbeatForward {
                     ticket: self.next_heartbeat,
-                    heard: heard.clone(),
+                    received: received.clone(),
                 },
             });
         }
@@ -81,7 +81,7 @@
                 to: controller,
                 message: Message::HeartbeatForward {
                     ticket: self.next_heartbeat,
-                    heard,
+                    received,
                 },
             });
         }
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -180,9 +180,9 @@
         let node = NodeId(chance.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED_MAPS, options.seeds.clone(), chance.draw())
             .with_form(options.feed_form);
-        link.instances.span = options.instance_timeout;
+        link.instances.timeout = options.instance_timeout;
         link.lease.span = options.lease_duration;
-        link.instances.refresh = options.heartbeat_refresh;
+        link.instances.refresh_interval = options.heartbeat_refresh;
         let fallback_quorum = FallbackQuorum::new(options.control);
         let first = options.control;
         Self {
@@ -268,10 +268,10 @@
                 .map(|pull| pull.demand.clone())
                 .unwrap_or_default(),
             demand_unchanged: !reports_demand,
-            silent: false,
+            suspected: false,
             versions: self.link.versions(),
             draining: self.stopping_since.is_some(),
-            stands: Vec::new(),
+            client_zones: Vec::new(),
         }
     }
 
@@ -395,9 +395,9 @@
                 self.handle_heartbeat_reply(now, from, ticket, response, outputs);
             }
             Message::Pull { pull } => self.handle_pull(now, from, pull, outputs),
-            Message::ConsensusMessage { vote } => {
-                self.handle_chunks(now, from, &vote, outputs);
-                self.handle_vote(now, from, vote, outputs);
+            Message::ConsensusMessage { message } => {
+                self.handle_chunks(now, from, &message, outputs);
+                self.handle_vote(now, from, message, outputs);
             }
             Message::QuorumReadRequest { number } => {
                 self.handle_quorum_read_request(from, number, outputs)
@@ -429,10 +429,10 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        vote: &ConsensusMessage,
+        message: &ConsensusMessage,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        let step = self.link.handle_catch_up(now, from, vote);
+        let step = self.link.handle_catch_up(now, from, message);
         self.request_chunks(step.request, outputs);
         if let Some(refused) = step.refused {
             let event = AgentEvent::ChunkRejected { refused, from };
@@ -449,7 +449,7 @@
         outputs.extend(requests.into_iter().map(|request| AgentOutput::Send {
             to: request.to,
             message: Message::ConsensusMessage {
-                vote: request.message(),
+                message: request.message(),
             },
         }));
     }
--- a/crates/agent/src/proxy_calls.rs
+++ b/crates/agent/src/proxy_calls.rs
@@ -50,7 +50,8 @@
         .filter(|updates| limit.admits(now, proxy, updates))
         .collect();
         let follower = feed_cache.follower();
-        let all = pull.agent != self.node || pull.instances_offset < self.link.instances.removed();
+        let all = pull.agent != self.node
+            || pull.instances_offset < self.link.instances.latest_removal_offset();
         let instances: Vec<Heartbeat> = match all {
             true => self.link.instances.iter().cloned().collect(),
             false => {
@@ -61,10 +62,10 @@
                     .collect()
             }
         };
-        let silent = instances
+        let suspected = instances
             .iter()
             .map(|heartbeat| &heartbeat.id)
-            .filter(|id| self.link.instances.is_silent(id))
+            .filter(|id| self.link.instances.is_suspected(id))
             .cloned()
             .collect();
         let reported = self.link.proxies() as usize;
@@ -81,9 +82,9 @@
             left: self.fresh_until().saturating_sub(now),
             updates,
             instances,
-            silent,
+            suspected,
             agent: self.node,
-            instances_offset: self.link.instances.learned(),
+            instances_offset: self.link.instances.latest_offset(),
             all_instances: all,
             proxies: proxies.max(1),
             configuration: follower.map(MapName::Configuration).version,
--- a/crates/agent/src/witness.rs
+++ b/crates/agent/src/witness.rs
@@ -15,7 +15,7 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        vote: ConsensusMessage,
+        message: ConsensusMessage,
         outputs: &mut Vec<AgentOutput>,
     ) {
         let Some(voter) = &mut self.voter else {
@@ -25,21 +25,22 @@
             map,
             after,
             position: Some(position),
-        } = vote
+        } = message
         {
-            let vote = self.snapshots.respond(now, voter, map, after, position);
-            let message = Message::ConsensusMessage { vote };
+            let reply = self.snapshots.respond(now, voter, map, after, position);
+            let message = Message::ConsensusMessage { message: reply };
             outputs.push(AgentOutput::Send { to: from, message });
             return;
         }
-        let is_catch_up = matches!(vote, ConsensusMessage::CatchUp { .. });
-        let outcome = voter.handle(vote);
+        let is_catch_up = matches!(message, ConsensusMessage::CatchUp { .. });
+        let outcome = voter.handle(message);
         let mut replies = outcome.replies;
         // Snapshots are sent on request only: a controller that is behind requests chunks by itself.
-        replies.retain(|vote| is_catch_up || !matches!(vote, ConsensusMessage::Snapshot { .. }));
-        outputs.extend(replies.into_iter().map(|vote| AgentOutput::Send {
+        replies
+            .retain(|message| is_catch_up || !matches!(message, ConsensusMessage::Snapshot { .. }));
+        outputs.extend(replies.into_iter().map(|message| AgentOutput::Send {
             to: from,
-            message: Message::ConsensusMessage { vote },
+            message: Message::ConsensusMessage { message },
         }));
         if outcome.moved.contains(&MapName::Membership) {
             self.update_voter();
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -41,7 +41,7 @@
         load: 0,
         up: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -132,7 +132,7 @@
                 members_offset: 0,
                 updates: Vec::new(),
                 assured: controllers == Controllers::Responding,
-                gone: self.deregistered.clone(),
+                deregistered: self.deregistered.clone(),
                 in_chunks: Vec::new(),
                 more: false,
             };
@@ -284,7 +284,7 @@
         members_offset: 0,
         updates: Vec::new(),
         assured: true,
-        gone: Vec::new(),
+        deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
     }
@@ -423,13 +423,13 @@
 }
 
 /// Returns the agent's responses to a consensus message.
-fn voter_responses(fixture: &mut AgentFixture, vote: ConsensusMessage) -> Vec<ConsensusMessage> {
-    let outputs = fixture.receive(millis(100), Message::ConsensusMessage { vote });
+fn voter_responses(fixture: &mut AgentFixture, message: ConsensusMessage) -> Vec<ConsensusMessage> {
+    let outputs = fixture.receive(millis(100), Message::ConsensusMessage { message });
     let votes = outputs.into_iter().filter_map(|output| match output {
         AgentOutput::Send {
-            message: Message::ConsensusMessage { vote },
+            message: Message::ConsensusMessage { message },
             ..
-        } => Some(vote),
+        } => Some(message),
         _ => None,
     });
     votes.collect()
@@ -448,7 +448,7 @@
         members_offset: 0,
         updates,
         assured: true,
-        gone: Vec::new(),
+        deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
     };
--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -82,7 +82,7 @@
             load: 0,
             up: Duration::from_secs(60),
             key_ranges_in_use: Vec::new(),
-            let_go: Vec::new(),
+            released: Vec::new(),
             warm_up_left: Duration::ZERO,
         })
         .collect();
@@ -91,7 +91,7 @@
         instances_offset: 1,
         all_instances: true,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
         number: 1,
         left: Duration::from_secs(3600),
         updates: vec![ConsensusMessage::Snapshot {
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -24,7 +24,7 @@
         load: 0,
         up: Duration::from_secs(60),
         key_ranges_in_use,
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -53,7 +53,7 @@
         instances_offset: 0,
         all_instances: false,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
     }
 }
 
--- a/crates/caperworks/src/dispatch/passive_health.rs
+++ b/crates/caperworks/src/dispatch/passive_health.rs
@@ -21,7 +21,7 @@
     /// Returns whether more than half of the instances of a service have no recent heartbeat.
     pub(crate) fn most_lack_heartbeats(&self, service: &ServiceName) -> bool {
         let heartbeats = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let lacks_heartbeats = |heartbeat: &&Heartbeat| self.silent.contains(&heartbeat.id);
+        let lacks_heartbeats = |heartbeat: &&Heartbeat| self.suspected.contains(&heartbeat.id);
         heartbeats.iter().filter(lacks_heartbeats).count() * 2 > heartbeats.len()
     }
 }
@@ -36,10 +36,10 @@
         proxy_state: &ProxyState,
     ) -> bool {
         if self.ignore_response_evidence {
-            return !proxy_state.silent.contains(&heartbeat.id);
+            return !proxy_state.suspected.contains(&heartbeat.id);
         }
         // Looked up last, since nearly always no instance is without heartbeats.
-        !proxy_state.silent.contains(&heartbeat.id) || {
+        !proxy_state.suspected.contains(&heartbeat.id) || {
             let stats = self.stats_for(heartbeat);
             let has_responded = stats.answered_at.is_some_and(|answered_at| {
                 now.saturating_sub(answered_at) < RECENT_RESPONSE_WINDOW
--- a/crates/caperworks/src/dispatch/proxy_state.rs
+++ b/crates/caperworks/src/dispatch/proxy_state.rs
@@ -32,7 +32,7 @@
     pub instances: BTreeMap<InstanceId, Heartbeat>,
     pub by_service: HashMap<ServiceName, Vec<Heartbeat>>,
     /// Instances without a recent heartbeat, which may still respond to requests.
-    pub silent: BTreeSet<InstanceId>,
+    pub suspected: BTreeSet<InstanceId>,
     pub closed: BTreeSet<Zone>,
     pub regions: BTreeMap<Zone, Region>,
     pub proxies: u32,
@@ -81,16 +81,16 @@
         }
         if view.all_instances {
             self.instances.clear();
-            self.silent.clear();
+            self.suspected.clear();
         }
         if view.all_instances || !view.instances.is_empty() {
             let received = view.instances.iter();
             self.instances
                 .extend(received.map(|heartbeat| (heartbeat.id.clone(), heartbeat.clone())));
             for heartbeat in &view.instances {
-                self.silent.remove(&heartbeat.id);
+                self.suspected.remove(&heartbeat.id);
             }
-            self.silent.extend(view.silent.iter().cloned());
+            self.suspected.extend(view.suspected.iter().cloned());
             self.by_service.clear();
             for heartbeat in self.instances.values() {
                 self.by_service
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -35,7 +35,7 @@
         /// The key ranges in use: with a valid lease or with requests in flight.
         10 key_ranges_in_use: Vec<u32>,
         /// The key ranges that it has released.
-        11 let_go: Vec<ReleasedKeyRange>,
+        11 released: Vec<ReleasedKeyRange>,
         /// How much longer it warms up, by its own report.
         12 warm_up_left: Duration,
     }
@@ -75,12 +75,12 @@
         9 versions: Vec<Version>,
         10 draining: bool,
         /// The zones that client groups reported to a directory.
-        11 stands: Vec<GroupZone>,
+        11 client_zones: Vec<GroupZone>,
         /// Whether the demand is unchanged since the last report and therefore omitted.
         12 demand_unchanged: bool,
         /// Set by the controller where it renewed its lease when it stops doing so; its own next report
         /// takes precedence.
-        13 silent: bool,
+        13 suspected: bool,
     }
 
     /// A heartbeat as one node forwards it to another, with its age when it was sent.
@@ -110,7 +110,7 @@
     pub(crate) fn for_followers(&self) -> Heartbeat {
         Heartbeat {
             key_ranges_in_use: Vec::new(),
-            let_go: Vec::new(),
+            released: Vec::new(),
             ..self.clone()
         }
     }
@@ -156,7 +156,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct FactBatch<Fact> {
     /// The facts of the batch.
-    pub heard: Vec<Fact>,
+    pub received: Vec<Fact>,
     /// The offset up to which the follower then has all facts.
     pub offset: u64,
     /// Whether there are more after that offset.
@@ -167,7 +167,7 @@
     /// Creates an empty batch, for a follower that is sent none.
     pub fn none(offset: u64) -> Self {
         Self {
-            heard: Vec::new(),
+            received: Vec::new(),
             offset,
             more: false,
         }
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -31,11 +31,11 @@
     /// The highest offset that was assigned to a change.
     latest_offset: u64,
     /// Time without a heartbeat after which an instance is suspected or expires.
-    pub span: Duration,
+    pub timeout: Duration,
     /// How long a heartbeat that reports no change need not be forwarded to followers.
-    pub refresh: Duration,
+    pub refresh_interval: Duration,
     /// The offset of the latest removal.
-    removed: u64,
+    latest_removal_offset: u64,
 }
 
 impl Default for Instances {
@@ -46,9 +46,9 @@
             ended: BTreeMap::new(),
             suspected: BTreeMap::new(),
             latest_offset: 0,
-            span: INSTANCE_TIMEOUT,
-            refresh: Duration::ZERO,
-            removed: 0,
+            timeout: INSTANCE_TIMEOUT,
+            refresh_interval: Duration::ZERO,
+            latest_removal_offset: 0,
         }
     }
 }
@@ -57,7 +57,7 @@
     /// Merges a heartbeat; returns whether it changed anything.
     pub fn handle(&mut self, now: Duration, received: &ReceivedHeartbeat) -> bool {
         let received_at = now.saturating_sub(received.age);
-        if now.saturating_sub(received_at) >= self.span
+        if now.saturating_sub(received_at) >= self.timeout
             || self.ended.contains_key(&received.heartbeat.id)
         {
             return false;
@@ -107,7 +107,7 @@
         let unchanged = self.known.get(&received.heartbeat.id).filter(|entry| {
             !was_suspected
                 && !received.heartbeat.differs_from(&entry.fact)
-                && now.saturating_sub(entry.notified_at) < self.refresh
+                && now.saturating_sub(entry.notified_at) < self.refresh_interval
         });
         // An unchanged heartbeat keeps its offset: followers are notified of changes at once, but of
         // the mere fact that an instance is alive only once per refresh interval.
@@ -131,13 +131,13 @@
     }
 
     /// Returns the offset of the latest removal; a follower with a lower offset needs a full snapshot.
-    pub fn removed(&self) -> u64 {
-        self.removed
+    pub fn latest_removal_offset(&self) -> u64 {
+        self.latest_removal_offset
     }
 
     fn record_removal(&mut self) {
         self.latest_offset += 1;
-        self.removed = self.latest_offset;
+        self.latest_removal_offset = self.latest_offset;
     }
 
     /// Handles an instance's announcement of its termination; returns whether it was not known yet.
@@ -184,7 +184,7 @@
     /// Removes and returns the instances whose heartbeats are overdue.
     pub fn expire(&mut self, now: Duration) -> Vec<InstanceId> {
         self.prune_ended(now);
-        let span = self.span;
+        let span = self.timeout;
         let overdue = self.known.iter();
         let overdue = overdue.filter(|(_, entry)| now.saturating_sub(entry.received_at) >= span);
         let expired: Vec<InstanceId> = overdue.map(|(id, _)| id.clone()).collect();
@@ -200,7 +200,7 @@
     pub fn mark_suspected(&mut self, now: Duration) -> Vec<InstanceId> {
         self.prune_ended(now);
         self.evict_long_suspected(now);
-        let span = self.span;
+        let span = self.timeout;
         let mut newly_suspected = Vec::new();
         for (id, entry) in &mut self.known {
             let is_recent = now.saturating_sub(entry.received_at) < span;
@@ -218,7 +218,7 @@
     }
 
     /// Returns whether the instance is suspected: it is known, and its heartbeats are overdue.
-    pub fn is_silent(&self, id: &InstanceId) -> bool {
+    pub fn is_suspected(&self, id: &InstanceId) -> bool {
         self.suspected.contains_key(id)
     }
 
@@ -250,7 +250,7 @@
     }
 
     /// Returns the offset of the latest change.
-    pub fn learned(&self) -> u64 {
+    pub fn latest_offset(&self) -> u64 {
         self.latest_offset
     }
 
@@ -262,7 +262,7 @@
 
     /// Returns the heartbeats that were recorded after an offset, with their current age.
     pub fn after(&self, now: Duration, offset: u64) -> Vec<ReceivedHeartbeat> {
-        self.first_after(now, offset, usize::MAX).heard
+        self.first_after(now, offset, usize::MAX).received
     }
 
     /// Returns the first heartbeats that were recorded after an offset, with their current age: at most
@@ -290,7 +290,7 @@
                 age: now.saturating_sub(entry.received_at),
             });
         FactBatch {
-            heard: received.collect(),
+            received: received.collect(),
             offset: end_offset,
             more,
         }
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -273,7 +273,7 @@
     /// None is marked while no controller could have reported them: while the control plane is unreachable,
     /// missing heartbeats are no evidence.
     pub fn update_suspected_instances(&mut self, now: Duration) -> Vec<InstanceId> {
-        let timeout = self.instances.span;
+        let timeout = self.instances.timeout;
         if now.saturating_sub(self.last_useful_response_at) >= CONTROLLER_TIMEOUT {
             self.quorum_since = None;
         }
@@ -397,7 +397,7 @@
         for fact in &granted.instances {
             self.instances.handle(now, &fact.clone().aged(took));
         }
-        for id in &granted.gone {
+        for id in &granted.deregistered {
             self.instances.end(now, id);
         }
         for fact in &granted.members {
@@ -506,15 +506,15 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        vote: &ConsensusMessage,
+        message: &ConsensusMessage,
     ) -> CatchUpStep {
-        match vote {
+        match message {
             ConsensusMessage::Chunk { chunk } => self.handle_chunk(now, from, chunk.clone()),
             ConsensusMessage::Updates { map, .. }
             | ConsensusMessage::ReducedUpdates { map, .. }
                 if self.catch_up.is_receiving(*map) =>
             {
-                let moved = self.feed_cache.take(vote);
+                let moved = self.feed_cache.take(message);
                 let local_version = self.local_version(*map);
                 let request =
                     self.catch_up
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -17,7 +17,7 @@
     /// The highest offset that was assigned to a change.
     latest_offset: u64,
     /// How long a member that reports no change need not be forwarded to followers.
-    pub refresh: Duration,
+    pub refresh_interval: Duration,
 }
 
 impl Members {
@@ -29,8 +29,8 @@
         }
         let node = received.member.node;
         if let Some(entry) = self.known.get(&node) {
-            let reported = (received.member.counter, received.member.silent);
-            if reported <= (entry.fact.counter, entry.fact.silent) {
+            let reported = (received.member.counter, received.member.suspected);
+            if reported <= (entry.fact.counter, entry.fact.suspected) {
                 return false;
             }
         } else {
@@ -50,8 +50,8 @@
             reported.ready == previous.ready
                 && reported.draining == previous.draining
                 && reported.serving == previous.serving
-                && reported.stands == previous.stands
-                && now.saturating_sub(entry.notified_at) < self.refresh
+                && reported.client_zones == previous.client_zones
+                && now.saturating_sub(entry.notified_at) < self.refresh_interval
         });
         let (offset, notified_at) = match unchanged {
             Some(entry) => (entry.offset, entry.notified_at),
@@ -81,7 +81,7 @@
             return;
         };
         entry.fact.ready = false;
-        entry.fact.silent = true;
+        entry.fact.suspected = true;
         self.latest_offset += 1;
         entry.offset = self.latest_offset;
         entry.notified_at = now;
@@ -101,7 +101,7 @@
     }
 
     /// Returns the offset of the latest change.
-    pub fn learned(&self) -> u64 {
+    pub fn latest_offset(&self) -> u64 {
         self.latest_offset
     }
 
@@ -112,7 +112,7 @@
 
     /// Returns the members that were recorded after an offset, with the current age of each report.
     pub fn after(&self, now: Duration, offset: u64) -> Vec<ReceivedMember> {
-        self.first_after(now, offset, usize::MAX).heard
+        self.first_after(now, offset, usize::MAX).received
     }
 
     /// Returns the first members that were recorded after an offset, at most `max_count`, with the
@@ -130,7 +130,7 @@
             age: now.saturating_sub(entry.received_at),
         });
         FactBatch {
-            heard: received.collect(),
+            received: received.collect(),
             offset: last.filter(|_| more).unwrap_or(self.latest_offset),
             more,
         }
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -72,7 +72,7 @@
         7 updates: Vec<ConsensusMessage>,
         8 assured: bool,
         /// Instances that have deregistered.
-        9 gone: Vec<InstanceId>,
+        9 deregistered: Vec<InstanceId>,
         /// How many proxies are ready, or were when that was last recorded.
         10 proxies: u32,
         /// Maps that are too large for this message: the follower has to fetch them in chunks.
@@ -130,12 +130,12 @@
         /// slow link.
         10 link_slow_for: Duration,
         /// Those of the instances in this message that are suspected because of missing heartbeats.
-        11 silent: Vec<InstanceId>,
+        11 suspected: Vec<InstanceId>,
     }
 
     /// A message between two of our own processes.
     enum Message {
-        0 ConsensusMessage { 0 vote: ConsensusMessage },
+        0 ConsensusMessage { 0 message: ConsensusMessage },
         1 QuorumReadRequest { 0 number: u64 },
         /// The versions in memory, which count for reads and leases, and the versions that are synced to disk.
         2 QuorumReadResponse { 0 number: u64, 1 versions: Vec<Version>, 2 synced: Option<Vec<Version>> },
@@ -143,10 +143,10 @@
         4 SeedResponse { 0 zone: Zone, 1 founded: bool },
         5 FoundingRequest { 0 founding: Founding },
         6 FoundingResponse { 0 attempt: u64 },
-        7 Facts { 0 instances: Vec<ReceivedHeartbeat>, 1 members: Vec<ReceivedMember>, 2 gone: Vec<InstanceId> },
+        7 Facts { 0 instances: Vec<ReceivedHeartbeat>, 1 members: Vec<ReceivedMember>, 2 deregistered: Vec<InstanceId> },
         8 Renew { 0 renewal: Renewal },
         9 Grant { 0 granted: Granted },
-        10 HeartbeatForward { 0 ticket: u64, 1 heard: ReceivedHeartbeat },
+        10 HeartbeatForward { 0 ticket: u64, 1 received: ReceivedHeartbeat },
         11 HeartbeatReply { 0 ticket: u64, 1 response: HeartbeatResponse },
         12 Pull { 0 pull: Pull },
         13 View { 0 view: ProxyView },
--- a/crates/caperworks/src/ownership/key_range_state.rs
+++ b/crates/caperworks/src/ownership/key_range_state.rs
@@ -74,7 +74,7 @@
     ) {
         let is_in_use = heartbeat.key_ranges_in_use.contains(&key_range);
         let release = heartbeat
-            .let_go
+            .released
             .iter()
             .find(|entry| entry.key_range == key_range && self.is_released_by(entry, heartbeat));
         if self.is_releasing && (release.is_some() || absence_is_release) && !is_in_use {
--- a/crates/caperworks/src/placement/demand.rs
+++ b/crates/caperworks/src/placement/demand.rs
@@ -50,7 +50,7 @@
     /// the host's first route, see [`first_routes_of_hosts`](super::hosts::first_routes_of_hosts).
     pub(super) fn update(&mut self, now: Duration, view: &ProblemView<'_>) {
         let reports = sum_reports(view);
-        for reported in view.members.iter().flat_map(|member| &member.stands) {
+        for reported in view.members.iter().flat_map(|member| &member.client_zones) {
             self.client_zones
                 .insert(reported.group.clone(), reported.zone.clone());
         }
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -49,9 +49,9 @@
         demand: Vec::new(),
         versions: vec![Version(0); ALL_MAPS.len()],
         draining: false,
-        stands: Vec::new(),
+        client_zones: Vec::new(),
         demand_unchanged: false,
-        silent: false,
+        suspected: false,
     }
 }
 
@@ -68,7 +68,7 @@
         load: 0,
         up: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     };
     let age = Duration::ZERO;
@@ -87,7 +87,7 @@
         members_offset: offset,
         updates: Vec::new(),
         assured: true,
-        gone: Vec::new(),
+        deregistered: Vec::new(),
         proxies: 1,
         in_chunks: Vec::new(),
         more: false,
@@ -294,8 +294,8 @@
     let reported = |offset: u64| {
         let first = instances.first_after(millis(1100), offset, 16);
         let drains = |fact: &&ReceivedHeartbeat| fact.heartbeat.state == InstanceState::Draining;
-        let draining = first.heard.iter().filter(drains).count();
-        (first.heard.len(), draining, first.offset, first.more)
+        let draining = first.received.iter().filter(drains).count();
+        (first.received.len(), draining, first.offset, first.more)
     };
     assert_eq!(reported(0), (17, 1, 16, true));
     assert_eq!(reported(16), (17, 1, 32, true));
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -189,7 +189,7 @@
         instances_offset: 1,
         all_instances: true,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
         number: 1,
         left: millis(3000),
         updates: vec![ConsensusMessage::Snapshot {
@@ -218,7 +218,7 @@
         load: 0,
         up: millis(up),
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -452,7 +452,7 @@
         instances_offset: 1,
         all_instances: true,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
         number,
         left: millis(3000),
         updates: Vec::new(),
@@ -535,7 +535,7 @@
         instances_offset: number,
         all_instances: false,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
         number,
         left: millis(60_000),
         updates,
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -35,7 +35,7 @@
         load: 0,
         up: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -56,7 +56,7 @@
 /// Returns instances of which unchanged heartbeats are forwarded every two seconds.
 fn instances_with_refresh() -> Instances {
     let mut instances = Instances::default();
-    instances.refresh = millis(2000);
+    instances.refresh_interval = millis(2000);
     instances
 }
 
@@ -64,7 +64,7 @@
 fn unchanged_heartbeats_are_forwarded_once_per_refresh_interval() {
     let mut instances = instances_with_refresh();
     assert!(receive(&mut instances, millis(1000), heartbeat("one", 1)));
-    let offset = instances.learned();
+    let offset = instances.latest_offset();
     assert_eq!(reported(&instances, millis(1000), 0), ["one"]);
     for step in 1..20 {
         let now = millis(1000 + 100 * step);
@@ -77,7 +77,7 @@
             receive(&mut instances, now, unchanged),
             "it is merged nevertheless"
         );
-        assert_eq!(instances.learned(), offset, "{now:?}");
+        assert_eq!(instances.latest_offset(), offset, "{now:?}");
         assert_eq!(reported(&instances, now, offset), Vec::<String>::new());
         // A follower that does not know the instance gets the latest heartbeat with its age.
         let first = instances.after(now, 0);
@@ -89,9 +89,9 @@
     assert!(receive(&mut instances, millis(3000), heartbeat("one", 30)));
     assert_eq!(reported(&instances, millis(3000), offset), ["one"]);
     // The refresh interval starts again then.
-    let offset = instances.learned();
+    let offset = instances.latest_offset();
     assert!(receive(&mut instances, millis(4999), heartbeat("one", 31)));
-    assert_eq!(instances.learned(), offset);
+    assert_eq!(instances.latest_offset(), offset);
     assert!(receive(&mut instances, millis(5000), heartbeat("one", 32)));
     assert_eq!(reported(&instances, millis(5000), offset), ["one"]);
 }
@@ -120,32 +120,32 @@
     for (name, change) in changes {
         let mut instances = instances_with_refresh();
         receive(&mut instances, millis(1000), heartbeat("one", 1));
-        let offset = instances.learned();
+        let offset = instances.latest_offset();
         let mut changed = heartbeat("one", 2);
         change(&mut changed);
         assert!(
             receive(&mut instances, millis(1001), changed.clone()),
             "{name}"
         );
-        assert!(instances.learned() > offset, "{name}");
+        assert!(instances.latest_offset() > offset, "{name}");
         let after = instances.after(millis(1001), offset);
         assert_eq!(after.len(), 1, "{name}");
         assert_eq!(after[0].heartbeat, changed, "{name}");
         // It is forwarded at once when it changes back, but not when it is repeated without a change.
-        let offset = instances.learned();
+        let offset = instances.latest_offset();
         let same = Heartbeat {
             counter: 3,
             ..changed.clone()
         };
         receive(&mut instances, millis(1002), same);
-        assert_eq!(instances.learned(), offset, "{name}");
+        assert_eq!(instances.latest_offset(), offset, "{name}");
         let back = Heartbeat {
             incarnation: changed.incarnation,
             ..heartbeat("one", 4)
         };
         receive(&mut instances, millis(1003), back);
         let expected = u64::from(name != "incarnation");
-        assert_eq!(instances.learned() - offset, expected, "{name}");
+        assert_eq!(instances.latest_offset() - offset, expected, "{name}");
     }
 }
 
@@ -157,10 +157,10 @@
         ..heartbeat("one", counter)
     };
     receive(&mut instances, millis(1000), warming(1, 900));
-    let offset = instances.learned();
+    let offset = instances.latest_offset();
     receive(&mut instances, millis(1300), warming(2, 600));
     receive(&mut instances, millis(1600), warming(3, 300));
-    assert_eq!(instances.learned(), offset);
+    assert_eq!(instances.latest_offset(), offset);
     receive(&mut instances, millis(1900), warming(4, 0));
     assert_eq!(reported(&instances, millis(1900), offset), ["one"]);
 }
@@ -171,13 +171,21 @@
     receive(&mut instances, millis(1000), heartbeat("one", 1));
     receive(&mut instances, millis(1000), heartbeat("two", 1));
     receive(&mut instances, millis(1000), heartbeat("three", 1));
-    assert_eq!(instances.removed(), 0, "nothing was removed yet");
-    let mut offsets = vec![instances.learned()];
+    assert_eq!(
+        instances.latest_removal_offset(),
+        0,
+        "nothing was removed yet"
+    );
+    let mut offsets = vec![instances.latest_offset()];
     let mut assert_removal = |instances: &Instances, what: &str| {
         let last = offsets[offsets.len() - 1];
-        assert!(instances.removed() > last, "{what}");
-        assert_eq!(instances.removed(), instances.learned(), "{what}");
-        offsets.push(instances.learned());
+        assert!(instances.latest_removal_offset() > last, "{what}");
+        assert_eq!(
+            instances.latest_removal_offset(),
+            instances.latest_offset(),
+            "{what}"
+        );
+        offsets.push(instances.latest_offset());
     };
     // The kinds: a known instance terminates, an unknown one does, an address gets another instance, and
     // heartbeats are overdue.
@@ -189,29 +197,39 @@
         address: heartbeat("two", 1).address,
         ..heartbeat("four", 1)
     };
-    let offset = instances.learned();
+    let offset = instances.latest_offset();
     assert!(receive(&mut instances, millis(1300), successor));
-    assert!(instances.removed() > offset, "another has its address");
+    assert!(
+        instances.latest_removal_offset() > offset,
+        "another has its address"
+    );
     assert_eq!(instances.get(&InstanceId::new("two")), None);
-    let offset = instances.removed();
+    let offset = instances.latest_removal_offset();
     assert_eq!(instances.expire(millis(3999)), []);
     assert!(!instances.end(millis(3999), &InstanceId::new("one")));
-    assert_eq!(instances.removed(), offset, "nothing was removed");
+    assert_eq!(
+        instances.latest_removal_offset(),
+        offset,
+        "nothing was removed"
+    );
     assert_eq!(instances.expire(millis(4000)), [InstanceId::new("three")]);
-    assert!(instances.removed() > offset, "its heartbeats are overdue");
-    assert_eq!(instances.removed(), instances.learned());
+    assert!(
+        instances.latest_removal_offset() > offset,
+        "its heartbeats are overdue"
+    );
+    assert_eq!(instances.latest_removal_offset(), instances.latest_offset());
     // A new heartbeat is no removal.
-    let offset = instances.removed();
+    let offset = instances.latest_removal_offset();
     receive(&mut instances, millis(4100), heartbeat("five", 1));
-    assert_eq!(instances.removed(), offset);
+    assert_eq!(instances.latest_removal_offset(), offset);
 }
 
 fn member(node: u64, counter: u64) -> Member {
     let address = SocketAddr::from(([127, 0, 0, 1], 6500 + node as u16));
     Member {
         demand_unchanged: false,
-        silent: false,
-        stands: Vec::new(),
+        suspected: false,
+        client_zones: Vec::new(),
         node: NodeId(node),
         counter,
         role: Role::Proxy,
@@ -239,11 +257,11 @@
 #[test]
 fn suspected_member_is_ready_again_after_renewal() {
     let mut members = Members::default();
-    members.refresh = millis(1500);
+    members.refresh_interval = millis(1500);
     for node in [1, 2] {
         renew(&mut members, millis(1000), member(node, 5));
     }
-    let offset = members.learned();
+    let offset = members.latest_offset();
     members.mark_suspected(millis(2000), NodeId(1));
     assert_eq!(ready(&members), [2]);
     // Followers are notified at once, and only once.
@@ -253,10 +271,10 @@
         (after[0].member.node, after[0].member.ready),
         (NodeId(1), false)
     );
-    let offset = members.learned();
+    let offset = members.latest_offset();
     members.mark_suspected(millis(2100), NodeId(1));
     members.mark_suspected(millis(2100), NodeId(7));
-    assert_eq!(members.learned(), offset);
+    assert_eq!(members.latest_offset(), offset);
     // A late renewal from before the suspicion changes nothing.
     assert!(!renew(&mut members, millis(2200), member(1, 4)));
     assert!(!renew(&mut members, millis(2200), member(1, 5)));
@@ -306,7 +324,7 @@
         instances_offset: number,
         all_instances: all,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
         number,
         left: millis(3000),
         updates: Vec::new(),
@@ -387,7 +405,7 @@
             members_offset: 0,
             updates: Vec::new(),
             assured: true,
-            gone: Vec::new(),
+            deregistered: Vec::new(),
             in_chunks: Vec::new(),
             more: false,
         };
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -109,7 +109,7 @@
             members_offset: 0,
             updates,
             assured: true,
-            gone: Vec::new(),
+            deregistered: Vec::new(),
             proxies: 1,
             in_chunks,
             more,
@@ -169,9 +169,9 @@
             demand: Vec::new(),
             versions: self.link.versions(),
             draining: false,
-            stands: Vec::new(),
+            client_zones: Vec::new(),
             demand_unchanged: false,
-            silent: false,
+            suspected: false,
         }
     }
 
@@ -188,14 +188,14 @@
 
     fn send_requests(&mut self, requests: impl IntoIterator<Item = CatchUpRequest>) {
         for request in requests {
-            let vote = request.message();
-            self.send(request.to, Message::ConsensusMessage { vote });
+            let message = request.message();
+            self.send(request.to, Message::ConsensusMessage { message });
         }
     }
 
     fn send_response(&mut self, controller: usize, mut message: Message) {
         if let Message::ConsensusMessage {
-            vote: ConsensusMessage::Chunk { chunk },
+            message: ConsensusMessage::Chunk { chunk },
         } = &mut message
         {
             self.chunks += 1;
@@ -226,14 +226,14 @@
                 granted: index.grant(now, renewal),
             },
             Message::ConsensusMessage {
-                vote:
+                message:
                     ConsensusMessage::CatchUp {
                         map,
                         after,
                         position: Some(position),
                     },
             } => Message::ConsensusMessage {
-                vote: index
+                message: index
                     .sender
                     .respond(now, &index.voter, *map, *after, *position),
             },
@@ -254,9 +254,9 @@
                 let requests = self.link.fetch_in_chunks(self.now, from, granted);
                 self.send_requests(requests);
             }
-            Message::ConsensusMessage { vote } => {
+            Message::ConsensusMessage { message } => {
                 let from = address(controller);
-                let step = self.link.handle_catch_up(self.now, from, vote);
+                let step = self.link.handle_catch_up(self.now, from, message);
                 self.rejected
                     .extend(step.refused.map(|refused| refused.why));
                 self.send_requests(step.request);
@@ -394,10 +394,11 @@
         transfer: 1,
         ..TransferPosition::default()
     };
-    let vote = controller
-        .sender
-        .respond(world.now, &controller.voter, MAP, Version(0), position);
-    let step = world.link.handle_catch_up(world.now, address(0), &vote);
+    let message =
+        controller
+            .sender
+            .respond(world.now, &controller.voter, MAP, Version(0), position);
+    let step = world.link.handle_catch_up(world.now, address(0), &message);
     let error = step.refused.map(|refused| refused.why);
     assert_eq!(error, Some(ChunkError::NotRequested));
     assert_eq!(world.held().version, before);
--- a/crates/caperworks/tests/instance_termination.rs
+++ b/crates/caperworks/tests/instance_termination.rs
@@ -32,7 +32,7 @@
             load: 0,
             up: Duration::MAX,
             key_ranges_in_use: Vec::new(),
-            let_go: Vec::new(),
+            released: Vec::new(),
             warm_up_left: Duration::ZERO,
         },
         age: Duration::ZERO,
@@ -73,12 +73,12 @@
     let (one, two) = (InstanceId::new("one"), InstanceId::new("two"));
     instances.handle(millis(100), &heartbeat("one", 1));
     instances.end(millis(200), &one);
-    let offset = instances.learned();
+    let offset = instances.latest_offset();
     instances.end(millis(300), &two);
     let now = millis(400);
     assert_eq!(instances.ended_after(now, 0), [one, two.clone()]);
     assert_eq!(instances.ended_after(now, offset), [two]);
-    let updates = instances.learned();
+    let updates = instances.latest_offset();
     assert_eq!(instances.ended_after(now, updates), []);
     assert_eq!(instances.after(now, 0), []);
 }
@@ -99,9 +99,9 @@
 fn member() -> Member {
     let address = SocketAddr::from(([127, 0, 0, 1], 6500));
     Member {
-        stands: Vec::new(),
+        client_zones: Vec::new(),
         demand_unchanged: false,
-        silent: false,
+        suspected: false,
         node: NodeId(9),
         counter: 1,
         role: Role::Proxy,
@@ -136,7 +136,7 @@
         members_offset: 0,
         updates: Vec::new(),
         assured,
-        gone: Vec::new(),
+        deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
     }
@@ -149,7 +149,7 @@
     let number = renewal_number(&mut link, millis(100));
     let reported = Granted {
         instances: vec![heartbeat("one", 5), heartbeat("two", 1)],
-        gone: vec![InstanceId::new("one")],
+        deregistered: vec![InstanceId::new("one")],
         ..grant(number, true)
     };
     link.granted(millis(120), responder(1), &reported);
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -36,7 +36,7 @@
         load: 0,
         up,
         key_ranges_in_use,
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -76,7 +76,7 @@
     fn heartbeat(&mut self, now: Duration, name: &str, up: Duration) {
         let held_leases = self.held_leases.entry(name.to_string()).or_default();
         let mut heartbeat = heartbeat(name, up, held_leases.key_ranges_in_use(now));
-        heartbeat.let_go = held_leases.let_go();
+        heartbeat.released = held_leases.let_go();
         let age = Duration::ZERO;
         self.instances.handle(
             now,
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -153,7 +153,7 @@
             load: 0,
             up: Duration::MAX,
             key_ranges_in_use: instance.key_ranges_in_use.iter().copied().collect(),
-            let_go: instance
+            released: instance
                 .released
                 .iter()
                 .map(|(key_range, handover)| ReleasedKeyRange {
@@ -363,7 +363,7 @@
     // A heartbeat from before the current lease: it reports an earlier release and no key range in use.
     let mut late = bench.next_heartbeat("a");
     late.key_ranges_in_use.clear();
-    late.let_go = vec![ReleasedKeyRange {
+    late.released = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
         handover: Some("of an earlier time".to_string()),
@@ -398,7 +398,7 @@
             .map(|_| {
                 let mut heartbeat = bench.next_heartbeat("a");
                 heartbeat.key_ranges_in_use.clear();
-                heartbeat.let_go = vec![ReleasedKeyRange {
+                heartbeat.released = vec![ReleasedKeyRange {
                     key_range: 0,
                     epoch: None,
                     handover: None,
@@ -440,7 +440,7 @@
     bench.run(seconds(2), &["b"], 1);
     let mut heartbeat = bench.next_heartbeat("a");
     heartbeat.key_ranges_in_use.clear();
-    heartbeat.let_go = vec![ReleasedKeyRange {
+    heartbeat.released = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
         handover: None,
--- a/crates/caperworks/tests/placement.rs
+++ b/crates/caperworks/tests/placement.rs
@@ -291,9 +291,9 @@
             locality: Duration::from_millis(if zone.starts_with('e') { 2 } else { 50 }),
         };
         let member = Member {
-            stands: Vec::new(),
+            client_zones: Vec::new(),
             demand_unchanged: false,
-            silent: false,
+            suspected: false,
             node: NodeId(stable_hash(zone)),
             counter: self.counter,
             role: Role::Proxy,
@@ -334,7 +334,7 @@
             load: 0,
             up: Duration::from_secs(60),
             key_ranges_in_use: Vec::new(),
-            let_go: Vec::new(),
+            released: Vec::new(),
             warm_up_left: Duration::ZERO,
         };
         let now = Duration::from_secs(1);
@@ -512,8 +512,8 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 8999));
     let member = Member {
         demand_unchanged: false,
-        silent: false,
-        stands: vec![GroupZone {
+        suspected: false,
+        client_zones: vec![GroupZone {
             group: "10.1.2.0/24".to_string(),
             zone: Zone::new(zone),
         }],
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -63,7 +63,7 @@
         load: 0,
         up: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -144,7 +144,7 @@
             instances_offset: 1,
             all_instances: true,
             link_slow_for: self.link_slow_for,
-            silent: Vec::new(),
+            suspected: Vec::new(),
             number: self.views,
             left: millis(3000),
             configuration: full_map.version,
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -77,7 +77,7 @@
         instances_offset: 0,
         all_instances: true,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
     }
 }
 
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -655,7 +655,7 @@
             load: 0,
             up: Duration::ZERO,
             key_ranges_in_use: Vec::new(),
-            let_go: Vec::new(),
+            released: Vec::new(),
             warm_up_left: Duration::ZERO,
         },
         age: Duration::ZERO,
@@ -761,7 +761,7 @@
         echo: Some(Echo { stamp, held }),
         is_bidirectional: true,
         message: Message::ConsensusMessage {
-            vote: ConsensusMessage::Accept {
+            message: ConsensusMessage::Accept {
                 map: MapName::Membership,
                 membership: Version(3),
                 version: Version(4),
--- a/crates/caperworks/tests/suspected_instances.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -38,7 +38,7 @@
         load: 0,
         up: millis(60_000),
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -119,7 +119,7 @@
             instances_offset: self.views,
             all_instances: all,
             link_slow_for: Duration::ZERO,
-            silent: suspected
+            suspected: suspected
                 .iter()
                 .map(|name| InstanceId::new(*name))
                 .collect(),
@@ -255,11 +255,11 @@
     let mut instances = Instances::default();
     let id = InstanceId::new("a");
     instances.handle(millis(1000), &received_heartbeat("a", 1));
-    let offset = instances.learned();
+    let offset = instances.latest_offset();
     let suspected_at = millis(1000) + INSTANCE_TIMEOUT;
     assert_eq!(instances.mark_suspected(suspected_at - millis(1)), []);
     assert_eq!(instances.mark_suspected(suspected_at), vec![id.clone()]);
-    assert!(instances.is_silent(&id));
+    assert!(instances.is_suspected(&id));
     let reported = instances.after(suspected_at, offset);
     assert_eq!(reported.len(), 1, "followers are notified");
     assert_eq!(
@@ -270,19 +270,19 @@
     let forgotten_at = suspected_at + SUSPECTED_RETENTION;
     instances.mark_suspected(forgotten_at);
     assert!(instances.get(&id).is_none());
-    assert!(!instances.is_silent(&id));
+    assert!(!instances.is_suspected(&id));
 }
 
 #[test]
 fn resumed_heartbeats_are_reported_to_followers_without_other_changes() {
     let mut instances = Instances::default();
-    instances.refresh = millis(60_000);
+    instances.refresh_interval = millis(60_000);
     instances.handle(millis(1000), &received_heartbeat("a", 1));
     instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
-    let offset = instances.learned();
+    let offset = instances.latest_offset();
     let resumed_at = millis(5000);
     assert!(instances.handle(resumed_at, &received_heartbeat("a", 2)));
-    assert!(!instances.is_silent(&InstanceId::new("a")));
+    assert!(!instances.is_suspected(&InstanceId::new("a")));
     assert_eq!(instances.after(resumed_at, offset).len(), 1);
 }
 
@@ -294,7 +294,7 @@
     instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
     instances.end(millis(4500), &id);
     assert!(instances.get(&id).is_none());
-    assert!(!instances.is_silent(&id));
+    assert!(!instances.is_suspected(&id));
 }
 
 #[test]
@@ -306,7 +306,7 @@
     successor.heartbeat.address = heartbeat("a", 1).address;
     assert!(instances.handle(millis(4500), &successor));
     assert!(instances.get(&InstanceId::new("a")).is_none());
-    assert!(!instances.is_silent(&InstanceId::new("a")));
+    assert!(!instances.is_suspected(&InstanceId::new("a")));
 }
 
 #[test]
@@ -325,7 +325,7 @@
     let id = InstanceId::new("a");
     let known = instances.get(&id).map(|known| known.incarnation);
     assert_eq!(known, Some(Incarnation(1)));
-    assert!(!instances.is_silent(&id));
+    assert!(!instances.is_suspected(&id));
 }
 
 #[test]
@@ -335,7 +335,7 @@
     let resumed_at = millis(1000) + INSTANCE_TIMEOUT + SUSPECTED_RETENTION * 2;
     let id = InstanceId::new("a");
     assert_eq!(instances.mark_suspected(resumed_at), vec![id.clone()]);
-    assert!(instances.is_silent(&id));
+    assert!(instances.is_suspected(&id));
     instances.mark_suspected(resumed_at + SUSPECTED_RETENTION - millis(1));
     assert!(instances.get(&id).is_some());
     instances.mark_suspected(resumed_at + SUSPECTED_RETENTION);
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -494,7 +494,7 @@
         load: 7,
         up: millis(123_456),
         key_ranges_in_use: vec![1, 5],
-        let_go: vec![ReleasedKeyRange {
+        released: vec![ReleasedKeyRange {
             key_range: 9,
             epoch: Some(Epoch(2)),
             handover: Some("offset 12".to_string()),
@@ -539,12 +539,12 @@
         demand: vec![demand()],
         versions: vec![Version(1), Version(2), Version(3), Version(4)],
         draining: true,
-        stands: vec![GroupZone {
+        client_zones: vec![GroupZone {
             group: "mobile".to_string(),
             zone: Zone::from("north-a"),
         }],
         demand_unchanged: true,
-        silent: true,
+        suspected: true,
     }
 }
 
@@ -629,7 +629,7 @@
                     members_offset: 201,
                     updates: vec![consensus_message()],
                     assured: true,
-                    gone: vec![InstanceId::from("cart-2")],
+                    deregistered: vec![InstanceId::from("cart-2")],
                     proxies: 12,
                     in_chunks: vec![MapName::Placement],
                     more: true,
@@ -669,7 +669,7 @@
                     instances_offset: 303,
                     all_instances: true,
                     link_slow_for: millis(1100),
-                    silent: vec![InstanceId::from("cart-3")],
+                    suspected: vec![InstanceId::from("cart-3")],
                 },
             },
         ),
@@ -682,7 +682,7 @@
         (
             "0",
             Message::ConsensusMessage {
-                vote: consensus_message(),
+                message: consensus_message(),
             },
         ),
         ("1", Message::QuorumReadRequest { number: 61 }),
@@ -723,14 +723,14 @@
             Message::Facts {
                 instances: received_heartbeats(),
                 members: received_members(),
-                gone: vec![InstanceId::from("cart-2")],
+                deregistered: vec![InstanceId::from("cart-2")],
             },
         ),
         (
             "10",
             Message::HeartbeatForward {
                 ticket: 81,
-                heard: received_heartbeats().remove(1),
+                received: received_heartbeats().remove(1),
             },
         ),
         (
--- a/crates/controller/src/consensus/founding.rs
+++ b/crates/controller/src/consensus/founding.rs
@@ -164,12 +164,12 @@
         guards: Vec::new(),
     };
     for voter in &founding.voters.holders {
-        let vote = ConsensusMessage::Commit {
+        let message = ConsensusMessage::Commit {
             map: MapName::Membership,
             version: Version(1),
             change: change.clone(),
         };
-        state.send(voter.address, Message::ConsensusMessage { vote });
+        state.send(voter.address, Message::ConsensusMessage { message });
     }
     state.log_event(Event::Founded);
 }
--- a/crates/controller/src/consensus/mod.rs
+++ b/crates/controller/src/consensus/mod.rs
@@ -111,7 +111,7 @@
         } else if snapshot_transfer::may_send(state, reply_to, delivery, &reply) {
             outputs.push(ControllerOutput::Send {
                 to: reply_to,
-                message: Message::ConsensusMessage { vote: reply },
+                message: Message::ConsensusMessage { message: reply },
             });
         }
     }
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -61,7 +61,7 @@
         return;
     };
     if may_send(state, to, Delivery::Unrequested, &message) {
-        state.send(to, Message::ConsensusMessage { vote: message });
+        state.send(to, Message::ConsensusMessage { message });
     }
 }
 
@@ -72,8 +72,8 @@
     let is_commit = matches!(message, ConsensusMessage::Commit { .. });
     let to_own = (is_commit && !voters.contains(&own)).then_some(own);
     for to in voters.iter().copied().chain(to_own) {
-        let vote = message.clone();
-        state.send(to, Message::ConsensusMessage { vote });
+        let message = message.clone();
+        state.send(to, Message::ConsensusMessage { message });
     }
 }
 
--- a/crates/controller/src/consensus/snapshot_transfer.rs
+++ b/crates/controller/src/consensus/snapshot_transfer.rs
@@ -43,10 +43,10 @@
     after: Version,
     position: TransferPosition,
 ) {
-    let vote = state
+    let message = state
         .snapshots
         .respond(state.now, &state.voter, map, after, position);
-    state.send(to, Message::ConsensusMessage { vote });
+    state.send(to, Message::ConsensusMessage { message });
 }
 
 /// Stores a chunk of a snapshot and requests the next one. Returns the snapshot once it is complete and its
@@ -110,7 +110,7 @@
 
 fn send_request(state: &mut ControllerState, request: Option<CatchUpRequest>) {
     if let Some(request) = request {
-        let vote = request.message();
-        state.send(request.to, Message::ConsensusMessage { vote });
+        let message = request.message();
+        state.send(request.to, Message::ConsensusMessage { message });
     }
 }
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -71,8 +71,8 @@
     }
     state.fact_exchange.next_exchange_at = state.now + EXCHANGE_INTERVAL;
     let present = SentOffsets {
-        instances: state.instances.learned(),
-        members: state.members.learned(),
+        instances: state.instances.latest_offset(),
+        members: state.members.latest_offset(),
     };
     for to in state.other_controllers() {
         if !state.fact_exchange.is_reachable(state.now, &to) {
@@ -88,15 +88,15 @@
 
 fn send_facts_after(state: &mut ControllerState, to: SocketAddr, offset: SentOffsets) {
     let instances = state.instances.after(state.now, offset.instances);
-    let gone = state.instances.ended_after(state.now, offset.instances);
+    let deregistered = state.instances.ended_after(state.now, offset.instances);
     let members = state.members.after(state.now, offset.members);
-    if instances.is_empty() && members.is_empty() && gone.is_empty() {
+    if instances.is_empty() && members.is_empty() && deregistered.is_empty() {
         return;
     }
     let message = Message::Facts {
         instances,
         members,
-        gone,
+        deregistered,
     };
     state.send(to, message);
 }
@@ -108,7 +108,7 @@
     state: &mut ControllerState,
     instances: Vec<ReceivedHeartbeat>,
     members: Vec<ReceivedMember>,
-    gone: Vec<InstanceId>,
+    deregistered: Vec<InstanceId>,
     age: Option<Duration>,
 ) {
     let Some(age) = age else {
@@ -117,7 +117,7 @@
     for received in instances {
         state.instances.handle(state.now, &received.aged(age));
     }
-    for id in gone {
+    for id in deregistered {
         state.instances.end(state.now, &id);
     }
     for received in members {
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -111,13 +111,7 @@
     }
     if let Some(to) = requirements.owner_manager {
         let ticket = number;
-        state.send(
-            to,
-            Message::HeartbeatForward {
-                ticket,
-                heard: received,
-            },
-        );
+        state.send(to, Message::HeartbeatForward { ticket, received });
     }
 }
 
@@ -358,7 +352,7 @@
     age: Option<Duration>,
 ) -> HeartbeatResponse {
     let received = age.map(|age| received.aged(age));
-    let lifetime = state.instances.span;
+    let lifetime = state.instances.timeout;
     let recent = received.filter(|received| received.age < lifetime);
     let Some(received) = recent else {
         return HeartbeatResponse::default();
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -74,11 +74,11 @@
         number: renewal.number,
         quorum_read_age,
         versions,
-        instances: instances.heard,
+        instances: instances.received,
         instances_offset: instances.offset,
-        gone: state.instances.ended_after(now, offsets.ended_instances),
+        deregistered: state.instances.ended_after(now, offsets.ended_instances),
         proxies,
-        members: members.heard,
+        members: members.received,
         members_offset: members.offset,
         updates,
         assured,
@@ -150,7 +150,7 @@
     max_facts: usize,
 ) -> FactBatch<ReceivedHeartbeat> {
     if role == Role::Directory {
-        return FactBatch::none(state.instances.learned());
+        return FactBatch::none(state.instances.latest_offset());
     }
     let first = state
         .instances
@@ -160,7 +160,7 @@
             .instances
             .draining_between(state.now, offsets.ended_instances, offsets.instances);
     FactBatch {
-        heard: draining.into_iter().chain(first.heard).collect(),
+        received: draining.into_iter().chain(first.received).collect(),
         ..first
     }
 }
@@ -176,12 +176,12 @@
     max_facts: usize,
 ) -> FactBatch<ReceivedMember> {
     if role == Role::Proxy {
-        return FactBatch::none(state.members.learned());
+        return FactBatch::none(state.members.latest_offset());
     }
     let mut members = state
         .members
         .first_after(state.now, members_after, max_facts);
-    for received in &mut members.heard {
+    for received in &mut members.received {
         received.member.demand.clear();
     }
     members
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -169,10 +169,10 @@
             .collect();
         let leaderships = LEADERSHIPS.iter().map(|name| LeadershipWatch::new(name));
         let mut instances = Instances::default();
-        instances.span = options.core.instance_timeout;
-        instances.refresh = options.core.heartbeat_refresh;
+        instances.timeout = options.core.instance_timeout;
+        instances.refresh_interval = options.core.heartbeat_refresh;
         let mut members = Members::default();
-        members.refresh = options.core.member_refresh;
+        members.refresh_interval = options.core.member_refresh;
         Self {
             now: Duration::ZERO,
             node,
--- a/crates/controller/src/state_machine/dispatch.rs
+++ b/crates/controller/src/state_machine/dispatch.rs
@@ -64,8 +64,8 @@
 fn handle_consensus(state: &mut ControllerState, sender: Sender, message: Message) {
     let Sender { from, reply_to } = sender;
     match message {
-        Message::ConsensusMessage { vote } => {
-            consensus::handle_message(state, from, reply_to, vote)
+        Message::ConsensusMessage { message } => {
+            consensus::handle_message(state, from, reply_to, message)
         }
         Message::QuorumReadRequest { number } => {
             quorum_reads::handle_request(state, reply_to, number)
@@ -115,8 +115,8 @@
         Message::Facts {
             instances,
             members,
-            gone,
-        } => fact_exchange::handle_facts(state, instances, members, gone, age),
+            deregistered,
+        } => fact_exchange::handle_facts(state, instances, members, deregistered, age),
         Message::ConfirmFact {
             number,
             heartbeat,
@@ -127,8 +127,8 @@
         Message::FactConfirmed { number } => {
             instance_calls::handle_confirmation(state, from, number);
         }
-        Message::HeartbeatForward { ticket, heard } => {
-            instance_calls::handle_forwarded_heartbeat(state, reply_to, ticket, heard, age);
+        Message::HeartbeatForward { ticket, received } => {
+            instance_calls::handle_forwarded_heartbeat(state, reply_to, ticket, received, age);
         }
         Message::HeartbeatReply { ticket, response } => {
             instance_calls::handle_owner_manager_response(state, ticket, response);
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -70,8 +70,8 @@
         self.requests + self.responses + self.chunks + self.full_maps
     }
 
-    fn count(&mut self, vote: &ConsensusMessage, bytes: usize) {
-        match vote {
+    fn count(&mut self, message: &ConsensusMessage, bytes: usize) {
+        match message {
             ConsensusMessage::CatchUp { .. } => self.requests += 1,
             ConsensusMessage::Updates { .. } => self.responses += 1,
             ConsensusMessage::Chunk { .. } => self.chunks += 1,
@@ -194,9 +194,9 @@
     }
 
     fn send(&mut self, index: usize, to: SocketAddr, mut message: Message) {
-        if let Message::ConsensusMessage { vote } = &mut message {
+        if let Message::ConsensusMessage { message } = &mut message {
             if let (ConsensusMessage::Chunk { chunk }, Some((receiver, corrupt))) =
-                (&mut *vote, self.corruption)
+                (&mut *message, self.corruption)
             {
                 if to == address(receiver) {
                     corrupt(chunk);
@@ -213,8 +213,8 @@
             let bytes = minicbor::to_vec(&envelope)
                 .expect("the envelope encodes")
                 .len();
-            if let Message::ConsensusMessage { vote } = &envelope.message {
-                self.traffic.count(vote, bytes);
+            if let Message::ConsensusMessage { message } = &envelope.message {
+                self.traffic.count(message, bytes);
             }
             let transfer_time = Duration::from_micros(bytes as u64 * 1_000_000 / rate);
             let free_at = self.link_free_at.entry((address(index), to)).or_default();
@@ -282,12 +282,12 @@
     }
 
     /// Delivers a message of the first controller to another one, and returns the resulting outputs.
-    fn deliver_to(&mut self, index: usize, vote: ConsensusMessage) -> Vec<ControllerOutput> {
+    fn deliver_to(&mut self, index: usize, message: ConsensusMessage) -> Vec<ControllerOutput> {
         let machine = self.nodes[0]
             .machine
             .as_ref()
             .expect("the controller is running");
-        let envelope = machine.seal(address(index), Message::ConsensusMessage { vote });
+        let envelope = machine.seal(address(index), Message::ConsensusMessage { message });
         self.input(index, ControllerInput::MessageReceived { envelope })
     }
 
@@ -317,9 +317,9 @@
             version,
             change,
         };
-        for vote in [prepare, accept, commit] {
+        for message in [prepare, accept, commit] {
             for index in 0..2 {
-                let outputs = self.deliver_to(index, vote.clone());
+                let outputs = self.deliver_to(index, message.clone());
                 self.carry_out(index, outputs);
                 self.deliver();
             }
@@ -484,7 +484,7 @@
         output,
         ControllerOutput::Send {
             message: Message::ConsensusMessage {
-                vote: ConsensusMessage::Promise { .. } | ConsensusMessage::Accepted { .. }
+                message: ConsensusMessage::Promise { .. } | ConsensusMessage::Accepted { .. }
             },
             ..
         }
@@ -512,13 +512,13 @@
         let state = fleet.state(0);
         let round = 2_000_000 + steps;
         let node = state.node;
-        let vote = ConsensusMessage::Prepare {
+        let message = ConsensusMessage::Prepare {
             map: MapName::Configuration,
             membership: state.map(MapName::Membership).version,
             version: state.map(MapName::Configuration).version.next(),
             proposal_number: ProposalNumber { round, node },
         };
-        let outputs = fleet.deliver_to(2, vote);
+        let outputs = fleet.deliver_to(2, message);
         let is_write = |output: &ControllerOutput| matches!(output, ControllerOutput::Write { .. });
         let is_vote = |output: &ControllerOutput| is_promise(output) || is_write(output);
         assert!(!outputs.iter().any(is_vote), "step {steps}: {outputs:?}");
--- a/crates/controller/tests/fleet/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -340,7 +340,7 @@
         load: 0,
         up: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
--- a/crates/controller/tests/fleet/follower.rs
+++ b/crates/controller/tests/fleet/follower.rs
@@ -45,9 +45,9 @@
             demand: Vec::new(),
             versions: self.link.versions(),
             draining: false,
-            stands: Vec::new(),
+            client_zones: Vec::new(),
             demand_unchanged: false,
-            silent: false,
+            suspected: false,
         }
     }
 
@@ -75,8 +75,8 @@
                 self.link.granted(now, responder, granted);
                 self.link.fetch_in_chunks(now, from, granted)
             }
-            Message::ConsensusMessage { vote } => {
-                let step = self.link.handle_catch_up(now, from, vote);
+            Message::ConsensusMessage { message } => {
+                let step = self.link.handle_catch_up(now, from, message);
                 step.request.into_iter().collect()
             }
             _ => Vec::new(),
@@ -102,6 +102,6 @@
 
 /// Returns the message that requests a chunk of a map, and its receiver.
 fn request_message(request: &CatchUpRequest) -> (SocketAddr, Message) {
-    let vote = request.message();
-    (request.to, Message::ConsensusMessage { vote })
+    let message = request.message();
+    (request.to, Message::ConsensusMessage { message })
 }
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -80,7 +80,7 @@
     outputs.extend(requests.into_iter().map(|request| DirectoryOutput::Send {
         to: request.to,
         message: Message::ConsensusMessage {
-            vote: request.message(),
+            message: request.message(),
         },
     }));
 }
@@ -117,7 +117,7 @@
         let node = NodeId(random.draw() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), random.draw())
             .with_form(FeedForm::Reduced);
-        link.members.refresh = options.member_refresh;
+        link.members.refresh_interval = options.member_refresh;
         Self {
             options,
             node,
@@ -205,8 +205,8 @@
             versions: self.link.versions(),
             draining: !self.ready,
             demand_unchanged: false,
-            silent: false,
-            stands: client_zones.collect(),
+            suspected: false,
+            client_zones: client_zones.collect(),
         }
     }
 
@@ -225,8 +225,8 @@
                 request_chunks(requests, outputs);
                 self.update_proxies(now, granted.assured);
             }
-            Message::ConsensusMessage { vote } => {
-                let step = self.link.handle_catch_up(now, from, &vote);
+            Message::ConsensusMessage { message } => {
+                let step = self.link.handle_catch_up(now, from, &message);
                 self.handle_map_updates(step.moved, outputs);
                 request_chunks(step.request, outputs);
                 if let Some(refused) = step.refused {
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -230,9 +230,9 @@
             })
             .collect();
         Member {
-            stands: Vec::new(),
+            client_zones: Vec::new(),
             demand_unchanged: false,
-            silent: false,
+            suspected: false,
             node: self.node,
             counter: self.counter,
             role: Role::Proxy,
@@ -314,7 +314,7 @@
                 self.fetch_in_chunks(now, envelope.reply_to, &granted);
             }
             Message::ConsensusMessage {
-                vote: ConsensusMessage::Chunk { chunk },
+                message: ConsensusMessage::Chunk { chunk },
             } => self.take_chunk(now, envelope.reply_to, &chunk),
             Message::FallbackRequest { ask } => {
                 // Why no word under any roster: hollow agents are to keep nobody fresh.
@@ -345,7 +345,7 @@
             after: self.versions[map.index()],
             position: Some(position),
         };
-        self.send(to, Message::ConsensusMessage { vote });
+        self.send(to, Message::ConsensusMessage { message: vote });
     }
 
     /// Begins to fetch what a grant says is too large for it, unless that is under way.
@@ -543,7 +543,7 @@
             load: 0,
             up: now.saturating_sub(self.since),
             key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
-            let_go: self.held_leases.let_go(),
+            released: self.held_leases.let_go(),
         }
     }
 
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -156,7 +156,7 @@
         load: 0,
         up: Duration::from_secs(3600),
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -200,7 +200,7 @@
         instances_offset: number,
         all_instances: true,
         link_slow_for: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
         number,
         left: LEASE,
         updates: vec![ConsensusMessage::Snapshot {
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -30,7 +30,7 @@
         up_ms: heartbeat.up.as_millis() as u64,
         holding: heartbeat.key_ranges_in_use.clone(),
         let_go: heartbeat
-            .let_go
+            .released
             .iter()
             .map(|released| {
                 let mut json = jzon::object! { slice: released.key_range };
@@ -164,7 +164,7 @@
         load: read_small_number(value, "load")?,
         up: Duration::from_millis(read_number(value, "up_ms")?),
         key_ranges_in_use,
-        let_go,
+        released: let_go,
         warm_up_left: Duration::ZERO,
     })
 }
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -44,9 +44,9 @@
         demand: Vec::new(),
         versions: Vec::new(),
         draining: false,
-        stands: Vec::new(),
+        client_zones: Vec::new(),
         demand_unchanged: false,
-        silent: false,
+        suspected: false,
     };
     let renewal = Renewal {
         number,
@@ -73,7 +73,7 @@
         members_offset: 0,
         updates: Vec::new(),
         assured: true,
-        gone: Vec::new(),
+        deregistered: Vec::new(),
         proxies: 1,
         in_chunks: Vec::new(),
         more: false,
--- a/crates/runtime/tests/heartbeat_json.rs
+++ b/crates/runtime/tests/heartbeat_json.rs
@@ -25,7 +25,7 @@
         load: 3,
         up: Duration::from_millis(8500),
         key_ranges_in_use: vec![4, 17],
-        let_go: vec![ReleasedKeyRange {
+        released: vec![ReleasedKeyRange {
             key_range: 5,
             epoch: Some(Epoch(12)),
             handover: Some("5c0e".to_string()),
--- a/crates/runtime/tests/outgoing_queue.rs
+++ b/crates/runtime/tests/outgoing_queue.rs
@@ -17,7 +17,7 @@
             members_offset: 0,
             updates: Vec::new(),
             assured: true,
-            gone: Vec::new(),
+            deregistered: Vec::new(),
             proxies: 1,
             in_chunks: Vec::new(),
             more: false,
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -29,7 +29,10 @@
         let input = match happening {
             Happening::Tick => Some(ControllerInput::Tick),
             Happening::Control { envelope } => {
-                if let Message::HeartbeatForward { heard, .. } = &envelope.message {
+                if let Message::HeartbeatForward {
+                    received: heard, ..
+                } = &envelope.message
+                {
                     if heard.heartbeat.state == InstanceState::Draining {
                         self.observers.heard_draining(self.now, &heard.heartbeat);
                     }
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -164,7 +164,7 @@
             load: self.load.load(Ordering::SeqCst),
             up: uptime,
             key_ranges_in_use,
-            let_go: released,
+            released,
             warm_up_left: Duration::ZERO,
         }
     }
