--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -67,8 +67,8 @@
                     AgentEvent::ControlLinkSlow { figures } => {
                         event(CONTROL_LINK_SLOW, format!("agent: {figures}"));
                     }
-                    AgentEvent::ChunkRejected { refused, from } => {
-                        let RejectedChunk { map, why } = refused;
+                    AgentEvent::ChunkRejected { rejected, from } => {
+                        let RejectedChunk { map, why } = rejected;
                         event(PIECE_REFUSED, format!("{map} from {from}: {why}"));
                     }
                 },
--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -67,7 +67,7 @@
                 .instances
                 .handle(now, &heartbeat.clone().aged(max_age));
         }
-        let applies_updates = self.fallback_quorum.broken != BrokenFallback::NoPooling;
+        let applies_updates = self.fallback_quorum.fault != BrokenFallback::NoPooling;
         let advanced: Vec<MapName> = tell
             .updates
             .iter()
@@ -121,7 +121,7 @@
         };
         let heartbeats: Vec<ReceivedHeartbeat> = std::mem::take(&mut self.unforwarded_heartbeats)
             .iter()
-            .filter_map(|id| self.link.instances.heard(now, id))
+            .filter_map(|id| self.link.instances.heartbeat_with_age(now, id))
             .collect();
         for to in others {
             let ask = FallbackRequest {
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -138,7 +138,7 @@
     },
     /// A chunk of a map was rejected; nothing of it was kept.
     ChunkRejected {
-        refused: RejectedChunk,
+        rejected: RejectedChunk,
         from: SocketAddr,
     },
 }
@@ -229,8 +229,8 @@
     }
 
     /// Fault injection for testing the invariant checkers: breaks the fallback quorum.
-    pub fn break_fallback(&mut self, broken: BrokenFallback) {
-        self.fallback_quorum.broken = broken;
+    pub fn break_fallback(&mut self, fault: BrokenFallback) {
+        self.fallback_quorum.fault = fault;
     }
 
     /// Returns until when the maps of this agent are known to be fresh: by a lease of the control plane, or by
@@ -434,11 +434,11 @@
     ) {
         let step = self.link.handle_catch_up(now, from, message);
         self.request_chunks(step.request, outputs);
-        if let Some(refused) = step.refused {
-            let event = AgentEvent::ChunkRejected { refused, from };
+        if let Some(rejected) = step.rejected {
+            let event = AgentEvent::ChunkRejected { rejected, from };
             outputs.push(AgentOutput::LogEvent { event });
         }
-        self.handle_map_updates(step.moved.as_slice(), outputs);
+        self.handle_map_updates(step.advanced.as_slice(), outputs);
     }
 
     pub(crate) fn request_chunks(
--- a/crates/agent/src/witness.rs
+++ b/crates/agent/src/witness.rs
@@ -42,7 +42,7 @@
             to: from,
             message: Message::ConsensusMessage { message },
         }));
-        if outcome.moved.contains(&MapName::Membership) {
+        if outcome.advanced.contains(&MapName::Membership) {
             self.update_voter();
         }
     }
@@ -82,7 +82,7 @@
         }
         let named = membership
             .voters()
-            .is_some_and(|voters| voters.holder(self.node).is_some());
+            .is_some_and(|voters| voters.entry(self.node).is_some());
         if !named {
             self.voter = None;
         } else if self.voter.is_none() {
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -405,7 +405,7 @@
         zone: Zone::new("e1"),
         controller: false,
     };
-    let holders = vec![holder];
+    let entries = vec![holder];
     let mut map = ReplicatedMap::empty();
     map.apply(&Change {
         id: ChangeId::new("seats"),
@@ -413,7 +413,7 @@
             key: "seats".to_string(),
             expected: None,
             value: Some(Value::VoterSet {
-                voters: VoterSet { holders },
+                voters: VoterSet { entries },
             }),
             written: None,
         }],
@@ -545,13 +545,13 @@
     }
     assert!(total > 2 * CHUNK_BYTES as u64, "{total} bytes");
     // It responds to a rejected proposal with the rejection, and with no snapshot that was not requested.
-    let refused = ConsensusMessage::Prepare {
+    let rejected = ConsensusMessage::Prepare {
         map,
         membership: Version(1),
         version: Version(1),
         proposal_number: ProposalNumber { round: 1, node },
     };
-    let responses = voter_responses(&mut fixture, refused);
+    let responses = voter_responses(&mut fixture, rejected);
     assert!(
         matches!(responses.as_slice(), [ConsensusMessage::Reject { .. }]),
         "{responses:?}"
--- a/crates/caperworks/examples/consensus.rs
+++ b/crates/caperworks/examples/consensus.rs
@@ -12,7 +12,7 @@
 use caperworks::replicated_map::{Change, MapName, Put};
 
 fn main() {
-    let holders = (1..=3)
+    let entries = (1..=3)
         .map(|number| VoterEntry {
             node: NodeId(number),
             address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
@@ -26,7 +26,7 @@
             key: "seats".to_string(),
             expected: Some(Version(0)),
             value: Some(Value::VoterSet {
-                voters: VoterSet { holders },
+                voters: VoterSet { entries },
             }),
             written: None,
         }],
--- a/crates/caperworks/examples/leases_and_leadership.rs
+++ b/crates/caperworks/examples/leases_and_leadership.rs
@@ -35,7 +35,7 @@
     );
 
     // The leadership role: its next leader is the first live controller in the order of voters.
-    let holders = (1..=3)
+    let entries = (1..=3)
         .map(|number| VoterEntry {
             node: NodeId(number),
             address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
@@ -43,7 +43,7 @@
             controller: true,
         })
         .collect();
-    let voters = VoterSet { holders };
+    let voters = VoterSet { entries };
     let mut liveness = Liveness::default();
     for step in 0..20 {
         liveness.handle(Duration::from_millis(200 * step), NodeId(2));
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -79,7 +79,7 @@
     });
     let response = owner_manager.heartbeat(now, &heartbeat("one", 7000, 2, Vec::new()), &ownership);
     let mut held_leases = HeldLeases::default();
-    held_leases.answered(now, &response);
+    held_leases.apply_response(now, &response);
     println!(
         "instance one leases {:?}",
         held_leases.key_ranges_in_use(now)
--- a/crates/caperworks/src/catch_up/receiver.rs
+++ b/crates/caperworks/src/catch_up/receiver.rs
@@ -29,7 +29,7 @@
     /// The snapshot is complete and its digest matches.
     Snapshot(ReplicatedMap),
     /// The chunk was rejected and discarded.
-    Refused(ChunkError),
+    Rejected(ChunkError),
 }
 
 /// Fault injection into the receiver, to test the invariant checkers.
@@ -37,7 +37,7 @@
 pub enum CatchUpFault {
     /// No fault.
     #[default]
-    Nothing,
+    None,
     /// Does not verify the digest of the complete snapshot.
     SkipsDigest,
 }
@@ -50,7 +50,7 @@
     max_bytes: u64,
     form: FeedForm,
     /// The fault to inject; none in production.
-    pub broken: CatchUpFault,
+    pub fault: CatchUpFault,
 }
 
 impl CatchUpReceiver {
@@ -62,7 +62,7 @@
             last_number: first_number >> 1,
             max_bytes,
             form: FeedForm::Complete,
-            broken: CatchUpFault::Nothing,
+            fault: CatchUpFault::None,
         }
     }
 
@@ -91,7 +91,7 @@
     /// `local_version` here.
     ///
     /// Starts a transfer and returns its first request, unless one is already in progress.
-    pub fn behind(
+    pub fn handle_announcement(
         &mut self,
         now: Duration,
         map: MapName,
@@ -155,13 +155,13 @@
     ) -> ChunkOutcome {
         let map = chunk.map;
         let Some(transfer) = self.transfers.get_mut(&map) else {
-            return ChunkOutcome::Refused(ChunkError::NotRequested);
+            return ChunkOutcome::Rejected(ChunkError::NotRequested);
         };
         if let Err(error) = transfer.check(from, local_version, &chunk) {
-            return ChunkOutcome::Refused(error);
+            return ChunkOutcome::Rejected(error);
         }
         if chunk.total > self.max_bytes {
-            return ChunkOutcome::Refused(ChunkError::TooLarge);
+            return ChunkOutcome::Rejected(ChunkError::TooLarge);
         }
         transfer.record_response(now);
         let Some(snapshot) = transfer.add(chunk) else {
@@ -169,14 +169,14 @@
         };
         match self.decode(&snapshot) {
             Ok(decoded) => ChunkOutcome::Snapshot(decoded),
-            Err(error) => ChunkOutcome::Refused(error),
+            Err(error) => ChunkOutcome::Rejected(error),
         }
     }
 
     /// Verifies the digest of a complete snapshot and decodes it.
     fn decode(&self, snapshot: &PartialSnapshot) -> Result<ReplicatedMap, ChunkError> {
         let is_intact = content_digest(&snapshot.bytes) == snapshot.digest;
-        if !is_intact && self.broken != CatchUpFault::SkipsDigest {
+        if !is_intact && self.fault != CatchUpFault::SkipsDigest {
             return Err(ChunkError::WrongDigest);
         }
         minicbor::decode::<ReplicatedMap>(&snapshot.bytes)
--- a/crates/caperworks/src/change_check.rs
+++ b/crates/caperworks/src/change_check.rs
@@ -80,7 +80,7 @@
         let mut taken = Vec::new();
         let mut forgotten = Vec::new();
         for put in &change.puts {
-            let Some(put_version) = put.numbered() else {
+            let Some(put_version) = put.operator_version() else {
                 continue;
             };
             let history = histories
@@ -117,7 +117,7 @@
             .filter_map(|put| Some((&put.key, put.expected?)))
             .chain(guards)
             .filter_map(|(key, expected)| {
-                let present = self.present(key);
+                let present = self.item_version(key);
                 (expected != present).then(|| Conflict {
                     key: key.clone(),
                     expected,
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -63,7 +63,7 @@
             }
         }
         (Some(Value::Limits { limits }), "limits") => {
-            if limits.head_bytes == 0 || limits.header_timeout.is_zero() {
+            if limits.header_bytes == 0 || limits.header_timeout.is_zero() {
                 let why = "request heads need a size limit and a timeout above 0";
                 faults.push(Fault::new(&put.key, why));
             }
@@ -135,14 +135,18 @@
 ) -> BTreeMap<&'change str, (ConfirmedVersion, &'change Route)> {
     let mut routes: BTreeMap<&str, (ConfirmedVersion, &Route)> = BTreeMap::new();
     for put in &change.puts {
-        let (Some(numbered), Some(Value::Route { route })) = (put.numbered(), &put.value) else {
+        let (Some(operator_version), Some(Value::Route { route })) =
+            (put.operator_version(), &put.value)
+        else {
             continue;
         };
         let is_highest = routes
             .get(put.key.as_str())
-            .is_none_or(|(other, _)| other.version < numbered.version);
-        if is_highest && map.history(&put.key).status_of(numbered) != VersionStatus::Confirmed {
-            routes.insert(&put.key, (numbered, route));
+            .is_none_or(|(other, _)| other.version < operator_version.version);
+        if is_highest
+            && map.history(&put.key).status_of(operator_version) != VersionStatus::Confirmed
+        {
+            routes.insert(&put.key, (operator_version, route));
         }
     }
     routes
@@ -158,8 +162,9 @@
     faults: &mut Vec<Fault>,
 ) {
     let mut routes_by_path: BTreeMap<(String, &str), (&str, bool)> = BTreeMap::new();
-    for (key, (numbered, route)) in unconfirmed_routes(map, change) {
-        let is_superseded = map.history(key).status_of(numbered) == VersionStatus::Superseded;
+    for (key, (operator_version, route)) in unconfirmed_routes(map, change) {
+        let is_superseded =
+            map.history(key).status_of(operator_version) == VersionStatus::Superseded;
         // A superseded route may name a service that was dropped after its operator sent it.
         let service_exists = |name: &ServiceName| match after.items.get(&format!("pool/{name}")) {
             Some(item) => is_superseded || item.value != Value::Dropped,
--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -86,7 +86,7 @@
 
     /// Requests a recovery: a proposal that commits any change that voters have accepted but that is
     /// not known to be committed.
-    pub fn finish(&mut self) {
+    pub fn request_recovery(&mut self) {
         self.recovery_requested = true;
     }
 
@@ -135,7 +135,7 @@
         let Some(voters) = voter.map(MapName::Membership).voters() else {
             return outcome;
         };
-        if voters.holder(from).is_none() {
+        if voters.entry(from).is_none() {
             return outcome;
         }
         self.abandon_phase_of_old_membership(voter);
@@ -250,7 +250,7 @@
 pub fn ensure_recovered(proposer: &mut Proposer, membership: Version) -> bool {
     let is_recovered = proposer.is_recovered(membership);
     if !is_recovered {
-        proposer.finish();
+        proposer.request_recovery();
     }
     is_recovered
 }
--- a/crates/caperworks/src/consensus/proposer/accept_phase.rs
+++ b/crates/caperworks/src/consensus/proposer/accept_phase.rs
@@ -161,7 +161,7 @@
 /// Counts the nodes that are controllers; only controllers persist their state to disk.
 fn count_controllers(nodes: &BTreeSet<NodeId>, voters: &VoterSet) -> usize {
     let is_controller = |node: &&NodeId| {
-        let entry = voters.holder(**node);
+        let entry = voters.entry(**node);
         entry.is_some_and(|entry| entry.controller)
     };
     nodes.iter().filter(is_controller).count()
--- a/crates/caperworks/src/consensus/voter.rs
+++ b/crates/caperworks/src/consensus/voter.rs
@@ -23,7 +23,7 @@
     /// Replies to the sender of the message.
     pub replies: Vec<ConsensusMessage>,
     /// The maps whose committed version advanced.
-    pub moved: Vec<MapName>,
+    pub advanced: Vec<MapName>,
     /// Whether a snapshot replaced a map. No log record can express that, so the caller must write
     /// the complete state to a slot.
     pub rewrite: bool,
--- a/crates/caperworks/src/consensus/voter/commits.rs
+++ b/crates/caperworks/src/consensus/voter/commits.rs
@@ -94,7 +94,7 @@
         let own_version = self.map(map).version;
         if own_version.next() == version {
             self.commit(map, version, change, outcome);
-            outcome.moved.push(map);
+            outcome.advanced.push(map);
         } else if own_version.next() < version {
             outcome.replies.push(ConsensusMessage::CatchUp {
                 map,
@@ -114,7 +114,7 @@
         for committed in changes {
             if self.map(map).version.next() == committed.version {
                 self.commit(map, committed.version, committed.change, outcome);
-                outcome.moved = vec![map];
+                outcome.advanced = vec![map];
             }
         }
     }
@@ -136,7 +136,7 @@
             accepted: None,
         };
         self.histories[map.index()].clear();
-        outcome.moved.push(map);
+        outcome.advanced.push(map);
         outcome.rewrite = true;
     }
 }
--- a/crates/caperworks/src/feed/cache.rs
+++ b/crates/caperworks/src/feed/cache.rs
@@ -24,20 +24,20 @@
     /// Applies changes or a snapshot as [`Follower::take`] does, and keeps the history up to date.
     pub fn take(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
         let Some(message) = updates.follower_updates() else {
-            let moved = self.follower.take(updates)?;
-            self.histories.entry(moved).or_default().clear();
-            return Some(moved);
+            let advanced = self.follower.take(updates)?;
+            self.histories.entry(advanced).or_default().clear();
+            return Some(advanced);
         };
         let before = self.follower.map(message.map).version;
-        let moved = self.follower.take(updates)?;
-        let after = self.follower.map(moved).version;
-        let history = self.histories.entry(moved).or_default();
+        let advanced = self.follower.take(updates)?;
+        let after = self.follower.map(advanced).version;
+        let history = self.histories.entry(advanced).or_default();
         let is_new =
-            |numbered: &&CommittedChange| numbered.version > before && numbered.version <= after;
-        for numbered in message.changes.iter().filter(is_new) {
-            history.push(numbered.clone());
+            |committed: &&CommittedChange| committed.version > before && committed.version <= after;
+        for committed in message.changes.iter().filter(is_new) {
+            history.push(committed.clone());
         }
-        Some(moved)
+        Some(advanced)
     }
 
     /// Returns the updates for a follower at version `after`: changes, or a full snapshot. Returns `None` if
--- a/crates/caperworks/src/feed/follower.rs
+++ b/crates/caperworks/src/feed/follower.rs
@@ -62,13 +62,13 @@
     fn apply_changes(&mut self, message: FollowerChanges<'_>) -> Option<MapName> {
         let map = &mut self.maps[message.map.index()];
         let before = map.version;
-        for numbered in message.changes {
-            if numbered.version != map.version.next() {
+        for committed in message.changes {
+            if committed.version != map.version.next() {
                 continue;
             }
             match message.form {
-                FeedForm::Complete => map.apply(&numbered.change),
-                FeedForm::Reduced => map.apply_reduced(&numbered.change),
+                FeedForm::Complete => map.apply(&committed.change),
+                FeedForm::Reduced => map.apply_reduced(&committed.change),
             }
         }
         (map.version > before).then_some(message.map)
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -23,9 +23,9 @@
 }
 
 /// Returns the length of a change in a message, in bytes.
-fn encoded_length(numbered: &CommittedChange) -> usize {
+fn encoded_length(committed: &CommittedChange) -> usize {
     // Encoding into memory cannot fail for these types.
-    minicbor::to_vec(numbered).expect("a change encodes").len()
+    minicbor::to_vec(committed).expect("a change encodes").len()
 }
 
 /// The recent changes of one map, consecutive versions, at most [`MAX_HISTORY_WEIGHT`] of them.
@@ -37,9 +37,9 @@
 
 impl History {
     /// Adds the next change, and drops the oldest ones beyond [`MAX_HISTORY_WEIGHT`].
-    pub fn push(&mut self, numbered: CommittedChange) {
-        self.weight += numbered.change.weight();
-        self.changes.push_back(numbered);
+    pub fn push(&mut self, committed: CommittedChange) {
+        self.weight += committed.change.weight();
+        self.changes.push_back(committed);
         while self.weight > MAX_HISTORY_WEIGHT {
             let Some(oldest) = self.changes.pop_front() else {
                 return;
@@ -57,7 +57,7 @@
     /// Returns all changes after a version, or `None` if the history does not reach back that far.
     pub fn changes_after(&self, after: Version) -> Option<Vec<CommittedChange>> {
         let first = self.changes.front()?;
-        let is_later = |numbered: &&CommittedChange| numbered.version > after;
+        let is_later = |committed: &&CommittedChange| committed.version > after;
         let reaches_back = first.version <= after.next();
         reaches_back.then(|| self.changes.iter().filter(is_later).cloned().collect())
     }
@@ -77,13 +77,13 @@
         let skipped = (after.next().0 - first.version.0) as usize;
         let mut bytes = 0;
         let later = self.changes.iter().skip(skipped);
-        let mut later = later.map(|numbered| numbered.with_form(form)).peekable();
+        let mut later = later.map(|committed| committed.with_form(form)).peekable();
         let mut changes = Vec::new();
-        while let Some(numbered) = later.next_if(|numbered| {
-            bytes += encoded_length(numbered);
+        while let Some(committed) = later.next_if(|committed| {
+            bytes += encoded_length(committed);
             bytes <= max_bytes || changes.is_empty()
         }) {
-            changes.push(numbered);
+            changes.push(committed);
         }
         let more = later.next().is_some();
         Some(FirstChanges { changes, more })
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -324,7 +324,7 @@
     }
 
     /// Returns the latest heartbeat of an instance, with its current age.
-    pub fn heard(&self, now: Duration, id: &InstanceId) -> Option<ReceivedHeartbeat> {
+    pub fn heartbeat_with_age(&self, now: Duration, id: &InstanceId) -> Option<ReceivedHeartbeat> {
         self.known.get(id).map(|entry| ReceivedHeartbeat {
             heartbeat: entry.fact.clone(),
             age: now.saturating_sub(entry.received_at),
--- a/crates/caperworks/src/leadership/election.rs
+++ b/crates/caperworks/src/leadership/election.rs
@@ -20,11 +20,10 @@
     holder: Option<NodeId>,
 ) -> Option<NodeId> {
     let leader_is_alive = holder.is_some_and(|holder| {
-        liveness.is_alive(now, holder)
-            && voters.holder(holder).is_some_and(|voter| voter.controller)
+        liveness.is_alive(now, holder) && voters.entry(holder).is_some_and(|voter| voter.controller)
     });
     voters
-        .holders
+        .entries
         .iter()
         .filter(|voter| voter.controller)
         .map(|voter| voter.node)
--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -105,7 +105,7 @@
                 holder: node,
                 epoch: term.map_or(Epoch(1), |term| term.epoch.next()),
             },
-            expected: membership.present(&format!("duty/{}", self.name)),
+            expected: membership.item_version(&format!("duty/{}", self.name)),
         }
     }
 }
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -52,11 +52,11 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CatchUpStep {
     /// The map that advanced.
-    pub moved: Option<MapName>,
+    pub advanced: Option<MapName>,
     /// The next request to send.
     pub request: Option<CatchUpRequest>,
     /// The chunk, if it was rejected.
-    pub refused: Option<RejectedChunk>,
+    pub rejected: Option<RejectedChunk>,
 }
 
 /// A chunk that was rejected; nothing of it was kept.
@@ -359,13 +359,13 @@
         let follower = self.feed_cache.follower();
         self.reporter.figures.count(granted, took, follower);
         self.pacer.answered(granted.number, took);
-        let moved: Vec<MapName> = granted
+        let advanced: Vec<MapName> = granted
             .updates
             .iter()
             .filter_map(|updates| self.feed_cache.take(updates))
             .collect();
         if granted.assured {
-            self.apply_lease(now, responder, granted, !moved.is_empty());
+            self.apply_lease(now, responder, granted, !advanced.is_empty());
         }
         if let Some(sent_at) = sent_at {
             self.apply_facts(now, sent_at, responder, granted);
@@ -373,7 +373,7 @@
         if granted.more && responder.address == self.controller {
             self.renew_at = now;
         }
-        moved
+        advanced
     }
 
     /// Applies the instances and members that a response reports.
@@ -485,7 +485,8 @@
                 let local_version = self.local_version(map);
                 let reported = granted.versions.get(map.index()).copied();
                 let goal = reported.unwrap_or_default().max(local_version.next());
-                self.catch_up.behind(now, map, local_version, from, goal)
+                self.catch_up
+                    .handle_announcement(now, map, local_version, from, goal)
             })
             .collect();
         if !requests.is_empty() {
@@ -514,12 +515,12 @@
             | ConsensusMessage::ReducedUpdates { map, .. }
                 if self.catch_up.is_receiving(*map) =>
             {
-                let moved = self.feed_cache.take(message);
+                let advanced = self.feed_cache.take(message);
                 let local_version = self.local_version(*map);
                 let request =
                     self.catch_up
-                        .handle_changes(now, *map, local_version, moved.is_some());
-                self.handle_progress(now, from, moved, request)
+                        .handle_changes(now, *map, local_version, advanced.is_some());
+                self.handle_progress(now, from, advanced, request)
             }
             _ => CatchUpStep::default(),
         }
@@ -537,15 +538,15 @@
             ChunkOutcome::Next(request) => self.handle_progress(now, from, None, Some(request)),
             ChunkOutcome::Snapshot(full_map) => {
                 let updates = ConsensusMessage::Snapshot { map, full_map };
-                let moved = self.feed_cache.take(&updates);
+                let advanced = self.feed_cache.take(&updates);
                 let local_version = self.local_version(map);
                 let request =
                     self.catch_up
-                        .handle_changes(now, map, local_version, moved.is_some());
-                self.handle_progress(now, from, moved, request)
+                        .handle_changes(now, map, local_version, advanced.is_some());
+                self.handle_progress(now, from, advanced, request)
             }
-            ChunkOutcome::Refused(why) => CatchUpStep {
-                refused: Some(RejectedChunk { map, why }),
+            ChunkOutcome::Rejected(why) => CatchUpStep {
+                rejected: Some(RejectedChunk { map, why }),
                 ..CatchUpStep::default()
             },
         }
@@ -556,19 +557,19 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        moved: Option<MapName>,
+        advanced: Option<MapName>,
         request: Option<CatchUpRequest>,
     ) -> CatchUpStep {
         // A controller that sends chunks is useful, though the versions that its grant names are not here yet.
         self.follow(now, from);
-        if moved.is_some() {
+        if advanced.is_some() {
             // The lease of the grant that named the version may have expired by now.
             self.renew_at = now;
         }
         CatchUpStep {
-            moved,
+            advanced,
             request,
-            refused: None,
+            rejected: None,
         }
     }
 
@@ -580,6 +581,6 @@
     pub fn owner_manager(&self) -> Option<SocketAddr> {
         let membership = self.feed_cache.follower().map(MapName::Membership);
         let holder = membership.leadership(OWNERSHIP)?.holder;
-        Some(membership.voters()?.holder(holder)?.address)
+        Some(membership.voters()?.entry(holder)?.address)
     }
 }
--- a/crates/caperworks/src/link_figures.rs
+++ b/crates/caperworks/src/link_figures.rs
@@ -59,7 +59,7 @@
             return;
         };
         let version = follower.map(updates.map).version;
-        let is_known = |numbered: &&CommittedChange| numbered.version <= version;
+        let is_known = |committed: &&CommittedChange| committed.version <= version;
         self.changes += updates.changes.len() as u64;
         self.known_changes += updates.changes.iter().filter(is_known).count() as u64;
     }
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -87,7 +87,7 @@
     /// may stay idle.
     #[derive(Eq, Default)]
     struct CallerLimits {
-        0 head_bytes: u64,
+        0 header_bytes: u64,
         1 body_bytes: u64,
         2 header_timeout: Duration,
         3 idle_timeout: Duration,
@@ -154,7 +154,7 @@
     /// The voters of the consensus protocol.
     #[derive(Eq)]
     struct VoterSet {
-        0 holders: Vec<VoterEntry>,
+        0 entries: Vec<VoterEntry>,
     }
 
     /// The leader of a role, with the epoch of its term.
@@ -184,12 +184,12 @@
 impl VoterSet {
     /// Returns how many voters form a majority.
     pub fn majority(&self) -> usize {
-        self.holders.len() / 2 + 1
+        self.entries.len() / 2 + 1
     }
 
     /// Returns the entry of a voter; `None` for a node that is not a voter.
-    pub fn holder(&self, node: NodeId) -> Option<&VoterEntry> {
-        self.holders.iter().find(|holder| holder.node == node)
+    pub fn entry(&self, node: NodeId) -> Option<&VoterEntry> {
+        self.entries.iter().find(|entry| entry.node == node)
     }
 }
 
--- a/crates/caperworks/src/ownership/instance_leases.rs
+++ b/crates/caperworks/src/ownership/instance_leases.rs
@@ -32,7 +32,7 @@
 impl HeldLeases {
     /// Handles the response to a heartbeat that was sent at `sent_at`. Lease durations count from then,
     /// shortened by the safety margin for clock drift.
-    pub fn answered(&mut self, sent_at: Duration, response: &HeartbeatResponse) {
+    pub fn apply_response(&mut self, sent_at: Duration, response: &HeartbeatResponse) {
         for granted in &response.leases {
             if granted.epoch <= self.released_epoch(granted.key_range) {
                 continue;
@@ -97,7 +97,7 @@
     }
 
     /// Returns the released epochs that the next heartbeat reports.
-    pub fn let_go(&self) -> Vec<ReleasedKeyRange> {
+    pub fn released_epochs(&self) -> Vec<ReleasedKeyRange> {
         self.released
             .iter()
             .map(|(key_range, epoch)| ReleasedKeyRange {
--- a/crates/caperworks/src/partition_fallback/fallback_quorum.rs
+++ b/crates/caperworks/src/partition_fallback/fallback_quorum.rs
@@ -54,7 +54,7 @@
     next_request_at: Duration,
     fresh_until: Duration,
     /// The fault to inject; none in production.
-    pub broken: BrokenFallback,
+    pub fault: BrokenFallback,
 }
 
 impl FallbackQuorum {
@@ -69,7 +69,7 @@
             requests: VecDeque::new(),
             next_request_at: Duration::ZERO,
             fresh_until: Duration::ZERO,
-            broken: BrokenFallback::Nothing,
+            fault: BrokenFallback::Nothing,
         }
     }
 
@@ -103,7 +103,7 @@
         membership: &ReplicatedMap,
         lease_until: Duration,
     ) {
-        let version = membership.present(FALLBACK_MEMBERS);
+        let version = membership.item_version(FALLBACK_MEMBERS);
         if version != self.fallback_members_version {
             self.fallback_members_version = version;
             self.fallback_members_since = now;
@@ -113,7 +113,7 @@
         let is_confirmed = now < lease_until
             && lease_until >= self.fallback_members_since + MEMBERS_SETTLE_TIME + LEASE_DURATION
             && version > Version(0);
-        self.is_qualified |= is_confirmed || self.broken == BrokenFallback::Forgetful;
+        self.is_qualified |= is_confirmed || self.fault == BrokenFallback::Forgetful;
     }
 
     /// Returns the number of the next request and the members to send it to, if it is due.
@@ -129,7 +129,7 @@
         let left = lease_until.saturating_sub(now);
         let fallback_members = membership.fallback_members()?;
         let mut others = fallback_members.all_members();
-        let is_disabled = self.broken == BrokenFallback::Silent;
+        let is_disabled = self.fault == BrokenFallback::Silent;
         let is_early = left >= FALLBACK_REQUEST_LEAD || now < self.next_request_at;
         if !others.remove(&self.own) || is_early || is_disabled {
             return None;
@@ -172,12 +172,12 @@
         let Some(fallback_members) = follower.map(MapName::Membership).fallback_members() else {
             return;
         };
-        let (own, is_qualified, broken) = (self.own, self.is_qualified, self.broken);
+        let (own, is_qualified, fault) = (self.own, self.is_qualified, self.fault);
         for request in &self.requests {
             let has_responded = |address: &SocketAddr| {
                 (is_qualified && *address == own) || request.responses.contains_key(address)
             };
-            let has_quorum = match broken {
+            let has_quorum = match fault {
                 BrokenFallback::CountsTheLiving => !request.responses.is_empty(),
                 _ => fallback_members.enough(has_responded, majority_of),
             };
@@ -189,7 +189,7 @@
                         .is_none_or(|version| *version <= present)
                 })
             });
-            if has_quorum && (is_up_to_date || broken == BrokenFallback::NoPooling) {
+            if has_quorum && (is_up_to_date || fault == BrokenFallback::NoPooling) {
                 let until = request.sent_at + FALLBACK_LIFETIME - DRIFT_MARGIN;
                 self.fresh_until = self.fresh_until.max(until);
             }
--- a/crates/caperworks/src/partition_fallback/messages.rs
+++ b/crates/caperworks/src/partition_fallback/messages.rs
@@ -13,7 +13,7 @@
     #[derive(Eq)]
     struct FallbackMembers {
         0 members: Vec<SocketAddr>,
-        1 before: Vec<SocketAddr>,
+        1 previous: Vec<SocketAddr>,
     }
 
     /// Requests the versions of another agent, and forwards the heartbeats that the sender received.
@@ -45,7 +45,7 @@
         is_among: impl Fn(&SocketAddr) -> bool,
         required: fn(usize) -> usize,
     ) -> bool {
-        [&self.members, &self.before].into_iter().all(|set| {
+        [&self.members, &self.previous].into_iter().all(|set| {
             let among = set.iter().filter(|address| is_among(address)).count();
             set.is_empty() || among >= required(set.len())
         })
@@ -53,6 +53,6 @@
 
     /// Returns all members, of both sets.
     pub fn all_members(&self) -> BTreeSet<SocketAddr> {
-        self.members.iter().chain(&self.before).copied().collect()
+        self.members.iter().chain(&self.previous).copied().collect()
     }
 }
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -28,7 +28,7 @@
     /// The time bounds of key ownership.
     pub owner_manager: OwnerManagerTimings,
     /// How long a new leader collects heartbeats before it acts on them.
-    pub listen: Duration,
+    pub collection_period: Duration,
     /// Requests a second that the solver assumes for each unit of an instance's capacity.
     pub requests_per_slot: u32,
     /// Whether proxies outside a route's home regions accept its requests and forward them home.
@@ -57,7 +57,7 @@
             stamped_heartbeats: true,
             instance_timeout: INSTANCE_TIMEOUT,
             owner_manager: OwnerManagerTimings::default(),
-            listen: Duration::from_millis(1200),
+            collection_period: Duration::from_millis(1200),
             requests_per_slot: 1,
             forwards_to_home: false,
             heartbeat_refresh: Duration::ZERO,
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -186,14 +186,14 @@
     /// Returns the operator version, if any, with a digest of the contents.
     ///
     /// Version 0 counts as none: it only sets an item that is absent.
-    pub fn numbered(&self) -> Option<ConfirmedVersion> {
+    pub fn operator_version(&self) -> Option<ConfirmedVersion> {
         self.written.as_ref()?.confirmed(self.value.is_some())
     }
 }
 
 impl Item {
     /// Returns the operator version under which it was written, if any, with a digest of the contents.
-    fn numbered(&self) -> Option<ConfirmedVersion> {
+    fn operator_version(&self) -> Option<ConfirmedVersion> {
         self.written
             .as_ref()?
             .confirmed(self.value != Value::Dropped)
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -15,7 +15,7 @@
         }
         self.items
             .get(key)
-            .and_then(Item::numbered)
+            .and_then(Item::operator_version)
             .map(VersionHistory::from_stored)
             .unwrap_or_default()
     }
@@ -42,7 +42,7 @@
     ///
     /// Version 0 only sets an item that is absent.
     fn is_superseded(&self, put: &Put) -> bool {
-        match (put.numbered(), &put.written) {
+        match (put.operator_version(), &put.written) {
             (Some(put_version), _) => {
                 self.history(&put.key).status_of(put_version) != VersionStatus::Newest
             }
@@ -80,7 +80,7 @@
         if put.written.is_none() {
             self.histories.remove(&put.key);
         }
-        let Some(put_version) = put.numbered() else {
+        let Some(put_version) = put.operator_version() else {
             return;
         };
         let mut history = self.history(&put.key);
--- a/crates/caperworks/src/replicated_map/lookups.rs
+++ b/crates/caperworks/src/replicated_map/lookups.rs
@@ -13,7 +13,7 @@
 
 impl ReplicatedMap {
     /// Returns the version of an item, or zero if it is absent.
-    pub fn present(&self, key: &str) -> Version {
+    pub fn item_version(&self, key: &str) -> Version {
         self.items.get(key).map_or(Version(0), |item| item.version)
     }
 
@@ -45,9 +45,9 @@
     pub fn voter_addresses(&self, controllers_only: bool) -> Vec<SocketAddr> {
         self.voters()
             .iter()
-            .flat_map(|voters| &voters.holders)
-            .filter(|holder| holder.controller || !controllers_only)
-            .map(|holder| holder.address)
+            .flat_map(|voters| &voters.entries)
+            .filter(|entry| entry.controller || !controllers_only)
+            .map(|entry| entry.address)
             .collect()
     }
 
--- a/crates/caperworks/tests/catch_up.rs
+++ b/crates/caperworks/tests/catch_up.rs
@@ -68,7 +68,7 @@
 
 fn begin(receiver: &mut CatchUpReceiver, target_version: Version) -> CatchUpRequest {
     receiver
-        .behind(millis(0), MAP, Version(0), peer(1), target_version)
+        .handle_announcement(millis(0), MAP, Version(0), peer(1), target_version)
         .expect("a transfer starts")
 }
 
@@ -101,7 +101,7 @@
         match receiver.handle_chunk(millis(0), request.to, Version(0), chunk) {
             ChunkOutcome::Next(next) => request = next,
             ChunkOutcome::Snapshot(full_map) => return (full_map, chunks),
-            ChunkOutcome::Refused(error) => panic!("rejected: {error}"),
+            ChunkOutcome::Rejected(error) => panic!("rejected: {error}"),
         }
     }
     panic!("the transfer does not end");
@@ -126,7 +126,8 @@
     let mut receiver = receiver();
     begin(&mut receiver, Version(9));
     for number in 2..50 {
-        let more = receiver.behind(millis(10), MAP, Version(0), peer(number), Version(9));
+        let more =
+            receiver.handle_announcement(millis(10), MAP, Version(0), peer(number), Version(9));
         assert_eq!(more, None);
     }
     assert!(receiver.tick(millis(499), |_| Version(0)).is_empty());
@@ -147,7 +148,7 @@
                 assert_eq!(full_map.version, Version(8000));
                 break;
             }
-            ChunkOutcome::Refused(error) => panic!("rejected: {error}"),
+            ChunkOutcome::Rejected(error) => panic!("rejected: {error}"),
         }
     }
     assert_eq!(sender.encodings(), 1);
@@ -159,7 +160,7 @@
     let mut senders = [SnapshotSender::default(), SnapshotSender::default()];
     let mut receiver = receiver();
     let first = begin(&mut receiver, Version(6000));
-    receiver.behind(millis(1), MAP, Version(0), peer(2), Version(6000));
+    receiver.handle_announcement(millis(1), MAP, Version(0), peer(2), Version(6000));
     let chunk_one = chunk(&mut senders[0], &voter, &first);
     let ChunkOutcome::Next(second) =
         receiver.handle_chunk(millis(2), peer(1), Version(0), chunk_one)
@@ -176,7 +177,7 @@
     // A late chunk from the first peer belongs to an older transfer.
     assert_eq!(
         receiver.handle_chunk(millis(503), peer(1), Version(0), late),
-        ChunkOutcome::Refused(ChunkError::OtherTransfer)
+        ChunkOutcome::Rejected(ChunkError::OtherTransfer)
     );
     let (full_map, chunks) = fetch(&mut receiver, &mut senders[1], &voter, next_request.clone());
     assert_eq!(&full_map, voter.map(MAP));
@@ -190,7 +191,7 @@
     let mut senders = [SnapshotSender::default(), SnapshotSender::default()];
     let mut receiver = receiver();
     let first = begin(&mut receiver, Version(7000));
-    receiver.behind(millis(1), MAP, Version(0), peer(2), Version(6500));
+    receiver.handle_announcement(millis(1), MAP, Version(0), peer(2), Version(6500));
     let chunk_one = chunk(&mut senders[0], &ahead, &first);
     receiver.handle_chunk(millis(2), peer(1), Version(0), chunk_one);
     let requests = receiver.tick(millis(502), |_| Version(0));
@@ -217,7 +218,7 @@
     let mut request_times = vec![0];
     for tick in 1..600 {
         let now = tick * 25;
-        receiver.behind(millis(now), MAP, Version(0), peer(1), Version(5));
+        receiver.handle_announcement(millis(now), MAP, Version(0), peer(1), Version(5));
         if !receiver.tick(millis(now), |_| Version(0)).is_empty() {
             request_times.push(now);
         }
@@ -233,7 +234,7 @@
         receiver.tick(millis(tick * 25), |_| Version(0));
     }
     // The last request was sent at 15.5 s, with a timeout of four seconds.
-    receiver.behind(millis(18_000), MAP, Version(0), peer(2), Version(5));
+    receiver.handle_announcement(millis(18_000), MAP, Version(0), peer(2), Version(5));
     let requests = receiver.tick(millis(18_000), |_| Version(0));
     assert_eq!(requests.len(), 1);
 }
@@ -303,13 +304,13 @@
     ];
     for (chunk, error) in wrong {
         let outcome = receiver.handle_chunk(millis(2), peer(1), Version(0), chunk);
-        assert_eq!(outcome, ChunkOutcome::Refused(error));
+        assert_eq!(outcome, ChunkOutcome::Rejected(error));
         assert_eq!(receiver.buffered_bytes(), held, "the chunk is discarded");
     }
     let outcome = receiver.handle_chunk(millis(2), peer(2), Version(0), good.clone());
-    assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::OtherPeer));
+    assert_eq!(outcome, ChunkOutcome::Rejected(ChunkError::OtherPeer));
     let outcome = receiver.handle_chunk(millis(2), peer(1), Version(6000), good);
-    assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::OlderVersion));
+    assert_eq!(outcome, ChunkOutcome::Rejected(ChunkError::OlderVersion));
     let (full_map, _) = fetch(&mut receiver, &mut sender, &voter, request);
     assert_eq!(&full_map, voter.map(MAP));
 }
@@ -319,7 +320,7 @@
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
     let voter = voter(6000, 6000);
     let request = begin(&mut receiver, Version(6000));
-    receiver.behind(
+    receiver.handle_announcement(
         millis(0),
         MapName::Placement,
         Version(0),
@@ -329,7 +330,7 @@
     let mut chunk = chunk(&mut sender, &voter, &request);
     chunk.map = MapName::Placement;
     let outcome = receiver.handle_chunk(millis(1), peer(1), Version(0), chunk);
-    assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::OtherTransfer));
+    assert_eq!(outcome, ChunkOutcome::Rejected(ChunkError::OtherTransfer));
 }
 
 #[test]
@@ -339,15 +340,15 @@
     let request = begin(&mut receiver, Version(6000));
     let chunk = chunk(&mut SnapshotSender::default(), &voter, &request);
     let outcome = receiver.handle_chunk(millis(1), peer(1), Version(0), chunk);
-    assert_eq!(outcome, ChunkOutcome::Refused(ChunkError::TooLarge));
+    assert_eq!(outcome, ChunkOutcome::Rejected(ChunkError::TooLarge));
     assert_eq!(receiver.buffered_bytes(), 0);
 }
 
 /// Fetches a snapshot with one wrong bit in one chunk; returns the last outcome.
-fn fetch_with_a_wrong_bit(broken: CatchUpFault) -> ChunkOutcome {
+fn fetch_with_a_wrong_bit(fault: CatchUpFault) -> ChunkOutcome {
     let voter = voter(6000, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
-    receiver.broken = broken;
+    receiver.fault = fault;
     let mut request = begin(&mut receiver, Version(6000));
     loop {
         let mut chunk = chunk(&mut sender, &voter, &request);
@@ -368,8 +369,8 @@
 
 #[test]
 fn snapshot_with_one_wrong_bit_fails_its_digest_check() {
-    let ended = fetch_with_a_wrong_bit(CatchUpFault::Nothing);
-    assert_eq!(ended, ChunkOutcome::Refused(ChunkError::WrongDigest));
+    let ended = fetch_with_a_wrong_bit(CatchUpFault::None);
+    assert_eq!(ended, ChunkOutcome::Rejected(ChunkError::WrongDigest));
     // With the fault injected, the receiver accepts a map that was never committed.
     let ended = fetch_with_a_wrong_bit(CatchUpFault::SkipsDigest);
     let ChunkOutcome::Snapshot(full_map) = ended else {
@@ -383,7 +384,8 @@
     let ahead = voter(1500, 6000);
     let mut behind = voter(200, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
-    let mut request = receiver.behind(millis(0), MAP, Version(200), peer(1), Version(1500));
+    let mut request =
+        receiver.handle_announcement(millis(0), MAP, Version(200), peer(1), Version(1500));
     let mut responses = 0;
     while let Some(current) = request {
         let updates = respond(&mut sender, &ahead, &current);
@@ -396,7 +398,7 @@
             .sum();
         assert!(weight <= MAX_UPDATE_WEIGHT);
         responses += 1;
-        let advanced = !behind.handle(updates).moved.is_empty();
+        let advanced = !behind.handle(updates).advanced.is_empty();
         request = receiver.handle_changes(millis(1), MAP, behind.map(MAP).version, advanced);
     }
     assert_eq!(behind.map(MAP), ahead.map(MAP));
@@ -409,7 +411,7 @@
 fn transfer_ends_when_the_peer_has_nothing_newer() {
     let held = voter(5, 6000);
     let (mut receiver, mut sender) = (receiver(), SnapshotSender::default());
-    let request = receiver.behind(millis(0), MAP, Version(5), peer(1), Version(6));
+    let request = receiver.handle_announcement(millis(0), MAP, Version(5), peer(1), Version(6));
     let updates = respond(&mut sender, &held, &request.expect("a transfer starts"));
     let changes = Vec::new();
     assert_eq!(updates, ConsensusMessage::Updates { map: MAP, changes });
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -258,7 +258,7 @@
                 let from = address(controller);
                 let step = self.link.handle_catch_up(self.now, from, message);
                 self.rejected
-                    .extend(step.refused.map(|refused| refused.why));
+                    .extend(step.rejected.map(|rejected| rejected.why));
                 self.send_requests(step.request);
             }
             _ => {}
@@ -399,7 +399,7 @@
             .sender
             .respond(world.now, &controller.voter, MAP, Version(0), position);
     let step = world.link.handle_catch_up(world.now, address(0), &message);
-    let error = step.refused.map(|refused| refused.why);
+    let error = step.rejected.map(|rejected| rejected.why);
     assert_eq!(error, Some(ChunkError::NotRequested));
     assert_eq!(world.held().version, before);
 }
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -76,7 +76,7 @@
     fn heartbeat(&mut self, now: Duration, name: &str, up: Duration) {
         let held_leases = self.held_leases.entry(name.to_string()).or_default();
         let mut heartbeat = heartbeat(name, up, held_leases.key_ranges_in_use(now));
-        heartbeat.released = held_leases.let_go();
+        heartbeat.released = held_leases.released_epochs();
         let age = Duration::ZERO;
         self.instances.handle(
             now,
@@ -88,7 +88,7 @@
         let response = self
             .owner_manager
             .heartbeat(now, &heartbeat, &self.ownership);
-        held_leases.answered(now, &response);
+        held_leases.apply_response(now, &response);
     }
 
     /// Applies the owner manager's next plan and returns how many key ranges changed their owner.
@@ -305,10 +305,10 @@
         release: vec![lease(Duration::ZERO)],
         ..HeartbeatResponse::default()
     };
-    held_leases.answered(seconds(1), &grant);
+    held_leases.apply_response(seconds(1), &grant);
     assert!(held_leases.may_start(seconds(2), 3, Epoch(7), Duration::ZERO));
-    held_leases.answered(seconds(2), &release);
-    held_leases.answered(seconds(3), &grant);
+    held_leases.apply_response(seconds(2), &release);
+    held_leases.apply_response(seconds(3), &grant);
     assert!(!held_leases.may_start(seconds(3), 3, Epoch(7), Duration::ZERO));
     assert!(held_leases.key_ranges_in_use(seconds(3)).is_empty());
 }
@@ -322,7 +322,7 @@
         left: seconds(6),
         handover: None,
     }];
-    held_leases.answered(
+    held_leases.apply_response(
         seconds(0),
         &HeartbeatResponse {
             leases,
--- a/crates/caperworks/tests/operator_version_races.rs
+++ b/crates/caperworks/tests/operator_version_races.rs
@@ -20,7 +20,7 @@
 const CONFIGURATION: MapName = MapName::Configuration;
 
 fn voters_change() -> Change {
-    let holders = (1..=NODES)
+    let entries = (1..=NODES)
         .map(|number| VoterEntry {
             node: NodeId(number),
             address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
@@ -34,7 +34,7 @@
             key: "seats".to_string(),
             expected: Some(Version(0)),
             value: Some(Value::VoterSet {
-                voters: VoterSet { holders },
+                voters: VoterSet { entries },
             }),
             written: None,
         }],
@@ -321,7 +321,7 @@
         self.now += Duration::from_millis(10 + self.chance.below(90));
         let node = self.nodes.get_mut(&number).expect("a node");
         if self.chance.below(4) == 0 {
-            node.proposer.finish();
+            node.proposer.request_recovery();
         }
         let outcome = node.proposer.tick(self.now, &node.voter, &mut self.chance);
         self.act(number, outcome);
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -59,11 +59,11 @@
 }
 
 fn founding(controllers: u64, witnesses: u64) -> Change {
-    let holders = (1..=controllers + witnesses)
+    let entries = (1..=controllers + witnesses)
         .map(|number| holder(number, number <= controllers))
         .collect();
     let value = Some(Value::VoterSet {
-        voters: VoterSet { holders },
+        voters: VoterSet { entries },
     });
     let key = "seats".to_string();
     change(
@@ -702,8 +702,8 @@
 
 #[test]
 fn leadership_skips_a_failed_node_until_it_is_stable_again() {
-    let holders = (1..=3).map(|number| holder(number, true)).collect();
-    let voters = VoterSet { holders };
+    let entries = (1..=3).map(|number| holder(number, true)).collect();
+    let voters = VoterSet { entries };
     let mut liveness = Liveness::default();
     for step in 0..30 {
         for node in 1..=3 {
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -228,7 +228,7 @@
 
 fn voters() -> VoterSet {
     VoterSet {
-        holders: vec![VoterEntry {
+        entries: vec![VoterEntry {
             node: NodeId(5),
             address: address(5, 7000),
             zone: Zone::from("north-a"),
@@ -262,12 +262,12 @@
         Value::FallbackMembers {
             fallback_members: FallbackMembers {
                 members: vec![address(11, 7100)],
-                before: vec![address(12, 7100)],
+                previous: vec![address(12, 7100)],
             },
         },
         Value::Limits {
             limits: CallerLimits {
-                head_bytes: 8192,
+                header_bytes: 8192,
                 body_bytes: 1_000_000,
                 header_timeout: millis(5000),
                 idle_timeout: millis(60_000),
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -55,7 +55,9 @@
 /// that has it.
 fn version_held_by_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> Version {
     let agents = reachable_agents(state);
-    let fallback_members_version = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
+    let fallback_members_version = state
+        .map(MapName::Membership)
+        .item_version(FALLBACK_MEMBERS);
     let version_of = |address: &SocketAddr| {
         agents
             .get(address)
@@ -74,7 +76,7 @@
         versions.get(confirmation_quorum(set.len()) - 1).copied()
     };
     let own = state.map(MapName::Configuration).version;
-    [&fallback_members.members, &fallback_members.before]
+    [&fallback_members.members, &fallback_members.previous]
         .into_iter()
         .filter(|set| !set.is_empty())
         .filter_map(by_set)
@@ -138,7 +140,9 @@
 
 /// Returns whether every majority of the fallback members includes an agent that knows the present ones.
 fn is_settled(state: &ControllerState, fallback_members: &FallbackMembers) -> bool {
-    let version = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
+    let version = state
+        .map(MapName::Membership)
+        .item_version(FALLBACK_MEMBERS);
     let agents = reachable_agents(state);
     let knows = |address: &SocketAddr| {
         agents
@@ -161,17 +165,17 @@
         // With fewer members, every change would have to wait for one or two particular agents.
         return (members.len() >= MIN_FALLBACK_MEMBERS).then_some(FallbackMembers {
             members,
-            before: Vec::new(),
+            previous: Vec::new(),
         });
     };
     // Majorities of two sets that are one step apart always intersect; those further apart might not.
     if !is_settled(state, fallback_members) {
         return None;
     }
-    if !fallback_members.before.is_empty() {
+    if !fallback_members.previous.is_empty() {
         return Some(FallbackMembers {
             members: fallback_members.members.clone(),
-            before: Vec::new(),
+            previous: Vec::new(),
         });
     }
     let joining = agents
@@ -185,7 +189,7 @@
         .collect();
     (members.len() > fallback_members.members.len()).then(|| FallbackMembers {
         members,
-        before: fallback_members.members.clone(),
+        previous: fallback_members.members.clone(),
     })
 }
 
@@ -209,7 +213,7 @@
             return reject(&field, why);
         }
     }
-    if !fallback_members.before.is_empty() || !is_settled(state, fallback_members) {
+    if !fallback_members.previous.is_empty() || !is_settled(state, fallback_members) {
         let why = "the last roster change has not reached enough agents yet: try again";
         return reject("drop", why.to_string());
     }
@@ -221,7 +225,7 @@
             .filter(is_kept)
             .copied()
             .collect(),
-        before: fallback_members.members.clone(),
+        previous: fallback_members.members.clone(),
     };
     if !next.enough(|address| agents.contains_key(address), majority_of) {
         let why = "fewer than a majority of the old or of the new roster are reachable";
--- a/crates/controller/src/consensus/founding.rs
+++ b/crates/controller/src/consensus/founding.rs
@@ -69,8 +69,8 @@
         .filter_map(|seed| Some((seed, state.seeds.get(seed)?)))
         .filter(|(_, seen)| !seen.founded)
         .map(|(address, seen)| entry(seen.node, *address, &seen.zone));
-    let holders: Vec<VoterEntry> = std::iter::once(own).chain(others).collect();
-    (holders.len() == seeds.len()).then_some(VoterSet { holders })
+    let entries: Vec<VoterEntry> = std::iter::once(own).chain(others).collect();
+    (entries.len() == seeds.len()).then_some(VoterSet { entries })
 }
 
 fn propose_founding(state: &mut ControllerState, voters: VoterSet) {
@@ -121,7 +121,7 @@
 ///
 /// A node that already knows a membership, or is not allowed to found one, does not respond.
 pub fn handle_proposal(state: &mut ControllerState, reply_to: SocketAddr, founding: Founding) {
-    let names_this_node = founding.voters.holder(state.node).is_some();
+    let names_this_node = founding.voters.entry(state.node).is_some();
     if is_founded(state) || !names_this_node || !state.options.core.may_bootstrap {
         return;
     }
@@ -145,7 +145,7 @@
     };
     state.founding.accepted_by.insert(from);
     let has_accepted = |voter: &VoterEntry| state.founding.accepted_by.contains(&voter.node);
-    if founding.voters.holders.iter().all(has_accepted) {
+    if founding.voters.entries.iter().all(has_accepted) {
         commit_founding(state, &founding);
     }
 }
@@ -163,7 +163,7 @@
         }],
         guards: Vec::new(),
     };
-    for voter in &founding.voters.holders {
+    for voter in &founding.voters.entries {
         let message = ConsensusMessage::Commit {
             map: MapName::Membership,
             version: Version(1),
--- a/crates/controller/src/consensus/mod.rs
+++ b/crates/controller/src/consensus/mod.rs
@@ -78,9 +78,9 @@
     }
     state.outputs.append(&mut replies);
     if let Some(map) = updated_map {
-        snapshot_transfer::continue_catch_up(state, map, outcome.moved.contains(&map));
+        snapshot_transfer::continue_catch_up(state, map, outcome.advanced.contains(&map));
     }
-    for map in outcome.moved {
+    for map in outcome.advanced {
         handle_new_version(state, map, membership_before);
     }
 }
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -21,7 +21,7 @@
     for name in ALL_MAPS {
         let index = name.index();
         if repair::is_repair_due(state, name) {
-            state.proposers[index].finish();
+            state.proposers[index].request_recovery();
         }
         let outcome = state.proposers[index].tick(state.now, &state.voter, &mut state.random);
         apply_outcome(state, outcome);
--- a/crates/controller/src/consensus/quorum_reads.rs
+++ b/crates/controller/src/consensus/quorum_reads.rs
@@ -104,7 +104,7 @@
     }
     let majority = state
         .voters()
-        .filter(|voters| voters.holder(from).is_some())
+        .filter(|voters| voters.entry(from).is_some())
         .map(VoterSet::majority);
     if let Some(majority) = majority {
         state.quorum_reads.respond(from, number, versions, majority);
--- a/crates/controller/src/consensus/snapshot_transfer.rs
+++ b/crates/controller/src/consensus/snapshot_transfer.rs
@@ -67,7 +67,7 @@
             None
         }
         ChunkOutcome::Snapshot(full_map) => Some(ConsensusMessage::Snapshot { map, full_map }),
-        ChunkOutcome::Refused(why) => {
+        ChunkOutcome::Rejected(why) => {
             state.log_event(Event::ChunkRejected { map, from, why });
             None
         }
@@ -84,7 +84,7 @@
     let local_version = state.map(map).version;
     let request = state
         .catch_up
-        .behind(state.now, map, local_version, peer, goal);
+        .handle_announcement(state.now, map, local_version, peer, goal);
     send_request(state, request);
 }
 
--- a/crates/controller/src/daemon/handle.rs
+++ b/crates/controller/src/daemon/handle.rs
@@ -117,7 +117,7 @@
     }
 
     /// Deregisters an incarnation of an instance that has ended. Returns whether that was acknowledged.
-    pub async fn gone(&self, id: InstanceId) -> bool {
+    pub async fn deregister_instance(&self, id: InstanceId) -> bool {
         if self.may_be_old {
             return false;
         }
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -61,7 +61,7 @@
     /// Disables the safeguard in the receiver of snapshots.
     pub(crate) fn apply_to_catch_up(self, receiver: &mut CatchUpReceiver) {
         if self == Self::UncheckedSnapshot {
-            receiver.broken = CatchUpFault::SkipsDigest;
+            receiver.fault = CatchUpFault::SkipsDigest;
         }
     }
 
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -268,7 +268,7 @@
 pub fn handle_confirmation(state: &mut ControllerState, from: NodeId, number: u64) {
     let is_voter = state
         .voters()
-        .is_some_and(|voters| voters.holder(from).is_some());
+        .is_some_and(|voters| voters.entry(from).is_some());
     if !is_voter {
         return;
     }
--- a/crates/controller/src/leadership/fencing.rs
+++ b/crates/controller/src/leadership/fencing.rs
@@ -22,7 +22,7 @@
         return None;
     }
     let present = state.map(map).fence().map_or(Epoch(0), |term| term.epoch);
-    let expected = state.map(map).present(FENCE);
+    let expected = state.map(map).item_version(FENCE);
     if present == epoch {
         return Some(Guard {
             key: FENCE.to_string(),
@@ -44,6 +44,6 @@
 /// Adds a guard that rejects the change once the voter management role has changed hands.
 pub(super) fn guard_by_voter_management(state: &ControllerState, change: &mut Change) {
     let key = term_key(VOTER_MANAGEMENT);
-    let expected = state.map(MapName::Membership).present(&key);
+    let expected = state.map(MapName::Membership).item_version(&key);
     change.guards.push(Guard { key, expected });
 }
--- a/crates/controller/src/leadership/handover.rs
+++ b/crates/controller/src/leadership/handover.rs
@@ -22,7 +22,7 @@
         holder: successor,
         epoch: epoch.next(),
     };
-    let expected = state.map(MapName::Membership).present(&term_key(name));
+    let expected = state.map(MapName::Membership).item_version(&term_key(name));
     propose_term(state, name, term, expected);
 }
 
@@ -49,7 +49,7 @@
     state
         .voters()
         .into_iter()
-        .flat_map(|voters| &voters.holders)
+        .flat_map(|voters| &voters.entries)
         .filter(|voter| voter.controller && voter.node != state.node)
         .map(|voter| voter.node)
 }
--- a/crates/controller/src/leadership/majority_loss.rs
+++ b/crates/controller/src/leadership/majority_loss.rs
@@ -16,7 +16,7 @@
     let replaced: Vec<NodeId> = state
         .voters()
         .iter()
-        .flat_map(|voters| &voters.holders)
+        .flat_map(|voters| &voters.entries)
         .filter(|voter| is_replaced(state, voter))
         .map(|voter| voter.node)
         .collect();
@@ -52,7 +52,7 @@
     let unreachable: Vec<String> = state
         .voters()
         .into_iter()
-        .flat_map(|voters| &voters.holders)
+        .flat_map(|voters| &voters.entries)
         .filter(|voter| voter.node != state.node && !state.liveness.is_alive(now, voter.node))
         .map(|voter| voter.address.to_string())
         .collect();
--- a/crates/controller/src/leadership/ownership.rs
+++ b/crates/controller/src/leadership/ownership.rs
@@ -32,7 +32,7 @@
     if state.ownership_role.epoch != Some(epoch) {
         begin_term(state, epoch);
     }
-    if held < state.options.core.listen
+    if held < state.options.core.collection_period
         || state.now < state.ownership_role.next_plan_at
         || state.has_proposal_in_flight(&ProposalOrigin::Ownership)
     {
@@ -94,7 +94,7 @@
     guard: Guard,
 ) {
     let key = format!("slices/{service}");
-    let expected = state.map(MapName::Ownership).present(&key);
+    let expected = state.map(MapName::Ownership).item_version(&key);
     let value = Value::KeyRanges { table };
     let mut change = single_put(state, "slices", key, expected, value);
     change.guards.push(guard);
@@ -148,5 +148,5 @@
 /// Returns the owner manager's address according to the local membership.
 pub fn owner_manager_address(state: &ControllerState) -> Option<SocketAddr> {
     let term = state.map(MapName::Membership).leadership(OWNERSHIP)?;
-    Some(state.voters()?.holder(term.holder)?.address)
+    Some(state.voters()?.entry(term.holder)?.address)
 }
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -20,7 +20,7 @@
     let Some(guard) = guard_by_fence(state, MapName::Placement, epoch) else {
         return;
     };
-    if held < state.options.core.listen
+    if held < state.options.core.collection_period
         || state.has_proposal_in_flight(&ProposalOrigin::Solver)
         || !state.is_current(MapName::Configuration)
         || state.members.ready_proxies().next().is_none()
@@ -45,7 +45,7 @@
 }
 
 fn propose_placement(state: &mut ControllerState, mapping: Mapping, guard: Guard) {
-    let expected = state.map(MapName::Placement).present(MAPPING);
+    let expected = state.map(MapName::Placement).item_version(MAPPING);
     let value = Value::Mapping { mapping };
     let mut change = single_put(state, MAPPING, MAPPING.to_string(), expected, value);
     change.guards.push(guard);
--- a/crates/controller/src/leadership/voter_candidates.rs
+++ b/crates/controller/src/leadership/voter_candidates.rs
@@ -20,7 +20,7 @@
     state
         .seeds
         .iter()
-        .filter(|(_, seen)| voters.holder(seen.node).is_none())
+        .filter(|(_, seen)| voters.entry(seen.node).is_none())
         .find(|(_, seen)| state.is_synced_replica(seen.node))
         .map(|(address, seen)| VoterEntry {
             node: seen.node,
@@ -36,7 +36,7 @@
     let versions = state.versions();
     let has_vote_of = |zone: &Zone, is_controller: bool| {
         voters
-            .holders
+            .entries
             .iter()
             .any(|voter| voter.zone == *zone && voter.controller == is_controller)
     };
@@ -44,7 +44,7 @@
         .members
         .iter()
         .filter(|member| member.role == Role::Proxy && !member.draining)
-        .filter(|member| voters.holder(member.node).is_none())
+        .filter(|member| voters.entry(member.node).is_none())
         .filter(|member| is_nearly_up_to_date(member, &versions))
         .min_by_key(|member| {
             (
@@ -79,5 +79,5 @@
 
 /// Returns whether a zone has a voter.
 pub(super) fn has_voter_in(voters: &VoterSet, zone: &Zone) -> bool {
-    voters.holders.iter().any(|voter| voter.zone == *zone)
+    voters.entries.iter().any(|voter| voter.zone == *zone)
 }
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -36,7 +36,7 @@
 
 /// Proposes the next voter change if one is due, and otherwise the next change of the fallback members.
 pub(super) fn manage_voters(state: &mut ControllerState, held: Duration) {
-    if held < state.options.core.listen
+    if held < state.options.core.collection_period
         || state.has_proposal_in_flight(&ProposalOrigin::VoterManagement)
         || !state.is_current(MapName::Membership)
     {
@@ -61,7 +61,7 @@
 /// than from the start of the term, since the previous leader may have waited for it already.
 fn record_lost_voters(state: &mut ControllerState, voters: &VoterSet) {
     let now = state.now;
-    for voter in &voters.holders {
+    for voter in &voters.entries {
         let lost_since = &mut state.voter_management.lost_since;
         if voter.node == state.node || state.liveness.is_alive(now, voter.node) {
             lost_since.remove(&voter.node);
@@ -79,7 +79,7 @@
 
 fn live_voter_count(state: &ControllerState, voters: &VoterSet) -> usize {
     voters
-        .holders
+        .entries
         .iter()
         .filter(|voter| !state.voter_management.lost_since.contains_key(&voter.node))
         .count()
@@ -93,7 +93,7 @@
     }
     management.rejection_logged_at = state.now;
     let live = live_voter_count(state, &next);
-    let why = format!("{reason}: {live} live voters of {}", next.holders.len());
+    let why = format!("{reason}: {live} live voters of {}", next.entries.len());
     state.log_event(Event::VoterChangeRejected { why });
 }
 
@@ -111,7 +111,7 @@
 fn propose_voters(state: &mut ControllerState, change: VoterChange) {
     let why = change.reason;
     state.log_event(Event::VoterChangeProposed { why });
-    let expected = state.map(MapName::Membership).present(VOTERS);
+    let expected = state.map(MapName::Membership).item_version(VOTERS);
     let value = Value::VoterSet {
         voters: change.next,
     };
@@ -129,7 +129,9 @@
 
 /// Returns a change that replaces the present fallback members.
 pub fn fallback_members_change(state: &mut ControllerState, value: Value) -> Change {
-    let expected = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
+    let expected = state
+        .map(MapName::Membership)
+        .item_version(FALLBACK_MEMBERS);
     let mut change = single_put(
         state,
         FALLBACK_MEMBERS,
@@ -153,7 +155,7 @@
 /// Adds a candidate controller while there are too few controllers among the voters.
 fn add_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let controllers = voters
-        .holders
+        .entries
         .iter()
         .filter(|voter| voter.controller)
         .count();
@@ -167,7 +169,7 @@
 
 /// Removes a witness that is draining or has been unreachable for too long.
 fn remove_lost_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
-    let lost = voters.holders.iter().find(|voter| {
+    let lost = voters.entries.iter().find(|voter| {
         let is_draining = state
             .members
             .iter()
@@ -183,7 +185,7 @@
 /// still be needed for a majority.
 fn remove_lost_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let timeout = state.options.core.controller_lost;
-    let lost = voters.holders.iter().find(|voter| {
+    let lost = voters.entries.iter().find(|voter| {
         let has_timed_out = unreachable_for(state, voter.node) >= timeout;
         voter.controller && (is_replaced(state, voter) || has_timed_out)
     })?;
@@ -195,9 +197,9 @@
 /// Removes a witness that shares its zone with another voter if there is a candidate in a zone without a
 /// voter: two voters in one zone would be lost together.
 fn remove_colocated_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
-    let colocated = voters.holders.iter().find(|voter| {
+    let colocated = voters.entries.iter().find(|voter| {
         let shares_zone = |other: &VoterEntry| other.node != voter.node && other.zone == voter.zone;
-        !voter.controller && voters.holders.iter().any(shares_zone)
+        !voter.controller && voters.entries.iter().any(shares_zone)
     })?;
     let candidate = witness_candidate(state, voters)?;
     if has_voter_in(voters, &candidate.zone) {
@@ -214,7 +216,7 @@
 fn add_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let core = &state.options.core;
     let wanted = core.controller_voters + core.witness_voters;
-    if core.witness_voters == 0 || voters.holders.len() >= wanted {
+    if core.witness_voters == 0 || voters.entries.len() >= wanted {
         return None;
     }
     let witness = witness_candidate(state, voters)?;
@@ -224,13 +226,13 @@
 
 fn with_voter(voters: &VoterSet, newcomer: VoterEntry, reason: String) -> VoterChange {
     let mut next = voters.clone();
-    next.holders.push(newcomer);
+    next.entries.push(newcomer);
     VoterChange { next, reason }
 }
 
 fn without_voter(voters: &VoterSet, lost: NodeId, reason: String) -> VoterChange {
     let mut next = voters.clone();
-    next.holders.retain(|voter| voter.node != lost);
+    next.entries.retain(|voter| voter.node != lost);
     VoterChange { next, reason }
 }
 
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -148,7 +148,7 @@
         .filter(|put| is_unversioned_put(put))
         .map(|put| Guard {
             key: put.key.clone(),
-            expected: configuration.present(&put.key),
+            expected: configuration.item_version(&put.key),
         });
     change.guards.extend(fences);
     state.unversioned_changes.insert(ticket, unversioned);
@@ -210,7 +210,7 @@
         voters: membership
             .voters()
             .iter()
-            .flat_map(|voters| &voters.holders)
+            .flat_map(|voters| &voters.entries)
             .map(|voter| {
                 let is_alive =
                     voter.node == state.node || state.liveness.is_alive(state.now, voter.node);
@@ -232,7 +232,7 @@
 fn update_up_to(update: ConsensusMessage, version: Version) -> Option<ConsensusMessage> {
     match update {
         ConsensusMessage::Updates { map, mut changes } => {
-            changes.retain(|numbered| numbered.version <= version);
+            changes.retain(|committed| committed.version <= version);
             Some(ConsensusMessage::Updates { map, changes })
         }
         ConsensusMessage::Snapshot { map, full_map } if full_map.version <= version => {
--- a/crates/controller/src/operator_json/writing/changes.rs
+++ b/crates/controller/src/operator_json/writing/changes.rs
@@ -27,19 +27,19 @@
     json
 }
 
-fn change_json(numbered: &CommittedChange) -> JsonValue {
-    let items: Vec<JsonValue> = numbered
+fn change_json(committed: &CommittedChange) -> JsonValue {
+    let items: Vec<JsonValue> = committed
         .change
         .puts
         .iter()
         .map(|put| match &put.value {
-            Some(value) => item_json(&put.key, numbered.version, value),
+            Some(value) => item_json(&put.key, committed.version, value),
             None => jzon::object! { dropped: put.key.as_str() },
         })
         .collect();
     jzon::object! {
-        edition: numbered.version.0,
-        id: numbered.change.id.as_str(),
+        edition: committed.version.0,
+        id: committed.change.id.as_str(),
         items: items,
     }
 }
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -249,7 +249,7 @@
     /// Returns whether this node is a voter according to its replica of the membership.
     pub fn is_voter(&self) -> bool {
         self.voters()
-            .is_some_and(|voters| voters.holder(self.node).is_some())
+            .is_some_and(|voters| voters.entry(self.node).is_some())
     }
 
     /// Sends a message to another node, or to this node itself through the host.
@@ -270,7 +270,7 @@
 
     /// Returns the address of a node that is a voter or that sent a seed message.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
-        if let Some(voter) = self.voters().and_then(|voters| voters.holder(node)) {
+        if let Some(voter) = self.voters().and_then(|voters| voters.entry(node)) {
             return Some(voter.address);
         }
         self.seeds
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -549,8 +549,8 @@
 /// Returns whether a controller that is behind becomes leader. It is the first candidate for every role.
 fn leads_while_behind(fault: FaultInjection) -> bool {
     let mut fleet = Fleet::founded(30);
-    let holders = &fleet.state(0).voters().expect("it is founded").holders;
-    assert_eq!(holders[0].address, address(0), "the first candidate");
+    let entries = &fleet.state(0).voters().expect("it is founded").entries;
+    assert_eq!(entries[0].address, address(0), "the first candidate");
     let image = fleet.nodes[0].image.clone();
     for number in 0..ROUTES / 50 {
         fleet.commit(routes_change(number * 50..(number + 1) * 50, ROUTES));
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -755,7 +755,7 @@
     let nodes: BTreeSet<NodeId> = states.iter().map(|state| state.node).collect();
     let is_up_to_date = |state: &&ControllerState| {
         let voters = state.voters().map_or(BTreeSet::new(), |voters| {
-            voters.holders.iter().map(|holder| holder.node).collect()
+            voters.entries.iter().map(|entry| entry.node).collect()
         });
         voters == nodes && state.voter.highest_possible() == states[0].voter.highest_possible()
     };
@@ -852,7 +852,7 @@
             .as_ref()
             .expect("the controller is running")
             .state;
-        assert!(state.voters().expect("voters").holder(node).is_none());
+        assert!(state.voters().expect("voters").entry(node).is_none());
     }
     // The other controllers still accept changes.
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
--- a/crates/controller/tests/stored_state.rs
+++ b/crates/controller/tests/stored_state.rs
@@ -95,7 +95,7 @@
     let founding = Founding {
         attempt: 2,
         voters: VoterSet {
-            holders: vec![VoterEntry {
+            entries: vec![VoterEntry {
                 node: NodeId(5),
                 address: SocketAddr::from(([10, 1, 2, 5], 7000)),
                 zone: Zone::from("north-a"),
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -46,8 +46,8 @@
                     let envelope = locked(&self.machine).seal(now, to, message);
                     self.port.forward(to, &envelope);
                 }
-                DirectoryOutput::ChunkRejected { refused, from } => {
-                    let RejectedChunk { map, why } = refused;
+                DirectoryOutput::ChunkRejected { rejected, from } => {
+                    let RejectedChunk { map, why } = rejected;
                     event(PIECE_REFUSED, format!("{map} from {from}: {why}"));
                 }
                 DirectoryOutput::ControlLinkSlow { figures } => {
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -67,7 +67,7 @@
     ControlLinkSlow { figures: LinkFigures },
     /// A chunk of a map snapshot was rejected; nothing of it is kept.
     ChunkRejected {
-        refused: RejectedChunk,
+        rejected: RejectedChunk,
         from: SocketAddr,
     },
 }
@@ -227,10 +227,10 @@
             }
             Message::ConsensusMessage { message } => {
                 let step = self.link.handle_catch_up(now, from, &message);
-                self.handle_map_updates(step.moved, outputs);
+                self.handle_map_updates(step.advanced, outputs);
                 request_chunks(step.request, outputs);
-                if let Some(refused) = step.refused {
-                    outputs.push(DirectoryOutput::ChunkRejected { refused, from });
+                if let Some(rejected) = step.rejected {
+                    outputs.push(DirectoryOutput::ChunkRejected { rejected, from });
                 }
             }
             // All other messages are for agents and controllers.
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -543,7 +543,7 @@
             load: 0,
             up: now.saturating_sub(self.since),
             key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
-            released: self.held_leases.let_go(),
+            released: self.held_leases.released_epochs(),
         }
     }
 
@@ -589,7 +589,7 @@
             return None;
         }
         let dated = heartbeats::read_timestamped_response(&fetched.json())?;
-        self.held_leases.answered(sent_at, &dated.response);
+        self.held_leases.apply_response(sent_at, &dated.response);
         self.stamps
             .insert(to, (dated.stamp, self.fleet.clock.now()));
         Some(dated.again)
--- a/crates/model-check/src/invariants.rs
+++ b/crates/model-check/src/invariants.rs
@@ -142,7 +142,7 @@
         return Ok(());
     };
     let missing = surviving()
-        .filter(|node| voters.holder(node.id).is_some())
+        .filter(|node| voters.entry(node.id).is_some())
         .filter(|node| !is_on_disk(world, node, accepted))
         .count();
     if missing >= voters.majority() {
--- a/crates/model-check/src/world.rs
+++ b/crates/model-check/src/world.rs
@@ -73,8 +73,8 @@
     }
 }
 
-fn voters_change(id: &str, expected: Version, holders: Vec<VoterEntry>) -> Change {
-    let voters = VoterSet { holders };
+fn voters_change(id: &str, expected: Version, entries: Vec<VoterEntry>) -> Change {
+    let voters = VoterSet { entries };
     Change {
         id: ChangeId::new(id),
         puts: vec![Put {
@@ -122,12 +122,12 @@
 
 impl World {
     pub fn new(bound: &Bound) -> Self {
-        let holders = (1..=bound.voters).map(|id| entry(NodeId(id))).collect();
+        let entries = (1..=bound.voters).map(|id| entry(NodeId(id))).collect();
         let mut voter = Voter::default();
         voter.handle(ConsensusMessage::Commit {
             map: MapName::Membership,
             version: Version(1),
-            change: voters_change("founding", Version(0), holders),
+            change: voters_change("founding", Version(0), entries),
         });
         let mut world = Self {
             nodes: Vec::new(),
@@ -266,18 +266,18 @@
         let Some(index) = self.index_of(bound.manager) else {
             return;
         };
-        let Some(holders) = self.next_voters(bound, self.node(index)) else {
+        let Some(entries) = self.next_voters(bound, self.node(index)) else {
             return;
         };
         self.change(index, |node| {
             let membership = node.voter.get().map(MapName::Membership);
             let version = membership.version;
-            let expected = membership.present("seats");
+            let expected = membership.item_version("seats");
             let configuration = ensure_recovered(node.configuration.change(), version);
             let is_recovered = ensure_recovered(node.membership.change(), version) && configuration;
             if is_recovered || bound.injected_bug == InjectedBug::SkipsRecovery {
                 let id = format!("voters-after-{version}");
-                let change = voters_change(&id, expected, holders);
+                let change = voters_change(&id, expected, entries);
                 node.membership
                     .change()
                     .propose(Duration::ZERO, MANAGER_TICKET, change);
--- a/crates/model-check/src/world/actions.rs
+++ b/crates/model-check/src/world/actions.rs
@@ -122,19 +122,19 @@
     /// Returns the voters after the first membership step that has not been made yet.
     pub(super) fn next_voters(&self, bound: &Bound, manager: &Node) -> Option<Vec<VoterEntry>> {
         let voters = manager.voter.get().map(MapName::Membership).voters()?;
-        let mut holders = voters.holders.clone();
+        let mut entries = voters.entries.clone();
         for step in &bound.membership_steps {
             match step {
                 // A node that replaces a wiped one exists only after the wipe.
                 MembershipStep::Join(id)
-                    if voters.holder(*id).is_none() && self.index_of(*id).is_some() =>
+                    if voters.entry(*id).is_none() && self.index_of(*id).is_some() =>
                 {
-                    holders.push(super::entry(*id));
-                    return Some(holders);
+                    entries.push(super::entry(*id));
+                    return Some(entries);
                 }
-                MembershipStep::Leave(id) if voters.holder(*id).is_some() => {
-                    holders.retain(|holder| holder.node != *id);
-                    return Some(holders);
+                MembershipStep::Leave(id) if voters.entry(*id).is_some() => {
+                    entries.retain(|entry| entry.node != *id);
+                    return Some(entries);
                 }
                 _ => {}
             }
--- a/crates/model-check/src/world/proposals.rs
+++ b/crates/model-check/src/world/proposals.rs
@@ -96,10 +96,10 @@
         let Some(voters) = node.voter.get().map(MapName::Membership).voters().cloned() else {
             return;
         };
-        for holder in voters.holders {
+        for entry in voters.entries {
             let request = Request {
                 proposer,
-                voter: holder.node,
+                voter: entry.node,
                 message: message.clone(),
             };
             let mut writer = DigestWriter::default();
@@ -126,7 +126,7 @@
             let outcome = node.voter.change().handle(message);
             node.unsynced.extend(outcome.records);
             node.unsynced_rewrite |= outcome.rewrite;
-            if outcome.moved.contains(&MapName::Membership) {
+            if outcome.advanced.contains(&MapName::Membership) {
                 node.quorum_reads.reset(before);
                 node.open_quorum_read = None;
             }
--- a/crates/model-check/src/world/quorum_reads.rs
+++ b/crates/model-check/src/world/quorum_reads.rs
@@ -20,8 +20,8 @@
             let voters = node.voter.get().map(MapName::Membership).voters();
             let waiting = voters
                 .iter()
-                .flat_map(|voters| &voters.holders)
-                .map(|holder| holder.node)
+                .flat_map(|voters| &voters.entries)
+                .map(|entry| entry.node)
                 .collect();
             node.open_quorum_read = Some((number, waiting));
         });
--- a/crates/simulator/src/actors/instance.rs
+++ b/crates/simulator/src/actors/instance.rs
@@ -95,7 +95,7 @@
             load: self.work.len() as u32,
             up: now,
             key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
-            released: self.held_leases.let_go(),
+            released: self.held_leases.released_epochs(),
             warm_up_left: Duration::ZERO,
         }
     }
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -215,7 +215,7 @@
     };
     match response {
         Some(dated) => {
-            instance.held_leases.answered(sent, &dated.response);
+            instance.held_leases.apply_response(sent, &dated.response);
             instance.stamps.insert(hearer, (dated.stamp, local));
             if dated.again {
                 instance.next_heartbeat = local;
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -143,7 +143,10 @@
         let uptime = self.clock.now();
         let (key_ranges_in_use, released) = {
             let held_leases = locked(&self.held_leases);
-            (held_leases.key_ranges_in_use(uptime), held_leases.let_go())
+            (
+                held_leases.key_ranges_in_use(uptime),
+                held_leases.released_epochs(),
+            )
         };
         let state = if self.draining.load(Ordering::SeqCst) {
             InstanceState::Draining
@@ -198,7 +201,7 @@
         match result {
             Ok(fetched) if fetched.status == 200 => {
                 let timestamped = heartbeats::read_timestamped_response(&fetched.json())?;
-                locked(&self.held_leases).answered(sent_at, &timestamped.response);
+                locked(&self.held_leases).apply_response(sent_at, &timestamped.response);
                 let now = self.clock.now();
                 locked(&self.stamps).insert(agent, (timestamped.stamp, now));
                 Some(timestamped.again)
