--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -181,7 +181,7 @@
         let mut link = CoreLink::new(node, &FOLLOWED_MAPS, options.seeds.clone(), chance.draw())
             .with_form(options.feed_form);
         link.instances.timeout = options.instance_timeout;
-        link.lease.span = options.lease_duration;
+        link.lease.duration = options.lease_duration;
         link.instances.refresh_interval = options.heartbeat_refresh;
         let fallback_quorum = FallbackQuorum::new(options.control);
         let first = options.control;
--- a/crates/caperworks/src/change_check.rs
+++ b/crates/caperworks/src/change_check.rs
@@ -38,13 +38,13 @@
     /// This is checked first: a caller that did not receive the response repeats the change, and the
     /// repetition must not be rejected as conflicting with the first, successful attempt.
     pub fn check_committed_before(&self, change: &Change) -> Option<ChangeCheck> {
-        let answered = self
-            .answered
+        let recent = self
+            .recent_changes
             .iter()
-            .find(|answered| answered.id == change.id)?;
-        Some(match answered.digest == change.digest() {
-            true => ChangeCheck::Repeat(answered.version),
-            false => ChangeCheck::IdTaken(answered.version),
+            .find(|recent| recent.id == change.id)?;
+        Some(match recent.digest == change.digest() {
+            true => ChangeCheck::Repeat(recent.version),
+            false => ChangeCheck::IdTaken(recent.version),
         })
     }
 
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -184,9 +184,9 @@
     /// Removes and returns the instances whose heartbeats are overdue.
     pub fn expire(&mut self, now: Duration) -> Vec<InstanceId> {
         self.prune_ended(now);
-        let span = self.timeout;
+        let timeout = self.timeout;
         let overdue = self.known.iter();
-        let overdue = overdue.filter(|(_, entry)| now.saturating_sub(entry.received_at) >= span);
+        let overdue = overdue.filter(|(_, entry)| now.saturating_sub(entry.received_at) >= timeout);
         let expired: Vec<InstanceId> = overdue.map(|(id, _)| id.clone()).collect();
         self.evict(&expired);
         expired
@@ -200,10 +200,10 @@
     pub fn mark_suspected(&mut self, now: Duration) -> Vec<InstanceId> {
         self.prune_ended(now);
         self.evict_long_suspected(now);
-        let span = self.timeout;
+        let timeout = self.timeout;
         let mut newly_suspected = Vec::new();
         for (id, entry) in &mut self.known {
-            let is_recent = now.saturating_sub(entry.received_at) < span;
+            let is_recent = now.saturating_sub(entry.received_at) < timeout;
             if is_recent || self.suspected.contains_key(id) {
                 continue;
             }
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -162,7 +162,7 @@
 #[derive(Debug, Clone)]
 pub struct LeaseHolder {
     /// Lease duration for this holder; at most [`LEASE_DURATION`].
-    pub span: Duration,
+    pub duration: Duration,
     number: u64,
     sent: VecDeque<(u64, Duration)>,
     grants: VecDeque<ReceivedGrant>,
@@ -174,7 +174,7 @@
 impl Default for LeaseHolder {
     fn default() -> Self {
         Self {
-            span: LEASE_DURATION,
+            duration: LEASE_DURATION,
             number: 0,
             sent: VecDeque::new(),
             grants: VecDeque::new(),
@@ -207,8 +207,11 @@
         };
         // The controller responded after the renewal was sent, so its quorum read was started no
         // earlier than `sent_at - quorum_read_age`. Counting from there can only shorten the lease.
-        let span = self.span.min(LEASE_DURATION).saturating_sub(DRIFT_MARGIN);
-        let until = (sent_at + span).saturating_sub(quorum_read_age);
+        let duration = self
+            .duration
+            .min(LEASE_DURATION)
+            .saturating_sub(DRIFT_MARGIN);
+        let until = (sent_at + duration).saturating_sub(quorum_read_age);
         self.grants.push_back(ReceivedGrant { until, versions });
         if self.grants.len() > MAX_RETAINED_GRANTS {
             self.grants.pop_front();
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -358,7 +358,7 @@
         let took = sent_at.map(|sent_at| now.saturating_sub(sent_at));
         let follower = self.feed_cache.follower();
         self.reporter.figures.count(granted, took, follower);
-        self.pacer.answered(granted.number, took);
+        self.pacer.record_response(granted.number, took);
         let advanced: Vec<MapName> = granted
             .updates
             .iter()
--- a/crates/caperworks/src/poll_pacer.rs
+++ b/crates/caperworks/src/poll_pacer.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records a response; `took` is the time since its poll, if that is still known.
-    pub fn answered(&mut self, number: u64, took: Option<Duration>) {
+    pub fn record_response(&mut self, number: u64, took: Option<Duration>) {
         if let Some(took) = took {
             self.rtt.record_response(took);
         }
--- a/crates/caperworks/src/reduced_map.rs
+++ b/crates/caperworks/src/reduced_map.rs
@@ -77,7 +77,7 @@
             items: items
                 .map(|(key, found)| (key.clone(), item(found)))
                 .collect(),
-            answered: Vec::new(),
+            recent_changes: Vec::new(),
             histories: BTreeMap::new(),
             form: FeedForm::Reduced,
         }
@@ -90,7 +90,7 @@
     /// decide whether a higher version is present, and each item has its own version.
     pub fn apply_reduced(&mut self, change: &Change) {
         self.apply(change);
-        self.answered.clear();
+        self.recent_changes.clear();
         self.histories.clear();
         self.form = FeedForm::Reduced;
     }
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -96,7 +96,7 @@
         #[cbor(with = "crate::shared_items")]
         1 items: Items,
         /// The most recent committed changes, at most [`REMEMBERED_CHANGES`], oldest first.
-        2 answered: Vec<RecentChange>,
+        2 recent_changes: Vec<RecentChange>,
         /// For each item, the operator versions that were confirmed. Absent in states that were stored
         /// before histories were introduced.
         #[cbor(default)]
@@ -229,7 +229,7 @@
         Self {
             version: Version(0),
             items: Items::new(),
-            answered: Vec::new(),
+            recent_changes: Vec::new(),
             histories: BTreeMap::new(),
             form: FeedForm::Complete,
         }
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -32,7 +32,7 @@
         Self {
             version: self.version,
             items: self.items.clone(),
-            answered: self.answered.clone(),
+            recent_changes: self.recent_changes.clone(),
             histories: change.puts.iter().filter_map(history).collect(),
             form: self.form,
         }
@@ -64,13 +64,13 @@
                 self.apply_put(put);
             }
         }
-        self.answered.push(RecentChange {
+        self.recent_changes.push(RecentChange {
             id: change.id.clone(),
             version: self.version,
             digest: change.digest(),
         });
-        if self.answered.len() > REMEMBERED_CHANGES {
-            self.answered.remove(0);
+        if self.recent_changes.len() > REMEMBERED_CHANGES {
+            self.recent_changes.remove(0);
         }
     }
 
--- a/crates/caperworks/tests/operator_versions.rs
+++ b/crates/caperworks/tests/operator_versions.rs
@@ -576,7 +576,7 @@
         let bytes = minicbor::to_vec(StoredBefore {
             version: stored.version,
             items: stored.items.clone().into_iter().collect(),
-            answered: stored.answered.clone(),
+            answered: stored.recent_changes.clone(),
         })
         .expect("it encodes");
         let mut map: ReplicatedMap = minicbor::decode(&bytes).expect("it decodes");
--- a/crates/caperworks/tests/poll_pacing.rs
+++ b/crates/caperworks/tests/poll_pacing.rs
@@ -21,7 +21,7 @@
             .is_some_and(|(_, at)| now >= *at + response_time)
         {
             let (number, at) = in_flight.pop_front().expect("a poll is in flight");
-            pacer.answered(number, Some(now - at));
+            pacer.record_response(number, Some(now - at));
         }
         if pacer.may_poll(now) {
             let number = polled_at.len() as u64;
@@ -55,7 +55,7 @@
     for number in 0..20 {
         let now = millis(number * 300);
         pacer.asked(now, number);
-        pacer.answered(number, Some(millis(20)));
+        pacer.record_response(number, Some(millis(20)));
     }
     let now = millis(6000);
     pacer.asked(now, 20);
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -316,7 +316,7 @@
         let plain = PlainMap {
             version: map.version,
             items: map.items.clone().into_iter().collect(),
-            answered: map.answered.clone(),
+            answered: map.recent_changes.clone(),
             histories: map.histories.clone(),
             is_reduced: map.is_reduced(),
         };
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -271,7 +271,7 @@
     }
     let map = consensus.voters[&2].map(MapName::Configuration);
     assert_eq!(
-        map.answered[0].id, orphaned_change.id,
+        map.recent_changes[0].id, orphaned_change.id,
         "the orphaned change is version 1"
     );
     assert_eq!(
@@ -1127,7 +1127,7 @@
         (LEASE_DURATION * 2, LEASE_DURATION - DRIFT_MARGIN),
     ] {
         let mut holder = LeaseHolder::default();
-        holder.span = span;
+        holder.duration = span;
         let number = holder.renew(millis(1000));
         holder.granted(number, millis(50), vec![Version(0); 4]);
         let until = holder.fresh_until(&Follower::default(), &wants);
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -331,7 +331,7 @@
                 (format!("key-{index}"), item)
             })
             .collect(),
-        answered: vec![RecentChange {
+        recent_changes: vec![RecentChange {
             id: ChangeId::from("change-0"),
             version: Version(16),
             digest: 0x0102_0304_0506_0708,
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -419,8 +419,8 @@
         assert!(state.storage.log_length() <= LOG_CAPACITY);
         let history = state.voter.history(MapName::Configuration);
         assert!(history.weight() <= MAX_HISTORY_WEIGHT);
-        let answered = state.map(MapName::Configuration).answered.len();
-        assert!(answered <= REMEMBERED_CHANGES);
+        let recent_changes = state.map(MapName::Configuration).recent_changes.len();
+        assert!(recent_changes <= REMEMBERED_CHANGES);
     }
     // Both controllers wrote a complete slot more than once. The map has grown a little since the last one,
     // because of the version history of each item.
--- a/crates/controller/tests/stored_state.rs
+++ b/crates/controller/tests/stored_state.rs
@@ -80,7 +80,7 @@
     ReplicatedMap {
         version: Version(version),
         items: [("zone/north-a".to_string(), item)].into_iter().collect(),
-        answered: vec![RecentChange {
+        recent_changes: vec![RecentChange {
             id: ChangeId::from("change-0"),
             version: Version(version),
             digest: 99,
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -393,7 +393,7 @@
     }
 
     fn granted(&mut self, now: Duration, process: NodeId, granted: &Granted) {
-        self.pace.answered(granted.number, None);
+        self.pace.record_response(granted.number, None);
         self.controller_incarnation = process;
         self.instances_offset = granted.instances_offset;
         self.members_offset = granted.members_offset;
--- a/crates/model-check/src/invariants.rs
+++ b/crates/model-check/src/invariants.rs
@@ -120,8 +120,8 @@
     /// Records the committed changes in a node's maps, and compares them with the chosen ones.
     pub fn record_replicas(&mut self, voter: &Voter) -> Result<(), Violation> {
         for map in [MapName::Configuration, MapName::Membership] {
-            for answered in &voter.map(map).answered {
-                self.record(map, answered.version, &answered.id)?;
+            for recent in &voter.map(map).recent_changes {
+                self.record(map, recent.version, &recent.id)?;
             }
         }
         Ok(())
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -104,7 +104,7 @@
         let poll = self.sent.iter().find(|(polled, _)| *polled == number);
         let sent_at = poll.map(|(_, sent_at)| *sent_at);
         let took = sent_at.map(|sent_at| now.saturating_sub(sent_at));
-        self.pacer.answered(number, took);
+        self.pacer.record_response(number, took);
         sent_at
     }
 }
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -170,7 +170,7 @@
         };
         let asked_at = *asked_at;
         let took = now.saturating_sub(asked_at);
-        self.pace.answered(view.number, Some(took));
+        self.pace.record_response(view.number, Some(took));
         if self.broken == BrokenProxy::GoesBack && view.number.is_multiple_of(40) {
             self.knowledge.maps = Arc::default();
         }
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -141,7 +141,7 @@
     fn check_accepted(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         for accepted in self.accepted.clone() {
             let found = map
-                .answered
+                .recent_changes
                 .iter()
                 .find(|answered| answered.id == accepted.id);
             // Why the count: a map forgets the oldest change ids.
@@ -160,7 +160,7 @@
     /// Applies all changes that a map remembers anew; the same must come of it.
     fn replay(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         let mut replayed = ReplicatedMap::empty();
-        for answered in &map.answered {
+        for answered in &map.recent_changes {
             let known = self.proposed.get(&answered.id);
             let change = known
                 .into_iter()
@@ -184,7 +184,7 @@
             }
             replayed.apply(&change);
         }
-        if map.answered.len() < REMEMBERED_CHANGES && replayed.items != map.items {
+        if map.recent_changes.len() < REMEMBERED_CHANGES && replayed.items != map.items {
             self.breach(
                 Line::LostChange,
                 at,
