--- a/crates/agent/src/fallback_calls.rs
+++ b/crates/agent/src/fallback_calls.rs
@@ -72,7 +72,7 @@
             .updates
             .iter()
             .filter(|_| applies_updates)
-            .filter_map(|updates| self.link.feed_cache.take(updates))
+            .filter_map(|updates| self.link.feed_cache.apply_updates(updates))
             .collect();
         self.handle_map_updates(&advanced, outputs);
         // This comes first because an update to other fallback members makes the requests in flight void.
--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -104,7 +104,7 @@
         ownership: Version(0),
     };
     let mut proxy_state = ProxyState::default();
-    proxy_state.take(Duration::ZERO, &view);
+    proxy_state.apply_view(Duration::ZERO, &view);
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let mut done = 0;
--- a/crates/caperworks/examples/feed.rs
+++ b/crates/caperworks/examples/feed.rs
@@ -26,10 +26,10 @@
     let mut feed_cache = FeedCache::default();
     let last = MAX_HISTORY_WEIGHT as u64 + 100;
     for version in 1..=last {
-        feed_cache.take(&updates(version, version));
+        feed_cache.apply_updates(&updates(version, version));
     }
     let mut near = Follower::default();
-    near.take(&updates(1, last - 2));
+    near.apply_updates(&updates(1, last - 2));
     let (map, present) = (
         MapName::Configuration,
         near.map(MapName::Configuration).version,
@@ -38,14 +38,14 @@
         .updates_after(map, present)
         .expect("it is behind");
     assert!(matches!(response, ConsensusMessage::Updates { .. }));
-    near.take(&response);
+    near.apply_updates(&response);
 
     let mut far = Follower::default();
     let response = feed_cache
         .updates_after(map, Version(0))
         .expect("it is behind");
     assert!(matches!(response, ConsensusMessage::Snapshot { .. }));
-    far.take(&response);
+    far.apply_updates(&response);
     println!("both hold {}", far.map(map).version);
     assert_eq!(near.map(map).version, far.map(map).version);
 }
--- a/crates/caperworks/examples/leases_and_leadership.rs
+++ b/crates/caperworks/examples/leases_and_leadership.rs
@@ -16,9 +16,9 @@
     let mut quorum_reads = QuorumReads::default();
     let number = quorum_reads.begin(Duration::from_millis(0));
     let versions = vec![Version(0); ALL_MAPS.len()];
-    quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
+    quorum_reads.handle_response(NodeId(1), number, versions.clone(), 2);
     assert!(quorum_reads.latest(Duration::from_millis(1)).is_none());
-    quorum_reads.respond(NodeId(2), number, versions, 2);
+    quorum_reads.handle_response(NodeId(2), number, versions, 2);
     let quorum_read = quorum_reads
         .latest(Duration::from_millis(1))
         .expect("two of three")
@@ -28,7 +28,7 @@
     let mut lease = LeaseHolder::default();
     let follower = Follower::default();
     let renewal = lease.renew(Duration::from_millis(5));
-    lease.granted(renewal, Duration::from_millis(4), quorum_read.versions);
+    lease.apply_grant(renewal, Duration::from_millis(4), quorum_read.versions);
     println!(
         "lease valid until {:?}",
         lease.fresh_until(&follower, &ALL_MAPS)
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -63,7 +63,7 @@
         map: MapName::Configuration,
         full_map: map.reduced(),
     };
-    proxy_state.take(Duration::ZERO, &view(1, full_map));
+    proxy_state.apply_view(Duration::ZERO, &view(1, full_map));
     let mut elapsed = Duration::ZERO;
     for number in 0..u64::from(REPEATS) {
         let version = Version(map.version.0 + 1 + number);
@@ -75,7 +75,7 @@
         // Requests in flight hold the state from before the change.
         let shared = proxy_state.clone();
         let began = std::time::Instant::now();
-        proxy_state.take(Duration::ZERO, &view(2 + number, updates));
+        proxy_state.apply_view(Duration::ZERO, &view(2 + number, updates));
         elapsed += began.elapsed();
         drop(shared);
     }
--- a/crates/caperworks/src/dispatch/proxy_state.rs
+++ b/crates/caperworks/src/dispatch/proxy_state.rs
@@ -53,13 +53,14 @@
     /// Older views are ignored: a response that was overtaken on its way contains instances that
     /// have left since, and requests would go to them for as long as the newer response keeps this
     /// proxy fresh.
-    pub fn take(&mut self, polled_at: Duration, view: &ProxyView) {
+    pub fn apply_view(&mut self, polled_at: Duration, view: &ProxyView) {
         if view.number <= self.last_view {
             return;
         }
         self.last_view = view.number;
         for updates in &view.updates {
-            if Arc::make_mut(&mut self.maps).take(updates) == Some(MapName::Configuration) {
+            if Arc::make_mut(&mut self.maps).apply_updates(updates) == Some(MapName::Configuration)
+            {
                 let configuration = self.maps.map(MapName::Configuration);
                 self.table = Arc::new(self.table.after(configuration));
                 let closed: BTreeSet<Zone> = configuration
--- a/crates/caperworks/src/feed/cache.rs
+++ b/crates/caperworks/src/feed/cache.rs
@@ -21,15 +21,15 @@
         &self.follower
     }
 
-    /// Applies changes or a snapshot as [`Follower::take`] does, and keeps the history up to date.
-    pub fn take(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
+    /// Applies changes or a snapshot as [`Follower::apply_updates`] does, and keeps the history up to date.
+    pub fn apply_updates(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
         let Some(message) = updates.follower_updates() else {
-            let advanced = self.follower.take(updates)?;
+            let advanced = self.follower.apply_updates(updates)?;
             self.histories.entry(advanced).or_default().clear();
             return Some(advanced);
         };
         let before = self.follower.map(message.map).version;
-        let advanced = self.follower.take(updates)?;
+        let advanced = self.follower.apply_updates(updates)?;
         let after = self.follower.map(advanced).version;
         let history = self.histories.entry(advanced).or_default();
         let is_new =
--- a/crates/caperworks/src/feed/follower.rs
+++ b/crates/caperworks/src/feed/follower.rs
@@ -41,7 +41,7 @@
 
     /// Applies changes or a snapshot; returns the map if it advanced. Other messages, and updates that are not
     /// newer, change nothing.
-    pub fn take(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
+    pub fn apply_updates(&mut self, updates: &ConsensusMessage) -> Option<MapName> {
         if let ConsensusMessage::Snapshot { map, full_map } = updates {
             return self.install_snapshot(*map, full_map);
         }
--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -42,7 +42,7 @@
         /// The epoch of the term, which is the fencing token.
         epoch: Epoch,
         /// How long this controller has been the leader.
-        held: Duration,
+        leading_for: Duration,
     },
 }
 
@@ -88,7 +88,7 @@
             };
             return LeadershipStep::Lead {
                 epoch: term.epoch,
-                held: now.saturating_sub(since),
+                leading_for: now.saturating_sub(since),
             };
         }
         self.leading_since = None;
--- a/crates/caperworks/src/leases.rs
+++ b/crates/caperworks/src/leases.rs
@@ -83,7 +83,13 @@
     }
 
     /// Handles a response; `from` must be a voter.
-    pub fn respond(&mut self, from: NodeId, number: u64, versions: Vec<Version>, majority: usize) {
+    pub fn handle_response(
+        &mut self,
+        from: NodeId,
+        number: u64,
+        versions: Vec<Version>,
+        majority: usize,
+    ) {
         let Some(index) = self
             .open
             .iter()
@@ -201,7 +207,7 @@
     }
 
     /// Handles the grant for the renewal with this number.
-    pub fn granted(&mut self, number: u64, quorum_read_age: Duration, versions: Vec<Version>) {
+    pub fn apply_grant(&mut self, number: u64, quorum_read_age: Duration, versions: Vec<Version>) {
         let Some(sent_at) = self.sent_at(number) else {
             return;
         };
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -313,7 +313,7 @@
         self.is_unreachable = false;
         self.reporter.figures.polls += 1;
         let number = self.lease.renew(now);
-        self.pacer.asked(now, number);
+        self.pacer.record_request(now, number);
         let facts_age = |complete_at| now.saturating_sub(complete_at);
         let renewal = Renewal {
             number,
@@ -362,7 +362,7 @@
         let advanced: Vec<MapName> = granted
             .updates
             .iter()
-            .filter_map(|updates| self.feed_cache.take(updates))
+            .filter_map(|updates| self.feed_cache.apply_updates(updates))
             .collect();
         if granted.assured {
             self.apply_lease(now, responder, granted, !advanced.is_empty());
@@ -430,7 +430,7 @@
         let sent_at = self.lease.sent_at(granted.number);
         // A response to a request that is no longer remembered took longer than any that is.
         let is_slow = sent_at.is_none_or(|sent_at| now >= sent_at + SLOW_RESPONSE_THRESHOLD);
-        self.lease.granted(
+        self.lease.apply_grant(
             granted.number,
             granted.quorum_read_age,
             granted.versions.clone(),
@@ -515,7 +515,7 @@
             | ConsensusMessage::ReducedUpdates { map, .. }
                 if self.catch_up.is_receiving(*map) =>
             {
-                let advanced = self.feed_cache.take(message);
+                let advanced = self.feed_cache.apply_updates(message);
                 let local_version = self.local_version(*map);
                 let request =
                     self.catch_up
@@ -538,7 +538,7 @@
             ChunkOutcome::Next(request) => self.handle_progress(now, from, None, Some(request)),
             ChunkOutcome::Snapshot(full_map) => {
                 let updates = ConsensusMessage::Snapshot { map, full_map };
-                let advanced = self.feed_cache.take(&updates);
+                let advanced = self.feed_cache.apply_updates(&updates);
                 let local_version = self.local_version(map);
                 let request =
                     self.catch_up
--- a/crates/caperworks/src/ownership/instance_leases.rs
+++ b/crates/caperworks/src/ownership/instance_leases.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the key ranges with a valid lease, and how long the longest of these leases remains valid.
-    pub fn live(&self, now: Duration) -> (Vec<u32>, Duration) {
+    pub fn valid_leases(&self, now: Duration) -> (Vec<u32>, Duration) {
         let mut key_ranges = Vec::new();
         let mut longest = Duration::ZERO;
         for (key_range, lease) in &self.leases {
@@ -84,13 +84,13 @@
         (key_ranges, longest)
     }
 
-    /// Counts a request on a key range that has started; [`HeldLeases::ended`] must follow.
-    pub fn started(&mut self, key_range: u32) {
+    /// Counts a request on a key range that has started; [`HeldLeases::end_request`] must follow.
+    pub fn start_request(&mut self, key_range: u32) {
         *self.in_flight.entry(key_range).or_default() += 1;
     }
 
     /// Counts a request on a key range that has ended.
-    pub fn ended(&mut self, key_range: u32) {
+    pub fn end_request(&mut self, key_range: u32) {
         if let Some(count) = self.in_flight.get_mut(&key_range) {
             *count = count.saturating_sub(1);
         }
--- a/crates/caperworks/src/poll_pacer.rs
+++ b/crates/caperworks/src/poll_pacer.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records that a poll was sent; an earlier one without a response counts as lost.
-    pub fn asked(&mut self, now: Duration, number: u64) {
+    pub fn record_request(&mut self, now: Duration, number: u64) {
         let waits_since = now;
         let lost = self.pending.replace(PendingPoll {
             number,
--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records that the host has synced every write up to this ticket.
-    pub fn synced(&mut self, ticket: u64) {
+    pub fn record_sync(&mut self, ticket: u64) {
         while let Some((written, length)) = self.log_writes.front().copied() {
             if written > ticket {
                 return;
--- a/crates/caperworks/tests/disk_slots.rs
+++ b/crates/caperworks/tests/disk_slots.rs
@@ -83,7 +83,7 @@
         }
         ticket += 1;
         disk.record_write(ticket);
-        disk.synced(ticket);
+        disk.record_sync(ticket);
     }
     let lines: Vec<Vec<u8>> = (1..=lines).map(|number| line(number, 90)).collect();
     for line in &lines {
@@ -93,7 +93,7 @@
         apply_write(&mut image, &write);
         ticket += 1;
         disk.record_write(ticket);
-        disk.synced(ticket);
+        disk.record_sync(ticket);
     }
     let state = state(generations, 3000);
     (disk, image, Recovery::Found { state, lines })
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -201,7 +201,7 @@
         configuration: Version(1),
         ownership: Version(0),
     };
-    proxy_state.take(Duration::ZERO, &view);
+    proxy_state.apply_view(Duration::ZERO, &view);
     proxy_state
 }
 
@@ -375,7 +375,7 @@
             change,
         }];
         assert!(Arc::make_mut(&mut known.maps)
-            .take(&ConsensusMessage::Updates { map, changes })
+            .apply_updates(&ConsensusMessage::Updates { map, changes })
             .is_some());
     }
     known
@@ -464,8 +464,8 @@
         configuration: Version(1),
         ownership: Version(0),
     };
-    known.take(millis(200), &view(3, InstanceState::Draining));
-    known.take(millis(100), &view(2, InstanceState::Serving));
+    known.apply_view(millis(200), &view(3, InstanceState::Draining));
+    known.apply_view(millis(100), &view(2, InstanceState::Serving));
     let one = &known.instances[&InstanceId::new("one")];
     assert_eq!(one.state, InstanceState::Draining);
 }
@@ -521,7 +521,7 @@
             full_map,
         }
     });
-    known.take(
+    known.apply_view(
         millis(50),
         &state_view(2, InstanceState::Serving, updates.to_vec()),
     );
@@ -582,7 +582,7 @@
             .choose(millis(60), &known, &own, &route(), Some("k"), &[])
             .expect("the instance is serving");
         assert!(is_key_routed(&known, millis(90), &target));
-        known.take(
+        known.apply_view(
             millis(100),
             &state_view(3, InstanceState::Draining, Vec::new()),
         );
@@ -600,7 +600,7 @@
             );
         }
         // Another draining heartbeat does not start a new period.
-        known.take(
+        known.apply_view(
             millis(3000),
             &state_view(4, InstanceState::Draining, Vec::new()),
         );
@@ -608,12 +608,12 @@
         assert!(!is_key_routed(&known, millis(4100), &target));
         // An instance that serves again gets keys without limit, and a period of its own when it
         // drains later.
-        known.take(
+        known.apply_view(
             millis(5000),
             &state_view(5, InstanceState::Serving, Vec::new()),
         );
         assert!(is_key_routed(&known, millis(20_000), &target));
-        known.take(
+        known.apply_view(
             millis(21_000),
             &state_view(6, InstanceState::Draining, Vec::new()),
         );
@@ -631,7 +631,7 @@
     let target = shard
         .choose(millis(60), &known, &own, &route(), None, &[])
         .expect("the instance is serving");
-    known.take(
+    known.apply_view(
         millis(100),
         &state_view(2, InstanceState::Draining, Vec::new()),
     );
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -357,26 +357,26 @@
             .collect()
     };
     let all = vec![heartbeat("a", 1), heartbeat("b", 1), heartbeat("c", 1)];
-    knowledge.take(millis(100), &view(1, true, all));
+    knowledge.apply_view(millis(100), &view(1, true, all));
     assert_eq!(known(&knowledge), named(&[("a", 1), ("b", 1), ("c", 1)]));
     let moved = Heartbeat {
         service: ServiceName::new("other"),
         ..heartbeat("b", 2)
     };
-    knowledge.take(millis(200), &view(2, false, vec![moved, heartbeat("d", 1)]));
+    knowledge.apply_view(millis(200), &view(2, false, vec![moved, heartbeat("d", 1)]));
     let expected = named(&[("a", 1), ("b", 2), ("c", 1), ("d", 1)]);
     assert_eq!(known(&knowledge), expected);
     assert_eq!(knowledge.by_service[&ServiceName::new("other")].len(), 1);
     assert_eq!(knowledge.instances_offset, 2);
     // Nothing has changed, but the lease is extended.
-    knowledge.take(millis(300), &view(3, false, Vec::new()));
+    knowledge.apply_view(millis(300), &view(3, false, Vec::new()));
     assert_eq!(known(&knowledge), expected);
     assert_eq!(knowledge.instances_offset, 3);
     assert_eq!(knowledge.fresh_until, millis(3300));
     // A full list removes the instances that it does not contain.
-    knowledge.take(millis(400), &view(4, true, vec![heartbeat("a", 2)]));
+    knowledge.apply_view(millis(400), &view(4, true, vec![heartbeat("a", 2)]));
     assert_eq!(known(&knowledge), named(&[("a", 2)]));
-    knowledge.take(millis(500), &view(5, true, Vec::new()));
+    knowledge.apply_view(millis(500), &view(5, true, Vec::new()));
     assert_eq!(known(&knowledge), []);
 }
 
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -234,7 +234,7 @@
         .held_leases
         .get_mut("evidence-1")
         .expect("known")
-        .started(0);
+        .start_request(0);
     let rank = |name: &str| stable_hash(&format!("{SERVICE} 0 {name}"));
     let new_instance = (2..200)
         .map(|number| format!("evidence-{number}"))
@@ -250,7 +250,7 @@
                 .held_leases
                 .get_mut("evidence-1")
                 .expect("known")
-                .ended(0);
+                .end_request(0);
         }
         if bench.plan(now) > 0 {
             moved_at = Some(step);
--- a/crates/caperworks/tests/poll_pacing.rs
+++ b/crates/caperworks/tests/poll_pacing.rs
@@ -25,7 +25,7 @@
         }
         if pacer.may_poll(now) {
             let number = polled_at.len() as u64;
-            pacer.asked(now, number);
+            pacer.record_request(now, number);
             polled_at.push(now);
             in_flight.push_back((number, now));
         }
@@ -54,11 +54,11 @@
     let mut pacer = PollPacer::new(CORE_TIMEOUT);
     for number in 0..20 {
         let now = millis(number * 300);
-        pacer.asked(now, number);
+        pacer.record_request(now, number);
         pacer.record_response(number, Some(millis(20)));
     }
     let now = millis(6000);
-    pacer.asked(now, 20);
+    pacer.record_request(now, 20);
     assert!(!pacer.may_poll(now + CORE_TIMEOUT.min_timeout - millis(1)));
     assert!(pacer.may_poll(now + CORE_TIMEOUT.min_timeout));
 }
@@ -78,7 +78,7 @@
 #[test]
 fn partial_responses_postpone_the_next_poll() {
     let mut pacer = PollPacer::new(CORE_TIMEOUT);
-    pacer.asked(millis(0), 1);
+    pacer.record_request(millis(0), 1);
     for step in 1..50 {
         let now = millis(step * 200);
         pacer.partial_response_received(now);
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -156,7 +156,7 @@
             proxies: 1,
             ownership: Version(0),
         };
-        self.known.take(now, &view);
+        self.known.apply_view(now, &view);
     }
 
     fn admits(&self, now: Duration, route: &Route) -> Result<(), Failure> {
@@ -692,7 +692,7 @@
         }],
     };
     assert!(Arc::make_mut(&mut bench.known.maps)
-        .take(&updates)
+        .apply_updates(&updates)
         .is_some());
     let own = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
--- a/crates/caperworks/tests/reduced_map.rs
+++ b/crates/caperworks/tests/reduced_map.rs
@@ -78,16 +78,16 @@
         for number in 0..60 {
             if number == starts_at {
                 let full_map = held.reduced();
-                late_follower.take(&ConsensusMessage::Snapshot { map: MAP, full_map });
+                late_follower.apply_updates(&ConsensusMessage::Snapshot { map: MAP, full_map });
             }
             let Some(change) = commit_random_change(&mut held, &mut chance, number) else {
                 continue;
             };
             committed_count += 1;
             let updates = reduced_updates(&[change]);
-            follower.take(&updates);
+            follower.apply_updates(&updates);
             if number >= starts_at {
-                late_follower.take(&updates);
+                late_follower.apply_updates(&updates);
             }
             assert_eq!(follower.map(MAP), &held.reduced(), "seed {seed}, {number}");
         }
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -188,7 +188,7 @@
     let mut map = map_of(6_000);
     let mut proxy_state = ProxyState::default();
     let first = view(1, 1, map.version, vec![full_map(&map)]);
-    proxy_state.take(Duration::ZERO, &first);
+    proxy_state.apply_view(Duration::ZERO, &first);
     for number in 6_000..6_050 {
         let path = format!("/route-{number}/");
         let added = change(number, vec![put(number, 1, Some(("h9.example", &path)))]);
@@ -200,7 +200,7 @@
                 change: added.reduced(),
             }],
         };
-        proxy_state.take(Duration::ZERO, &view(number, 1, map.version, vec![updates]));
+        proxy_state.apply_view(Duration::ZERO, &view(number, 1, map.version, vec![updates]));
         let route = proxy_state.find(Duration::ZERO, "h9.example", &format!("{path}1"));
         assert_eq!(
             route.expect("the route is found").0.as_str(),
@@ -223,11 +223,11 @@
         vec![put(0, 2, None), put(3, 2, Some(("h0.example", "/new/")))],
     ));
     let mut proxy_state = ProxyState::default();
-    proxy_state.take(
+    proxy_state.apply_view(
         Duration::ZERO,
         &view(1, 1, newer.version, vec![full_map(&newer)]),
     );
-    proxy_state.take(
+    proxy_state.apply_view(
         Duration::ZERO,
         &view(2, 2, older.version, vec![full_map(&older)]),
     );
@@ -246,7 +246,7 @@
 fn response_without_the_configuration_it_names_does_not_make_the_proxy_fresh() {
     let map = map_of(3);
     let mut proxy_state = ProxyState::default();
-    proxy_state.take(
+    proxy_state.apply_view(
         Duration::ZERO,
         &view(1, 1, map.version.next(), vec![full_map(&map)]),
     );
@@ -257,7 +257,7 @@
         Some(Failure::Stale),
         "the route may have been added since"
     );
-    proxy_state.take(Duration::ZERO, &view(2, 1, map.version, Vec::new()));
+    proxy_state.apply_view(Duration::ZERO, &view(2, 1, map.version, Vec::new()));
     assert!(proxy_state.is_usable(Duration::ZERO));
 }
 
@@ -265,7 +265,7 @@
 fn changes_behind_a_gap_are_not_applied() {
     let mut map = map_of(3);
     let mut proxy_state = ProxyState::default();
-    proxy_state.take(
+    proxy_state.apply_view(
         Duration::ZERO,
         &view(1, 1, map.version, vec![full_map(&map)]),
     );
@@ -285,11 +285,11 @@
             .collect(),
     };
     let with_gap = updates(vec![(map.version, &added)]);
-    proxy_state.take(Duration::ZERO, &view(2, 1, map.version, vec![with_gap]));
+    proxy_state.apply_view(Duration::ZERO, &view(2, 1, map.version, vec![with_gap]));
     assert_eq!(proxy_state.maps.map(MapName::Configuration).version, held);
     assert_eq!(found(&proxy_state.table, "h0.example", "/new/1"), None);
     let all = updates(vec![(held.next(), &lost), (map.version, &added)]);
-    proxy_state.take(Duration::ZERO, &view(3, 1, map.version, vec![all]));
+    proxy_state.apply_view(Duration::ZERO, &view(3, 1, map.version, vec![all]));
     let named = found(&proxy_state.table, "h0.example", "/new/1");
     assert_eq!(named, Some("route-3".to_string()));
     assert_eq!(found(&proxy_state.table, "h0.example", "/route-0/1"), None);
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -430,14 +430,14 @@
         apply(&mut image, &write);
     }
     disk.record_write(1);
-    disk.synced(1);
+    disk.record_sync(1);
     // Each line is synced before the next is written, because lines of one write may be torn in any
     // order.
     for (ticket, line) in [(2, b"line one"), (3, b"line two")] {
         let write = disk.append(&[line.to_vec()]).expect("the line fits");
         apply(&mut image, &write);
         disk.record_write(ticket);
-        disk.synced(ticket);
+        disk.record_sync(ticket);
     }
     let truth = Recovery::Found {
         state: b"second state".to_vec(),
@@ -538,23 +538,27 @@
         changes: (from..=to).map(committed).collect(),
     };
     assert_eq!(
-        feed_cache.take(&updates(1, 3)),
+        feed_cache.apply_updates(&updates(1, 3)),
         Some(MapName::Configuration)
     );
     assert_eq!(
-        feed_cache.take(&updates(5, 6)),
+        feed_cache.apply_updates(&updates(5, 6)),
         None,
         "changes after a gap are ignored"
     );
     assert_eq!(
-        feed_cache.take(&updates(2, 4)),
+        feed_cache.apply_updates(&updates(2, 4)),
         Some(MapName::Configuration)
     );
     let old = ConsensusMessage::Snapshot {
         map: MapName::Configuration,
         full_map: ReplicatedMap::empty(),
     };
-    assert_eq!(feed_cache.take(&old), None, "a lower version is ignored");
+    assert_eq!(
+        feed_cache.apply_updates(&old),
+        None,
+        "a lower version is ignored"
+    );
     assert_eq!(
         feed_cache.follower().map(MapName::Configuration).version,
         Version(4)
@@ -565,7 +569,7 @@
         Some(ConsensusMessage::Updates { changes, .. }) if changes.len() == 1
     ));
     for version in 5..MAX_HISTORY_WEIGHT as u64 {
-        feed_cache.take(&updates(version, version));
+        feed_cache.apply_updates(&updates(version, version));
     }
     assert!(matches!(
         feed_cache.updates_after(MapName::Configuration, Version(3)),
@@ -579,8 +583,8 @@
     let versions = vec![Version(1); 4];
     for step in 0..20 {
         let number = quorum_reads.begin(millis(step * 200));
-        quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
-        quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
+        quorum_reads.handle_response(NodeId(1), number, versions.clone(), 2);
+        quorum_reads.handle_response(NodeId(1), number, versions.clone(), 2);
     }
     assert_eq!(
         quorum_reads.latest(millis(4000)),
@@ -588,8 +592,8 @@
         "two responses from one voter are not a majority"
     );
     let number = quorum_reads.begin(millis(5000));
-    quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
-    quorum_reads.respond(NodeId(2), number, vec![Version(7); 4], 2);
+    quorum_reads.handle_response(NodeId(1), number, versions.clone(), 2);
+    quorum_reads.handle_response(NodeId(2), number, vec![Version(7); 4], 2);
     let quorum_read = quorum_reads
         .latest(millis(5100))
         .expect("a majority responded");
@@ -615,13 +619,13 @@
     let mut lease = LeaseHolder::default();
     let mut follower = Follower::default();
     let number = lease.renew(millis(1000));
-    lease.granted(
+    lease.apply_grant(
         number,
         millis(300),
         vec![Version(1), Version(0), Version(0), Version(0)],
     );
     assert_eq!(lease.fresh_until(&follower, &ALL_MAPS), Duration::ZERO);
-    follower.take(&ConsensusMessage::Updates {
+    follower.apply_updates(&ConsensusMessage::Updates {
         map: MapName::Configuration,
         changes: vec![CommittedChange {
             version: Version(1),
@@ -633,7 +637,7 @@
         until,
         millis(1000) + LEASE_DURATION - DRIFT_MARGIN - millis(300)
     );
-    lease.granted(99, Duration::ZERO, Vec::new());
+    lease.apply_grant(99, Duration::ZERO, Vec::new());
     assert_eq!(
         lease.fresh_until(&follower, &ALL_MAPS),
         until,
@@ -1129,7 +1133,7 @@
         let mut holder = LeaseHolder::default();
         holder.duration = span;
         let number = holder.renew(millis(1000));
-        holder.granted(number, millis(50), vec![Version(0); 4]);
+        holder.apply_grant(number, millis(50), vec![Version(0); 4]);
         let until = holder.fresh_until(&Follower::default(), &wants);
         assert_eq!(until, millis(1000) + lifetime - millis(50), "{span:?}");
     }
--- a/crates/caperworks/tests/suspected_instances.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -124,7 +124,7 @@
                 .map(|name| InstanceId::new(*name))
                 .collect(),
         };
-        self.knowledge.take(Duration::ZERO, &view);
+        self.knowledge.apply_view(Duration::ZERO, &view);
     }
 
     fn choose_target(&mut self, now: Duration) -> Result<Target, Failure> {
--- a/crates/controller/src/consensus/quorum_reads.rs
+++ b/crates/controller/src/consensus/quorum_reads.rs
@@ -107,6 +107,8 @@
         .filter(|voters| voters.entry(from).is_some())
         .map(VoterSet::majority);
     if let Some(majority) = majority {
-        state.quorum_reads.respond(from, number, versions, majority);
+        state
+            .quorum_reads
+            .handle_response(from, number, versions, majority);
     }
 }
--- a/crates/controller/src/leadership/mod.rs
+++ b/crates/controller/src/leadership/mod.rs
@@ -52,10 +52,10 @@
             LeadershipStep::Lead { epoch, .. } if is_stopping => {
                 handover::hand_over(state, name, epoch);
             }
-            LeadershipStep::Lead { epoch, held } => match name {
-                SOLVER => solver::update_placement(state, epoch, held),
-                OWNERSHIP => ownership::manage_key_ranges(state, epoch, held),
-                _ => voter_management::manage_voters(state, held),
+            LeadershipStep::Lead { epoch, leading_for } => match name {
+                SOLVER => solver::update_placement(state, epoch, leading_for),
+                OWNERSHIP => ownership::manage_key_ranges(state, epoch, leading_for),
+                _ => voter_management::manage_voters(state, leading_for),
             },
         }
     }
--- a/crates/controller/src/leadership/ownership.rs
+++ b/crates/controller/src/leadership/ownership.rs
@@ -25,14 +25,14 @@
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts a term when the epoch is new, and proposes the next key range change when one is due.
-pub(super) fn manage_key_ranges(state: &mut ControllerState, epoch: Epoch, held: Duration) {
+pub(super) fn manage_key_ranges(state: &mut ControllerState, epoch: Epoch, leading_for: Duration) {
     let Some(guard) = guard_by_fence(state, MapName::Ownership, epoch) else {
         return;
     };
     if state.ownership_role.epoch != Some(epoch) {
         begin_term(state, epoch);
     }
-    if held < state.options.core.collection_period
+    if leading_for < state.options.core.collection_period
         || state.now < state.ownership_role.next_plan_at
         || state.has_proposal_in_flight(&ProposalOrigin::Ownership)
     {
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -16,11 +16,11 @@
 /// A new leader first collects heartbeats for a while. No placement is computed from an outdated
 /// configuration, which may contain removed routes, nor while there is no ready proxy: the last placement
 /// then remains in use.
-pub(super) fn update_placement(state: &mut ControllerState, epoch: Epoch, held: Duration) {
+pub(super) fn update_placement(state: &mut ControllerState, epoch: Epoch, leading_for: Duration) {
     let Some(guard) = guard_by_fence(state, MapName::Placement, epoch) else {
         return;
     };
-    if held < state.options.core.collection_period
+    if leading_for < state.options.core.collection_period
         || state.has_proposal_in_flight(&ProposalOrigin::Solver)
         || !state.is_current(MapName::Configuration)
         || state.members.ready_proxies().next().is_none()
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -35,8 +35,8 @@
 }
 
 /// Proposes the next voter change if one is due, and otherwise the next change of the fallback members.
-pub(super) fn manage_voters(state: &mut ControllerState, held: Duration) {
-    if held < state.options.core.collection_period
+pub(super) fn manage_voters(state: &mut ControllerState, leading_for: Duration) {
+    if leading_for < state.options.core.collection_period
         || state.has_proposal_in_flight(&ProposalOrigin::VoterManagement)
         || !state.is_current(MapName::Membership)
     {
--- a/crates/controller/src/state_machine/storage.rs
+++ b/crates/controller/src/state_machine/storage.rs
@@ -93,7 +93,7 @@
         }
         self.unsynced_slot.take_if(|slot| *slot <= ticket);
         self.unsynced_snapshot.take_if(|write| *write <= ticket);
-        self.disk.synced(ticket);
+        self.disk.record_sync(ticket);
         released
     }
 
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -284,7 +284,7 @@
         }
         self.renew_at = now + RENEW_INTERVAL;
         let member = self.member();
-        self.pace.asked(now, self.counter);
+        self.pace.record_request(now, self.counter);
         let renewal = Renewal {
             number: self.counter,
             member,
--- a/crates/model-check/src/world/quorum_reads.rs
+++ b/crates/model-check/src/world/quorum_reads.rs
@@ -41,7 +41,8 @@
             let majority = voters.map_or(usize::MAX, VoterSet::majority);
             if let Some((number, waiting)) = &mut node.open_quorum_read {
                 waiting.remove(&from);
-                node.quorum_reads.respond(from, *number, versions, majority);
+                node.quorum_reads
+                    .handle_response(from, *number, versions, majority);
             }
         });
         self.finish_read(bound, index)
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -92,7 +92,7 @@
     }
 
     fn record_sent(&mut self, now: Duration, number: u64) {
-        self.pacer.asked(now, number);
+        self.pacer.record_request(now, number);
         self.sent.push_back((number, now));
         if self.sent.len() > MAX_TRACKED_POLLS {
             self.sent.pop_front();
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -142,7 +142,7 @@
     /// ended.
     pub fn apply_view(&self, asked_at: Duration, view: &ProxyView) {
         let mut next = (*self.proxy_state()).clone();
-        next.take(asked_at, view);
+        next.apply_view(asked_at, view);
         self.connections.retain_current(&next.instances);
         let shards = self
             .shards
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -138,7 +138,7 @@
                 .sort_by(|one, other| (&one.group, &one.route).cmp(&(&other.group, &other.route)));
         }
         self.pull_number += 1;
-        self.pace.asked(now, self.pull_number);
+        self.pace.record_request(now, self.pull_number);
         self.pulls.push_back((self.pull_number, now));
         if self.pulls.len() > 16 {
             self.pulls.pop_front();
@@ -183,7 +183,7 @@
         if self.broken == BrokenProxy::FullSlowStartRate {
             view.proxies = 1;
         }
-        self.knowledge.take(asked_at, &view);
+        self.knowledge.apply_view(asked_at, &view);
         if self.broken == BrokenProxy::IgnoresStaleness {
             self.knowledge.fresh_until = asked_at + Duration::from_secs(600);
         }
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -128,7 +128,7 @@
             return (self.nodes[proxy].incarnation == proxy_incarnation).then_some((proxy, ended));
         }
         if let Some((key_range, _)) = target.key_range {
-            instance.held_leases.started(key_range);
+            instance.held_leases.start_request(key_range);
         }
         let work = instance.work.insert(Work {
             request,
@@ -168,7 +168,7 @@
                 .may_start(local, key_range, epoch, Duration::ZERO)
         });
         if let Some((key_range, _)) = done.key_range {
-            instance.held_leases.ended(key_range);
+            instance.held_leases.end_request(key_range);
         }
         let mut response = Some(InstanceResponse::NotRun);
         if still || instance.skips_checks {
--- a/crates/simulator/src/world/observation.rs
+++ b/crates/simulator/src/world/observation.rs
@@ -83,7 +83,7 @@
         for index in 0..self.nodes.len() {
             if let Some(Body::Instance(instance)) = &self.nodes[index].body {
                 let local = self.local(index);
-                let (key_ranges, longest) = instance.held_leases.live(local);
+                let (key_ranges, longest) = instance.held_leases.valid_leases(local);
                 if !key_ranges.is_empty() {
                     live.push((&instance.service, &instance.id, key_ranges, longest));
                 }
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -293,11 +293,11 @@
         let started_at = wall_clock_ms();
         self.load.fetch_add(1, Ordering::SeqCst);
         if let Some((key_range, _)) = key_range {
-            locked(&self.held_leases).started(key_range);
+            locked(&self.held_leases).start_request(key_range);
         }
         let outcome = self.work(request.into_body(), key_range).await;
         if let Some((key_range, _)) = key_range {
-            locked(&self.held_leases).ended(key_range);
+            locked(&self.held_leases).end_request(key_range);
         }
         let load = self.load.fetch_sub(1, Ordering::SeqCst) - 1;
         let digest = match outcome {
