--- a/crates/agent/src/heartbeats.rs
+++ b/crates/agent/src/heartbeats.rs
@@ -47,7 +47,7 @@
                 response: Some(TimestampedResponse {
                     response: HeartbeatResponse::default(),
                     stamp: self.link.envelope_clock.stamp(now),
-                    again: true,
+                    resend: true,
                 }),
             });
             return;
@@ -142,7 +142,7 @@
         TimestampedResponse {
             response,
             stamp: self.link.envelope_clock.stamp(now),
-            again: false,
+            resend: false,
         }
     }
 }
--- a/crates/caperworks/examples/dispatch.rs
+++ b/crates/caperworks/examples/dispatch.rs
@@ -80,7 +80,7 @@
             capacity: 10,
             state: InstanceState::Serving,
             load: 0,
-            up: Duration::from_secs(60),
+            uptime: Duration::from_secs(60),
             key_ranges_in_use: Vec::new(),
             released: Vec::new(),
             warm_up_left: Duration::ZERO,
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -22,7 +22,7 @@
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::from_secs(60),
+        uptime: Duration::from_secs(60),
         key_ranges_in_use,
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -31,7 +31,7 @@
         7 state: InstanceState,
         8 load: u32,
         /// How long the instance has been running.
-        9 up: Duration,
+        9 uptime: Duration,
         /// The key ranges in use: with a valid lease or with requests in flight.
         10 key_ranges_in_use: Vec<u32>,
         /// The key ranges that it has released.
@@ -135,7 +135,7 @@
     /// was restarted may fail to report it.
     pub fn is_warming_up(&self, warm_up_period: Duration) -> bool {
         self.state == InstanceState::Warming
-            || self.up < warm_up_period
+            || self.uptime < warm_up_period
             || !self.warm_up_left.is_zero()
     }
 }
--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -28,7 +28,8 @@
     minicbor::to_vec(committed).expect("a change encodes").len()
 }
 
-/// The recent changes of one map, consecutive versions, at most [`MAX_HISTORY_WEIGHT`] of them.
+/// The recent changes of one map, with consecutive versions and a total weight of at most
+/// [`MAX_HISTORY_WEIGHT`].
 #[derive(Debug, Clone, Default)]
 pub struct History {
     changes: VecDeque<CommittedChange>,
@@ -62,8 +63,8 @@
         reaches_back.then(|| self.changes.iter().filter(is_later).cloned().collect())
     }
 
-    /// Returns the first changes after a version: as many as fit into the given number of bytes, and at least one. Returns
-    /// `None` if the history does not reach back that far.
+    /// Returns the first changes after a version: as many as fit into `max_bytes`, and at least one.
+    /// Returns `None` if the history does not reach back that far.
     pub fn first_changes_after(
         &self,
         after: Version,
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -141,7 +141,7 @@
     }
 
     /// Handles an instance's announcement of its termination; returns whether it was not known yet.
-    pub fn end(&mut self, now: Duration, id: &InstanceId) -> bool {
+    pub fn record_termination(&mut self, now: Duration, id: &InstanceId) -> bool {
         if self.ended.contains_key(id) {
             return false;
         }
--- a/crates/caperworks/src/leadership/election.rs
+++ b/crates/caperworks/src/leadership/election.rs
@@ -17,10 +17,10 @@
     now: Duration,
     voters: &VoterSet,
     liveness: &Liveness,
-    holder: Option<NodeId>,
+    leader: Option<NodeId>,
 ) -> Option<NodeId> {
-    let leader_is_alive = holder.is_some_and(|holder| {
-        liveness.is_alive(now, holder) && voters.entry(holder).is_some_and(|voter| voter.controller)
+    let leader_is_alive = leader.is_some_and(|leader| {
+        liveness.is_alive(now, leader) && voters.entry(leader).is_some_and(|voter| voter.controller)
     });
     voters
         .entries
@@ -28,7 +28,7 @@
         .filter(|voter| voter.controller)
         .map(|voter| voter.node)
         .find(|node| {
-            Some(*node) == holder && leader_is_alive
+            Some(*node) == leader && leader_is_alive
                 || !liveness.is_behind(now, *node)
                     && if leader_is_alive {
                         liveness.is_stable(now, *node)
--- a/crates/caperworks/src/leadership/liveness.rs
+++ b/crates/caperworks/src/leadership/liveness.rs
@@ -35,9 +35,9 @@
         entry.last = now;
     }
 
-    /// Handles the map versions that a controller reported; `is_level` if none is older than ours.
-    pub fn handle_level(&mut self, now: Duration, node: NodeId, is_level: bool) {
-        if is_level {
+    /// Handles the map versions that a controller reported; `is_up_to_date` if none is older than ours.
+    pub fn handle_reported_versions(&mut self, now: Duration, node: NodeId, is_up_to_date: bool) {
+        if is_up_to_date {
             self.behind_since.remove(&node);
         } else {
             self.behind_since.entry(node).or_insert(now);
@@ -51,16 +51,16 @@
             .is_some_and(|since| now.saturating_sub(*since) >= MAX_LAG_PERIOD)
     }
 
-    /// Returns whether `node`, which has the address of `before`, has been seen only since the last
-    /// message of `before`.
+    /// Returns whether `node`, which has the address of `predecessor`, has been seen only since the last
+    /// message of `predecessor`.
     ///
-    /// That proves that `before` never returns: a process with another node number at the same
-    /// address started there with an empty disk.
-    pub fn is_successor(&self, now: Duration, node: NodeId, before: NodeId) -> bool {
+    /// That proves that `predecessor` never returns: a process with another node number at the same
+    /// address was started with an empty disk.
+    pub fn is_successor(&self, now: Duration, node: NodeId, predecessor: NodeId) -> bool {
         let Some(seen) = self.seen.get(&node).filter(|_| self.is_alive(now, node)) else {
             return false;
         };
-        let earlier = self.seen.get(&before);
+        let earlier = self.seen.get(&predecessor);
         earlier.is_none_or(|earlier| earlier.last < seen.since)
             && now.saturating_sub(seen.since) >= SUCCESSOR_CONFIRMATION_PERIOD
     }
--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -78,7 +78,7 @@
             return LeadershipStep::Wait;
         }
         let term = membership.leadership(self.name);
-        if let Some(term) = term.filter(|term| term.holder == node) {
+        if let Some(term) = term.filter(|term| term.leader == node) {
             let since = match self.leading_since {
                 Some((epoch, since)) if epoch == term.epoch => since,
                 _ => {
@@ -95,14 +95,14 @@
         let was_requested = self
             .requested_at
             .is_some_and(|requested| now.saturating_sub(requested) < MIN_REQUEST_INTERVAL);
-        let holder = term.map(|term| term.holder);
-        if was_requested || first_in_order(now, voters, liveness, holder) != Some(node) {
+        let leader = term.map(|term| term.leader);
+        if was_requested || first_in_order(now, voters, liveness, leader) != Some(node) {
             return LeadershipStep::Wait;
         }
         self.requested_at = Some(now);
         LeadershipStep::Propose {
             term: LeadershipTerm {
-                holder: node,
+                leader: node,
                 epoch: term.map_or(Epoch(1), |term| term.epoch.next()),
             },
             expected: membership.item_version(&format!("duty/{}", self.name)),
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -364,7 +364,7 @@
             .iter()
             .filter_map(|updates| self.feed_cache.apply_updates(updates))
             .collect();
-        if granted.assured {
+        if granted.has_quorum {
             self.apply_lease(now, responder, granted, !advanced.is_empty());
         }
         if let Some(sent_at) = sent_at {
@@ -398,7 +398,7 @@
             self.instances.handle(now, &fact.clone().aged(took));
         }
         for id in &granted.deregistered {
-            self.instances.end(now, id);
+            self.instances.record_termination(now, id);
         }
         for fact in &granted.members {
             self.members.handle(now, &fact.clone().aged(took));
@@ -413,7 +413,7 @@
             instances: granted.instances_offset,
             members: granted.members_offset,
         };
-        if granted.assured && !granted.more {
+        if granted.has_quorum && !granted.more {
             self.facts_complete_at = Some(sent_at);
         }
     }
@@ -580,7 +580,7 @@
     /// Returns the address to which heartbeats for the owner manager are sent, if the membership names one.
     pub fn owner_manager(&self) -> Option<SocketAddr> {
         let membership = self.feed_cache.follower().map(MapName::Membership);
-        let holder = membership.leadership(OWNERSHIP)?.holder;
+        let holder = membership.leadership(OWNERSHIP)?.leader;
         Some(membership.voters()?.entry(holder)?.address)
     }
 }
--- a/crates/caperworks/src/map_items.rs
+++ b/crates/caperworks/src/map_items.rs
@@ -160,7 +160,7 @@
     /// The leader of a role, with the epoch of its term.
     #[derive(Eq)]
     struct LeadershipTerm {
-        0 holder: NodeId,
+        0 leader: NodeId,
         1 epoch: Epoch,
     }
 
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -70,7 +70,8 @@
         5 members: Vec<ReceivedMember>,
         6 members_offset: u64,
         7 updates: Vec<ConsensusMessage>,
-        8 assured: bool,
+        /// Whether the controller has a recent quorum read. Without one, the response grants no lease.
+        8 has_quorum: bool,
         /// Instances that have deregistered.
         9 deregistered: Vec<InstanceId>,
         /// How many proxies are ready, or were when that was last recorded.
--- a/crates/caperworks/src/ownership/instance_leases.rs
+++ b/crates/caperworks/src/ownership/instance_leases.rs
@@ -37,7 +37,7 @@
             if granted.epoch <= self.released_epoch(granted.key_range) {
                 continue;
             }
-            let until = sent_at + granted.left.saturating_sub(DRIFT_MARGIN);
+            let until = sent_at + granted.duration.saturating_sub(DRIFT_MARGIN);
             let lease = self
                 .leases
                 .entry(granted.key_range)
--- a/crates/caperworks/src/ownership/key_range_state.rs
+++ b/crates/caperworks/src/ownership/key_range_state.rs
@@ -1,5 +1,5 @@
 //! What the owner manager knows of one key range under one epoch: when its lease expires at the latest,
-//! and whether the owner has accepted it, was asked to release it, or has released it.
+//! and whether the owner has accepted it, has to release it, or has released it.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     pub(super) is_released: bool,
     /// The highest counter of the owner's heartbeats that is known.
     pub(super) latest_heartbeat: u64,
-    /// The counter of the heartbeat whose response first asked the owner to release it.
+    /// The counter of the heartbeat whose response first requested the release.
     release_notified_at: Option<u64>,
     /// What the owner handed over with the release.
     pub(super) handover: Option<String>,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns whether this epoch is never leased again, so that only a new epoch can be.
+    /// Returns whether this epoch is never leased again; the key range then needs a new epoch.
     pub(super) fn is_retired(&self) -> bool {
         self.is_declined || self.is_releasing
     }
@@ -62,7 +62,7 @@
     }
 
     /// Handles a heartbeat of an owner that has to release the key range: records the release if the
-    /// heartbeat reports it, and that the response asks for it.
+    /// heartbeat reports it, and that the response requests it.
     ///
     /// A release has to be reported explicitly, for this very epoch: a heartbeat that was sent before the
     /// owner accepted the key range does not list it either, and may arrive late.
@@ -90,7 +90,7 @@
     }
 
     /// Returns whether a reported release covers this epoch. A release without an epoch is about the
-    /// owner's last lease, so it counts only in a heartbeat after the one whose response asked for it.
+    /// owner's last lease, so it counts only in a heartbeat after the one whose response requested it.
     fn is_released_by(&self, release: &ReleasedKeyRange, heartbeat: &Heartbeat) -> bool {
         match release.epoch {
             Some(epoch) => epoch >= self.epoch,
--- a/crates/caperworks/src/ownership/leases.rs
+++ b/crates/caperworks/src/ownership/leases.rs
@@ -13,7 +13,8 @@
 use crate::replicated_map::ReplicatedMap;
 
 impl OwnerManager {
-    /// Handles a heartbeat: renews the leases of the instance, and lists what it has to release.
+    /// Handles a heartbeat: renews the leases of the instance, and lists the key ranges that it has
+    /// to release.
     ///
     /// The response has no leases for a service without key ranges.
     pub fn heartbeat(
@@ -38,7 +39,7 @@
         response
     }
 
-    /// Renews the lease on one key range, or asks its owner to release it.
+    /// Renews the lease on one key range, or requests its release.
     fn respond_for_key_range(
         &mut self,
         now: Duration,
@@ -58,14 +59,14 @@
             response.release.push(KeyRangeLease {
                 key_range,
                 epoch: owner.epoch,
-                left: Duration::ZERO,
+                duration: Duration::ZERO,
                 handover: None,
             });
         } else if state.renew(now, is_accepted, lease, &timings) {
             response.leases.push(KeyRangeLease {
                 key_range,
                 epoch: owner.epoch,
-                left: lease,
+                duration: lease,
                 handover: owner.handover.clone().filter(|_| !is_accepted),
             });
         }
--- a/crates/caperworks/src/ownership/messages.rs
+++ b/crates/caperworks/src/ownership/messages.rs
@@ -13,7 +13,7 @@
         /// The epoch of the owner's lease. It is the fencing token of the key range.
         1 epoch: Epoch,
         /// The lease duration, from when the instance sent its heartbeat; zero for a release.
-        2 left: Duration,
+        2 duration: Duration,
         /// What the previous owner handed over; present until the new owner has accepted the key range.
         3 handover: Option<String>,
     }
@@ -42,6 +42,6 @@
     struct TimestampedResponse {
         0 response: HeartbeatResponse,
         1 stamp: Stamp,
-        2 again: bool,
+        2 resend: bool,
     }
 }
--- a/crates/caperworks/src/ownership/moves.rs
+++ b/crates/caperworks/src/ownership/moves.rs
@@ -70,7 +70,7 @@
                         target,
                     };
                     let is_free = self.is_free(now, &case, view, &mut moves);
-                    if !is_free || self.stays(&case) {
+                    if !is_free || self.is_kept(&case) {
                         table.owners[key_range] = Some(owner.clone());
                         continue;
                     }
@@ -110,11 +110,12 @@
         let should_move = case
             .target
             .is_some_and(|target| target.id != owner.instance);
-        let is_hasty = self.skips_lease_wait;
+        let skips_lease_wait = self.skips_lease_wait;
         let state = self.state(case.service, case.key_range, owner.epoch);
         if !state.is_releasing && should_move && (!is_alive || *moves < MAX_CONCURRENT_MOVES) {
             state.is_releasing = true;
-            // Heartbeats that were sent to other controllers reach a new owner manager, too.
+            // A new owner manager also knows of heartbeats that were sent to other controllers, so the
+            // counter may be higher than any that this owner manager has responded to.
             let counter = heartbeat.map_or(0, |heartbeat| heartbeat.counter);
             state.latest_heartbeat = state.latest_heartbeat.max(counter);
             *moves += usize::from(is_alive);
@@ -122,13 +123,13 @@
         // An instance that announced its termination uses no lease once it has terminated.
         let has_ended =
             view.instances.time_since_end(now, &owner.instance) >= TERMINATION_GRACE_PERIOD;
-        let is_lease_over = now >= state.leased_until || is_hasty || has_ended;
+        let is_lease_over = now >= state.leased_until || skips_lease_wait || has_ended;
         let is_released = state.is_releasing && state.is_released;
         is_released || (is_lease_over && (state.is_retired() || !is_alive))
     }
 
     /// Returns whether the current owner keeps the key range under its epoch.
-    fn stays(&mut self, case: &KeyRangeCase<'_>) -> bool {
+    fn is_kept(&mut self, case: &KeyRangeCase<'_>) -> bool {
         case.target
             .is_some_and(|target| is_owner(case.owner, target))
             && !self
--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -18,7 +18,7 @@
 pub use self::image::{DiskFile, DiskImage, UnknownFormat};
 pub use self::recovery::{DiskDamage, Recovery};
 
-/// A write for the host to perform and sync, and then to report with [`SlotDisk::synced`].
+/// A write for the host to perform and sync, and then to report with [`SlotDisk::record_sync`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum DiskWrite {
     /// Replaces the contents of a slot.
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -66,7 +66,7 @@
         capacity: 4,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
@@ -86,7 +86,7 @@
         members: Vec::new(),
         members_offset: offset,
         updates: Vec::new(),
-        assured: true,
+        has_quorum: true,
         deregistered: Vec::new(),
         proxies: 1,
         in_chunks: Vec::new(),
@@ -266,7 +266,7 @@
     let mut instances = Instances::default();
     instances.handle(millis(1000), &received_heartbeat("one", 1));
     instances.handle(millis(2000), &received_heartbeat("two", 2));
-    instances.end(millis(3000), &InstanceId::new("one"));
+    instances.record_termination(millis(3000), &InstanceId::new("one"));
     let notified_after = |moment: u64| {
         let offset = instances.offset_before(millis(moment));
         (
--- a/crates/caperworks/tests/dispatch.rs
+++ b/crates/caperworks/tests/dispatch.rs
@@ -216,7 +216,7 @@
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up: millis(up),
+        uptime: millis(up),
         key_ranges_in_use: Vec::new(),
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
--- a/crates/caperworks/tests/facts.rs
+++ b/crates/caperworks/tests/facts.rs
@@ -33,7 +33,7 @@
         capacity: 1,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
@@ -189,9 +189,9 @@
     };
     // The kinds: a known instance terminates, an unknown one does, an address gets another instance, and
     // heartbeats are overdue.
-    assert!(instances.end(millis(1100), &InstanceId::new("one")));
+    assert!(instances.record_termination(millis(1100), &InstanceId::new("one")));
     assert_removal(&instances, "ended");
-    assert!(instances.end(millis(1200), &InstanceId::new("nobody")));
+    assert!(instances.record_termination(millis(1200), &InstanceId::new("nobody")));
     assert_removal(&instances, "unknown");
     let successor = Heartbeat {
         address: heartbeat("two", 1).address,
@@ -206,7 +206,7 @@
     assert_eq!(instances.get(&InstanceId::new("two")), None);
     let offset = instances.latest_removal_offset();
     assert_eq!(instances.expire(millis(3999)), []);
-    assert!(!instances.end(millis(3999), &InstanceId::new("one")));
+    assert!(!instances.record_termination(millis(3999), &InstanceId::new("one")));
     assert_eq!(
         instances.latest_removal_offset(),
         offset,
@@ -404,7 +404,7 @@
             members: Vec::new(),
             members_offset: 0,
             updates: Vec::new(),
-            assured: true,
+            has_quorum: true,
             deregistered: Vec::new(),
             in_chunks: Vec::new(),
             more: false,
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -108,7 +108,7 @@
             members: Vec::new(),
             members_offset: 0,
             updates,
-            assured: true,
+            has_quorum: true,
             deregistered: Vec::new(),
             proxies: 1,
             in_chunks,
--- a/crates/caperworks/tests/instance_termination.rs
+++ b/crates/caperworks/tests/instance_termination.rs
@@ -30,7 +30,7 @@
             capacity: 1,
             state: InstanceState::Serving,
             load: 0,
-            up: Duration::MAX,
+            uptime: Duration::MAX,
             key_ranges_in_use: Vec::new(),
             released: Vec::new(),
             warm_up_left: Duration::ZERO,
@@ -44,8 +44,14 @@
     let mut instances = Instances::default();
     let one = InstanceId::new("one");
     assert!(instances.handle(millis(100), &heartbeat("one", 1)));
-    assert!(instances.end(millis(200), &one), "it was not known yet");
-    assert!(!instances.end(millis(300), &one), "it is known already");
+    assert!(
+        instances.record_termination(millis(200), &one),
+        "it was not known yet"
+    );
+    assert!(
+        !instances.record_termination(millis(300), &one),
+        "it is known already"
+    );
     for (at, counter) in [(300, 2), (1000, 99), (10_000, 100), (29_000, 101)] {
         assert!(
             !instances.handle(millis(at), &heartbeat("one", counter)),
@@ -63,7 +69,7 @@
 #[test]
 fn termination_of_an_unknown_instance_rejects_its_late_heartbeat() {
     let mut instances = Instances::default();
-    instances.end(millis(100), &InstanceId::new("one"));
+    instances.record_termination(millis(100), &InstanceId::new("one"));
     assert!(!instances.handle(millis(200), &heartbeat("one", 1)));
 }
 
@@ -72,9 +78,9 @@
     let mut instances = Instances::default();
     let (one, two) = (InstanceId::new("one"), InstanceId::new("two"));
     instances.handle(millis(100), &heartbeat("one", 1));
-    instances.end(millis(200), &one);
+    instances.record_termination(millis(200), &one);
     let offset = instances.latest_offset();
-    instances.end(millis(300), &two);
+    instances.record_termination(millis(300), &two);
     let now = millis(400);
     assert_eq!(instances.ended_after(now, 0), [one, two.clone()]);
     assert_eq!(instances.ended_after(now, offset), [two]);
@@ -135,7 +141,7 @@
         members: Vec::new(),
         members_offset: 0,
         updates: Vec::new(),
-        assured,
+        has_quorum: assured,
         deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -34,7 +34,7 @@
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up,
+        uptime: up,
         key_ranges_in_use,
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
@@ -292,7 +292,7 @@
     let lease = |left| KeyRangeLease {
         key_range: 3,
         epoch: Epoch(7),
-        left,
+        duration: left,
         handover: None,
     };
     let grant = HeartbeatResponse {
@@ -319,7 +319,7 @@
     let leases = vec![KeyRangeLease {
         key_range: 0,
         epoch: Epoch(1),
-        left: seconds(6),
+        duration: seconds(6),
         handover: None,
     }];
     held_leases.apply_response(
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -151,7 +151,7 @@
             capacity: 10,
             state: instance.state,
             load: 0,
-            up: Duration::MAX,
+            uptime: Duration::MAX,
             key_ranges_in_use: instance.key_ranges_in_use.iter().copied().collect(),
             released: instance
                 .released
@@ -476,7 +476,7 @@
     assert!(response
         .leases
         .iter()
-        .all(|lease| lease.left == spans.lease));
+        .all(|lease| lease.duration == spans.lease));
     for step in 1..100 {
         let now = last + millis(100 * step);
         bench.heartbeat(now, "b");
@@ -541,7 +541,7 @@
     let ended = seconds(6);
     let id = InstanceId::new("a");
     assert_eq!(bench.instances.time_since_end(ended, &id), Duration::ZERO);
-    assert!(bench.instances.end(ended, &id));
+    assert!(bench.instances.record_termination(ended, &id));
     assert_eq!(
         bench.instances.time_since_end(ended + millis(400), &id),
         millis(400)
--- a/crates/caperworks/tests/placement.rs
+++ b/crates/caperworks/tests/placement.rs
@@ -332,7 +332,7 @@
             capacity: 100,
             state,
             load: 0,
-            up: Duration::from_secs(60),
+            uptime: Duration::from_secs(60),
             key_ranges_in_use: Vec::new(),
             released: Vec::new(),
             warm_up_left: Duration::ZERO,
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -61,7 +61,7 @@
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -657,7 +657,7 @@
             capacity: 1,
             state: InstanceState::Serving,
             load: 0,
-            up: Duration::ZERO,
+            uptime: Duration::ZERO,
             key_ranges_in_use: Vec::new(),
             released: Vec::new(),
             warm_up_left: Duration::ZERO,
--- a/crates/caperworks/tests/suspected_instances.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -36,7 +36,7 @@
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up: millis(60_000),
+        uptime: millis(60_000),
         key_ranges_in_use: Vec::new(),
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
@@ -292,7 +292,7 @@
     let id = InstanceId::new("a");
     instances.handle(millis(1000), &received_heartbeat("a", 1));
     instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
-    instances.end(millis(4500), &id);
+    instances.record_termination(millis(4500), &id);
     assert!(instances.get(&id).is_none());
     assert!(!instances.is_suspected(&id));
 }
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -255,7 +255,7 @@
         Value::VoterSet { voters: voters() },
         Value::Leadership {
             term: LeadershipTerm {
-                holder: NodeId(5),
+                leader: NodeId(5),
                 epoch: Epoch(8),
             },
         },
@@ -492,7 +492,7 @@
         capacity: 16,
         state,
         load: 7,
-        up: millis(123_456),
+        uptime: millis(123_456),
         key_ranges_in_use: vec![1, 5],
         released: vec![ReleasedKeyRange {
             key_range: 9,
@@ -576,7 +576,7 @@
     KeyRangeLease {
         key_range,
         epoch: Epoch(4),
-        left: millis(2750),
+        duration: millis(2750),
         handover: Some("offset 12".to_string()),
     }
 }
@@ -628,7 +628,7 @@
                     members: received_members(),
                     members_offset: 201,
                     updates: vec![consensus_message()],
-                    assured: true,
+                    has_quorum: true,
                     deregistered: vec![InstanceId::from("cart-2")],
                     proxies: 12,
                     in_chunks: vec![MapName::Placement],
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -38,7 +38,7 @@
 /// This is checked before the change is proposed: a change that is rejected here has certainly not been
 /// accepted, so the caller can safely send it again.
 pub fn can_confirm_changes(state: &ControllerState) -> bool {
-    // Proxies that serve stale do not ask agents which changes may have been accepted.
+    // Proxies that serve stale do not query agents for changes that may have been accepted.
     if state.options.core.proxies_serve_stale {
         return true;
     }
@@ -53,7 +53,10 @@
 
 /// Returns the highest configuration version for which every majority of the fallback members includes an agent
 /// that has it.
-fn version_held_by_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> Version {
+fn version_confirmed_by_agents(
+    state: &ControllerState,
+    fallback_members: &FallbackMembers,
+) -> Version {
     let agents = reachable_agents(state);
     let fallback_members_version = state
         .map(MapName::Membership)
@@ -70,7 +73,7 @@
                 member.versions[MapName::Configuration.index()]
             })
     };
-    let by_set = |set: &Vec<SocketAddr>| {
+    let quorum_version = |set: &Vec<SocketAddr>| {
         let mut versions: Vec<Version> = set.iter().map(version_of).collect();
         versions.sort_by_key(|version| Reverse(*version));
         versions.get(confirmation_quorum(set.len()) - 1).copied()
@@ -79,7 +82,7 @@
     [&fallback_members.members, &fallback_members.previous]
         .into_iter()
         .filter(|set| !set.is_empty())
-        .filter_map(by_set)
+        .filter_map(quorum_version)
         .fold(own, Version::min)
 }
 
@@ -98,7 +101,7 @@
         None => state.map(MapName::Configuration).version,
         // A controller that is not current may have been partitioned and know outdated fallback members.
         Some(_) if !state.is_current(MapName::Membership) => state.confirmed_version,
-        Some(fallback_members) => version_held_by_agents(state, fallback_members),
+        Some(fallback_members) => version_confirmed_by_agents(state, fallback_members),
     };
     state.confirmed_version = state.confirmed_version.max(confirmed);
     let (now, confirmed_version) = (state.now, state.confirmed_version);
@@ -138,8 +141,9 @@
     });
 }
 
-/// Returns whether every majority of the fallback members includes an agent that knows the present ones.
-fn is_settled(state: &ControllerState, fallback_members: &FallbackMembers) -> bool {
+/// Returns whether every majority of the fallback members includes an agent that
+/// knows the current ones.
+fn has_reached_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> bool {
     let version = state
         .map(MapName::Membership)
         .item_version(FALLBACK_MEMBERS);
@@ -169,7 +173,7 @@
         });
     };
     // Majorities of two sets that are one step apart always intersect; those further apart might not.
-    if !is_settled(state, fallback_members) {
+    if !has_reached_agents(state, fallback_members) {
         return None;
     }
     if !fallback_members.previous.is_empty() {
@@ -213,7 +217,7 @@
             return reject(&field, why);
         }
     }
-    if !fallback_members.previous.is_empty() || !is_settled(state, fallback_members) {
+    if !fallback_members.previous.is_empty() || !has_reached_agents(state, fallback_members) {
         let why = "the last roster change has not reached enough agents yet: try again";
         return reject("drop", why.to_string());
     }
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -16,7 +16,7 @@
 use caperworks::messages::Message;
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
-/// Advances the proposals of all maps, and finishes changes that other proposers left undecided.
+/// Advances the proposals of all maps, and recovers changes that other proposers left undecided.
 pub fn tick(state: &mut ControllerState) {
     for name in ALL_MAPS {
         let index = name.index();
--- a/crates/controller/src/consensus/quorum_reads.rs
+++ b/crates/controller/src/consensus/quorum_reads.rs
@@ -75,7 +75,9 @@
 ) {
     let own = state.versions();
     let is_up_to_date = versions.iter().zip(&own).all(|(theirs, own)| theirs >= own);
-    state.liveness.handle_level(state.now, from, is_up_to_date);
+    state
+        .liveness
+        .handle_reported_versions(state.now, from, is_up_to_date);
     state
         .reported_synced_versions
         .insert(from, synced.unwrap_or_default());
--- a/crates/controller/src/consensus/repair.rs
+++ b/crates/controller/src/consensus/repair.rs
@@ -1,4 +1,4 @@
-//! Repair of changes that a proposer left undecided: accepted by at least one voter but never committed on
+//! Recovery of changes that a proposer left undecided: accepted by at least one voter but never committed on
 //! this node.
 
 use std::time::Duration;
@@ -7,15 +7,15 @@
 use caperworks::identifiers::mix;
 use caperworks::replicated_map::MapName;
 
-/// Time that a change may be undecided before this node finishes it.
+/// Time that a change may be undecided before this node starts its recovery.
 const UNDECIDED_TIMEOUT: Duration = Duration::from_millis(500);
 /// Upper bound of the additional wait that depends on the node ID, in milliseconds.
 const MAX_EXTRA_WAIT_MS: u64 = 200;
 
-/// Returns whether this node should finish an undecided change of a map now.
+/// Returns whether this node should start the recovery of an undecided change of a map now.
 ///
-/// The wait depends on the node ID, so that the controllers do not all try to finish the same change at
-/// the same time. After a repair the wait starts again.
+/// The wait depends on the node ID, so that the controllers do not all try to recover the same change at
+/// the same time. The wait starts again after each recovery.
 pub(super) fn is_repair_due(state: &mut ControllerState, name: MapName) -> bool {
     let index = name.index();
     if !has_undecided_change(state, name) {
--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -61,7 +61,7 @@
             (&Method::GET, ["v1", "standing", kind, name]) => {
                 self.read_item(&format!("{kind}/{name}")).await
             }
-            (&Method::POST, ["v1", "roster"]) => self.retire(request).await,
+            (&Method::POST, ["v1", "roster"]) => self.remove_agents(request).await,
             (&Method::GET, ["v1", "changes"]) => self.watch(&query).await,
             (&Method::GET, ["v1", "status"]) => self.status().await,
             (&Method::POST, ["beats"]) => self.handle_heartbeat(request).await,
@@ -110,7 +110,7 @@
     }
 
     /// Removes agents from the fallback members.
-    async fn retire(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn remove_agents(&self, request: Request<Incoming>) -> Response<Body> {
         let body = read_limited_body(request.into_body(), MAX_SMALL_BODY_BYTES).await;
         let text = body.unwrap_or_default();
         let proposal_outcome = match read_removed_agents(&String::from_utf8_lossy(&text)) {
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -118,7 +118,7 @@
         state.instances.handle(state.now, &received.aged(age));
     }
     for id in deregistered {
-        state.instances.end(state.now, &id);
+        state.instances.record_termination(state.now, &id);
     }
     for received in members {
         state.members.handle(state.now, &received.aged(age));
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -121,7 +121,7 @@
         reject(state, ticket);
         return;
     }
-    state.instances.end(state.now, &id);
+    state.instances.record_termination(state.now, &id);
     let requirements = Requirements {
         confirmations: confirmations_needed(state),
         owner_manager: None,
@@ -209,7 +209,7 @@
     let response = TimestampedResponse {
         response,
         stamp: state.envelope_clock.stamp(state.now),
-        again: resend == Resend::WithStamp,
+        resend: resend == Resend::WithStamp,
     };
     state.respond(ticket, OperatorResponse::Heartbeat { response });
 }
@@ -257,7 +257,7 @@
         state.instances.handle(state.now, &received.aged(age));
     }
     if let Some(id) = ended {
-        state.instances.end(state.now, &id);
+        state.instances.record_termination(state.now, &id);
     }
     state.send(reply_to, Message::FactConfirmed { number });
 }
--- a/crates/controller/src/leadership/fencing.rs
+++ b/crates/controller/src/leadership/fencing.rs
@@ -21,17 +21,17 @@
     if !state.is_current(map) {
         return None;
     }
-    let present = state.map(map).fence().map_or(Epoch(0), |term| term.epoch);
+    let current_epoch = state.map(map).fence().map_or(Epoch(0), |term| term.epoch);
     let expected = state.map(map).item_version(FENCE);
-    if present == epoch {
+    if current_epoch == epoch {
         return Some(Guard {
             key: FENCE.to_string(),
             expected,
         });
     }
-    if present < epoch && !state.has_proposal_in_flight(&ProposalOrigin::Fence(map)) {
+    if current_epoch < epoch && !state.has_proposal_in_flight(&ProposalOrigin::Fence(map)) {
         let term = LeadershipTerm {
-            holder: state.node,
+            leader: state.node,
             epoch,
         };
         let value = Value::Leadership { term };
--- a/crates/controller/src/leadership/handover.rs
+++ b/crates/controller/src/leadership/handover.rs
@@ -19,7 +19,7 @@
         return;
     };
     let term = LeadershipTerm {
-        holder: successor,
+        leader: successor,
         epoch: epoch.next(),
     };
     let expected = state.map(MapName::Membership).item_version(&term_key(name));
--- a/crates/controller/src/leadership/ownership.rs
+++ b/crates/controller/src/leadership/ownership.rs
@@ -55,8 +55,8 @@
     let role = &mut state.ownership_role;
     role.epoch = Some(epoch);
     role.manager.timings = state.options.core.owner_manager;
-    let after_own = role.previous_epoch == Some(epoch);
-    role.manager.start_term(state.now, after_own);
+    let is_own_predecessor = role.previous_epoch == Some(epoch);
+    role.manager.start_term(state.now, is_own_predecessor);
     fault_injection.apply_to_owner_manager(&mut role.manager);
     state.log_event(Event::OwnershipLeaderElected { epoch });
 }
@@ -126,7 +126,7 @@
 fn is_owner_manager(state: &ControllerState) -> bool {
     let term = state.map(MapName::Membership).leadership(OWNERSHIP);
     let epoch = state.ownership_role.epoch;
-    let has_role = term.is_some_and(|term| term.holder == state.node && epoch == Some(term.epoch));
+    let has_role = term.is_some_and(|term| term.leader == state.node && epoch == Some(term.epoch));
     let fence = state.map(MapName::Ownership).fence().map(|term| term.epoch);
     has_role
         && fence == epoch
@@ -140,7 +140,7 @@
     if !state.is_current(MapName::Membership) {
         return None;
     }
-    let leader = state.map(MapName::Membership).leadership(OWNERSHIP)?.holder;
+    let leader = state.map(MapName::Membership).leadership(OWNERSHIP)?.leader;
     let is_reachable = leader != state.node && state.liveness.is_alive(state.now, leader);
     is_reachable.then(|| owner_manager_address(state)).flatten()
 }
@@ -148,5 +148,5 @@
 /// Returns the owner manager's address according to the local membership.
 pub fn owner_manager_address(state: &ControllerState) -> Option<SocketAddr> {
     let term = state.map(MapName::Membership).leadership(OWNERSHIP)?;
-    Some(state.voters()?.entry(term.holder)?.address)
+    Some(state.voters()?.entry(term.leader)?.address)
 }
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -1,4 +1,4 @@
-//! The solver role: computes how load is placed on instances and writes the placement map.
+//! The solver role: computes the mapping of client groups to zones and writes it to the placement map.
 
 use std::time::Duration;
 
@@ -52,5 +52,5 @@
     state.propose(MapName::Placement, ProposalOrigin::Solver, change);
 }
 
-/// The item of the placement map that holds the placement.
+/// The key of the item that contains the mapping in the placement map.
 const MAPPING: &str = "mapping";
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariants: a change adds or removes a single voter, so that every majority before it intersects every
 //! majority after it. It is proposed only if the live voters are a majority of the new set. All maps are
-//! repaired first, so that no change that the previous voters had partly accepted is lost.
+//! recovered first, so that no change that the previous voters had partly accepted is lost.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     match next_change(state, &voters) {
         Some(change) if !has_live_majority(state, &change.next) => log_rejection(state, change),
         Some(change) => {
-            if repair_all_maps(state) {
+            if recover_all_maps(state) {
                 propose_voters(state, change);
             }
         }
@@ -97,15 +97,15 @@
     state.log_event(Event::VoterChangeRejected { why });
 }
 
-/// Returns whether no map has an undecided change under the current voters, and starts the repair of those
-/// that do.
-fn repair_all_maps(state: &mut ControllerState) -> bool {
+/// Returns whether no map has an undecided change under the current voters, and requests the recovery of
+/// those that may have one.
+fn recover_all_maps(state: &mut ControllerState) -> bool {
     let membership = state.map(MapName::Membership).version;
-    let mut is_settled = true;
+    let mut are_recovered = true;
     for proposer in &mut state.proposers {
-        is_settled &= ensure_recovered(proposer, membership);
+        are_recovered &= ensure_recovered(proposer, membership);
     }
-    is_settled
+    are_recovered
 }
 
 fn propose_voters(state: &mut ControllerState, change: VoterChange) {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Returns a change that replaces the present fallback members.
+/// Returns a change that replaces the current fallback members.
 pub fn fallback_members_change(state: &mut ControllerState, value: Value) -> Change {
     let expected = state
         .map(MapName::Membership)
--- a/crates/controller/src/operator_json/writing/status.rs
+++ b/crates/controller/src/operator_json/writing/status.rs
@@ -58,7 +58,7 @@
         .map(|(name, term)| {
             let mut json = jzon::object! { duty: *name };
             if let Some(term) = term {
-                json["holder"] = term.holder.0.into();
+                json["holder"] = term.leader.0.into();
                 json["epoch"] = term.epoch.0.into();
             }
             json
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -68,7 +68,7 @@
     let mapping = state.map(MapName::Placement).mapping();
     let placed_proxies = mapping.map_or(0, |mapping| mapping.proxies);
     let proxies = placed_proxies.max(state.members.ready_proxies().count() as u32);
-    let assured = quorum_read.is_some();
+    let has_quorum = quorum_read.is_some();
     let (quorum_read_age, versions) = quorum_read.unwrap_or((LEASE_DURATION, Vec::new()));
     let granted = Granted {
         number: renewal.number,
@@ -81,7 +81,7 @@
         members: members.received,
         members_offset: members.offset,
         updates,
-        assured,
+        has_quorum,
         in_chunks,
         more: more || instances.more || members.more,
     };
--- a/crates/controller/src/state_machine/shutdown.rs
+++ b/crates/controller/src/state_machine/shutdown.rs
@@ -39,7 +39,7 @@
     let is_leader = LEADERSHIPS
         .iter()
         .filter_map(|name| membership.leadership(name))
-        .any(|term| term.holder == state.node);
+        .any(|term| term.leader == state.node);
     let has_operator_proposal = state.proposal_origins.iter().any(|(_, origin)| {
         matches!(
             origin,
--- a/crates/controller/src/state_machine/startup.rs
+++ b/crates/controller/src/state_machine/startup.rs
@@ -112,7 +112,7 @@
     );
     state.founding.proposed = recovered.founding;
     let last_term = state.map(MapName::Membership).leadership(OWNERSHIP);
-    let own_term = last_term.filter(|term| term.holder == state.node);
+    let own_term = last_term.filter(|term| term.leader == state.node);
     state.ownership_role.previous_epoch = own_term.map(|term| term.epoch);
     for event in recovered.damage {
         state.log_event(event);
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -576,7 +576,7 @@
             .filter_map(|name| membership.leadership(name));
         let is_behind = fleet.state(0).map(MapName::Configuration).version
             < fleet.state(1).map(MapName::Configuration).version;
-        led |= is_behind && terms.into_iter().any(|term| term.holder == node);
+        led |= is_behind && terms.into_iter().any(|term| term.leader == node);
     }
     assert!(
         steps > 160,
@@ -586,7 +586,7 @@
     let membership = fleet.state(1).map(MapName::Membership);
     let node = fleet.state(0).node;
     let term = membership.leadership(SOLVER).expect("a leader");
-    assert_eq!(term.holder, node, "an up-to-date controller becomes leader");
+    assert_eq!(term.leader, node, "an up-to-date controller becomes leader");
     led
 }
 
--- a/crates/controller/tests/fleet/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -338,7 +338,7 @@
         capacity: 4,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -766,7 +766,7 @@
 fn role_holder(fleet: &Fleet, index: usize, role: &str) -> Option<NodeId> {
     let state = &fleet.nodes[index].machine.as_ref()?.state;
     let term = state.map(MapName::Membership).leadership(role)?;
-    Some(term.holder)
+    Some(term.leader)
 }
 
 fn node_at(fleet: &Fleet, index: usize) -> Option<NodeId> {
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -223,7 +223,7 @@
                 self.handle_map_updates(updated, outputs);
                 let requests = self.link.fetch_in_chunks(now, from, &granted);
                 request_chunks(requests, outputs);
-                self.update_proxies(now, granted.assured);
+                self.update_proxies(now, granted.has_quorum);
             }
             Message::ConsensusMessage { message } => {
                 let step = self.link.handle_catch_up(now, from, &message);
@@ -260,10 +260,10 @@
 
     /// Updates the list of proxies after a grant.
     ///
-    /// Members expire only on an assured response: while the controllers are unreachable, missing reports
+    /// Members expire only on a response with a quorum: while the controllers are unreachable, missing reports
     /// of a proxy do not show that it is down, and the last list is the best there is.
-    fn update_proxies(&mut self, now: Duration, assured: bool) {
-        if assured {
+    fn update_proxies(&mut self, now: Duration, has_quorum: bool) {
+        if has_quorum {
             self.link.members.expire(now);
         }
         let proxies: Vec<(Zone, SocketAddr)> = self
@@ -272,10 +272,10 @@
             .ready_proxies()
             .map(|member| (member.zone.clone(), member.serving))
             .collect();
-        // Without assurance the new list is taken only if it has at least half as many proxies: a zone
+        // Without a quorum the new list replaces the last one only if it has at least half as many proxies: a zone
         // may be lost together with most of the controllers, but a controller that is partitioned itself
         // is missing nearly all proxies.
-        let is_plausible = match assured {
+        let is_plausible = match has_quorum {
             true => !proxies.is_empty(),
             false => proxies.len() * 2 >= self.proxies.len() && !proxies.is_empty(),
         };
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -414,9 +414,9 @@
             let named = granted.versions.get(name.index()).copied();
             self.versions[name.index()] >= named.unwrap_or_default()
         });
-        if granted.assured && holds {
+        if granted.has_quorum && holds {
             self.answered_at = now;
-        } else if granted.assured {
+        } else if granted.has_quorum {
             self.renew_at = self.renew_at.min(now + BEHIND_PERIOD);
         }
         if granted.more {
@@ -541,7 +541,7 @@
             capacity: 50,
             state: InstanceState::Serving,
             load: 0,
-            up: now.saturating_sub(self.since),
+            uptime: now.saturating_sub(self.since),
             key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
             released: self.held_leases.released_epochs(),
         }
@@ -592,7 +592,7 @@
         self.held_leases.apply_response(sent_at, &dated.response);
         self.stamps
             .insert(to, (dated.stamp, self.fleet.clock.now()));
-        Some(dated.again)
+        Some(dated.resend)
     }
 }
 
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -154,7 +154,7 @@
         capacity: 100,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::from_secs(3600),
+        uptime: Duration::from_secs(3600),
         key_ranges_in_use: Vec::new(),
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
--- a/crates/runtime/src/http/heartbeats.rs
+++ b/crates/runtime/src/http/heartbeats.rs
@@ -27,7 +27,7 @@
             InstanceState::Draining => "leaving",
         },
         load: heartbeat.load,
-        up_ms: heartbeat.up.as_millis() as u64,
+        up_ms: heartbeat.uptime.as_millis() as u64,
         holding: heartbeat.key_ranges_in_use.clone(),
         let_go: heartbeat
             .released
@@ -162,7 +162,7 @@
         capacity: read_small_number(value, "capacity")?,
         state,
         load: read_small_number(value, "load")?,
-        up: Duration::from_millis(read_number(value, "up_ms")?),
+        uptime: Duration::from_millis(read_number(value, "up_ms")?),
         key_ranges_in_use,
         released: let_go,
         warm_up_left: Duration::ZERO,
@@ -211,7 +211,7 @@
 pub fn write_with_stamp(dated: &TimestampedResponse) -> JsonValue {
     let mut json = write_response(&dated.response);
     json["stamp"] = write_stamp(&dated.stamp);
-    json["again"] = dated.again.into();
+    json["again"] = dated.resend.into();
     json
 }
 
@@ -220,7 +220,7 @@
     Some(TimestampedResponse {
         response: read_response(value),
         stamp: read_stamp(&value["stamp"])?,
-        again: value["again"].as_bool()?,
+        resend: value["again"].as_bool()?,
     })
 }
 
@@ -231,7 +231,7 @@
             let mut json = jzon::object! {
                 slice: lease.key_range,
                 epoch: lease.epoch.0,
-                left_ms: lease.left.as_millis() as u64,
+                left_ms: lease.duration.as_millis() as u64,
             };
             if let Some(handover) = &lease.handover {
                 json["handover"] = handover.as_str().into();
@@ -256,7 +256,7 @@
                 Some(KeyRangeLease {
                     key_range: lease["slice"].as_u32()?,
                     epoch: Epoch(lease["epoch"].as_u64()?),
-                    left: Duration::from_millis(lease["left_ms"].as_u64()?),
+                    duration: Duration::from_millis(lease["left_ms"].as_u64()?),
                     handover: lease["handover"].as_str().map(str::to_string),
                 })
             })
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -72,7 +72,7 @@
         members: Vec::new(),
         members_offset: 0,
         updates: Vec::new(),
-        assured: true,
+        has_quorum: true,
         deregistered: Vec::new(),
         proxies: 1,
         in_chunks: Vec::new(),
--- a/crates/runtime/tests/heartbeat_json.rs
+++ b/crates/runtime/tests/heartbeat_json.rs
@@ -23,7 +23,7 @@
         capacity: 30,
         state: InstanceState::Draining,
         load: 3,
-        up: Duration::from_millis(8500),
+        uptime: Duration::from_millis(8500),
         key_ranges_in_use: vec![4, 17],
         released: vec![ReleasedKeyRange {
             key_range: 5,
@@ -44,7 +44,7 @@
     let lease = KeyRangeLease {
         key_range: 4,
         epoch: Epoch(9),
-        left: Duration::from_millis(6000),
+        duration: Duration::from_millis(6000),
         handover: None,
     };
     let dated = TimestampedResponse {
@@ -54,7 +54,7 @@
             ..HeartbeatResponse::default()
         },
         stamp,
-        again: true,
+        resend: true,
     };
     let json = jzon::parse(&heartbeats::write_with_stamp(&dated).dump()).expect("it is JSON");
     assert_eq!(heartbeats::read_timestamped_response(&json), Some(dated));
--- a/crates/simulator/src/actors/instance.rs
+++ b/crates/simulator/src/actors/instance.rs
@@ -93,7 +93,7 @@
                 InstanceState::Serving
             },
             load: self.work.len() as u32,
-            up: now,
+            uptime: now,
             key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
             released: self.held_leases.released_epochs(),
             warm_up_left: Duration::ZERO,
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -170,7 +170,7 @@
                 }
                 MapName::Membership => {
                     if let Some(term) = machine.state.map(*map).leadership(OWNERSHIP) {
-                        self.observers.owner_manager_known(self.now, term.holder);
+                        self.observers.owner_manager_known(self.now, term.leader);
                     }
                 }
                 _ => {}
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -217,7 +217,7 @@
         Some(dated) => {
             instance.held_leases.apply_response(sent, &dated.response);
             instance.stamps.insert(hearer, (dated.stamp, local));
-            if dated.again {
+            if dated.resend {
                 instance.next_heartbeat = local;
             }
         }
--- a/crates/simulator/src/world/targets.rs
+++ b/crates/simulator/src/world/targets.rs
@@ -57,7 +57,7 @@
                 let membership = machine.state.map(MapName::Membership);
                 membership
                     .leadership(OWNERSHIP)
-                    .is_some_and(|term| term.holder == machine.node())
+                    .is_some_and(|term| term.leader == machine.node())
             }
             _ => false,
         }
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -165,7 +165,7 @@
             capacity: self.flags.capacity,
             state,
             load: self.load.load(Ordering::SeqCst),
-            up: uptime,
+            uptime: uptime,
             key_ranges_in_use,
             released,
             warm_up_left: Duration::ZERO,
@@ -204,7 +204,7 @@
                 locked(&self.held_leases).apply_response(sent_at, &timestamped.response);
                 let now = self.clock.now();
                 locked(&self.stamps).insert(agent, (timestamped.stamp, now));
-                Some(timestamped.again)
+                Some(timestamped.resend)
             }
             _ => None,
         }
