--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -200,14 +200,14 @@
 /// Returns the fallback members without these agents, or the reason why they cannot be removed.
 pub fn fallback_members_without(
     state: &ControllerState,
-    dropped: &[SocketAddr],
+    removed: &[SocketAddr],
 ) -> Result<FallbackMembers, Vec<Fault>> {
     let reject = |field: &str, why: String| Err(vec![Fault::new(field, why)]);
     let Some(fallback_members) = state.map(MapName::Membership).fallback_members() else {
         return reject("drop", "the roster does not exist yet".to_string());
     };
     let agents = reachable_agents(state);
-    for (index, address) in dropped.iter().enumerate() {
+    for (index, address) in removed.iter().enumerate() {
         let field = format!("drop[{index}]");
         if !fallback_members.members.contains(address) {
             return reject(&field, format!("{address} is not on the roster"));
@@ -221,7 +221,7 @@
         let why = "the last roster change has not reached enough agents yet: try again";
         return reject("drop", why.to_string());
     }
-    let is_kept = |address: &&SocketAddr| !dropped.contains(address);
+    let is_kept = |address: &&SocketAddr| !removed.contains(address);
     let next = FallbackMembers {
         members: fallback_members
             .members
--- a/crates/controller/src/consensus/founding.rs
+++ b/crates/controller/src/consensus/founding.rs
@@ -66,7 +66,7 @@
     let own = entry(state.node, state.options.control, &state.options.zone);
     let others = seeds
         .iter()
-        .filter_map(|seed| Some((seed, state.seeds.get(seed)?)))
+        .filter_map(|seed| Some((seed, state.known_controllers.get(seed)?)))
         .filter(|(_, seen)| !seen.founded)
         .map(|(address, seen)| entry(seen.node, *address, &seen.zone));
     let entries: Vec<VoterEntry> = std::iter::once(own).chain(others).collect();
@@ -94,7 +94,7 @@
     reply_to: SocketAddr,
     seen: KnownController,
 ) {
-    state.seeds.insert(reply_to, seen);
+    state.known_controllers.insert(reply_to, seen);
     let message = Message::SeedResponse {
         zone: state.options.zone.clone(),
         founded: is_founded(state),
@@ -109,7 +109,7 @@
     seen: KnownController,
 ) {
     let knows_membership = seen.founded;
-    state.seeds.insert(reply_to, seen);
+    state.known_controllers.insert(reply_to, seen);
     if knows_membership && !is_founded(state) {
         for name in ALL_MAPS {
             snapshot_transfer::begin_catch_up(state, reply_to, name, Version(1));
--- a/crates/controller/src/consensus/mod.rs
+++ b/crates/controller/src/consensus/mod.rs
@@ -2,7 +2,7 @@
 //! after the other.
 //!
 //! The protocol itself is in `caperworks::consensus`. This module connects its messages to the disk, the
-//! network and the rest of the controller. [`proposals`] drives the proposers, [`repair`] finds changes that
+//! network and the rest of the controller. [`proposals`] drives the proposers, [`recovery`] finds changes that
 //! were left undecided, [`snapshot_transfer`] brings replicas up to date, [`quorum_reads`] determines which
 //! versions a majority has, and [`founding`] creates the first membership.
 
@@ -20,7 +20,7 @@
 pub mod founding;
 pub mod proposals;
 pub mod quorum_reads;
-pub mod repair;
+pub mod recovery;
 pub mod snapshot_transfer;
 
 /// Handles a consensus message as a voter, as a proposer, or as a replica that is catching up.
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use crate::consensus::repair;
+use crate::consensus::recovery;
 use crate::consensus::snapshot_transfer::{may_send, Delivery};
 use crate::state::parts::ProposalOrigin;
 use crate::state::ControllerState;
@@ -20,7 +20,7 @@
 pub fn tick(state: &mut ControllerState) {
     for name in ALL_MAPS {
         let index = name.index();
-        if repair::is_repair_due(state, name) {
+        if recovery::is_recovery_due(state, name) {
             state.proposers[index].request_recovery();
         }
         let outcome = state.proposers[index].tick(state.now, &state.voter, &mut state.random);
--- a/crates/controller/src/consensus/repair.rs
+++ b/crates/controller/src/consensus/recovery.rs
@@ -16,7 +16,7 @@
 ///
 /// The wait depends on the node ID, so that the controllers do not all try to recover the same change at
 /// the same time. The wait starts again after each recovery.
-pub(super) fn is_repair_due(state: &mut ControllerState, name: MapName) -> bool {
+pub(super) fn is_recovery_due(state: &mut ControllerState, name: MapName) -> bool {
     let index = name.index();
     if !has_undecided_change(state, name) {
         state.undecided_since[index] = None;
--- a/crates/controller/src/consensus/snapshot_transfer.rs
+++ b/crates/controller/src/consensus/snapshot_transfer.rs
@@ -79,22 +79,23 @@
     state: &mut ControllerState,
     peer: SocketAddr,
     map: MapName,
-    goal: Version,
+    target_version: Version,
 ) {
     let local_version = state.map(map).version;
-    let request = state
-        .catch_up
-        .handle_announcement(state.now, map, local_version, peer, goal);
+    let request =
+        state
+            .catch_up
+            .handle_announcement(state.now, map, local_version, peer, target_version);
     send_request(state, request);
 }
 
-/// Continues a catch-up after changes or a snapshot of a map arrived. `has_moved` tells whether they brought
+/// Continues a catch-up after changes or a snapshot of a map arrived. `has_advanced` is whether they brought
 /// the map to a new version.
-pub(super) fn continue_catch_up(state: &mut ControllerState, map: MapName, has_moved: bool) {
+pub(super) fn continue_catch_up(state: &mut ControllerState, map: MapName, has_advanced: bool) {
     let local_version = state.map(map).version;
     let request = state
         .catch_up
-        .handle_changes(state.now, map, local_version, has_moved);
+        .handle_changes(state.now, map, local_version, has_advanced);
     send_request(state, request);
 }
 
--- a/crates/controller/src/daemon/http_api.rs
+++ b/crates/controller/src/daemon/http_api.rs
@@ -115,7 +115,7 @@
         let text = body.unwrap_or_default();
         let proposal_outcome = match read_removed_agents(&String::from_utf8_lossy(&text)) {
             Err(errors) => ProposalOutcome::Invalid(errors.into_iter().map(Fault::from).collect()),
-            Ok(dropped) => match self.call(OperatorCall::Retire { dropped }).await {
+            Ok(agents) => match self.call(OperatorCall::RemoveAgents { agents }).await {
                 Some(OperatorResponse::ProposalOutcome { proposal_outcome }) => proposal_outcome,
                 Some(OperatorResponse::ShuttingDown) => return shutting_down(),
                 _ => ProposalOutcome::Unknown,
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -40,16 +40,17 @@
     ///
     /// All facts are sent again to a peer that was unreachable or has restarted: facts sent in the meantime may be
     /// lost, and a new incarnation has none of the earlier ones.
-    pub fn handle(&mut self, now: Duration, peer: SocketAddr, incarnation: NodeId) {
-        let before = self.last_seen.insert(
+    pub fn record_contact(&mut self, now: Duration, peer: SocketAddr, incarnation: NodeId) {
+        let previous = self.last_seen.insert(
             peer,
             LastSeen {
                 at: now,
                 incarnation,
             },
         );
-        let has_received_facts = before.is_some_and(|before| {
-            before.incarnation == incarnation && now.saturating_sub(before.at) < SUSPICION_TIMEOUT
+        let has_received_facts = previous.is_some_and(|previous| {
+            previous.incarnation == incarnation
+                && now.saturating_sub(previous.at) < SUSPICION_TIMEOUT
         });
         if !has_received_facts {
             self.sent.remove(&peer);
@@ -70,7 +71,7 @@
         return;
     }
     state.fact_exchange.next_exchange_at = state.now + EXCHANGE_INTERVAL;
-    let present = SentOffsets {
+    let latest = SentOffsets {
         instances: state.instances.latest_offset(),
         members: state.members.latest_offset(),
     };
@@ -78,10 +79,10 @@
         if !state.fact_exchange.is_reachable(state.now, &to) {
             continue;
         }
-        let before = state.fact_exchange.sent.insert(to, present);
-        let before = before.unwrap_or_default();
-        if before != present {
-            send_facts_after(state, to, before);
+        let previous = state.fact_exchange.sent.insert(to, latest);
+        let previous = previous.unwrap_or_default();
+        if previous != latest {
+            send_facts_after(state, to, previous);
         }
     }
 }
--- a/crates/controller/src/leadership/majority_loss.rs
+++ b/crates/controller/src/leadership/majority_loss.rs
@@ -27,12 +27,15 @@
 
 /// Returns whether another node has responded at a voter's address since the voter stopped responding.
 pub(super) fn is_replaced(state: &ControllerState, voter: &VoterEntry) -> bool {
-    state.seeds.get(&voter.address).is_some_and(|seen| {
-        seen.node != voter.node
-            && state
-                .liveness
-                .is_successor(state.now, seen.node, voter.node)
-    })
+    state
+        .known_controllers
+        .get(&voter.address)
+        .is_some_and(|seen| {
+            seen.node != voter.node
+                && state
+                    .liveness
+                    .is_successor(state.now, seen.node, voter.node)
+        })
 }
 
 /// Logs that more voters are lost than consensus can tolerate. Only their return resolves this.
--- a/crates/controller/src/leadership/voter_candidates.rs
+++ b/crates/controller/src/leadership/voter_candidates.rs
@@ -18,7 +18,7 @@
     voters: &VoterSet,
 ) -> Option<VoterEntry> {
     state
-        .seeds
+        .known_controllers
         .iter()
         .filter(|(_, seen)| voters.entry(seen.node).is_none())
         .find(|(_, seen)| state.is_synced_replica(seen.node))
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -59,7 +59,7 @@
                 until,
             });
         }
-        OperatorCall::Retire { dropped } => retire(state, ticket, &dropped),
+        OperatorCall::RemoveAgents { agents } => remove_agents(state, ticket, &agents),
         OperatorCall::Status => {
             let status = Box::new(status(state));
             state.respond(ticket, OperatorResponse::Status { status });
@@ -174,12 +174,12 @@
 }
 
 /// Proposes to remove these agents from the fallback members.
-fn retire(state: &mut ControllerState, ticket: u64, dropped: &[SocketAddr]) {
+fn remove_agents(state: &mut ControllerState, ticket: u64, removed: &[SocketAddr]) {
     if state.stopping_since.is_some() {
         state.respond(ticket, OperatorResponse::ShuttingDown);
         return;
     }
-    match agents::fallback_members_without(state, dropped) {
+    match agents::fallback_members_without(state, removed) {
         Ok(fallback_members) => {
             let value = Value::FallbackMembers { fallback_members };
             let change = voter_management::fallback_members_change(state, value);
--- a/crates/controller/src/operator_json/reading/fallback_members.rs
+++ b/crates/controller/src/operator_json/reading/fallback_members.rs
@@ -10,11 +10,11 @@
     let value = jzon::parse(text)
         .map_err(|error| vec![FormError::new("body", FormErrorReason::NotJson(error))])?;
     let mut errors = Vec::new();
-    let mut dropped = Vec::new();
+    let mut removed = Vec::new();
     if let Some(mut reader) = ObjectReader::new("", &value, &mut errors) {
         for (index, item) in reader.list("drop", &mut errors).iter().enumerate() {
             match item.as_str().and_then(|text| text.parse().ok()) {
-                Some(address) => dropped.push(address),
+                Some(address) => removed.push(address),
                 None => errors.push(FormError::new(
                     format!("drop[{index}]"),
                     FormErrorReason::NotAnAgentAddress,
@@ -23,11 +23,11 @@
         }
         reader.finish(&mut errors);
     }
-    if dropped.is_empty() && errors.is_empty() {
+    if removed.is_empty() && errors.is_empty() {
         errors.push(FormError::new("drop", FormErrorReason::NoAgents));
     }
     if errors.is_empty() {
-        Ok(dropped)
+        Ok(removed)
     } else {
         Err(errors)
     }
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -107,7 +107,7 @@
     }
     begin_wanted_quorum_read(state);
     for read in std::mem::take(&mut state.reads.pending) {
-        if is_answered_by(state, read.quorum_read) {
+        if is_satisfied_by(state, read.quorum_read) {
             respond(state, read.ticket, read.kind);
         } else if state.now >= read.until {
             reject(state, read.ticket);
@@ -122,7 +122,7 @@
 ///
 /// The membership must be up to date too: voters that were replaced do not know what the current voters have
 /// accepted, but at least one of a majority of them knows that they were replaced.
-fn is_answered_by(state: &ControllerState, number: u64) -> bool {
+fn is_satisfied_by(state: &ControllerState, number: u64) -> bool {
     let Some(quorum_read) = state.quorum_reads.completed_since(number) else {
         return false;
     };
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -92,7 +92,7 @@
     /// The progress of the membership's founding.
     pub founding: FoundingProgress,
     /// Other controllers by address, as described by their last seed message.
-    pub seeds: BTreeMap<SocketAddr, KnownController>,
+    pub known_controllers: BTreeMap<SocketAddr, KnownController>,
 
     /// The quorum reads in flight, and the results of the last ones.
     pub quorum_reads: QuorumReads,
@@ -188,7 +188,7 @@
             snapshots: SnapshotSender::default(),
             full_map_limit: SnapshotRateLimiter::default(),
             founding: FoundingProgress::default(),
-            seeds: BTreeMap::new(),
+            known_controllers: BTreeMap::new(),
             quorum_reads: QuorumReads::default(),
             liveness: Liveness::default(),
             next_quorum_read_at: Duration::ZERO,
@@ -273,7 +273,7 @@
         if let Some(voter) = self.voters().and_then(|voters| voters.entry(node)) {
             return Some(voter.address);
         }
-        self.seeds
+        self.known_controllers
             .iter()
             .find(|(_, seen)| seen.node == node)
             .map(|(address, _)| *address)
@@ -285,7 +285,7 @@
         let mut addresses: BTreeSet<SocketAddr> =
             membership.voter_addresses(true).into_iter().collect();
         addresses.extend(&self.options.seeds);
-        addresses.extend(self.seeds.keys());
+        addresses.extend(self.known_controllers.keys());
         addresses.remove(&self.options.control);
         addresses
     }
--- a/crates/controller/src/state_machine/dispatch.rs
+++ b/crates/controller/src/state_machine/dispatch.rs
@@ -28,7 +28,9 @@
         Message::QuorumReadRequest { .. } | Message::QuorumReadResponse { .. }
     );
     if is_from_controller {
-        state.fact_exchange.handle(state.now, reply_to, incarnation);
+        state
+            .fact_exchange
+            .record_contact(state.now, reply_to, incarnation);
     }
     let sender = Sender { from, reply_to };
     match message {
--- a/crates/controller/src/state_machine/operator_messages.rs
+++ b/crates/controller/src/state_machine/operator_messages.rs
@@ -34,9 +34,9 @@
         wait: Duration,
     },
     /// Remove agents that will not come back from the fallback members.
-    Retire {
+    RemoveAgents {
         /// The addresses of the agents.
-        dropped: Vec<SocketAddr>,
+        agents: Vec<SocketAddr>,
     },
     /// Report the controller's own view of the fleet.
     Status,
