--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -549,7 +549,7 @@
         map,
         membership: Version(1),
         version: Version(1),
-        proposal_number: ProposalNumber { round: 1, node },
+        proposal_number: ProposalNumber { counter: 1, node },
     };
     let responses = voter_responses(&mut fixture, rejected);
     assert!(
--- a/crates/caperworks/examples/placement.rs
+++ b/crates/caperworks/examples/placement.rs
@@ -22,19 +22,19 @@
         group("10.0.2.0/24", 70, &[(0, 1_000), (2, 56_000)]),
     ];
     let solution = solve(&groups, &sites, EPSILON);
-    for (group, placed) in groups.iter().zip(&solution.placed) {
+    for (group, placed) in groups.iter().zip(&solution.assignments) {
         println!(
             "{}: {:?}, unplaced {}",
             group.group, placed.units, placed.unplaced
         );
     }
     assert_eq!(
-        solution.placed[1].units.get(&0),
+        solution.assignments[1].units.get(&0),
         Some(&70),
         "a group whose next choice is far away keeps the site"
     );
     assert_eq!(
-        solution.placed[0].units.get(&1),
+        solution.assignments[0].units.get(&1),
         Some(&50),
         "a group whose next choice is near is moved there"
     );
--- a/crates/caperworks/src/catch_up/sender.rs
+++ b/crates/caperworks/src/catch_up/sender.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerUpdate {
     /// The follower is up to date.
-    Nothing,
+    UpToDate,
     /// Everything that is missing, in one message.
     Inline(ConsensusMessage),
     /// As many changes as fit into one message; more are missing after them.
@@ -78,9 +78,9 @@
         form: FeedForm,
         max_bytes: usize,
     ) -> FollowerUpdate {
-        let present = voter.map(map);
-        if after >= present.version {
-            return FollowerUpdate::Nothing;
+        let current = voter.map(map);
+        if after >= current.version {
+            return FollowerUpdate::UpToDate;
         }
         let history = voter.history(map);
         if let Some(first) = history.first_changes_after(after, form, max_bytes) {
@@ -90,10 +90,10 @@
                 false => FollowerUpdate::Inline(message),
             };
         }
-        if self.encoded(now, map, present, after, form).bytes.len() > MAX_GRANT_UPDATE_BYTES {
+        if self.encoded(now, map, current, after, form).bytes.len() > MAX_GRANT_UPDATE_BYTES {
             return FollowerUpdate::InChunks;
         }
-        let full_map = map_in_form(present, form);
+        let full_map = map_in_form(current, form);
         FollowerUpdate::Inline(ConsensusMessage::Snapshot { map, full_map })
     }
 
@@ -108,8 +108,8 @@
         after: Version,
         position: TransferPosition,
     ) -> ConsensusMessage {
-        let present = voter.map(map);
-        if after >= present.version {
+        let current = voter.map(map);
+        if after >= current.version {
             return ConsensusMessage::updates(position.form, map, Vec::new());
         }
         let history = voter.history(map);
@@ -122,7 +122,7 @@
         match changes {
             Some(changes) => ConsensusMessage::updates(position.form, map, changes),
             None => ConsensusMessage::Chunk {
-                chunk: self.chunk(now, map, present, after, position),
+                chunk: self.chunk(now, map, current, after, position),
             },
         }
     }
--- a/crates/caperworks/src/change_check.rs
+++ b/crates/caperworks/src/change_check.rs
@@ -117,11 +117,11 @@
             .filter_map(|put| Some((&put.key, put.expected?)))
             .chain(guards)
             .filter_map(|(key, expected)| {
-                let present = self.item_version(key);
-                (expected != present).then(|| Conflict {
+                let current = self.item_version(key);
+                (expected != current).then(|| Conflict {
                     key: key.clone(),
                     expected,
-                    present,
+                    current,
                 })
             })
             .collect();
--- a/crates/caperworks/src/consensus/messages.rs
+++ b/crates/caperworks/src/consensus/messages.rs
@@ -11,7 +11,7 @@
     /// A proposal number, unique per proposer: ordered by the counter, then by the proposing node.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     struct ProposalNumber {
-        0 round: u64,
+        0 counter: u64,
         1 node: NodeId,
     }
 
@@ -87,7 +87,7 @@
 impl ProposalNumber {
     /// No proposal was promised: lower than every proposal number that a proposer uses.
     pub const NONE: ProposalNumber = ProposalNumber {
-        round: 0,
+        counter: 0,
         node: NodeId(0),
     };
 }
--- a/crates/caperworks/src/consensus/proposer.rs
+++ b/crates/caperworks/src/consensus/proposer.rs
@@ -186,7 +186,7 @@
                 },
                 phase,
             ) if phase.number() == Some(*proposal_number) => {
-                self.highest_counter = self.highest_counter.max(promised.round);
+                self.highest_counter = self.highest_counter.max(promised.counter);
                 if *voter_version < Version(version.0 - 1) {
                     let missing = voter.updates_after(self.name, *voter_version);
                     outcome
@@ -220,9 +220,9 @@
         if !self.has_work() || membership.voters().is_none() {
             return;
         }
-        self.highest_counter = self.highest_counter.max(replica.promised.round) + 1;
+        self.highest_counter = self.highest_counter.max(replica.promised.counter) + 1;
         let proposal_number = ProposalNumber {
-            round: self.highest_counter,
+            counter: self.highest_counter,
             node: self.node,
         };
         let version = replica.map.version.next();
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -58,7 +58,7 @@
         /// Requests a second.
         2 requests: u32,
         /// Network distance between the clients and the proxy; zero if it was not measured.
-        3 locality: Duration,
+        3 distance: Duration,
     }
 
     /// What a member reports of itself when it renews its lease.
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -318,10 +318,10 @@
         let renewal = Renewal {
             number,
             member,
-            controller: self.fact_offsets.incarnation,
+            controller_incarnation: self.fact_offsets.incarnation,
             instances_after: self.fact_offsets.instances,
             members_after: self.fact_offsets.members,
-            wants: self.followed_maps.clone(),
+            followed_maps: self.followed_maps.clone(),
             form: self.form,
             facts_age: self.facts_complete_at.map(facts_age),
             extent: match self.state {
--- a/crates/caperworks/src/messages.rs
+++ b/crates/caperworks/src/messages.rs
@@ -37,11 +37,13 @@
     struct Renewal {
         0 number: u64,
         1 member: Member,
-        3 controller: NodeId,
+        /// The incarnation of the controller that assigned the offsets in this renewal.
+        3 controller_incarnation: NodeId,
         4 instances_after: u64,
         5 members_after: u64,
-        6 wants: Vec<MapName>,
-        /// The form in which it follows them.
+        /// The maps that the member follows.
+        6 followed_maps: Vec<MapName>,
+        /// The form in which it follows these maps.
         #[cbor(default)]
         7 form: FeedForm,
         /// How long ago the member had received all facts that a controller knew; for a controller at which
--- a/crates/caperworks/src/ownership.rs
+++ b/crates/caperworks/src/ownership.rs
@@ -5,7 +5,7 @@
 //! to heartbeats, and writes the table of owners into the ownership map. The submodules are:
 //!
 //! - `table`: which key range a key belongs to, and which instance should own it;
-//! - `owner_manager` and `key_range_state`: what the leader knows of each key range;
+//! - `owner_manager` and `key_range_state`: the leader's state of each key range;
 //! - `leases`: granted and renewed by the responses to heartbeats;
 //! - `moves`: when a key range changes its owner, and what is handed over;
 //! - `instance_leases`: the leases as the instance keeps them;
--- a/crates/caperworks/src/ownership/key_range_state.rs
+++ b/crates/caperworks/src/ownership/key_range_state.rs
@@ -1,4 +1,4 @@
-//! What the owner manager knows of one key range under one epoch: when its lease expires at the latest,
+//! The owner manager's state of one key range under one epoch: when its lease expires at the latest,
 //! and whether the owner has accepted it, has to release it, or has released it.
 
 use std::time::Duration;
--- a/crates/caperworks/src/placement/demand.rs
+++ b/crates/caperworks/src/placement/demand.rs
@@ -100,7 +100,7 @@
                 .entry((demand.group.clone(), route.clone()))
                 .or_default();
             report.requests += demand.requests;
-            let micros = demand.locality.as_micros().min(MAX_DISTANCE_MICROS) as u32;
+            let micros = demand.distance.as_micros().min(MAX_DISTANCE_MICROS) as u32;
             if micros > 0 {
                 let nearest = report.distances.entry(proxy.zone.clone()).or_insert(micros);
                 *nearest = (*nearest).min(micros);
--- a/crates/caperworks/src/placement/distance.rs
+++ b/crates/caperworks/src/placement/distance.rs
@@ -10,7 +10,7 @@
 /// Estimated distance to a zone of another region.
 const OTHER_REGION_MICROS: u32 = 50_000;
 
-/// What is known of the location of a client group.
+/// The measurements and reports from which the location of a client group is derived.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GroupLocation<'problem> {
     /// The distances that proxies measured.
--- a/crates/caperworks/src/placement/overflow.rs
+++ b/crates/caperworks/src/placement/overflow.rs
@@ -26,11 +26,11 @@
                 }
                 let limit = u64::from(sites[*site].proxy_capacity) * u64::from(percent) / 100;
                 let spare = (limit as u32).saturating_sub(assigned[*site]);
-                let moved = spare.min(assignment.unplaced);
-                if moved > 0 {
-                    assigned[*site] += moved;
-                    assignment.unplaced -= moved;
-                    *assignment.units.entry(*site).or_default() += moved;
+                let overflow = spare.min(assignment.unplaced);
+                if overflow > 0 {
+                    assigned[*site] += overflow;
+                    assignment.unplaced -= overflow;
+                    *assignment.units.entry(*site).or_default() += overflow;
                 }
             }
         }
--- a/crates/caperworks/src/placement/proposals.rs
+++ b/crates/caperworks/src/placement/proposals.rs
@@ -25,24 +25,27 @@
     pub unplaced: u32,
 }
 
-/// The result of the solver for one service.
+/// The result of the solver for one route.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Solution {
     /// The assignment of each group, in the order of the input.
-    pub placed: Vec<GroupAssignment>,
+    pub assignments: Vec<GroupAssignment>,
     /// Number of proposals that were made, to compare with the bound that the source gives.
     pub proposals: usize,
 }
 
-/// Solves one service: runs proposals and rejections until every group has stopped, then assigns the
+/// Solves the placement of one route: runs proposals and rejections until every group has stopped, then assigns the
 /// units that are left over, see `overflow`.
 pub fn solve(groups: &[ClientGroup], sites: &[Site], epsilon: f64) -> Solution {
     let mut matching = Matching::new(groups, sites);
     matching.run(epsilon);
     let proposals = matching.proposals;
-    let (mut assigned, mut placed) = matching.into_assignment();
-    assign_overflow(groups, sites, &mut assigned, &mut placed);
-    Solution { placed, proposals }
+    let (mut assigned, mut assignments) = matching.into_assignments();
+    assign_overflow(groups, sites, &mut assigned, &mut assignments);
+    Solution {
+        assignments,
+        proposals,
+    }
 }
 
 /// A block of units that a site has accepted. The block that loses least by a rejection is on top of the
@@ -157,20 +160,20 @@
     }
 
     /// Returns the units by site, and the assignment of each group.
-    fn into_assignment(self) -> (Vec<u32>, Vec<GroupAssignment>) {
-        let mut placed: Vec<GroupAssignment> = self
+    fn into_assignments(self) -> (Vec<u32>, Vec<GroupAssignment>) {
+        let mut assignments: Vec<GroupAssignment> = self
             .groups
             .iter()
             .map(|_| GroupAssignment::default())
             .collect();
         for (site, blocks) in self.accepted.into_iter().enumerate() {
             for block in blocks {
-                *placed[block.group].units.entry(site).or_default() += block.units;
+                *assignments[block.group].units.entry(site).or_default() += block.units;
             }
         }
-        for (group, assignment) in self.groups.iter().zip(&mut placed) {
+        for (group, assignment) in self.groups.iter().zip(&mut assignments) {
             assignment.unplaced = group.demand - assignment.units.values().sum::<u32>();
         }
-        (self.assigned, placed)
+        (self.assigned, assignments)
     }
 }
--- a/crates/caperworks/src/placement/solver.rs
+++ b/crates/caperworks/src/placement/solver.rs
@@ -56,7 +56,7 @@
             .map(|(group, units)| problem.group(group, &name, *units, &sites))
             .collect();
         let solution = solve(&groups, &sites, EPSILON);
-        for (group, assignment) in groups.into_iter().zip(solution.placed) {
+        for (group, assignment) in groups.into_iter().zip(solution.assignments) {
             placements.push(group_placement(group, &sites, assignment));
         }
     }
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -42,8 +42,8 @@
     /// A member that has renewed its lease at this controller counts as not ready when its next renewal
     /// does not arrive within this time.
     pub member_timeout: Duration,
-    /// Time without a message after which a controller loses its vote to a spare one.
-    pub controller_lost: Duration,
+    /// Time without a message after which a controller that is a voter is replaced by a spare one.
+    pub controller_timeout: Duration,
 }
 
 impl Default for CorePolicy {
@@ -64,7 +64,7 @@
             by_host: false,
             member_refresh: Duration::ZERO,
             member_timeout: MEMBER_TIMEOUT,
-            controller_lost: Duration::from_secs(6),
+            controller_timeout: Duration::from_secs(6),
         }
     }
 }
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -114,7 +114,7 @@
         /// The version that the writer read.
         1 expected: Version,
         /// The current version in the map; zero if the item is absent.
-        2 present: Version,
+        2 current: Version,
     }
 
     /// An item whose operator version in a change was already confirmed with other contents.
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -164,7 +164,10 @@
     let (_, to, renewal) = next_renewal(&mut link, now);
     assert_eq!(to, second);
     assert_eq!(renewal.extent, ResponseExtent::Full);
-    assert_eq!(renewal.controller, responder(second).incarnation);
+    assert_eq!(
+        renewal.controller_incarnation,
+        responder(second).incarnation
+    );
     assert_eq!(renewal.instances_after, 70);
 }
 
@@ -187,7 +190,7 @@
     assert_eq!(known.len(), 1, "the facts in it are applied nevertheless");
     let (_, to, renewal) = next_renewal(&mut link, now);
     assert_eq!(to, other);
-    assert_eq!(renewal.controller, responder(other).incarnation);
+    assert_eq!(renewal.controller_incarnation, responder(other).incarnation);
     assert_eq!(renewal.instances_after, 55);
 }
 
--- a/crates/caperworks/tests/placement.rs
+++ b/crates/caperworks/tests/placement.rs
@@ -79,7 +79,7 @@
         let solution = solve(&groups, &sites, 0.0);
         for (site_index, site) in sites.iter().enumerate() {
             let accepted: Vec<(usize, u32)> = solution
-                .placed
+                .assignments
                 .iter()
                 .enumerate()
                 .filter_map(|(index, placed)| Some((index, *placed.units.get(&site_index)?)))
@@ -107,7 +107,7 @@
                 .filter_map(|(index, _)| Some(loss(&groups[*index], rank_of(*index)?)))
                 .min()
                 .unwrap_or(u32::MAX);
-            for (index, placed) in solution.placed.iter().enumerate() {
+            for (index, placed) in solution.assignments.iter().enumerate() {
                 let Some(rank) = rank_of(index) else {
                     continue;
                 };
@@ -122,7 +122,7 @@
                 // The overflow pass may have moved units; it is not part of the matching.
                 let has_overflow = sites.iter().enumerate().any(|(other, site)| {
                     let total: u32 = solution
-                        .placed
+                        .assignments
                         .iter()
                         .filter_map(|placed| placed.units.get(&other))
                         .sum();
@@ -160,7 +160,7 @@
             "seed {seed}: {} proposals",
             solution.proposals
         );
-        for (group, placed) in groups.iter().zip(&solution.placed) {
+        for (group, placed) in groups.iter().zip(&solution.assignments) {
             let allowed = (f64::from(group.demand) * EPSILON).ceil() as u32;
             assert!(
                 placed.unplaced <= allowed,
@@ -180,12 +180,12 @@
     ];
     let solution = solve(&groups, &sites, EPSILON);
     assert_eq!(
-        solution.placed[0].units.get(&1),
+        solution.assignments[0].units.get(&1),
         Some(&10),
         "the flexible group is rejected"
     );
     assert_eq!(
-        solution.placed[1].units.get(&0),
+        solution.assignments[1].units.get(&0),
         Some(&10),
         "the tied group is accepted"
     );
@@ -288,7 +288,7 @@
             group: "10.1.2.0/24".to_string(),
             route: RouteName::new(route),
             requests,
-            locality: Duration::from_millis(if zone.starts_with('e') { 2 } else { 50 }),
+            distance: Duration::from_millis(if zone.starts_with('e') { 2 } else { 50 }),
         };
         let member = Member {
             client_zones: Vec::new(),
@@ -546,7 +546,7 @@
         .clone();
     bench.counter += 1;
     member.counter = bench.counter;
-    member.demand[0].locality = Duration::ZERO;
+    member.demand[0].distance = Duration::ZERO;
     let age = Duration::ZERO;
     bench.members.handle(now, &ReceivedMember { member, age });
 }
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -210,7 +210,7 @@
     );
     match consensus.proposal_outcome(20) {
         Some(ProposalOutcome::Conflicts(conflicts)) => {
-            assert_eq!(conflicts[0].present, Version(1));
+            assert_eq!(conflicts[0].current, Version(1));
             assert_eq!(conflicts[0].key, "area/e1");
         }
         other => panic!("expected a conflict, got {other:?}"),
@@ -247,7 +247,7 @@
     let mut consensus = Consensus::new(3, 0);
     let orphaned_change = change("orphan", vec![zone_put("e1", Some(0))]);
     let proposal_number = ProposalNumber {
-        round: 5,
+        counter: 5,
         node: NodeId(1),
     };
     for number in [1, 3] {
@@ -392,7 +392,7 @@
             membership,
             version: Version(1),
             proposal_number: ProposalNumber {
-                round: 1,
+                counter: 1,
                 node: NodeId(2),
             },
         });
@@ -770,7 +770,7 @@
                 membership: Version(3),
                 version: Version(4),
                 proposal_number: ProposalNumber {
-                    round: 9,
+                    counter: 9,
                     node: NodeId(7),
                 },
                 change: founding(3, 2),
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -156,7 +156,7 @@
 
 fn proposal_number(round: u64) -> ProposalNumber {
     ProposalNumber {
-        round,
+        counter: round,
         node: NodeId(77),
     }
 }
@@ -522,7 +522,7 @@
         group: "mobile".to_string(),
         route: RouteName::from("cart"),
         requests: 450,
-        locality: millis(12),
+        distance: millis(12),
     }
 }
 
@@ -606,10 +606,10 @@
                 renewal: Renewal {
                     number: 71,
                     member: member(Role::Proxy),
-                    controller: NodeId(5),
+                    controller_incarnation: NodeId(5),
                     instances_after: 300,
                     members_after: 200,
-                    wants: vec![MapName::Configuration, MapName::Ownership],
+                    followed_maps: vec![MapName::Configuration, MapName::Ownership],
                     form: FeedForm::Reduced,
                     facts_age: None,
                     extent: ResponseExtent::Full,
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -184,7 +184,7 @@
 /// old one cannot come back there. It is removed only if a candidate can replace it: until then its disk may
 /// still be needed for a majority.
 fn remove_lost_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
-    let timeout = state.options.core.controller_lost;
+    let timeout = state.options.core.controller_timeout;
     let lost = voters.entries.iter().find(|voter| {
         let has_timed_out = unreachable_for(state, voter.node) >= timeout;
         voter.controller && (is_replaced(state, voter) || has_timed_out)
--- a/crates/controller/src/operator_json/writing/outcome.rs
+++ b/crates/controller/src/operator_json/writing/outcome.rs
@@ -76,7 +76,7 @@
             jzon::object! {
                 item: conflict.key.as_str(),
                 expected: conflict.expected.0,
-                present: conflict.present.0,
+                present: conflict.current.0,
             }
         })
         .collect();
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -118,7 +118,7 @@
     /// other controller yet. It receives all instances that are draining or have ended, whether or not they
     /// had reached the other controller.
     fn of(state: &ControllerState, renewal: &Renewal) -> Self {
-        if renewal.controller == state.incarnation {
+        if renewal.controller_incarnation == state.incarnation {
             return Self {
                 instances: renewal.instances_after,
                 members: renewal.members_after,
@@ -209,7 +209,7 @@
         ResponseExtent::Brief => MAX_BRIEF_UPDATE_BYTES,
     };
     let mut maps = FollowerMaps::default();
-    for map in renewal.wants.iter().copied() {
+    for map in renewal.followed_maps.iter().copied() {
         let versions = &renewal.member.versions;
         let version = versions.get(map.index()).copied().unwrap_or_default();
         let voter = &state.voter;
@@ -221,7 +221,7 @@
             renewal.form,
             max_bytes,
         ) {
-            FollowerUpdate::Nothing => {}
+            FollowerUpdate::UpToDate => {}
             FollowerUpdate::InChunks => maps.in_chunks.push(map),
             FollowerUpdate::Partial(changes) => {
                 maps.updates.push(changes);
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -298,7 +298,10 @@
         let membership = state.map(MapName::Membership).version;
         let round = 1_000_000;
         let node = state.node;
-        let proposal_number = ProposalNumber { round, node };
+        let proposal_number = ProposalNumber {
+            counter: round,
+            node,
+        };
         let prepare = ConsensusMessage::Prepare {
             map,
             membership,
@@ -516,7 +519,10 @@
             map: MapName::Configuration,
             membership: state.map(MapName::Membership).version,
             version: state.map(MapName::Configuration).version.next(),
-            proposal_number: ProposalNumber { round, node },
+            proposal_number: ProposalNumber {
+                counter: round,
+                node,
+            },
         };
         let outputs = fleet.deliver_to(2, message);
         let is_write = |output: &ControllerOutput| matches!(output, ControllerOutput::Write { .. });
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -823,7 +823,7 @@
     let bound = Duration::from_secs(4);
     let core = CorePolicy {
         // As set on the operators' platform.
-        controller_lost: Duration::from_millis(2500),
+        controller_timeout: Duration::from_millis(2500),
         ..policy()
     };
     for lost in 0..3 {
--- a/crates/controller/tests/stored_state.rs
+++ b/crates/controller/tests/stored_state.rs
@@ -42,7 +42,7 @@
 
 fn proposal_number(round: u64) -> ProposalNumber {
     ProposalNumber {
-        round,
+        counter: round,
         node: NodeId(77),
     }
 }
--- a/crates/directory/src/daemon.rs
+++ b/crates/directory/src/daemon.rs
@@ -121,7 +121,7 @@
     Arc::new(respond)
 }
 
-/// Runs a directory until it is asked to stop.
+/// Runs a directory until a shutdown signal arrives.
 pub async fn run(
     node_settings: NodeSettings,
     reread: ReloadSettings,
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -260,8 +260,8 @@
 
     /// Updates the list of proxies after a grant.
     ///
-    /// Members expire only on a response with a quorum: while the controllers are unreachable, missing reports
-    /// of a proxy do not show that it is down, and the last list is the best there is.
+    /// Members expire only on a response with a quorum. While the controllers are unreachable, missing
+    /// reports of a proxy do not show that it is down, and no better list is available than the last one.
     fn update_proxies(&mut self, now: Duration, has_quorum: bool) {
         if has_quorum {
             self.link.members.expire(now);
@@ -272,9 +272,9 @@
             .ready_proxies()
             .map(|member| (member.zone.clone(), member.serving))
             .collect();
-        // Without a quorum the new list replaces the last one only if it has at least half as many proxies: a zone
-        // may be lost together with most of the controllers, but a controller that is partitioned itself
-        // is missing nearly all proxies.
+        // Without a quorum the new list replaces the last one only if it has at least half as many proxies:
+        // a zone may be lost together with most of the controllers, but the list of a controller that is
+        // partitioned itself is missing nearly all proxies.
         let is_plausible = match has_quorum {
             true => !proxies.is_empty(),
             false => proxies.len() * 2 >= self.proxies.len() && !proxies.is_empty(),
@@ -310,10 +310,10 @@
                 .map(|(_, route)| route.as_ref()),
         );
         let client_region = self.regions.get(zone);
-        let may_carry = |proxy: &Zone| bounds.allow(self.regions.get(proxy), client_region);
+        let may_forward = |proxy: &Zone| bounds.allow(self.regions.get(proxy), client_region);
         let mapping = feed_cache.map(MapName::Placement).mapping();
         let proxies = &self.proxies;
-        resolve_host(mapping, &routes, &group, zone, proxies, may_carry, random)
+        resolve_host(mapping, &routes, &group, zone, proxies, may_forward, random)
             .ok_or(ResolveError::NoProxy)
     }
 
--- a/crates/directory/src/main.rs
+++ b/crates/directory/src/main.rs
@@ -8,7 +8,8 @@
 use runtime::events::start_log;
 use runtime::options::{node_flags, read_flags, NodeSettings};
 
-const HELP: &str = "The directory: tells clients which proxies to use, from the last placement";
+const HELP: &str =
+    "The directory: returns the proxies that a client should use, according to the last placement";
 const REQUIRED_SETTINGS: [&str; 4] = ["control", "serving", "area", "seeds"];
 
 fn main() -> anyhow::Result<()> {
--- a/crates/local-fleet/src/hollow.rs
+++ b/crates/local-fleet/src/hollow.rs
@@ -226,7 +226,7 @@
                 group: format!("10.{}.{}.0/24", number / 250 % 250, number % 250),
                 route: route_name((number * DEMANDS + turn) % u64::from(self.fleet.routes)),
                 requests: 40,
-                locality: Duration::from_millis(20),
+                distance: Duration::from_millis(20),
             })
             .collect();
         Member {
@@ -288,10 +288,10 @@
         let renewal = Renewal {
             number: self.counter,
             member,
-            controller: self.controller_incarnation,
+            controller_incarnation: self.controller_incarnation,
             instances_after: self.instances_offset,
             members_after: self.members_offset,
-            wants: FOLLOWED.to_vec(),
+            followed_maps: FOLLOWED.to_vec(),
             form: FeedForm::Complete,
             facts_age: None,
             extent: ResponseExtent::Full,
--- a/crates/model-check/src/bound.rs
+++ b/crates/model-check/src/bound.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum InjectedBug {
     #[default]
-    Nothing,
+    None,
     /// Votes are sent before they are synced.
     VotesBeforeSync,
     /// The voters are changed before proposals that the previous voters have accepted are committed.
@@ -112,7 +112,7 @@
             wiped: Vec::new(),
             lost_replies: 0,
             separate_sync: false,
-            injected_bug: InjectedBug::Nothing,
+            injected_bug: InjectedBug::None,
         }
     }
 
--- a/crates/model-check/src/invariants.rs
+++ b/crates/model-check/src/invariants.rs
@@ -111,6 +111,7 @@
         Ok(())
     }
 
+    /// Returns the change that was chosen for a version of a map, if any was observed.
     pub fn at(&self, map: MapName, version: Version) -> Option<&ChangeId> {
         self.by_version
             .get(&(map, version))
--- a/crates/model-check/src/node.rs
+++ b/crates/model-check/src/node.rs
@@ -97,6 +97,7 @@
 }
 
 impl Node {
+    /// Creates a running node that has this voter's state in memory and on disk.
     pub fn new(id: NodeId, voter: Voter, bound: &Bound) -> Self {
         let mut node = Self {
             id,
@@ -157,10 +158,12 @@
         std::mem::take(&mut self.pending_replies)
     }
 
+    /// Returns whether everything is synced and no reply waits for a sync.
     pub fn is_synced(&self) -> bool {
         self.unsynced.is_empty() && !self.unsynced_rewrite && self.pending_replies.is_empty()
     }
 
+    /// Returns the version of a map in memory.
     pub fn version(&self, map: MapName) -> Version {
         self.voter.get().map(map).version
     }
--- a/crates/model-check/src/world.rs
+++ b/crates/model-check/src/world.rs
@@ -121,6 +121,7 @@
 const MANAGER_TICKET: u64 = 2;
 
 impl World {
+    /// Creates the initial state of a search: runs the script of the bound, and starts the writers.
     pub fn new(bound: &Bound) -> Self {
         let entries = (1..=bound.voters).map(|id| entry(NodeId(id))).collect();
         let mut voter = Voter::default();
@@ -190,10 +191,12 @@
         self.nodes.push(Shared::new(node));
     }
 
+    /// Returns all nodes, including those that were wiped.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().map(Shared::get)
     }
 
+    /// Returns the change that was chosen for a version of a map, if any was observed.
     pub fn chosen_at(&self, map: MapName, version: Version) -> Option<&ChangeId> {
         self.chosen.at(map, version)
     }
--- a/crates/model-check/src/world/proposals.rs
+++ b/crates/model-check/src/world/proposals.rs
@@ -158,7 +158,7 @@
         if reply_lost {
             self.lost_replies -= 1;
         } else if bound.injected_bug == InjectedBug::VotesBeforeSync {
-            return self.carry_replies(index, replies.collect());
+            return self.deliver_replies(index, replies.collect());
         } else {
             self.change(index, |node| node.pending_replies.extend(replies));
         }
@@ -188,11 +188,11 @@
 
     pub(super) fn sync(&mut self, index: u8) -> Result<(), Violation> {
         let replies = self.change(index, Node::sync);
-        self.carry_replies(index, replies)
+        self.deliver_replies(index, replies)
     }
 
     /// Delivers a voter's replies to their proposers.
-    pub(super) fn carry_replies(
+    pub(super) fn deliver_replies(
         &mut self,
         index: u8,
         replies: Vec<(NodeId, ConsensusMessage)>,
--- a/crates/proxy/src/demand_meter.rs
+++ b/crates/proxy/src/demand_meter.rs
@@ -68,7 +68,7 @@
                         group: group.clone(),
                         route: route.clone(),
                         requests: requests.div_ceil(METER_WINDOW.as_secs() as u32),
-                        locality: metered.min_round_trip,
+                        distance: metered.min_round_trip,
                     });
                 }
                 requests > 0
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -51,10 +51,10 @@
     let renewal = Renewal {
         number,
         member,
-        controller: NodeId(0),
+        controller_incarnation: NodeId(0),
         instances_after: 0,
         members_after: 0,
-        wants: Vec::new(),
+        followed_maps: Vec::new(),
         form: FeedForm::Reduced,
         facts_age: None,
         extent: ResponseExtent::Full,
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -131,7 +131,7 @@
                     group,
                     route,
                     requests: (f64::from(requests) / span).ceil() as u32,
-                    locality,
+                    distance: locality,
                 })
                 .collect();
             self.demand
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -197,7 +197,7 @@
             ProposalOutcome::Conflicts(conflicts) => {
                 for conflict in conflicts {
                     self.known_versions
-                        .insert(conflict.key.clone(), conflict.present);
+                        .insert(conflict.key.clone(), conflict.current);
                 }
             }
             _ => {}
