--- a/crates/caperworks/src/catch_up/receiver/transfer.rs
+++ b/crates/caperworks/src/catch_up/receiver/transfer.rs
@@ -180,7 +180,7 @@
     }
 
     /// Discards a partial snapshot after the peer responded with changes, so that the next request
-    /// asks for the changes that are still missing.
+    /// is for the changes that are still missing.
     pub(super) fn restart_with_changes(&mut self, now: Duration) {
         self.partial = None;
         self.requested_at = now;
--- a/crates/caperworks/src/consensus/messages.rs
+++ b/crates/caperworks/src/consensus/messages.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns the highest version that may have been committed, as far as this voter can tell.
+    /// Returns the highest version that may have been committed, according to the state of this voter.
     ///
     /// An accepted change counts: a majority may have accepted it and it may have been acknowledged
     /// to the operator, so a quorum read must not report a lower version.
--- a/crates/caperworks/src/facts.rs
+++ b/crates/caperworks/src/facts.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Returns whether it reports a change since another heartbeat that followers must know of.
+    /// Returns whether it reports a change since another heartbeat of which followers must be notified.
     pub(crate) fn differs_from(&self, other: &Heartbeat) -> bool {
         self.incarnation != other.incarnation
             || self.address != other.address
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -268,7 +268,7 @@
     /// Returns the first heartbeats that were recorded after an offset, with their current age: at most
     /// `max_count`, and in addition all later ones of draining instances.
     ///
-    /// The lease is granted with the first batch, and a proxy with a lease must know every draining
+    /// The lease is granted with the first batch, and a proxy with a lease must know of every draining
     /// instance.
     pub fn first_after(
         &self,
--- a/crates/caperworks/src/members.rs
+++ b/crates/caperworks/src/members.rs
@@ -1,4 +1,4 @@
-//! The members: nodes that have a lease, as far as this node knows.
+//! The members: the nodes that have a lease, according to the reports that this node received.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -182,7 +182,7 @@
         .map(|number| format!("evidence-{number}"))
         .find(|name| rank(name) > rank("evidence-1"))
         .expect("some name ranks higher");
-    // The new instance is known just long enough for the owner to be asked to release the key range.
+    // The new instance is known just long enough that the owner is requested to release the key range.
     bench.heartbeat(seconds(3), &new_instance, seconds(30));
     bench.plan(seconds(3));
     for step in 0..30 {
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -95,7 +95,7 @@
     granted: BTreeMap<u32, (Duration, Option<String>)>,
     /// The released key ranges with their handover, reported in each heartbeat until leased again.
     released: BTreeMap<u32, String>,
-    /// Whether it releases the key ranges that it is asked to release.
+    /// Whether it releases the key ranges whose release is requested.
     releases: bool,
 }
 
@@ -376,7 +376,7 @@
         bench.plan(now);
         if step == 3 {
             let response = bench.deliver(now, &late);
-            assert_eq!(response.release.len(), 1, "it is asked to release");
+            assert_eq!(response.release.len(), 1, "its release is requested");
         }
         assert_eq!(bench.owner(0), "a", "it is still the owner at {now:?}");
     }
@@ -422,7 +422,7 @@
         bench.plan(seconds(3));
         for heartbeat in &earlier {
             let response = bench.deliver(seconds(3), heartbeat);
-            assert_eq!(response.release.len(), 1, "it is asked to release");
+            assert_eq!(response.release.len(), 1, "its release is requested");
             bench.plan(seconds(3));
             assert_eq!(bench.owner(0), "a", "it owns the key range");
         }
@@ -447,7 +447,7 @@
     }];
     bench.deliver(seconds(2), &heartbeat);
     bench.plan(seconds(2));
-    // The response to this heartbeat asks for the release; only a later heartbeat can report it.
+    // The response to this heartbeat requests the release; only a later heartbeat can report it.
     let response = bench.deliver(seconds(3), &heartbeat);
     assert_eq!(response.release.len(), 1);
     bench.plan(seconds(3));
@@ -460,7 +460,7 @@
 
 #[test]
 fn key_ranges_of_a_suspected_owner_move_after_lease_and_drift() {
-    let spans = OwnerManagerTimings {
+    let timings = OwnerManagerTimings {
         wait_after_restart: OWNER_MANAGER_TAKEOVER_WAIT,
         lease: millis(4000),
         drift: millis(300),
@@ -468,7 +468,7 @@
         acceptance_timeout: millis(2000),
     };
     let mut bench = Bench::new(4);
-    bench.owner_manager.timings = spans;
+    bench.owner_manager.timings = timings;
     bench.run(seconds(1), &["a"], 30);
     let last = seconds(16);
     let response = bench.heartbeat(last, "a");
@@ -476,13 +476,16 @@
     assert!(response
         .leases
         .iter()
-        .all(|lease| lease.duration == spans.lease));
+        .all(|lease| lease.duration == timings.lease));
     for step in 1..100 {
         let now = last + millis(100 * step);
         bench.heartbeat(now, "b");
         if bench.plan(now) > 0 {
-            assert!(now >= last + spans.lease + spans.drift, "moved at {now:?}");
-            assert!(now <= last + spans.lease + spans.drift + millis(200));
+            assert!(
+                now >= last + timings.lease + timings.drift,
+                "moved at {now:?}"
+            );
+            assert!(now <= last + timings.lease + timings.drift + millis(200));
             return;
         }
     }
@@ -570,13 +573,13 @@
     for seed in 0..20 {
         let mut random = RandomSource::seeded(seed);
         let mut bench = Bench::new(8);
-        let mut silent = BTreeSet::new();
+        let mut paused = BTreeSet::new();
         for step in 0..400 {
             let now = seconds(1) + millis(250 * step);
             if random.below(20) == 0 {
                 let name = names[random.below(4) as usize];
-                if !silent.remove(name) {
-                    silent.insert(name);
+                if !paused.remove(name) {
+                    paused.insert(name);
                 }
             }
             if random.below(30) == 0 {
@@ -588,7 +591,7 @@
                 };
             }
             for name in names {
-                if !silent.contains(name) && random.below(4) > 0 {
+                if !paused.contains(name) && random.below(4) > 0 {
                     bench.heartbeat(now, name);
                 }
             }
--- a/crates/caperworks/tests/operator_versions.rs
+++ b/crates/caperworks/tests/operator_versions.rs
@@ -560,23 +560,23 @@
 
 /// A map in the form stored before histories were introduced.
 #[derive(minicbor::Encode)]
-struct StoredBefore {
+struct MapWithoutHistories {
     #[n(0)]
     version: Version,
     #[n(1)]
     items: BTreeMap<String, Item>,
     #[n(2)]
-    answered: Vec<RecentChange>,
+    recent_changes: Vec<RecentChange>,
 }
 
 #[test]
 fn map_stored_without_histories_knows_only_current_versions() {
     for last in [Some("b"), None] {
         let stored = map_with_texts(&[(3, Some("a")), (5, last)]);
-        let bytes = minicbor::to_vec(StoredBefore {
+        let bytes = minicbor::to_vec(MapWithoutHistories {
             version: stored.version,
             items: stored.items.clone().into_iter().collect(),
-            answered: stored.recent_changes.clone(),
+            recent_changes: stored.recent_changes.clone(),
         })
         .expect("it encodes");
         let mut map: ReplicatedMap = minicbor::decode(&bytes).expect("it decodes");
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -303,7 +303,7 @@
     #[n(1)]
     items: BTreeMap<String, Item>,
     #[n(2)]
-    answered: Vec<RecentChange>,
+    recent_changes: Vec<RecentChange>,
     #[n(3)]
     histories: BTreeMap<String, VersionHistory>,
     #[n(4)]
@@ -316,7 +316,7 @@
         let plain = PlainMap {
             version: map.version,
             items: map.items.clone().into_iter().collect(),
-            answered: map.recent_changes.clone(),
+            recent_changes: map.recent_changes.clone(),
             histories: map.histories.clone(),
             is_reduced: map.is_reduced(),
         };
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -49,7 +49,7 @@
     }
 }
 
-fn holder(number: u64, controller: bool) -> VoterEntry {
+fn voter_entry(number: u64, controller: bool) -> VoterEntry {
     VoterEntry {
         node: NodeId(number),
         address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
@@ -60,7 +60,7 @@
 
 fn founding(controllers: u64, witnesses: u64) -> Change {
     let entries = (1..=controllers + witnesses)
-        .map(|number| holder(number, number <= controllers))
+        .map(|number| voter_entry(number, number <= controllers))
         .collect();
     let value = Some(Value::VoterSet {
         voters: VoterSet { entries },
@@ -706,7 +706,7 @@
 
 #[test]
 fn leadership_skips_a_failed_node_until_it_is_stable_again() {
-    let entries = (1..=3).map(|number| holder(number, true)).collect();
+    let entries = (1..=3).map(|number| voter_entry(number, true)).collect();
     let voters = VoterSet { entries };
     let mut liveness = Liveness::default();
     for step in 0..30 {
@@ -1124,17 +1124,17 @@
 #[test]
 fn lease_with_a_shorter_span_ends_sooner_and_a_longer_span_has_no_effect() {
     let wants = [MapName::Configuration];
-    for (span, lifetime) in [
+    for (duration, lifetime) in [
         (Duration::from_millis(2250), Duration::from_millis(2150)),
         (LEASE_DURATION, LEASE_DURATION - DRIFT_MARGIN),
-        // A longer span would outlive the period for which owner managers wait.
+        // A longer duration would outlive the period for which owner managers wait.
         (LEASE_DURATION * 2, LEASE_DURATION - DRIFT_MARGIN),
     ] {
-        let mut holder = LeaseHolder::default();
-        holder.duration = span;
-        let number = holder.renew(millis(1000));
-        holder.apply_grant(number, millis(50), vec![Version(0); 4]);
-        let until = holder.fresh_until(&Follower::default(), &wants);
-        assert_eq!(until, millis(1000) + lifetime - millis(50), "{span:?}");
+        let mut lease_holder = LeaseHolder::default();
+        lease_holder.duration = duration;
+        let number = lease_holder.renew(millis(1000));
+        lease_holder.apply_grant(number, millis(50), vec![Version(0); 4]);
+        let until = lease_holder.fresh_until(&Follower::default(), &wants);
+        assert_eq!(until, millis(1000) + lifetime - millis(50), "{duration:?}");
     }
 }
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -148,12 +148,12 @@
         .map(MapName::Membership)
         .item_version(FALLBACK_MEMBERS);
     let agents = reachable_agents(state);
-    let knows = |address: &SocketAddr| {
+    let has_current_members = |address: &SocketAddr| {
         agents
             .get(address)
             .is_some_and(|member| member.versions[MapName::Membership.index()] >= version)
     };
-    fallback_members.enough(knows, confirmation_quorum)
+    fallback_members.enough(has_current_members, confirmation_quorum)
 }
 
 /// Returns the next set of fallback members if a change is due. Agents join automatically, one step at a
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -31,13 +31,13 @@
     OverlongLeases,
     /// The valid part of a faulty change set is applied.
     PartialChangeSets,
-    /// Reads are answered without a quorum read.
+    /// Reads are served without a quorum read.
     ReadsWithoutQuorum,
     /// Changes are confirmed to operators whether or not the agents have them.
     ConfirmsWithoutAgents,
     /// Instances' calls are acknowledged by a controller without contact to a majority.
     AcknowledgesWithoutQuorum,
-    /// Reads are answered from a quorum read that began before they arrived.
+    /// Reads are served after a quorum read that began before they arrived.
     EarlyQuorumReads,
     /// Changes without a version are accepted regardless of their age.
     UnfencedChanges,
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads of the configuration with a read index: a read is answered from the local replica once
+//! Linearizable reads of the configuration with a read index: a read is served from the local replica once
 //! that has all versions that a majority of the voters reported in a quorum read begun after the read arrived.
 //!
 //! Every change that was accepted before the read arrived is known to at least one voter of each majority, so
@@ -54,7 +54,7 @@
     is_quorum_read_wanted: bool,
 }
 
-/// Begins a read, which is answered as soon as its quorum read has completed.
+/// Begins a read, which is served as soon as its quorum read has completed.
 ///
 /// It is rejected immediately if no majority is reachable, or if this controller knows no membership.
 pub fn begin_read(state: &mut ControllerState, ticket: u64, kind: ReadKind) {
--- a/crates/controller/src/state_machine/input.rs
+++ b/crates/controller/src/state_machine/input.rs
@@ -46,7 +46,8 @@
         ticket: u64,
         /// The heartbeat.
         heartbeat: Heartbeat,
-        /// The last timestamp that the instance received from this controller, which tells the heartbeat's age.
+        /// The last timestamp that the instance received from this controller. The age of the heartbeat is
+        /// computed from it.
         echo: Option<Echo>,
     },
     /// An instance reports that this incarnation of it has ended.
--- a/crates/controller/src/state_machine/mod.rs
+++ b/crates/controller/src/state_machine/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Time, randomness, disk and network are provided from outside, so that the same code runs in the daemon
 //! and in the seeded simulator. [`startup`] builds the state from the disk's contents, [`dispatch`] passes
-//! each message to its handler, [`ticks`] does periodic work, [`storage`] writes to disk and holds outputs
-//! back until a write is synced, and [`shutdown`] implements the graceful shutdown.
+//! each message to its handler, [`ticks`] does periodic work, [`storage`] writes to disk and withholds
+//! outputs until a write is synced, and [`shutdown`] implements the graceful shutdown.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -259,8 +259,8 @@
         }
     }
 
-    fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
--- a/crates/controller/tests/fleet/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    pub fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
             for index in 0..self.nodes.len() {
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -305,16 +305,16 @@
     );
     fleet.run(Duration::from_secs(2));
     let owner_manager = fleet.owner_manager();
-    let mut holders = LeaseHolders::default();
+    let mut lease_holders = LeaseHolders::default();
     for _ in 0..40 {
-        holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "one");
-        holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
+        lease_holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "one");
+        lease_holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
         fleet.run(Duration::from_millis(250));
     }
-    let (one, two) = (&holders.leases["one"], &holders.leases["two"]);
+    let (one, two) = (&lease_holders.leases["one"], &lease_holders.leases["two"]);
     assert!(one.len() >= 3 && two.len() >= 3, "{one:?} {two:?}");
     assert_eq!(one.len() + two.len(), 8);
-    (fleet, holders, owner_manager)
+    (fleet, lease_holders, owner_manager)
 }
 
 fn deregister(fleet: &mut Fleet, index: usize, id: &str) {
@@ -328,8 +328,8 @@
     // The deregistration arrives either at the owner manager, or at another controller that propagates it within
     // 150 ms.
     for (offset, propagation_time) in [(0, Duration::ZERO), (1, Duration::from_millis(150))] {
-        let (mut fleet, mut holders, owner_manager) = fleet_with_two_owners(120);
-        let owned = holders.leases["one"].clone();
+        let (mut fleet, mut lease_holders, owner_manager) = fleet_with_two_owners(120);
+        let owned = lease_holders.leases["one"].clone();
         let ended_at = fleet.now;
         deregister(&mut fleet, (owner_manager + offset) % 3, "one");
         loop {
@@ -340,13 +340,13 @@
                 "the key ranges were never reassigned"
             );
             for index in (0..3).filter(|_| elapsed > propagation_time) {
-                let late = holders.send_heartbeat(&mut fleet, index, "one");
+                let late = lease_holders.send_heartbeat(&mut fleet, index, "one");
                 let context = format!("{offset} {index} after {elapsed:?}: {late:?}");
                 assert!(late.leases.is_empty(), "{context}");
                 assert!(late.release.is_empty(), "{context}");
             }
-            holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
-            let two = &holders.leases["two"];
+            lease_holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
+            let two = &lease_holders.leases["two"];
             if !two.is_disjoint(&owned) {
                 assert!(
                     elapsed >= Duration::from_millis(500),
@@ -361,9 +361,9 @@
 
 #[test]
 fn heartbeat_right_after_deregistration_gets_no_lease() {
-    let (mut fleet, mut holders, owner_manager) = fleet_with_two_owners(130);
+    let (mut fleet, mut lease_holders, owner_manager) = fleet_with_two_owners(130);
     deregister(&mut fleet, owner_manager, "one");
-    let late = holders.send_heartbeat(&mut fleet, owner_manager, "one");
+    let late = lease_holders.send_heartbeat(&mut fleet, owner_manager, "one");
     assert!(late.leases.is_empty(), "{late:?}");
 }
 
--- a/crates/controller/tests/fleet/restarts.rs
+++ b/crates/controller/tests/fleet/restarts.rs
@@ -25,8 +25,8 @@
 }
 
 /// Runs the controllers for a while and delivers messages between them and a follower.
-fn run_with_follower(fleet: &mut Fleet, follower: &mut FollowerProcess, span: Duration) {
-    let until = fleet.now + span;
+fn run_with_follower(fleet: &mut Fleet, follower: &mut FollowerProcess, duration: Duration) {
+    let until = fleet.now + duration;
     while fleet.now < until {
         fleet.run(STEP);
         let sent = follower.tick(fleet.now);
--- a/crates/controller/tests/fleet/switchover.rs
+++ b/crates/controller/tests/fleet/switchover.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    fn run(&mut self, span: Duration) {
-        let until = self.fleet.now + span;
+    fn run(&mut self, duration: Duration) {
+        let until = self.fleet.now + duration;
         while self.fleet.now < until {
             self.step();
         }
--- a/crates/model-check/src/bound.rs
+++ b/crates/model-check/src/bound.rs
@@ -40,11 +40,11 @@
     SkipsRecovery,
     /// A voter votes on proposals under any membership.
     VotesUnderAnyMembership,
-    /// A read is answered without a quorum read.
+    /// A read is served without a quorum read.
     ReadsWithoutQuorum,
-    /// A read is answered from a quorum read that began before the call.
+    /// A read is served after a quorum read that began before the call.
     ReadsByEarlierQuorumRead,
-    /// A read is answered from a quorum read in which a voter reported a later membership.
+    /// A read is served after a quorum read in which a voter reported a later membership.
     ReadsUnderOldMembership,
     /// A restarted proposer uses the same node id as its previous incarnation, so proposal numbers are
     /// used twice.
--- a/crates/model-check/src/world/quorum_reads.rs
+++ b/crates/model-check/src/world/quorum_reads.rs
@@ -48,7 +48,7 @@
         self.finish_read(bound, index)
     }
 
-    /// Completes the read if the node may answer it, and checks that the result is not stale.
+    /// Completes the read if the node may serve it, and checks that the result is not stale.
     pub(super) fn finish_read(&mut self, bound: &Bound, index: u8) -> Result<(), Violation> {
         let node = self.node(index);
         let ReadState::Called { accepted } = node.read else {
@@ -67,7 +67,7 @@
         if !is_confirmed && bound.injected_bug != InjectedBug::ReadsWithoutQuorum {
             return Ok(());
         }
-        // With an earlier quorum read, a call is answered at the moment when it arrives.
+        // With an earlier quorum read, a call is served at the moment when it arrives.
         let accepted = match bound.injected_bug {
             InjectedBug::ReadsByEarlierQuorumRead => self.accepted,
             _ => accepted,
