--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -1122,7 +1122,7 @@
 }
 
 #[test]
-fn lease_with_a_shorter_span_ends_sooner_and_a_longer_span_has_no_effect() {
+fn shorter_lease_duration_applies_and_a_longer_one_has_no_effect() {
     let wants = [MapName::Configuration];
     for (duration, lifetime) in [
         (Duration::from_millis(2250), Duration::from_millis(2150)),
