--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -165,7 +165,7 @@
             capacity: self.flags.capacity,
             state,
             load: self.load.load(Ordering::SeqCst),
-            uptime: uptime,
+            uptime,
             key_ranges_in_use,
             released,
             warm_up_left: Duration::ZERO,
