--- a/crates/caperworks/src/configuration/route_table.rs
+++ b/crates/caperworks/src/configuration/route_table.rs
@@ -44,7 +44,7 @@
             }
             added.extend(new.and_then(|(key, item)| route_of(key, item)));
         }
-        // Inserted after all removals, since a route may take the host and path of a removed one.
+        // Added only after every removed route is gone, since a route may take the host and path of a removed one.
         for (name, route) in added {
             table.insert(name, route);
         }
--- a/crates/caperworks/tests/placement.rs
+++ b/crates/caperworks/tests/placement.rs
@@ -710,7 +710,7 @@
 }
 
 #[test]
-fn host_is_bound_by_the_home_regions_of_all_its_routes() {
+fn host_is_bound_by_the_homes_of_all_its_routes() {
     let bound = |homes: &[&str]| Route {
         homes: homes.iter().map(|home| Region::new(*home)).collect(),
         ..Route::default()
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn route_with_several_home_regions_uses_all_of_them_only() {
+fn route_with_several_homes_uses_all_of_them_only() {
     let mut bench = Bench::new(ProxyPolicy::default());
     bench.send_view(Duration::ZERO, &one_in_each_zone());
     let mut bound = route();
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn weighted_split_is_proportional() {
+fn split_by_weight_is_proportional() {
     let part = |service: &str, weight: u32| SplitTarget {
         service: ServiceName::new(service),
         weight,
