--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -1,5 +1,5 @@
-//! The known instances: the latest heartbeat of each, and which are suspected, deregistered or have
-//! terminated.
+//! The known instances: the latest heartbeat of each, which of them are suspected, and which instances
+//! have announced their termination.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -290,14 +290,14 @@
         }
     }
 
-    fn held(&self) -> &ReplicatedMap {
+    fn replica(&self) -> &ReplicatedMap {
         self.link.feed_cache.follower().map(MAP)
     }
 
     /// Runs until the follower has the same map as this controller; returns how long it took.
     fn run_until_caught_up(&mut self, controller: usize) -> Duration {
         let started_at = self.now;
-        while self.held() != self.controllers[controller].voter.map(MAP) {
+        while self.replica() != self.controllers[controller].voter.map(MAP) {
             self.step();
             assert!(
                 self.now - started_at < millis(60_000),
@@ -361,7 +361,9 @@
     let failed = failed.expect("the address belongs to a controller");
     world.controllers[failed].is_reachable = false;
     world.run_until_caught_up(1 - failed);
-    let bytes = minicbor::to_vec(world.held()).expect("a map encodes").len();
+    let bytes = minicbor::to_vec(world.replica())
+        .expect("a map encodes")
+        .len();
     // At most one more: the chunk that the failed controller did not send.
     let all = bytes.div_ceil(CHUNK_BYTES);
     assert!(
@@ -388,7 +390,7 @@
 fn follower_rejects_a_chunk_that_it_did_not_request() {
     let mut world = World::new(vec![Controller::with_routes(MANY)], millis(50));
     world.run_until_caught_up(0);
-    let before = world.held().version;
+    let before = world.replica().version;
     let controller = &mut world.controllers[0];
     let position = TransferPosition {
         transfer: 1,
@@ -401,7 +403,7 @@
     let step = world.link.handle_catch_up(world.now, address(0), &message);
     let error = step.rejected.map(|rejected| rejected.why);
     assert_eq!(error, Some(ChunkError::NotRequested));
-    assert_eq!(world.held().version, before);
+    assert_eq!(world.replica().version, before);
 }
 
 #[test]
--- a/crates/caperworks/tests/instance_termination.rs
+++ b/crates/caperworks/tests/instance_termination.rs
@@ -130,7 +130,7 @@
     }
 }
 
-fn grant(number: u64, assured: bool) -> Granted {
+fn grant(number: u64, has_quorum: bool) -> Granted {
     Granted {
         proxies: 1,
         number,
@@ -141,7 +141,7 @@
         members: Vec::new(),
         members_offset: 0,
         updates: Vec::new(),
-        has_quorum: assured,
+        has_quorum,
         deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
@@ -182,8 +182,8 @@
 fn tick(link: &mut CoreLink, now: Duration, responses: Option<bool>) -> Vec<InstanceId> {
     if link.due(now) {
         let number = renewal_number(link, now);
-        if let Some(assured) = responses {
-            link.granted(now, responder(1), &grant(number, assured));
+        if let Some(has_quorum) = responses {
+            link.granted(now, responder(1), &grant(number, has_quorum));
         }
     }
     link.update_suspected_instances(now)
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -22,19 +22,19 @@
     Duration::from_secs(number)
 }
 
-fn heartbeat(name: &str, up: Duration, key_ranges_in_use: Vec<u32>) -> Heartbeat {
+fn heartbeat(name: &str, uptime: Duration, key_ranges_in_use: Vec<u32>) -> Heartbeat {
     let port = 7000 + (stable_hash(name) % 1000) as u16;
     Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(1),
-        counter: up.as_millis() as u64,
+        counter: uptime.as_millis() as u64,
         service: ServiceName::new(SERVICE),
         zone: Zone::new("east-1"),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        uptime: up,
+        uptime,
         key_ranges_in_use,
         released: Vec::new(),
         warm_up_left: Duration::ZERO,
@@ -289,10 +289,10 @@
 #[test]
 fn late_grant_for_a_released_epoch_is_rejected() {
     let mut held_leases = HeldLeases::default();
-    let lease = |left| KeyRangeLease {
+    let lease = |duration| KeyRangeLease {
         key_range: 3,
         epoch: Epoch(7),
-        duration: left,
+        duration,
         handover: None,
     };
     let grant = HeartbeatResponse {
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -162,9 +162,9 @@
     if controllers >= state.options.core.controller_voters {
         return None;
     }
-    let newcomer = controller_candidate(state, voters)?;
-    let reason = format!("adding controller {}", newcomer.node);
-    Some(with_voter(voters, newcomer, reason))
+    let new_voter = controller_candidate(state, voters)?;
+    let reason = format!("adding controller {}", new_voter.node);
+    Some(with_voter(voters, new_voter, reason))
 }
 
 /// Removes a witness that is draining or has been unreachable for too long.
@@ -224,9 +224,9 @@
     Some(with_voter(voters, witness, reason))
 }
 
-fn with_voter(voters: &VoterSet, newcomer: VoterEntry, reason: String) -> VoterChange {
+fn with_voter(voters: &VoterSet, new_voter: VoterEntry, reason: String) -> VoterChange {
     let mut next = voters.clone();
-    next.entries.push(newcomer);
+    next.entries.push(new_voter);
     VoterChange { next, reason }
 }
 
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -763,7 +763,7 @@
 }
 
 /// Returns the node with a leadership role, as seen by one controller.
-fn role_holder(fleet: &Fleet, index: usize, role: &str) -> Option<NodeId> {
+fn role_leader(fleet: &Fleet, index: usize, role: &str) -> Option<NodeId> {
     let state = &fleet.nodes[index].machine.as_ref()?.state;
     let term = state.map(MapName::Membership).leadership(role)?;
     Some(term.leader)
@@ -802,7 +802,7 @@
     let bound = Duration::from_secs(4);
     for wiped in 0..3 {
         let mut fleet = fleet_with_change(60 + wiped as u64);
-        let was_voter_manager = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, wiped);
+        let was_voter_manager = role_leader(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, wiped);
         assert_eq!(
             was_voter_manager,
             wiped == 0,
@@ -829,7 +829,7 @@
     for lost in 0..3 {
         let mut fleet = Fleet::new([core.clone(), core.clone(), core.clone()], 65 + lost as u64);
         fleet.run(Duration::from_secs(8));
-        let was_voter_manager = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
+        let was_voter_manager = role_leader(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
         fleet.stop(lost, true);
         fleet.add_controller(core.clone());
         let taken = time_to_recovery(&mut fleet).expect("the fleet recovers");
@@ -868,7 +868,7 @@
 #[test]
 fn shutdown_hands_roles_to_synced_controller() {
     let mut fleet = fleet_with_change(80);
-    assert_eq!(role_holder(&fleet, 0, OWNERSHIP), node_at(&fleet, 0));
+    assert_eq!(role_leader(&fleet, 0, OWNERSHIP), node_at(&fleet, 0));
     fleet.nodes[1].disk_hangs = true;
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
     fleet.call(0, call);
@@ -876,7 +876,7 @@
     fleet.handle_input(0, ControllerInput::Shutdown);
     fleet.run(Duration::from_secs(3));
     for role in LEADERSHIPS {
-        assert_eq!(role_holder(&fleet, 0, role), node_at(&fleet, 2), "{role}");
+        assert_eq!(role_leader(&fleet, 0, role), node_at(&fleet, 2), "{role}");
     }
 }
 
--- a/crates/model-check/src/digest.rs
+++ b/crates/model-check/src/digest.rs
@@ -36,10 +36,12 @@
         self.hasher.update(&bytes);
     }
 
+    /// Adds a digest.
     pub fn add_digest(&mut self, digest: Digest) {
         self.hasher.update(&digest.to_le_bytes());
     }
 
+    /// Returns the digest of everything that was added.
     pub fn finish(&self) -> Digest {
         self.hasher.digest128()
     }
--- a/crates/model-check/src/scenarios.rs
+++ b/crates/model-check/src/scenarios.rs
@@ -151,7 +151,7 @@
 }
 
 /// Like [`replacement`], but without proposals that recover accepted changes.
-pub fn unsettled_replacement() -> Bound {
+pub fn replacement_without_recovery() -> Bound {
     Bound {
         recovery_proposals: 0,
         membership_proposals: 2,
--- a/crates/model-check/tests/model_check.rs
+++ b/crates/model-check/tests/model_check.rs
@@ -3,8 +3,8 @@
 use model_check::bound::{Bound, InjectedBug};
 use model_check::invariants::Violation;
 use model_check::scenarios::{
-    race, reads, removed_reader, removed_writer, restarted_proposer, slow_disks,
-    unsettled_replacement,
+    race, reads, removed_reader, removed_writer, replacement_without_recovery, restarted_proposer,
+    slow_disks,
 };
 use model_check::search::{explore, Report};
 
@@ -94,7 +94,7 @@
 
 #[test]
 fn membership_change_without_recovery_is_detected() {
-    let violation = find_violation(unsettled_replacement(), InjectedBug::SkipsRecovery);
+    let violation = find_violation(replacement_without_recovery(), InjectedBug::SkipsRecovery);
     assert!(
         matches!(
             violation,
