--- a/crates/caperworks/tests/instance_termination.rs
+++ b/crates/caperworks/tests/instance_termination.rs
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn instances_do_not_expire_without_assured_responses() {
+fn instances_do_not_expire_without_a_quorum() {
     for responses in [None, Some(false)] {
         let mut link = link();
         for step in 0..40 {
