--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -185,9 +185,9 @@
             random.next_u64(),
         )
         .with_form(options.feed_form);
-        link.instances.span = options.instance_timeout;
-        link.lease.span = options.lease_duration;
-        link.instances.refresh = options.heartbeat_refresh;
+        link.instances.timeout = options.instance_timeout;
+        link.lease.duration = options.lease_duration;
+        link.instances.refresh_interval = options.heartbeat_refresh;
         let fallback_quorum = FallbackQuorum::new(options.control);
         let first = options.control;
         Self {
@@ -234,8 +234,8 @@
     }
 
     /// Fault injection for testing the invariant checkers: breaks the fallback quorum.
-    pub fn break_fallback(&mut self, broken: BrokenFallback) {
-        self.fallback_quorum.broken = broken;
+    pub fn break_fallback(&mut self, fault: BrokenFallback) {
+        self.fallback_quorum.fault = fault;
     }
 
     /// Returns until when the maps of this agent are known to be fresh: by a lease of the control plane, or by
@@ -273,10 +273,10 @@
                 .map(|pull| pull.demand.clone())
                 .unwrap_or_default(),
             demand_unchanged: !reports_demand,
-            silent: false,
+            suspected: false,
             versions: self.link.versions(),
             draining: self.stopping_since.is_some(),
-            stands: Vec::new(),
+            client_zones: Vec::new(),
         }
     }
 
@@ -400,9 +400,9 @@
                 self.handle_heartbeat_reply(now, from, ticket, response, outputs);
             }
             Message::Pull { pull } => self.handle_pull(now, from, pull, outputs),
-            Message::ConsensusMessage { vote } => {
-                self.handle_chunks(now, from, &vote, outputs);
-                self.handle_vote(now, from, vote, outputs);
+            Message::ConsensusMessage { message } => {
+                self.handle_chunks(now, from, &message, outputs);
+                self.handle_vote(now, from, message, outputs);
             }
             Message::QuorumReadRequest { number } => {
                 self.handle_quorum_read_request(from, number, outputs)
@@ -434,10 +434,10 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        vote: &ConsensusMessage,
+        message: &ConsensusMessage,
         outputs: &mut Vec<AgentOutput>,
     ) {
-        let step = self.link.handle_catch_up(now, from, vote);
+        let step = self.link.handle_catch_up(now, from, message);
         self.request_chunks(step.request, outputs);
         if let Some(rejected) = step.rejected {
             let event = AgentEvent::ChunkRejected { rejected, from };
@@ -454,7 +454,7 @@
         outputs.extend(requests.into_iter().map(|request| AgentOutput::Send {
             to: request.to,
             message: Message::ConsensusMessage {
-                vote: request.message(),
+                message: request.message(),
             },
         }));
     }
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -39,9 +39,9 @@
         capacity: 4,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -131,8 +131,8 @@
                 members: Vec::new(),
                 members_offset: 0,
                 updates: Vec::new(),
-                assured: controllers == Controllers::Responding,
-                gone: self.deregistered.clone(),
+                has_quorum: controllers == Controllers::Responding,
+                deregistered: self.deregistered.clone(),
                 in_chunks: Vec::new(),
                 more: false,
             };
@@ -286,8 +286,8 @@
         members: Vec::new(),
         members_offset: 0,
         updates: Vec::new(),
-        assured: true,
-        gone: Vec::new(),
+        has_quorum: true,
+        deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
     }
@@ -417,7 +417,7 @@
         zone: Zone::new("e1"),
         controller: false,
     };
-    let holders = vec![holder];
+    let entries = vec![holder];
     let mut map = ReplicatedMap::empty();
     map.apply(&Change {
         id: ChangeId::new("seats"),
@@ -425,7 +425,7 @@
             key: "seats".to_string(),
             expected: None,
             value: Some(Value::VoterSet {
-                voters: VoterSet { holders },
+                voters: VoterSet { entries },
             }),
             written: None,
         }],
@@ -435,13 +435,13 @@
 }
 
 /// Returns the agent's responses to a consensus message.
-fn voter_responses(fixture: &mut AgentFixture, vote: ConsensusMessage) -> Vec<ConsensusMessage> {
-    let outputs = fixture.receive(millis(100), Message::ConsensusMessage { vote });
+fn voter_responses(fixture: &mut AgentFixture, message: ConsensusMessage) -> Vec<ConsensusMessage> {
+    let outputs = fixture.receive(millis(100), Message::ConsensusMessage { message });
     let votes = outputs.into_iter().filter_map(|output| match output {
         AgentOutput::Send {
-            message: Message::ConsensusMessage { vote },
+            message: Message::ConsensusMessage { message },
             ..
-        } => Some(vote),
+        } => Some(message),
         _ => None,
     });
     votes.collect()
@@ -459,8 +459,8 @@
         members: Vec::new(),
         members_offset: 0,
         updates,
-        assured: true,
-        gone: Vec::new(),
+        has_quorum: true,
+        deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
     };
@@ -560,13 +560,13 @@
     }
     assert!(total > 2 * CHUNK_BYTES as u64, "{total} bytes");
     // It responds to a rejected proposal with the rejection, and with no snapshot that was not requested.
-    let refused = ConsensusMessage::Prepare {
+    let rejected = ConsensusMessage::Prepare {
         map,
         membership: Version(1),
         version: Version(1),
-        proposal_number: ProposalNumber { round: 1, node },
+        proposal_number: ProposalNumber { counter: 1, node },
     };
-    let responses = voter_responses(&mut fixture, refused);
+    let responses = voter_responses(&mut fixture, rejected);
     assert!(
         matches!(responses.as_slice(), [ConsensusMessage::Reject { .. }]),
         "{responses:?}"
--- a/crates/caperworks/examples/ownership.rs
+++ b/crates/caperworks/examples/ownership.rs
@@ -22,9 +22,9 @@
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::from_secs(60),
+        uptime: Duration::from_secs(60),
         key_ranges_in_use,
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -53,7 +53,7 @@
         );
     }
     let mut owner_manager = OwnerManager::default();
-    owner_manager.take_up(Duration::ZERO, false);
+    owner_manager.start_term(Duration::ZERO, false);
     let mut ownership = ReplicatedMap::empty();
     let view = OwnershipView {
         instances: &instances,
@@ -79,7 +79,7 @@
     });
     let response = owner_manager.heartbeat(now, &heartbeat("one", 7000, 2, Vec::new()), &ownership);
     let mut held_leases = HeldLeases::default();
-    held_leases.answered(now, &response);
+    held_leases.apply_response(now, &response);
     println!(
         "instance one leases {:?}",
         held_leases.key_ranges_in_use(now)
--- a/crates/caperworks/examples/route_change_cost.rs
+++ b/crates/caperworks/examples/route_change_cost.rs
@@ -53,7 +53,7 @@
         instances_offset: 0,
         all_instances: false,
         slow_link_remaining: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
     }
 }
 
--- a/crates/caperworks/src/change_check.rs
+++ b/crates/caperworks/src/change_check.rs
@@ -38,13 +38,13 @@
     /// This is checked first: a caller that did not receive the response repeats the change, and the
     /// repetition must not be rejected as conflicting with the first, successful attempt.
     pub fn check_committed_before(&self, change: &Change) -> Option<ChangeCheck> {
-        let answered = self
-            .answered
+        let recent = self
+            .recent_changes
             .iter()
-            .find(|answered| answered.id == change.id)?;
-        Some(match answered.digest == change.digest() {
-            true => ChangeCheck::Repeat(answered.version),
-            false => ChangeCheck::IdTaken(answered.version),
+            .find(|recent| recent.id == change.id)?;
+        Some(match recent.digest == change.digest() {
+            true => ChangeCheck::Repeat(recent.version),
+            false => ChangeCheck::IdTaken(recent.version),
         })
     }
 
@@ -80,7 +80,7 @@
         let mut taken = Vec::new();
         let mut forgotten = Vec::new();
         for put in &change.puts {
-            let Some(put_version) = put.numbered() else {
+            let Some(put_version) = put.operator_version() else {
                 continue;
             };
             let history = histories
@@ -117,11 +117,11 @@
             .filter_map(|put| Some((&put.key, put.expected?)))
             .chain(guards)
             .filter_map(|(key, expected)| {
-                let present = self.present(key);
-                (expected != present).then(|| Conflict {
+                let current = self.item_version(key);
+                (expected != current).then(|| Conflict {
                     key: key.clone(),
                     expected,
-                    present,
+                    current,
                 })
             })
             .collect();
--- a/crates/caperworks/src/configuration/checks.rs
+++ b/crates/caperworks/src/configuration/checks.rs
@@ -63,7 +63,7 @@
             }
         }
         (Some(Value::Limits { limits }), "limits") => {
-            if limits.head_bytes == 0 || limits.header_timeout.is_zero() {
+            if limits.header_bytes == 0 || limits.header_timeout.is_zero() {
                 let reason = "request heads need a size limit and a timeout above 0";
                 faults.push(Fault::new(&put.key, reason));
             }
@@ -136,14 +136,18 @@
 ) -> BTreeMap<&'change str, (ConfirmedVersion, &'change Route)> {
     let mut routes: BTreeMap<&str, (ConfirmedVersion, &Route)> = BTreeMap::new();
     for put in &change.puts {
-        let (Some(numbered), Some(Value::Route { route })) = (put.numbered(), &put.value) else {
+        let (Some(operator_version), Some(Value::Route { route })) =
+            (put.operator_version(), &put.value)
+        else {
             continue;
         };
         let is_highest = routes
             .get(put.key.as_str())
-            .is_none_or(|(other, _)| other.version < numbered.version);
-        if is_highest && map.history(&put.key).status_of(numbered) != VersionStatus::Confirmed {
-            routes.insert(&put.key, (numbered, route));
+            .is_none_or(|(other, _)| other.version < operator_version.version);
+        if is_highest
+            && map.history(&put.key).status_of(operator_version) != VersionStatus::Confirmed
+        {
+            routes.insert(&put.key, (operator_version, route));
         }
     }
     routes
@@ -159,8 +163,9 @@
     faults: &mut Vec<Fault>,
 ) {
     let mut routes_by_path: BTreeMap<(String, &str), (&str, bool)> = BTreeMap::new();
-    for (key, (numbered, route)) in unconfirmed_routes(map, change) {
-        let is_superseded = map.history(key).status_of(numbered) == VersionStatus::Superseded;
+    for (key, (operator_version, route)) in unconfirmed_routes(map, change) {
+        let is_superseded =
+            map.history(key).status_of(operator_version) == VersionStatus::Superseded;
         // A superseded route may name a service that was dropped after its operator sent it.
         let service_exists = |name: &ServiceName| match after.items.get(&format!("pool/{name}")) {
             Some(item) => is_superseded || item.value != Value::Dropped,
@@ -300,9 +305,7 @@
                 && route.deadline > MAX_KEYED_DEADLINE =>
         {
             let max_deadline = MAX_KEYED_DEADLINE.as_millis();
-            let reason = format!(
-                "service {service_name} is keyed: no order may take longer than its owner's hold; give at most {max_deadline}"
-            );
+            let reason = format!("service {service_name} is keyed: no order may take longer than its owner's hold; give at most {max_deadline}");
             faults.push(Fault::new(format!("rule/{name}.deadline_ms"), reason));
         }
         Some(_) => {}
--- a/crates/caperworks/src/consensus/messages.rs
+++ b/crates/caperworks/src/consensus/messages.rs
@@ -11,7 +11,7 @@
     /// A proposal number, unique per proposer: ordered by the counter, then by the proposing node.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     struct ProposalNumber {
-        0 round: u64,
+        0 counter: u64,
         1 node: NodeId,
     }
 
@@ -87,7 +87,7 @@
 impl ProposalNumber {
     /// No proposal was promised: lower than every proposal number that a proposer uses.
     pub const NONE: ProposalNumber = ProposalNumber {
-        round: 0,
+        counter: 0,
         node: NodeId(0),
     };
 }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns the highest version that may have been committed, as far as this voter can tell.
+    /// Returns the highest version that may have been committed, according to the state of this voter.
     ///
     /// An accepted change counts: a majority may have accepted it and it may have been acknowledged
     /// to the operator, so a quorum read must not report a lower version.
--- a/crates/caperworks/src/feed/cache.rs
+++ b/crates/caperworks/src/feed/cache.rs
@@ -33,9 +33,9 @@
         let after = self.follower.map(advanced).version;
         let history = self.histories.entry(advanced).or_default();
         let is_new =
-            |numbered: &&CommittedChange| numbered.version > before && numbered.version <= after;
-        for numbered in message.changes.iter().filter(is_new) {
-            history.push(numbered.clone());
+            |committed: &&CommittedChange| committed.version > before && committed.version <= after;
+        for committed in message.changes.iter().filter(is_new) {
+            history.push(committed.clone());
         }
         Some(advanced)
     }
--- a/crates/caperworks/src/leadership/election.rs
+++ b/crates/caperworks/src/leadership/election.rs
@@ -17,23 +17,23 @@
     now: Duration,
     voters: &VoterSet,
     liveness: &Liveness,
-    holder: Option<NodeId>,
+    leader: Option<NodeId>,
 ) -> Option<NodeId> {
-    let leader_is_alive = holder.is_some_and(|holder| {
-        liveness.alive(now, holder) && voters.holder(holder).is_some_and(|voter| voter.controller)
+    let leader_is_alive = leader.is_some_and(|leader| {
+        liveness.is_alive(now, leader) && voters.entry(leader).is_some_and(|voter| voter.controller)
     });
     voters
-        .holders
+        .entries
         .iter()
         .filter(|voter| voter.controller)
         .map(|voter| voter.node)
         .find(|node| {
-            Some(*node) == holder && leader_is_alive
+            Some(*node) == leader && leader_is_alive
                 || !liveness.is_behind(now, *node)
                     && if leader_is_alive {
-                        liveness.steady(now, *node)
+                        liveness.is_stable(now, *node)
                     } else {
-                        liveness.alive(now, *node)
+                        liveness.is_alive(now, *node)
                     }
         })
 }
--- a/crates/caperworks/src/leadership/watch.rs
+++ b/crates/caperworks/src/leadership/watch.rs
@@ -31,7 +31,7 @@
     /// Nothing to do.
     Wait,
     /// Propose this term, on the condition that the item of the role still has the expected version.
-    Take {
+    Propose {
         /// The new term, with the next epoch.
         term: LeadershipTerm,
         /// The expected version of the item of the role.
@@ -42,7 +42,7 @@
         /// The epoch of the term, which is the fencing token.
         epoch: Epoch,
         /// How long this controller has been the leader.
-        held: Duration,
+        leading_for: Duration,
     },
 }
 
@@ -78,7 +78,7 @@
             return LeadershipStep::Wait;
         }
         let term = membership.leadership(self.name);
-        if let Some(term) = term.filter(|term| term.holder == node) {
+        if let Some(term) = term.filter(|term| term.leader == node) {
             let since = match self.leading_since {
                 Some((epoch, since)) if epoch == term.epoch => since,
                 _ => {
@@ -88,24 +88,24 @@
             };
             return LeadershipStep::Lead {
                 epoch: term.epoch,
-                held: now.saturating_sub(since),
+                leading_for: now.saturating_sub(since),
             };
         }
         self.leading_since = None;
         let was_requested = self
             .requested_at
             .is_some_and(|requested| now.saturating_sub(requested) < MIN_REQUEST_INTERVAL);
-        let holder = term.map(|term| term.holder);
-        if was_requested || first_in_order(now, voters, liveness, holder) != Some(node) {
+        let leader = term.map(|term| term.leader);
+        if was_requested || first_in_order(now, voters, liveness, leader) != Some(node) {
             return LeadershipStep::Wait;
         }
         self.requested_at = Some(now);
-        LeadershipStep::Take {
+        LeadershipStep::Propose {
             term: LeadershipTerm {
-                holder: node,
+                leader: node,
                 epoch: term.map_or(Epoch(1), |term| term.epoch.next()),
             },
-            expected: membership.present(&format!("duty/{}", self.name)),
+            expected: membership.item_version(&format!("duty/{}", self.name)),
         }
     }
 }
--- a/crates/caperworks/src/link.rs
+++ b/crates/caperworks/src/link.rs
@@ -273,7 +273,7 @@
     /// None is marked while no controller could have reported them: while the control plane is unreachable,
     /// missing heartbeats are no evidence.
     pub fn update_suspected_instances(&mut self, now: Duration) -> Vec<InstanceId> {
-        let timeout = self.instances.span;
+        let timeout = self.instances.timeout;
         if now.saturating_sub(self.last_useful_response_at) >= CONTROLLER_TIMEOUT {
             self.quorum_since = None;
         }
@@ -318,10 +318,10 @@
         let renewal = Renewal {
             number,
             member,
-            controller: self.fact_offsets.incarnation,
+            controller_incarnation: self.fact_offsets.incarnation,
             instances_after: self.fact_offsets.instances,
             members_after: self.fact_offsets.members,
-            wants: self.followed_maps.clone(),
+            followed_maps: self.followed_maps.clone(),
             form: self.form,
             facts_age: self.facts_complete_at.map(facts_age),
             extent: match self.state {
@@ -364,7 +364,7 @@
             .iter()
             .filter_map(|updates| self.feed_cache.apply_updates(updates))
             .collect();
-        if granted.assured {
+        if granted.has_quorum {
             self.apply_lease(now, responder, granted, !advanced.is_empty());
         }
         if let Some(sent_at) = sent_at {
@@ -397,8 +397,8 @@
         for fact in &granted.instances {
             self.instances.handle(now, &fact.clone().aged(took));
         }
-        for id in &granted.gone {
-            self.instances.end(now, id);
+        for id in &granted.deregistered {
+            self.instances.record_termination(now, id);
         }
         for fact in &granted.members {
             self.members.handle(now, &fact.clone().aged(took));
@@ -413,7 +413,7 @@
             instances: granted.instances_offset,
             members: granted.members_offset,
         };
-        if granted.assured && !granted.more {
+        if granted.has_quorum && !granted.more {
             self.facts_complete_at = Some(sent_at);
         }
     }
@@ -430,7 +430,7 @@
         let sent_at = self.lease.sent_at(granted.number);
         // A response to a request that is no longer remembered took longer than any that is.
         let is_slow = sent_at.is_none_or(|sent_at| now >= sent_at + SLOW_RESPONSE_THRESHOLD);
-        self.lease.granted(
+        self.lease.apply_grant(
             granted.number,
             granted.quorum_read_age,
             granted.versions.clone(),
@@ -485,7 +485,8 @@
                 let local_version = self.local_version(map);
                 let reported = granted.versions.get(map.index()).copied();
                 let goal = reported.unwrap_or_default().max(local_version.next());
-                self.catch_up.behind(now, map, local_version, from, goal)
+                self.catch_up
+                    .handle_announcement(now, map, local_version, from, goal)
             })
             .collect();
         if !requests.is_empty() {
@@ -506,15 +507,15 @@
         &mut self,
         now: Duration,
         from: SocketAddr,
-        vote: &ConsensusMessage,
+        message: &ConsensusMessage,
     ) -> CatchUpStep {
-        match vote {
+        match message {
             ConsensusMessage::Chunk { chunk } => self.handle_chunk(now, from, chunk.clone()),
             ConsensusMessage::Updates { map, .. }
             | ConsensusMessage::ReducedUpdates { map, .. }
                 if self.catch_up.is_receiving(*map) =>
             {
-                let advanced = self.feed_cache.apply_updates(vote);
+                let advanced = self.feed_cache.apply_updates(message);
                 let local_version = self.local_version(*map);
                 let request =
                     self.catch_up
@@ -544,7 +545,7 @@
                         .handle_changes(now, map, local_version, advanced.is_some());
                 self.handle_progress(now, from, advanced, request)
             }
-            ChunkOutcome::Refused(error) => CatchUpStep {
+            ChunkOutcome::Rejected(error) => CatchUpStep {
                 rejected: Some(RejectedChunk { map, error }),
                 ..CatchUpStep::default()
             },
@@ -579,7 +580,7 @@
     /// Returns the address to which heartbeats for the owner manager are sent, if the membership names one.
     pub fn owner_manager(&self) -> Option<SocketAddr> {
         let membership = self.feed_cache.follower().map(MapName::Membership);
-        let leader = membership.leadership(OWNERSHIP)?.holder;
-        Some(membership.voters()?.holder(leader)?.address)
+        let leader = membership.leadership(OWNERSHIP)?.leader;
+        Some(membership.voters()?.entry(leader)?.address)
     }
 }
--- a/crates/caperworks/src/placement/demand.rs
+++ b/crates/caperworks/src/placement/demand.rs
@@ -50,7 +50,7 @@
     /// the host's first route, see [`first_routes_of_hosts`](super::hosts::first_routes_of_hosts).
     pub(super) fn update(&mut self, now: Duration, view: &ProblemView<'_>) {
         let reports = sum_reports(view);
-        for reported in view.members.iter().flat_map(|member| &member.stands) {
+        for reported in view.members.iter().flat_map(|member| &member.client_zones) {
             self.client_zones
                 .insert(reported.group.clone(), reported.zone.clone());
         }
@@ -100,7 +100,7 @@
                 .entry((demand.group.clone(), route.clone()))
                 .or_default();
             report.requests += demand.requests;
-            let micros = demand.locality.as_micros().min(MAX_DISTANCE_MICROS) as u32;
+            let micros = demand.distance.as_micros().min(MAX_DISTANCE_MICROS) as u32;
             if micros > 0 {
                 let nearest = report.distances.entry(proxy.zone.clone()).or_insert(micros);
                 *nearest = (*nearest).min(micros);
--- a/crates/caperworks/src/policy.rs
+++ b/crates/caperworks/src/policy.rs
@@ -28,7 +28,7 @@
     /// The time bounds of key ownership.
     pub owner_manager: OwnerManagerTimings,
     /// How long a new leader collects heartbeats before it acts on them.
-    pub listen: Duration,
+    pub collection_period: Duration,
     /// Requests a second that the solver assumes for each unit of an instance's capacity.
     pub requests_per_slot: u32,
     /// Whether proxies outside a route's home regions accept its requests and forward them home.
@@ -42,8 +42,8 @@
     /// A member that has renewed its lease at this controller counts as not ready when its next renewal
     /// does not arrive within this time.
     pub member_timeout: Duration,
-    /// Time without a message after which a controller loses its vote to a spare one.
-    pub controller_lost: Duration,
+    /// Time without a message after which a controller that is a voter is replaced by a spare one.
+    pub controller_timeout: Duration,
 }
 
 impl Default for CorePolicy {
@@ -57,14 +57,14 @@
             stamped_heartbeats: true,
             instance_timeout: INSTANCE_TIMEOUT,
             owner_manager: OwnerManagerTimings::default(),
-            listen: Duration::from_millis(1200),
+            collection_period: Duration::from_millis(1200),
             requests_per_slot: 1,
             forwards_to_home: false,
             heartbeat_refresh: Duration::ZERO,
             by_host: false,
             member_refresh: Duration::ZERO,
             member_timeout: MEMBER_TIMEOUT,
-            controller_lost: Duration::from_secs(6),
+            controller_timeout: Duration::from_secs(6),
         }
     }
 }
--- a/crates/caperworks/src/replicated_map.rs
+++ b/crates/caperworks/src/replicated_map.rs
@@ -96,7 +96,7 @@
         #[cbor(with = "crate::shared_items")]
         1 items: Items,
         /// The most recent committed changes, at most [`REMEMBERED_CHANGES`], oldest first.
-        2 answered: Vec<RecentChange>,
+        2 recent_changes: Vec<RecentChange>,
         /// For each item, the operator versions that were confirmed. Absent in states that were stored
         /// before histories were introduced.
         #[cbor(default)]
@@ -114,7 +114,7 @@
         /// The version that the writer read.
         1 expected: Version,
         /// The current version in the map; zero if the item is absent.
-        2 present: Version,
+        2 current: Version,
     }
 
     /// An item whose operator version in a change was already confirmed with other contents.
@@ -186,14 +186,14 @@
     /// Returns the operator version, if any, with a digest of the contents.
     ///
     /// Version 0 counts as none: it only sets an item that is absent.
-    pub fn numbered(&self) -> Option<ConfirmedVersion> {
+    pub fn operator_version(&self) -> Option<ConfirmedVersion> {
         self.written.as_ref()?.confirmed(self.value.is_some())
     }
 }
 
 impl Item {
     /// Returns the operator version under which it was written, if any, with a digest of the contents.
-    fn numbered(&self) -> Option<ConfirmedVersion> {
+    fn operator_version(&self) -> Option<ConfirmedVersion> {
         self.written
             .as_ref()?
             .confirmed(self.value != Value::Dropped)
@@ -229,7 +229,7 @@
         Self {
             version: Version(0),
             items: Items::new(),
-            answered: Vec::new(),
+            recent_changes: Vec::new(),
             histories: BTreeMap::new(),
             form: FeedForm::Complete,
         }
--- a/crates/caperworks/src/replicated_map/apply.rs
+++ b/crates/caperworks/src/replicated_map/apply.rs
@@ -15,7 +15,7 @@
         }
         self.items
             .get(key)
-            .and_then(Item::numbered)
+            .and_then(Item::operator_version)
             .map(VersionHistory::from_stored)
             .unwrap_or_default()
     }
@@ -32,7 +32,7 @@
         Self {
             version: self.version,
             items: self.items.clone(),
-            answered: self.answered.clone(),
+            recent_changes: self.recent_changes.clone(),
             histories: change.puts.iter().filter_map(history).collect(),
             form: self.form,
         }
@@ -42,7 +42,7 @@
     ///
     /// Version 0 only sets an item that is absent.
     fn is_superseded(&self, put: &Put) -> bool {
-        match (put.numbered(), &put.written) {
+        match (put.operator_version(), &put.written) {
             (Some(put_version), _) => {
                 self.history(&put.key).status_of(put_version) != VersionStatus::Newest
             }
@@ -64,13 +64,13 @@
                 self.apply_put(put);
             }
         }
-        self.answered.push(RecentChange {
+        self.recent_changes.push(RecentChange {
             id: change.id.clone(),
             version: self.version,
             digest: change.digest(),
         });
-        if self.answered.len() > REMEMBERED_CHANGES {
-            self.answered.remove(0);
+        if self.recent_changes.len() > REMEMBERED_CHANGES {
+            self.recent_changes.remove(0);
         }
     }
 
@@ -80,7 +80,7 @@
         if put.written.is_none() {
             self.histories.remove(&put.key);
         }
-        let Some(put_version) = put.numbered() else {
+        let Some(put_version) = put.operator_version() else {
             return;
         };
         let mut history = self.history(&put.key);
--- a/crates/caperworks/src/slots.rs
+++ b/crates/caperworks/src/slots.rs
@@ -18,7 +18,7 @@
 pub use self::image::{DiskFile, DiskImage, UnknownFormat};
 pub use self::recovery::{DiskDamage, Recovery};
 
-/// A write for the host to perform and sync, and then to report with [`SlotDisk::synced`].
+/// A write for the host to perform and sync, and then to report with [`SlotDisk::record_sync`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum DiskWrite {
     /// Replaces the contents of a slot.
@@ -86,7 +86,7 @@
     }
 
     /// Records that the host has synced every write up to this ticket.
-    pub fn synced(&mut self, ticket: u64) {
+    pub fn record_sync(&mut self, ticket: u64) {
         while let Some((written, length)) = self.log_writes.front().copied() {
             if written > ticket {
                 return;
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -49,9 +49,9 @@
         demand: Vec::new(),
         versions: vec![Version(0); ALL_MAPS.len()],
         draining: false,
-        stands: Vec::new(),
+        client_zones: Vec::new(),
         demand_unchanged: false,
-        silent: false,
+        suspected: false,
     }
 }
 
@@ -66,9 +66,9 @@
         capacity: 4,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     };
     let age = Duration::ZERO;
@@ -86,8 +86,8 @@
         members: Vec::new(),
         members_offset: offset,
         updates: Vec::new(),
-        assured: true,
-        gone: Vec::new(),
+        has_quorum: true,
+        deregistered: Vec::new(),
         proxies: 1,
         in_chunks: Vec::new(),
         more: false,
@@ -164,7 +164,10 @@
     let (_, to, renewal) = next_renewal(&mut link, now);
     assert_eq!(to, second);
     assert_eq!(renewal.extent, ResponseExtent::Full);
-    assert_eq!(renewal.controller, responder(second).incarnation);
+    assert_eq!(
+        renewal.controller_incarnation,
+        responder(second).incarnation
+    );
     assert_eq!(renewal.instances_after, 70);
 }
 
@@ -187,7 +190,7 @@
     assert_eq!(known.len(), 1, "the facts in it are applied nevertheless");
     let (_, to, renewal) = next_renewal(&mut link, now);
     assert_eq!(to, other);
-    assert_eq!(renewal.controller, responder(other).incarnation);
+    assert_eq!(renewal.controller_incarnation, responder(other).incarnation);
     assert_eq!(renewal.instances_after, 55);
 }
 
@@ -266,7 +269,7 @@
     let mut instances = Instances::default();
     instances.handle(millis(1000), &received_heartbeat("one", 1));
     instances.handle(millis(2000), &received_heartbeat("two", 2));
-    instances.end(millis(3000), &InstanceId::new("one"));
+    instances.record_termination(millis(3000), &InstanceId::new("one"));
     let notified_after = |moment: u64| {
         let offset = instances.offset_before(millis(moment));
         (
@@ -294,8 +297,8 @@
     let reported = |offset: u64| {
         let first = instances.first_after(millis(1100), offset, 16);
         let drains = |fact: &&ReceivedHeartbeat| fact.heartbeat.state == InstanceState::Draining;
-        let draining = first.heard.iter().filter(drains).count();
-        (first.heard.len(), draining, first.offset, first.more)
+        let draining = first.received.iter().filter(drains).count();
+        (first.received.len(), draining, first.offset, first.more)
     };
     assert_eq!(reported(0), (17, 1, 16, true));
     assert_eq!(reported(16), (17, 1, 32, true));
--- a/crates/caperworks/tests/follower_catch_up.rs
+++ b/crates/caperworks/tests/follower_catch_up.rs
@@ -108,8 +108,8 @@
             members: Vec::new(),
             members_offset: 0,
             updates,
-            assured: true,
-            gone: Vec::new(),
+            has_quorum: true,
+            deregistered: Vec::new(),
             proxies: 1,
             in_chunks,
             more,
@@ -169,9 +169,9 @@
             demand: Vec::new(),
             versions: self.link.versions(),
             draining: false,
-            stands: Vec::new(),
+            client_zones: Vec::new(),
             demand_unchanged: false,
-            silent: false,
+            suspected: false,
         }
     }
 
@@ -188,14 +188,14 @@
 
     fn send_requests(&mut self, requests: impl IntoIterator<Item = CatchUpRequest>) {
         for request in requests {
-            let vote = request.message();
-            self.send(request.to, Message::ConsensusMessage { vote });
+            let message = request.message();
+            self.send(request.to, Message::ConsensusMessage { message });
         }
     }
 
     fn send_response(&mut self, controller: usize, mut message: Message) {
         if let Message::ConsensusMessage {
-            vote: ConsensusMessage::Chunk { chunk },
+            message: ConsensusMessage::Chunk { chunk },
         } = &mut message
         {
             self.chunks += 1;
@@ -226,14 +226,14 @@
                 granted: index.grant(now, renewal),
             },
             Message::ConsensusMessage {
-                vote:
+                message:
                     ConsensusMessage::CatchUp {
                         map,
                         after,
                         position: Some(position),
                     },
             } => Message::ConsensusMessage {
-                vote: index
+                message: index
                     .sender
                     .respond(now, &index.voter, *map, *after, *position),
             },
@@ -254,9 +254,9 @@
                 let requests = self.link.fetch_in_chunks(self.now, from, granted);
                 self.send_requests(requests);
             }
-            Message::ConsensusMessage { vote } => {
+            Message::ConsensusMessage { message } => {
                 let from = address(controller);
-                let step = self.link.handle_catch_up(self.now, from, vote);
+                let step = self.link.handle_catch_up(self.now, from, message);
                 self.rejected
                     .extend(step.rejected.map(|rejected| rejected.error));
                 self.send_requests(step.request);
@@ -290,14 +290,14 @@
         }
     }
 
-    fn held(&self) -> &ReplicatedMap {
+    fn replica(&self) -> &ReplicatedMap {
         self.link.feed_cache.follower().map(MAP)
     }
 
     /// Runs until the follower has the same map as this controller; returns how long it took.
     fn run_until_caught_up(&mut self, controller: usize) -> Duration {
         let started_at = self.now;
-        while self.held() != self.controllers[controller].voter.map(MAP) {
+        while self.replica() != self.controllers[controller].voter.map(MAP) {
             self.step();
             assert!(
                 self.now - started_at < millis(60_000),
@@ -361,7 +361,9 @@
     let failed = failed.expect("the address belongs to a controller");
     world.controllers[failed].is_reachable = false;
     world.run_until_caught_up(1 - failed);
-    let bytes = minicbor::to_vec(world.held()).expect("a map encodes").len();
+    let bytes = minicbor::to_vec(world.replica())
+        .expect("a map encodes")
+        .len();
     // At most one more: the chunk that the failed controller did not send.
     let all = bytes.div_ceil(CHUNK_BYTES);
     assert!(
@@ -388,19 +390,20 @@
 fn follower_rejects_a_chunk_that_it_did_not_request() {
     let mut world = World::new(vec![Controller::with_routes(MANY)], millis(50));
     world.run_until_caught_up(0);
-    let before = world.held().version;
+    let before = world.replica().version;
     let controller = &mut world.controllers[0];
     let position = TransferPosition {
         transfer: 1,
         ..TransferPosition::default()
     };
-    let vote = controller
-        .sender
-        .respond(world.now, &controller.voter, MAP, Version(0), position);
-    let step = world.link.handle_catch_up(world.now, address(0), &vote);
+    let message =
+        controller
+            .sender
+            .respond(world.now, &controller.voter, MAP, Version(0), position);
+    let step = world.link.handle_catch_up(world.now, address(0), &message);
     let error = step.rejected.map(|rejected| rejected.error);
     assert_eq!(error, Some(ChunkError::NotRequested));
-    assert_eq!(world.held().version, before);
+    assert_eq!(world.replica().version, before);
 }
 
 #[test]
--- a/crates/caperworks/tests/instance_termination.rs
+++ b/crates/caperworks/tests/instance_termination.rs
@@ -30,9 +30,9 @@
             capacity: 1,
             state: InstanceState::Serving,
             load: 0,
-            up: Duration::MAX,
+            uptime: Duration::MAX,
             key_ranges_in_use: Vec::new(),
-            let_go: Vec::new(),
+            released: Vec::new(),
             warm_up_left: Duration::ZERO,
         },
         age: Duration::ZERO,
@@ -44,8 +44,14 @@
     let mut instances = Instances::default();
     let one = InstanceId::new("one");
     assert!(instances.handle(millis(100), &heartbeat("one", 1)));
-    assert!(instances.end(millis(200), &one), "it was not known yet");
-    assert!(!instances.end(millis(300), &one), "it is known already");
+    assert!(
+        instances.record_termination(millis(200), &one),
+        "it was not known yet"
+    );
+    assert!(
+        !instances.record_termination(millis(300), &one),
+        "it is known already"
+    );
     for (at, counter) in [(300, 2), (1000, 99), (10_000, 100), (29_000, 101)] {
         assert!(
             !instances.handle(millis(at), &heartbeat("one", counter)),
@@ -63,7 +69,7 @@
 #[test]
 fn termination_of_an_unknown_instance_rejects_its_late_heartbeat() {
     let mut instances = Instances::default();
-    instances.end(millis(100), &InstanceId::new("one"));
+    instances.record_termination(millis(100), &InstanceId::new("one"));
     assert!(!instances.handle(millis(200), &heartbeat("one", 1)));
 }
 
@@ -72,13 +78,13 @@
     let mut instances = Instances::default();
     let (one, two) = (InstanceId::new("one"), InstanceId::new("two"));
     instances.handle(millis(100), &heartbeat("one", 1));
-    instances.end(millis(200), &one);
-    let offset = instances.learned();
-    instances.end(millis(300), &two);
+    instances.record_termination(millis(200), &one);
+    let offset = instances.latest_offset();
+    instances.record_termination(millis(300), &two);
     let now = millis(400);
     assert_eq!(instances.ended_after(now, 0), [one, two.clone()]);
     assert_eq!(instances.ended_after(now, offset), [two]);
-    let updates = instances.learned();
+    let updates = instances.latest_offset();
     assert_eq!(instances.ended_after(now, updates), []);
     assert_eq!(instances.after(now, 0), []);
 }
@@ -99,9 +105,9 @@
 fn member() -> Member {
     let address = SocketAddr::from(([127, 0, 0, 1], 6500));
     Member {
-        stands: Vec::new(),
+        client_zones: Vec::new(),
         demand_unchanged: false,
-        silent: false,
+        suspected: false,
         node: NodeId(9),
         counter: 1,
         role: Role::Proxy,
@@ -124,7 +130,7 @@
     }
 }
 
-fn grant(number: u64, assured: bool) -> Granted {
+fn grant(number: u64, has_quorum: bool) -> Granted {
     Granted {
         proxies: 1,
         number,
@@ -135,8 +141,8 @@
         members: Vec::new(),
         members_offset: 0,
         updates: Vec::new(),
-        assured,
-        gone: Vec::new(),
+        has_quorum,
+        deregistered: Vec::new(),
         in_chunks: Vec::new(),
         more: false,
     }
@@ -149,7 +155,7 @@
     let number = renewal_number(&mut link, millis(100));
     let reported = Granted {
         instances: vec![heartbeat("one", 5), heartbeat("two", 1)],
-        gone: vec![InstanceId::new("one")],
+        deregistered: vec![InstanceId::new("one")],
         ..grant(number, true)
     };
     link.handle_grant(millis(120), responder(1), &reported);
@@ -176,15 +182,15 @@
 fn tick(link: &mut CoreLink, now: Duration, responses: Option<bool>) -> Vec<InstanceId> {
     if link.check_renewal_due(now) {
         let number = renewal_number(link, now);
-        if let Some(assured) = responses {
-            link.handle_grant(now, responder(1), &grant(number, assured));
+        if let Some(has_quorum) = responses {
+            link.handle_grant(now, responder(1), &grant(number, has_quorum));
         }
     }
     link.update_suspected_instances(now)
 }
 
 #[test]
-fn instances_do_not_expire_without_assured_responses() {
+fn instances_do_not_expire_without_a_quorum() {
     for responses in [None, Some(false)] {
         let mut link = link();
         for step in 0..40 {
--- a/crates/caperworks/tests/key_range_ownership.rs
+++ b/crates/caperworks/tests/key_range_ownership.rs
@@ -22,21 +22,21 @@
     Duration::from_secs(number)
 }
 
-fn heartbeat(name: &str, up: Duration, key_ranges_in_use: Vec<u32>) -> Heartbeat {
+fn heartbeat(name: &str, uptime: Duration, key_ranges_in_use: Vec<u32>) -> Heartbeat {
     let port = 7000 + (stable_hash(name) % 1000) as u16;
     Heartbeat {
         id: InstanceId::new(name),
         incarnation: Incarnation(1),
-        counter: up.as_millis() as u64,
+        counter: uptime.as_millis() as u64,
         service: ServiceName::new(SERVICE),
         zone: Zone::new("east-1"),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up,
+        uptime,
         key_ranges_in_use,
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -76,7 +76,7 @@
     fn heartbeat(&mut self, now: Duration, name: &str, up: Duration) {
         let held_leases = self.held_leases.entry(name.to_string()).or_default();
         let mut heartbeat = heartbeat(name, up, held_leases.key_ranges_in_use(now));
-        heartbeat.let_go = held_leases.let_go();
+        heartbeat.released = held_leases.released_epochs();
         let age = Duration::ZERO;
         self.instances.handle(
             now,
@@ -88,7 +88,7 @@
         let response = self
             .owner_manager
             .heartbeat(now, &heartbeat, &self.ownership);
-        held_leases.answered(now, &response);
+        held_leases.apply_response(now, &response);
     }
 
     /// Applies the owner manager's next plan and returns how many key ranges changed their owner.
@@ -144,7 +144,7 @@
 fn no_key_range_moves_to_the_first_warm_instance() {
     let mut bench = Bench::new(64);
     let names: Vec<String> = (1..=8).map(|number| format!("evidence-{number}")).collect();
-    bench.owner_manager.take_up(seconds(0), false);
+    bench.owner_manager.start_term(seconds(0), false);
     for name in &names {
         bench.heartbeat(seconds(1), name, seconds(1));
     }
@@ -173,7 +173,7 @@
 #[test]
 fn released_key_range_can_return_to_its_previous_owner() {
     let mut bench = Bench::new(1);
-    bench.owner_manager.take_up(seconds(0), false);
+    bench.owner_manager.start_term(seconds(0), false);
     bench.heartbeat(seconds(1), "evidence-1", seconds(10));
     bench.plan(seconds(1));
     bench.heartbeat(seconds(2), "evidence-1", seconds(11));
@@ -182,7 +182,7 @@
         .map(|number| format!("evidence-{number}"))
         .find(|name| rank(name) > rank("evidence-1"))
         .expect("some name ranks higher");
-    // The new instance is known just long enough for the owner to be asked to release the key range.
+    // The new instance is known just long enough that the owner is requested to release the key range.
     bench.heartbeat(seconds(3), &new_instance, seconds(30));
     bench.plan(seconds(3));
     for step in 0..30 {
@@ -200,7 +200,7 @@
 #[test]
 fn key_ranges_of_a_suspected_owner_stay_until_lease_expiry() {
     let mut bench = Bench::new(4);
-    bench.owner_manager.take_up(seconds(0), false);
+    bench.owner_manager.start_term(seconds(0), false);
     bench.heartbeat(seconds(1), "evidence-1", seconds(10));
     bench.plan(seconds(1));
     bench.heartbeat(seconds(20), "evidence-1", seconds(30));
@@ -226,7 +226,7 @@
 #[test]
 fn release_waits_for_requests_in_flight() {
     let mut bench = Bench::new(1);
-    bench.owner_manager.take_up(seconds(0), false);
+    bench.owner_manager.start_term(seconds(0), false);
     bench.heartbeat(seconds(1), "evidence-1", seconds(10));
     bench.plan(seconds(1));
     bench.heartbeat(seconds(2), "evidence-1", seconds(11));
@@ -234,7 +234,7 @@
         .held_leases
         .get_mut("evidence-1")
         .expect("known")
-        .started(0);
+        .start_request(0);
     let rank = |name: &str| stable_hash(&format!("{SERVICE} 0 {name}"));
     let new_instance = (2..200)
         .map(|number| format!("evidence-{number}"))
@@ -250,7 +250,7 @@
                 .held_leases
                 .get_mut("evidence-1")
                 .expect("known")
-                .ended(0);
+                .end_request(0);
         }
         if bench.plan(now) > 0 {
             moved_at = Some(step);
@@ -268,11 +268,11 @@
 #[test]
 fn new_owner_manager_moves_nothing_while_earlier_leases_may_be_valid() {
     let mut bench = Bench::new(4);
-    bench.owner_manager.take_up(seconds(0), false);
+    bench.owner_manager.start_term(seconds(0), false);
     bench.heartbeat(seconds(1), "evidence-1", seconds(10));
     bench.plan(seconds(1));
     bench.owner_manager = OwnerManager::default();
-    bench.owner_manager.take_up(seconds(30), false);
+    bench.owner_manager.start_term(seconds(30), false);
     for tenth in 0..88 {
         let now = seconds(30) + Duration::from_millis(100 * tenth);
         bench.heartbeat(now, "evidence-2", seconds(40) + now);
@@ -289,10 +289,10 @@
 #[test]
 fn late_grant_for_a_released_epoch_is_rejected() {
     let mut held_leases = HeldLeases::default();
-    let lease = |left| KeyRangeLease {
+    let lease = |duration| KeyRangeLease {
         key_range: 3,
         epoch: Epoch(7),
-        left,
+        duration,
         handover: None,
     };
     let grant = HeartbeatResponse {
@@ -305,10 +305,10 @@
         release: vec![lease(Duration::ZERO)],
         ..HeartbeatResponse::default()
     };
-    held_leases.answered(seconds(1), &grant);
+    held_leases.apply_response(seconds(1), &grant);
     assert!(held_leases.may_start(seconds(2), 3, Epoch(7), Duration::ZERO));
-    held_leases.answered(seconds(2), &release);
-    held_leases.answered(seconds(3), &grant);
+    held_leases.apply_response(seconds(2), &release);
+    held_leases.apply_response(seconds(3), &grant);
     assert!(!held_leases.may_start(seconds(3), 3, Epoch(7), Duration::ZERO));
     assert!(held_leases.key_ranges_in_use(seconds(3)).is_empty());
 }
@@ -319,10 +319,10 @@
     let leases = vec![KeyRangeLease {
         key_range: 0,
         epoch: Epoch(1),
-        left: seconds(6),
+        duration: seconds(6),
         handover: None,
     }];
-    held_leases.answered(
+    held_leases.apply_response(
         seconds(0),
         &HeartbeatResponse {
             leases,
--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -95,7 +95,7 @@
     granted: BTreeMap<u32, (Duration, Option<String>)>,
     /// The released key ranges with their handover, reported in each heartbeat until leased again.
     released: BTreeMap<u32, String>,
-    /// Whether it releases the key ranges that it is asked to release.
+    /// Whether it releases the key ranges whose release is requested.
     releases: bool,
 }
 
@@ -112,7 +112,7 @@
 impl Bench {
     fn new(key_ranges: u32) -> Self {
         let mut owner_manager = OwnerManager::default();
-        owner_manager.take_up(Duration::ZERO, false);
+        owner_manager.start_term(Duration::ZERO, false);
         Self {
             owner_manager,
             instances: Instances::default(),
@@ -151,9 +151,9 @@
             capacity: 10,
             state: instance.state,
             load: 0,
-            up: Duration::MAX,
+            uptime: Duration::MAX,
             key_ranges_in_use: instance.key_ranges_in_use.iter().copied().collect(),
-            let_go: instance
+            released: instance
                 .released
                 .iter()
                 .map(|(key_range, handover)| ReleasedKeyRange {
@@ -363,7 +363,7 @@
     // A heartbeat from before the current lease: it reports an earlier release and no key range in use.
     let mut late = bench.next_heartbeat("a");
     late.key_ranges_in_use.clear();
-    late.let_go = vec![ReleasedKeyRange {
+    late.released = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
         handover: Some("of an earlier time".to_string()),
@@ -376,7 +376,7 @@
         bench.plan(now);
         if step == 3 {
             let response = bench.deliver(now, &late);
-            assert_eq!(response.release.len(), 1, "it is asked to release");
+            assert_eq!(response.release.len(), 1, "its release is requested");
         }
         assert_eq!(bench.owner(0), "a", "it is still the owner at {now:?}");
     }
@@ -398,7 +398,7 @@
             .map(|_| {
                 let mut heartbeat = bench.next_heartbeat("a");
                 heartbeat.key_ranges_in_use.clear();
-                heartbeat.let_go = vec![ReleasedKeyRange {
+                heartbeat.released = vec![ReleasedKeyRange {
                     key_range: 0,
                     epoch: None,
                     handover: None,
@@ -409,7 +409,7 @@
         bench.run(seconds(2), &["a"], 2);
         if is_new_leader {
             bench.owner_manager = OwnerManager::default();
-            bench.owner_manager.take_up(seconds(3), false);
+            bench.owner_manager.start_term(seconds(3), false);
         }
         bench.instance("a").state = InstanceState::Draining;
         let heartbeat = bench.next_heartbeat("a");
@@ -422,7 +422,7 @@
         bench.plan(seconds(3));
         for heartbeat in &earlier {
             let response = bench.deliver(seconds(3), heartbeat);
-            assert_eq!(response.release.len(), 1, "it is asked to release");
+            assert_eq!(response.release.len(), 1, "its release is requested");
             bench.plan(seconds(3));
             assert_eq!(bench.owner(0), "a", "it owns the key range");
         }
@@ -440,14 +440,14 @@
     bench.run(seconds(2), &["b"], 1);
     let mut heartbeat = bench.next_heartbeat("a");
     heartbeat.key_ranges_in_use.clear();
-    heartbeat.let_go = vec![ReleasedKeyRange {
+    heartbeat.released = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
         handover: None,
     }];
     bench.deliver(seconds(2), &heartbeat);
     bench.plan(seconds(2));
-    // The response to this heartbeat asks for the release; only a later heartbeat can report it.
+    // The response to this heartbeat requests the release; only a later heartbeat can report it.
     let response = bench.deliver(seconds(3), &heartbeat);
     assert_eq!(response.release.len(), 1);
     bench.plan(seconds(3));
@@ -460,7 +460,7 @@
 
 #[test]
 fn key_ranges_of_a_suspected_owner_move_after_lease_and_drift() {
-    let spans = OwnerManagerTimings {
+    let timings = OwnerManagerTimings {
         wait_after_restart: OWNER_MANAGER_TAKEOVER_WAIT,
         lease: millis(4000),
         drift: millis(300),
@@ -468,7 +468,7 @@
         acceptance_timeout: millis(2000),
     };
     let mut bench = Bench::new(4);
-    bench.owner_manager.spans = spans;
+    bench.owner_manager.timings = timings;
     bench.run(seconds(1), &["a"], 30);
     let last = seconds(16);
     let response = bench.heartbeat(last, "a");
@@ -476,13 +476,16 @@
     assert!(response
         .leases
         .iter()
-        .all(|lease| lease.left == spans.lease));
+        .all(|lease| lease.duration == timings.lease));
     for step in 1..100 {
         let now = last + millis(100 * step);
         bench.heartbeat(now, "b");
         if bench.plan(now) > 0 {
-            assert!(now >= last + spans.lease + spans.drift, "moved at {now:?}");
-            assert!(now <= last + spans.lease + spans.drift + millis(200));
+            assert!(
+                now >= last + timings.lease + timings.drift,
+                "moved at {now:?}"
+            );
+            assert!(now <= last + timings.lease + timings.drift + millis(200));
             return;
         }
     }
@@ -495,8 +498,8 @@
     bench.run(seconds(1), &["a"], 3);
     let wait = millis(5000);
     bench.owner_manager = OwnerManager::default();
-    bench.owner_manager.spans.wait = wait;
-    bench.owner_manager.take_up(seconds(30), false);
+    bench.owner_manager.timings.wait = wait;
+    bench.owner_manager.start_term(seconds(30), false);
     for step in 0..100 {
         let now = seconds(30) + millis(100 * step);
         bench.heartbeat(now, "b");
@@ -514,9 +517,11 @@
         let mut bench = Bench::new(4);
         bench.run(seconds(1), &["a"], 3);
         bench.owner_manager = OwnerManager::default();
-        bench.owner_manager.spans.wait = millis(8000);
-        bench.owner_manager.spans.wait_after_restart = millis(3500);
-        bench.owner_manager.take_up(seconds(30), is_own_predecessor);
+        bench.owner_manager.timings.wait = millis(8000);
+        bench.owner_manager.timings.wait_after_restart = millis(3500);
+        bench
+            .owner_manager
+            .start_term(seconds(30), is_own_predecessor);
         let moved_at = (0..100).find_map(|step| {
             let now = seconds(30) + millis(100 * step);
             bench.heartbeat(now, "b");
@@ -539,7 +544,7 @@
     let ended = seconds(6);
     let id = InstanceId::new("a");
     assert_eq!(bench.instances.time_since_end(ended, &id), Duration::ZERO);
-    assert!(bench.instances.end(ended, &id));
+    assert!(bench.instances.record_termination(ended, &id));
     assert_eq!(
         bench.instances.time_since_end(ended + millis(400), &id),
         millis(400)
@@ -568,13 +573,13 @@
     for seed in 0..20 {
         let mut random = RandomSource::seeded(seed);
         let mut bench = Bench::new(8);
-        let mut silent = BTreeSet::new();
+        let mut paused = BTreeSet::new();
         for step in 0..400 {
             let now = seconds(1) + millis(250 * step);
             if random.below(20) == 0 {
                 let name = names[random.below(4) as usize];
-                if !silent.remove(name) {
-                    silent.insert(name);
+                if !paused.remove(name) {
+                    paused.insert(name);
                 }
             }
             if random.below(30) == 0 {
@@ -586,7 +591,7 @@
                 };
             }
             for name in names {
-                if !silent.contains(name) && random.below(4) > 0 {
+                if !paused.contains(name) && random.below(4) > 0 {
                     bench.heartbeat(now, name);
                 }
             }
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -61,9 +61,9 @@
         capacity: 10,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -144,7 +144,7 @@
             instances_offset: 1,
             all_instances: true,
             slow_link_remaining: self.slow_link_remaining,
-            silent: Vec::new(),
+            suspected: Vec::new(),
             number: self.views,
             left: millis(3000),
             configuration: full_map.version,
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -49,7 +49,7 @@
     }
 }
 
-fn holder(number: u64, controller: bool) -> VoterEntry {
+fn voter_entry(number: u64, controller: bool) -> VoterEntry {
     VoterEntry {
         node: NodeId(number),
         address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
@@ -59,11 +59,11 @@
 }
 
 fn founding(controllers: u64, witnesses: u64) -> Change {
-    let holders = (1..=controllers + witnesses)
-        .map(|number| holder(number, number <= controllers))
+    let entries = (1..=controllers + witnesses)
+        .map(|number| voter_entry(number, number <= controllers))
         .collect();
     let value = Some(Value::VoterSet {
-        voters: VoterSet { holders },
+        voters: VoterSet { entries },
     });
     let key = "seats".to_string();
     change(
@@ -210,7 +210,7 @@
     );
     match consensus.proposal_outcome(20) {
         Some(ProposalOutcome::Conflicts(conflicts)) => {
-            assert_eq!(conflicts[0].present, Version(1));
+            assert_eq!(conflicts[0].current, Version(1));
             assert_eq!(conflicts[0].key, "area/e1");
         }
         other => panic!("expected a conflict, got {other:?}"),
@@ -247,7 +247,7 @@
     let mut consensus = Consensus::new(3, 0);
     let orphaned_change = change("orphan", vec![zone_put("e1", Some(0))]);
     let proposal_number = ProposalNumber {
-        round: 5,
+        counter: 5,
         node: NodeId(1),
     };
     for number in [1, 3] {
@@ -271,7 +271,7 @@
     }
     let map = consensus.voters[&2].map(MapName::Configuration);
     assert_eq!(
-        map.answered[0].id, orphaned_change.id,
+        map.recent_changes[0].id, orphaned_change.id,
         "the orphaned change is version 1"
     );
     assert_eq!(
@@ -392,7 +392,7 @@
             membership,
             version: Version(1),
             proposal_number: ProposalNumber {
-                round: 1,
+                counter: 1,
                 node: NodeId(2),
             },
         });
@@ -430,14 +430,14 @@
         apply(&mut image, &write);
     }
     disk.record_write(1);
-    disk.synced(1);
+    disk.record_sync(1);
     // Each line is synced before the next is written, because lines of one write may be torn in any
     // order.
     for (ticket, line) in [(2, b"line one"), (3, b"line two")] {
         let write = disk.append(&[line.to_vec()]).expect("the line fits");
         apply(&mut image, &write);
         disk.record_write(ticket);
-        disk.synced(ticket);
+        disk.record_sync(ticket);
     }
     let truth = Recovery::Found {
         state: b"second state".to_vec(),
@@ -583,8 +583,8 @@
     let versions = vec![Version(1); 4];
     for step in 0..20 {
         let number = quorum_reads.begin(millis(step * 200));
-        quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
-        quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
+        quorum_reads.handle_response(NodeId(1), number, versions.clone(), 2);
+        quorum_reads.handle_response(NodeId(1), number, versions.clone(), 2);
     }
     assert_eq!(
         quorum_reads.latest(millis(4000)),
@@ -592,8 +592,8 @@
         "two responses from one voter are not a majority"
     );
     let number = quorum_reads.begin(millis(5000));
-    quorum_reads.respond(NodeId(1), number, versions.clone(), 2);
-    quorum_reads.respond(NodeId(2), number, vec![Version(7); 4], 2);
+    quorum_reads.handle_response(NodeId(1), number, versions.clone(), 2);
+    quorum_reads.handle_response(NodeId(2), number, vec![Version(7); 4], 2);
     let quorum_read = quorum_reads
         .latest(millis(5100))
         .expect("a majority responded");
@@ -619,7 +619,7 @@
     let mut lease = LeaseHolder::default();
     let mut follower = Follower::default();
     let number = lease.renew(millis(1000));
-    lease.granted(
+    lease.apply_grant(
         number,
         millis(300),
         vec![Version(1), Version(0), Version(0), Version(0)],
@@ -637,7 +637,7 @@
         until,
         millis(1000) + LEASE_DURATION - DRIFT_MARGIN - millis(300)
     );
-    lease.granted(99, Duration::ZERO, Vec::new());
+    lease.apply_grant(99, Duration::ZERO, Vec::new());
     assert_eq!(
         lease.fresh_until(&follower, &ALL_MAPS),
         until,
@@ -657,9 +657,9 @@
             capacity: 1,
             state: InstanceState::Serving,
             load: 0,
-            up: Duration::ZERO,
+            uptime: Duration::ZERO,
             key_ranges_in_use: Vec::new(),
-            let_go: Vec::new(),
+            released: Vec::new(),
             warm_up_left: Duration::ZERO,
         },
         age: Duration::ZERO,
@@ -706,8 +706,8 @@
 
 #[test]
 fn leadership_skips_a_failed_node_until_it_is_stable_again() {
-    let holders = (1..=3).map(|number| holder(number, true)).collect();
-    let voters = VoterSet { holders };
+    let entries = (1..=3).map(|number| voter_entry(number, true)).collect();
+    let voters = VoterSet { entries };
     let mut liveness = Liveness::default();
     for step in 0..30 {
         for node in 1..=3 {
@@ -765,12 +765,12 @@
         echo: Some(Echo { stamp, held }),
         is_bidirectional: true,
         message: Message::ConsensusMessage {
-            vote: ConsensusMessage::Accept {
+            message: ConsensusMessage::Accept {
                 map: MapName::Membership,
                 membership: Version(3),
                 version: Version(4),
                 proposal_number: ProposalNumber {
-                    round: 9,
+                    counter: 9,
                     node: NodeId(7),
                 },
                 change: founding(3, 2),
@@ -1122,19 +1122,19 @@
 }
 
 #[test]
-fn lease_with_a_shorter_span_ends_sooner_and_a_longer_span_has_no_effect() {
+fn shorter_lease_duration_applies_and_a_longer_one_has_no_effect() {
     let wants = [MapName::Configuration];
-    for (span, lifetime) in [
+    for (duration, lifetime) in [
         (Duration::from_millis(2250), Duration::from_millis(2150)),
         (LEASE_DURATION, LEASE_DURATION - DRIFT_MARGIN),
-        // A longer span would outlive the period for which owner managers wait.
+        // A longer duration would outlive the period for which owner managers wait.
         (LEASE_DURATION * 2, LEASE_DURATION - DRIFT_MARGIN),
     ] {
-        let mut holder = LeaseHolder::default();
-        holder.span = span;
-        let number = holder.renew(millis(1000));
-        holder.granted(number, millis(50), vec![Version(0); 4]);
-        let until = holder.fresh_until(&Follower::default(), &wants);
-        assert_eq!(until, millis(1000) + lifetime - millis(50), "{span:?}");
+        let mut lease_holder = LeaseHolder::default();
+        lease_holder.duration = duration;
+        let number = lease_holder.renew(millis(1000));
+        lease_holder.apply_grant(number, millis(50), vec![Version(0); 4]);
+        let until = lease_holder.fresh_until(&Follower::default(), &wants);
+        assert_eq!(until, millis(1000) + lifetime - millis(50), "{duration:?}");
     }
 }
--- a/crates/caperworks/tests/wire_bytes.rs
+++ b/crates/caperworks/tests/wire_bytes.rs
@@ -156,7 +156,7 @@
 
 fn proposal_number(round: u64) -> ProposalNumber {
     ProposalNumber {
-        round,
+        counter: round,
         node: NodeId(77),
     }
 }
@@ -228,7 +228,7 @@
 
 fn voters() -> VoterSet {
     VoterSet {
-        holders: vec![VoterEntry {
+        entries: vec![VoterEntry {
             node: NodeId(5),
             address: address(5, 7000),
             zone: Zone::from("north-a"),
@@ -255,19 +255,19 @@
         Value::VoterSet { voters: voters() },
         Value::Leadership {
             term: LeadershipTerm {
-                holder: NodeId(5),
+                leader: NodeId(5),
                 epoch: Epoch(8),
             },
         },
         Value::FallbackMembers {
             fallback_members: FallbackMembers {
                 members: vec![address(11, 7100)],
-                before: vec![address(12, 7100)],
+                previous: vec![address(12, 7100)],
             },
         },
         Value::Limits {
             limits: CallerLimits {
-                head_bytes: 8192,
+                header_bytes: 8192,
                 body_bytes: 1_000_000,
                 header_timeout: millis(5000),
                 idle_timeout: millis(60_000),
@@ -331,7 +331,7 @@
                 (format!("key-{index}"), item)
             })
             .collect(),
-        answered: vec![RecentChange {
+        recent_changes: vec![RecentChange {
             id: ChangeId::from("change-0"),
             version: Version(16),
             digest: 0x0102_0304_0506_0708,
@@ -492,9 +492,9 @@
         capacity: 16,
         state,
         load: 7,
-        up: millis(123_456),
+        uptime: millis(123_456),
         key_ranges_in_use: vec![1, 5],
-        let_go: vec![ReleasedKeyRange {
+        released: vec![ReleasedKeyRange {
             key_range: 9,
             epoch: Some(Epoch(2)),
             handover: Some("offset 12".to_string()),
@@ -522,7 +522,7 @@
         group: "mobile".to_string(),
         route: RouteName::from("cart"),
         requests: 450,
-        locality: millis(12),
+        distance: millis(12),
     }
 }
 
@@ -539,12 +539,12 @@
         demand: vec![demand()],
         versions: vec![Version(1), Version(2), Version(3), Version(4)],
         draining: true,
-        stands: vec![GroupZone {
+        client_zones: vec![GroupZone {
             group: "mobile".to_string(),
             zone: Zone::from("north-a"),
         }],
         demand_unchanged: true,
-        silent: true,
+        suspected: true,
     }
 }
 
@@ -576,7 +576,7 @@
     KeyRangeLease {
         key_range,
         epoch: Epoch(4),
-        left: millis(2750),
+        duration: millis(2750),
         handover: Some("offset 12".to_string()),
     }
 }
@@ -606,10 +606,10 @@
                 renewal: Renewal {
                     number: 71,
                     member: member(Role::Proxy),
-                    controller: NodeId(5),
+                    controller_incarnation: NodeId(5),
                     instances_after: 300,
                     members_after: 200,
-                    wants: vec![MapName::Configuration, MapName::Ownership],
+                    followed_maps: vec![MapName::Configuration, MapName::Ownership],
                     form: FeedForm::Reduced,
                     facts_age: None,
                     extent: ResponseExtent::Full,
@@ -628,8 +628,8 @@
                     members: received_members(),
                     members_offset: 201,
                     updates: vec![consensus_message()],
-                    assured: true,
-                    gone: vec![InstanceId::from("cart-2")],
+                    has_quorum: true,
+                    deregistered: vec![InstanceId::from("cart-2")],
                     proxies: 12,
                     in_chunks: vec![MapName::Placement],
                     more: true,
@@ -669,7 +669,7 @@
                     instances_offset: 303,
                     all_instances: true,
                     slow_link_remaining: millis(1100),
-                    silent: vec![InstanceId::from("cart-3")],
+                    suspected: vec![InstanceId::from("cart-3")],
                 },
             },
         ),
@@ -682,7 +682,7 @@
         (
             "0",
             Message::ConsensusMessage {
-                vote: consensus_message(),
+                message: consensus_message(),
             },
         ),
         ("1", Message::QuorumReadRequest { number: 61 }),
@@ -723,14 +723,14 @@
             Message::Facts {
                 instances: received_heartbeats(),
                 members: received_members(),
-                gone: vec![InstanceId::from("cart-2")],
+                deregistered: vec![InstanceId::from("cart-2")],
             },
         ),
         (
             "10",
             Message::HeartbeatForward {
                 ticket: 81,
-                heard: received_heartbeats().remove(1),
+                received: received_heartbeats().remove(1),
             },
         ),
         (
@@ -882,21 +882,21 @@
         slot,
         DiskWrite::Slot {
             second: false,
-            bytes: expected("slot"),
+            bytes: expected("slot")
         }
     );
     assert_eq!(
         head,
         DiskWrite::Log {
             offset: 0,
-            bytes: expected("log-head"),
+            bytes: expected("log-head")
         }
     );
     assert_eq!(
         appended,
         Some(DiskWrite::Log {
             offset: expected("log-head").len() as u64,
-            bytes: expected("log-line"),
+            bytes: expected("log-line")
         })
     );
     let image = DiskImage {
--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -38,7 +38,7 @@
 /// This is checked before the change is proposed: a change that is rejected here has certainly not been
 /// accepted, so the caller can safely send it again.
 pub fn can_confirm_changes(state: &ControllerState) -> bool {
-    // Proxies that serve stale do not ask agents which changes may have been accepted.
+    // Proxies that serve stale do not query agents for changes that may have been accepted.
     if state.options.core.proxies_serve_stale {
         return true;
     }
@@ -53,9 +53,14 @@
 
 /// Returns the highest configuration version for which every majority of the fallback members includes an agent
 /// that has it.
-fn version_held_by_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> Version {
+fn version_confirmed_by_agents(
+    state: &ControllerState,
+    fallback_members: &FallbackMembers,
+) -> Version {
     let agents = reachable_agents(state);
-    let fallback_members_version = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
+    let fallback_members_version = state
+        .map(MapName::Membership)
+        .item_version(FALLBACK_MEMBERS);
     let version_of = |address: &SocketAddr| {
         agents
             .get(address)
@@ -68,16 +73,16 @@
                 member.versions[MapName::Configuration.index()]
             })
     };
-    let by_set = |set: &Vec<SocketAddr>| {
+    let quorum_version = |set: &Vec<SocketAddr>| {
         let mut versions: Vec<Version> = set.iter().map(version_of).collect();
         versions.sort_by_key(|version| Reverse(*version));
         versions.get(confirmation_quorum(set.len()) - 1).copied()
     };
     let own = state.map(MapName::Configuration).version;
-    [&fallback_members.members, &fallback_members.before]
+    [&fallback_members.members, &fallback_members.previous]
         .into_iter()
         .filter(|set| !set.is_empty())
-        .filter_map(by_set)
+        .filter_map(quorum_version)
         .fold(own, Version::min)
 }
 
@@ -96,7 +101,7 @@
         None => state.map(MapName::Configuration).version,
         // A controller that is not current may have been partitioned and know outdated fallback members.
         Some(_) if !state.is_current(MapName::Membership) => state.confirmed_version,
-        Some(fallback_members) => version_held_by_agents(state, fallback_members),
+        Some(fallback_members) => version_confirmed_by_agents(state, fallback_members),
     };
     state.confirmed_version = state.confirmed_version.max(confirmed);
     let (now, confirmed_version) = (state.now, state.confirmed_version);
@@ -136,16 +141,19 @@
     });
 }
 
-/// Returns whether every majority of the fallback members includes an agent that knows the present ones.
-fn is_settled(state: &ControllerState, fallback_members: &FallbackMembers) -> bool {
-    let version = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
+/// Returns whether every majority of the fallback members includes an agent that
+/// knows the current ones.
+fn has_reached_agents(state: &ControllerState, fallback_members: &FallbackMembers) -> bool {
+    let version = state
+        .map(MapName::Membership)
+        .item_version(FALLBACK_MEMBERS);
     let agents = reachable_agents(state);
-    let knows = |address: &SocketAddr| {
+    let has_current_members = |address: &SocketAddr| {
         agents
             .get(address)
             .is_some_and(|member| member.versions[MapName::Membership.index()] >= version)
     };
-    fallback_members.has_enough(knows, confirmation_quorum)
+    fallback_members.has_enough(has_current_members, confirmation_quorum)
 }
 
 /// Returns the next set of fallback members if a change is due. Agents join automatically, one step at a
@@ -161,17 +169,17 @@
         // With fewer members, every change would have to wait for one or two particular agents.
         return (members.len() >= MIN_FALLBACK_MEMBERS).then_some(FallbackMembers {
             members,
-            before: Vec::new(),
+            previous: Vec::new(),
         });
     };
     // Majorities of two sets that are one step apart always intersect; those further apart might not.
-    if !is_settled(state, fallback_members) {
+    if !has_reached_agents(state, fallback_members) {
         return None;
     }
-    if !fallback_members.before.is_empty() {
+    if !fallback_members.previous.is_empty() {
         return Some(FallbackMembers {
             members: fallback_members.members.clone(),
-            before: Vec::new(),
+            previous: Vec::new(),
         });
     }
     let joining = agents
@@ -185,21 +193,21 @@
         .collect();
     (members.len() > fallback_members.members.len()).then(|| FallbackMembers {
         members,
-        before: fallback_members.members.clone(),
+        previous: fallback_members.members.clone(),
     })
 }
 
 /// Returns the fallback members without these agents, or the reason why they cannot be removed.
 pub fn fallback_members_without(
     state: &ControllerState,
-    dropped: &[SocketAddr],
+    removed: &[SocketAddr],
 ) -> Result<FallbackMembers, Vec<Fault>> {
     let reject = |field: &str, why: String| Err(vec![Fault::new(field, why)]);
     let Some(fallback_members) = state.map(MapName::Membership).fallback_members() else {
         return reject("drop", "the roster does not exist yet".to_string());
     };
     let agents = reachable_agents(state);
-    for (index, address) in dropped.iter().enumerate() {
+    for (index, address) in removed.iter().enumerate() {
         let field = format!("drop[{index}]");
         if !fallback_members.members.contains(address) {
             return reject(&field, format!("{address} is not on the roster"));
@@ -209,11 +217,11 @@
             return reject(&field, why);
         }
     }
-    if !fallback_members.before.is_empty() || !is_settled(state, fallback_members) {
+    if !fallback_members.previous.is_empty() || !has_reached_agents(state, fallback_members) {
         let why = "the last roster change has not reached enough agents yet: try again";
         return reject("drop", why.to_string());
     }
-    let is_kept = |address: &&SocketAddr| !dropped.contains(address);
+    let is_kept = |address: &&SocketAddr| !removed.contains(address);
     let next = FallbackMembers {
         members: fallback_members
             .members
@@ -221,7 +229,7 @@
             .filter(is_kept)
             .copied()
             .collect(),
-        before: fallback_members.members.clone(),
+        previous: fallback_members.members.clone(),
     };
     if !next.has_enough(|address| agents.contains_key(address), majority_of) {
         let why = "fewer than a majority of the old or of the new roster are reachable";
--- a/crates/controller/src/consensus/mod.rs
+++ b/crates/controller/src/consensus/mod.rs
@@ -2,7 +2,7 @@
 //! after the other.
 //!
 //! The protocol itself is in `caperworks::consensus`. This module connects its messages to the disk, the
-//! network and the rest of the controller. [`proposals`] drives the proposers, [`repair`] finds changes that
+//! network and the rest of the controller. [`proposals`] drives the proposers, [`recovery`] finds changes that
 //! were left undecided, [`snapshot_transfer`] brings replicas up to date, [`quorum_reads`] determines which
 //! versions a majority has, and [`founding`] creates the first membership.
 
@@ -20,7 +20,7 @@
 pub mod founding;
 pub mod proposals;
 pub mod quorum_reads;
-pub mod repair;
+pub mod recovery;
 pub mod snapshot_transfer;
 
 /// Handles a consensus message as a voter, as a proposer, or as a replica that is catching up.
@@ -78,9 +78,9 @@
     }
     state.outputs.append(&mut replies);
     if let Some(map) = updated_map {
-        snapshot_transfer::continue_catch_up(state, map, outcome.moved.contains(&map));
+        snapshot_transfer::continue_catch_up(state, map, outcome.advanced.contains(&map));
     }
-    for map in outcome.moved {
+    for map in outcome.advanced {
         handle_new_version(state, map, membership_before);
     }
 }
@@ -111,7 +111,7 @@
         } else if snapshot_transfer::may_send(state, reply_to, delivery, &reply) {
             outputs.push(ControllerOutput::Send {
                 to: reply_to,
-                message: Message::ConsensusMessage { vote: reply },
+                message: Message::ConsensusMessage { message: reply },
             });
         }
     }
--- a/crates/controller/src/consensus/proposals.rs
+++ b/crates/controller/src/consensus/proposals.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use crate::consensus::repair;
+use crate::consensus::recovery;
 use crate::consensus::snapshot_transfer::{may_send, Delivery};
 use crate::state::parts::ProposalOrigin;
 use crate::state::ControllerState;
@@ -16,12 +16,12 @@
 use caperworks::messages::Message;
 use caperworks::replicated_map::{MapName, ALL_MAPS};
 
-/// Advances the proposals of all maps, and finishes changes that other proposers left undecided.
+/// Advances the proposals of all maps, and recovers changes that other proposers left undecided.
 pub fn tick(state: &mut ControllerState) {
     for name in ALL_MAPS {
         let index = name.index();
-        if repair::is_repair_due(state, name) {
-            state.proposers[index].finish();
+        if recovery::is_recovery_due(state, name) {
+            state.proposers[index].request_recovery();
         }
         let outcome = state.proposers[index].tick(state.now, &state.voter, &mut state.random);
         apply_outcome(state, outcome);
@@ -61,7 +61,7 @@
         return;
     };
     if may_send(state, to, Delivery::Unrequested, &message) {
-        state.send(to, Message::ConsensusMessage { vote: message });
+        state.send(to, Message::ConsensusMessage { message });
     }
 }
 
@@ -72,8 +72,8 @@
     let is_commit = matches!(message, ConsensusMessage::Commit { .. });
     let to_own = (is_commit && !voters.contains(&own)).then_some(own);
     for to in voters.iter().copied().chain(to_own) {
-        let vote = message.clone();
-        state.send(to, Message::ConsensusMessage { vote });
+        let message = message.clone();
+        state.send(to, Message::ConsensusMessage { message });
     }
 }
 
--- a/crates/controller/src/consensus/quorum_reads.rs
+++ b/crates/controller/src/consensus/quorum_reads.rs
@@ -75,7 +75,9 @@
 ) {
     let own = state.versions();
     let is_up_to_date = versions.iter().zip(&own).all(|(theirs, own)| theirs >= own);
-    state.liveness.handle_level(state.now, from, is_up_to_date);
+    state
+        .liveness
+        .handle_reported_versions(state.now, from, is_up_to_date);
     state
         .reported_synced_versions
         .insert(from, synced.unwrap_or_default());
@@ -104,9 +106,11 @@
     }
     let majority = state
         .voters()
-        .filter(|voters| voters.holder(from).is_some())
+        .filter(|voters| voters.entry(from).is_some())
         .map(VoterSet::majority);
     if let Some(majority) = majority {
-        state.quorum_reads.respond(from, number, versions, majority);
+        state
+            .quorum_reads
+            .handle_response(from, number, versions, majority);
     }
 }
--- a/crates/controller/src/consensus/snapshot_transfer.rs
+++ b/crates/controller/src/consensus/snapshot_transfer.rs
@@ -43,10 +43,10 @@
     after: Version,
     position: TransferPosition,
 ) {
-    let vote = state
+    let message = state
         .snapshots
         .respond(state.now, &state.voter, map, after, position);
-    state.send(to, Message::ConsensusMessage { vote });
+    state.send(to, Message::ConsensusMessage { message });
 }
 
 /// Stores a chunk of a snapshot and requests the next one. Returns the snapshot once it is complete and its
@@ -67,7 +67,7 @@
             None
         }
         ChunkOutcome::Snapshot(full_map) => Some(ConsensusMessage::Snapshot { map, full_map }),
-        ChunkOutcome::Refused(why) => {
+        ChunkOutcome::Rejected(why) => {
             state.log_event(Event::ChunkRejected { map, from, why });
             None
         }
@@ -79,22 +79,23 @@
     state: &mut ControllerState,
     peer: SocketAddr,
     map: MapName,
-    goal: Version,
+    target_version: Version,
 ) {
     let local_version = state.map(map).version;
-    let request = state
-        .catch_up
-        .behind(state.now, map, local_version, peer, goal);
+    let request =
+        state
+            .catch_up
+            .handle_announcement(state.now, map, local_version, peer, target_version);
     send_request(state, request);
 }
 
-/// Continues a catch-up after changes or a snapshot of a map arrived. `has_moved` tells whether they brought
+/// Continues a catch-up after changes or a snapshot of a map arrived. `has_advanced` is whether they brought
 /// the map to a new version.
-pub(super) fn continue_catch_up(state: &mut ControllerState, map: MapName, has_moved: bool) {
+pub(super) fn continue_catch_up(state: &mut ControllerState, map: MapName, has_advanced: bool) {
     let local_version = state.map(map).version;
     let request = state
         .catch_up
-        .handle_changes(state.now, map, local_version, has_moved);
+        .handle_changes(state.now, map, local_version, has_advanced);
     send_request(state, request);
 }
 
@@ -110,7 +111,7 @@
 
 fn send_request(state: &mut ControllerState, request: Option<CatchUpRequest>) {
     if let Some(request) = request {
-        let vote = request.message();
-        state.send(request.to, Message::ConsensusMessage { vote });
+        let message = request.message();
+        state.send(request.to, Message::ConsensusMessage { message });
     }
 }
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -40,16 +40,17 @@
     ///
     /// All facts are sent again to a peer that was unreachable or has restarted: facts sent in the meantime may be
     /// lost, and a new incarnation has none of the earlier ones.
-    pub fn handle(&mut self, now: Duration, peer: SocketAddr, incarnation: NodeId) {
-        let before = self.last_seen.insert(
+    pub fn record_contact(&mut self, now: Duration, peer: SocketAddr, incarnation: NodeId) {
+        let previous = self.last_seen.insert(
             peer,
             LastSeen {
                 at: now,
                 incarnation,
             },
         );
-        let has_received_facts = before.is_some_and(|before| {
-            before.incarnation == incarnation && now.saturating_sub(before.at) < SUSPICION_TIMEOUT
+        let has_received_facts = previous.is_some_and(|previous| {
+            previous.incarnation == incarnation
+                && now.saturating_sub(previous.at) < SUSPICION_TIMEOUT
         });
         if !has_received_facts {
             self.sent.remove(&peer);
@@ -70,33 +71,33 @@
         return;
     }
     state.fact_exchange.next_exchange_at = state.now + EXCHANGE_INTERVAL;
-    let present = SentOffsets {
-        instances: state.instances.learned(),
-        members: state.members.learned(),
+    let latest = SentOffsets {
+        instances: state.instances.latest_offset(),
+        members: state.members.latest_offset(),
     };
     for to in state.other_controllers() {
         if !state.fact_exchange.is_reachable(state.now, &to) {
             continue;
         }
-        let before = state.fact_exchange.sent.insert(to, present);
-        let before = before.unwrap_or_default();
-        if before != present {
-            send_facts_after(state, to, before);
+        let previous = state.fact_exchange.sent.insert(to, latest);
+        let previous = previous.unwrap_or_default();
+        if previous != latest {
+            send_facts_after(state, to, previous);
         }
     }
 }
 
 fn send_facts_after(state: &mut ControllerState, to: SocketAddr, offset: SentOffsets) {
     let instances = state.instances.after(state.now, offset.instances);
-    let gone = state.instances.ended_after(state.now, offset.instances);
+    let deregistered = state.instances.ended_after(state.now, offset.instances);
     let members = state.members.after(state.now, offset.members);
-    if instances.is_empty() && members.is_empty() && gone.is_empty() {
+    if instances.is_empty() && members.is_empty() && deregistered.is_empty() {
         return;
     }
     let message = Message::Facts {
         instances,
         members,
-        gone,
+        deregistered,
     };
     state.send(to, message);
 }
@@ -108,7 +109,7 @@
     state: &mut ControllerState,
     instances: Vec<ReceivedHeartbeat>,
     members: Vec<ReceivedMember>,
-    gone: Vec<InstanceId>,
+    deregistered: Vec<InstanceId>,
     age: Option<Duration>,
 ) {
     let Some(age) = age else {
@@ -117,8 +118,8 @@
     for received in instances {
         state.instances.handle(state.now, &received.aged(age));
     }
-    for id in gone {
-        state.instances.end(state.now, &id);
+    for id in deregistered {
+        state.instances.record_termination(state.now, &id);
     }
     for received in members {
         state.members.handle(state.now, &received.aged(age));
--- a/crates/controller/src/fault_injection.rs
+++ b/crates/controller/src/fault_injection.rs
@@ -31,13 +31,13 @@
     OverlongLeases,
     /// The valid part of a faulty change set is applied.
     PartialChangeSets,
-    /// Reads are answered without a quorum read.
+    /// Reads are served without a quorum read.
     ReadsWithoutQuorum,
     /// Changes are confirmed to operators whether or not the agents have them.
     ConfirmsWithoutAgents,
     /// Instances' calls are acknowledged by a controller without contact to a majority.
     AcknowledgesWithoutQuorum,
-    /// Reads are answered from a quorum read that began before they arrived.
+    /// Reads are served after a quorum read that began before they arrived.
     EarlyQuorumReads,
     /// Changes without a version are accepted regardless of their age.
     UnfencedChanges,
@@ -61,13 +61,13 @@
     /// Disables the safeguard in the receiver of snapshots.
     pub(crate) fn apply_to_catch_up(self, receiver: &mut CatchUpReceiver) {
         if self == Self::UncheckedSnapshot {
-            receiver.broken = CatchUpFault::SkipsDigest;
+            receiver.fault = CatchUpFault::SkipsDigest;
         }
     }
 
     /// Disables the safeguard in the owner manager.
     pub(crate) fn apply_to_owner_manager(self, manager: &mut OwnerManager) {
-        manager.hasty = self == Self::EarlyReassignment;
+        manager.skips_lease_wait = self == Self::EarlyReassignment;
         manager.infers_release = self == Self::TrustsOldHeartbeats;
         manager.grants_long_leases = self == Self::OverlongLeases;
     }
--- a/crates/controller/src/instance_calls.rs
+++ b/crates/controller/src/instance_calls.rs
@@ -111,13 +111,7 @@
     }
     if let Some(to) = requirements.owner_manager {
         let ticket = number;
-        state.send(
-            to,
-            Message::HeartbeatForward {
-                ticket,
-                heard: received,
-            },
-        );
+        state.send(to, Message::HeartbeatForward { ticket, received });
     }
 }
 
@@ -127,7 +121,7 @@
         reject(state, ticket);
         return;
     }
-    state.instances.end(state.now, &id);
+    state.instances.record_termination(state.now, &id);
     let requirements = Requirements {
         confirmations: confirmations_needed(state),
         owner_manager: None,
@@ -215,7 +209,7 @@
     let response = TimestampedResponse {
         response,
         stamp: state.envelope_clock.stamp(state.now),
-        again: resend == Resend::WithStamp,
+        resend: resend == Resend::WithStamp,
     };
     state.respond(ticket, OperatorResponse::Heartbeat { response });
 }
@@ -263,7 +257,7 @@
         state.instances.handle(state.now, &received.aged(age));
     }
     if let Some(id) = ended {
-        state.instances.end(state.now, &id);
+        state.instances.record_termination(state.now, &id);
     }
     state.send(reply_to, Message::FactConfirmed { number });
 }
@@ -274,7 +268,7 @@
 pub fn handle_confirmation(state: &mut ControllerState, from: NodeId, number: u64) {
     let is_voter = state
         .voters()
-        .is_some_and(|voters| voters.holder(from).is_some());
+        .is_some_and(|voters| voters.entry(from).is_some());
     if !is_voter {
         return;
     }
@@ -358,7 +352,7 @@
     age: Option<Duration>,
 ) -> HeartbeatResponse {
     let received = age.map(|age| received.aged(age));
-    let lifetime = state.instances.span;
+    let lifetime = state.instances.timeout;
     let recent = received.filter(|received| received.age < lifetime);
     let Some(received) = recent else {
         return HeartbeatResponse::default();
--- a/crates/controller/src/leadership/fencing.rs
+++ b/crates/controller/src/leadership/fencing.rs
@@ -21,17 +21,17 @@
     if !state.is_current(map) {
         return None;
     }
-    let present = state.map(map).fence().map_or(Epoch(0), |term| term.epoch);
-    let expected = state.map(map).present(FENCE);
-    if present == epoch {
+    let current_epoch = state.map(map).fence().map_or(Epoch(0), |term| term.epoch);
+    let expected = state.map(map).item_version(FENCE);
+    if current_epoch == epoch {
         return Some(Guard {
             key: FENCE.to_string(),
             expected,
         });
     }
-    if present < epoch && !state.has_proposal_in_flight(&ProposalOrigin::Fence(map)) {
+    if current_epoch < epoch && !state.has_proposal_in_flight(&ProposalOrigin::Fence(map)) {
         let term = LeadershipTerm {
-            holder: state.node,
+            leader: state.node,
             epoch,
         };
         let value = Value::Leadership { term };
@@ -44,6 +44,6 @@
 /// Adds a guard that rejects the change once the voter management role has changed hands.
 pub(super) fn guard_by_voter_management(state: &ControllerState, change: &mut Change) {
     let key = term_key(VOTER_MANAGEMENT);
-    let expected = state.map(MapName::Membership).present(&key);
+    let expected = state.map(MapName::Membership).item_version(&key);
     change.guards.push(Guard { key, expected });
 }
--- a/crates/controller/src/leadership/majority_loss.rs
+++ b/crates/controller/src/leadership/majority_loss.rs
@@ -16,23 +16,26 @@
     let replaced: Vec<NodeId> = state
         .voters()
         .iter()
-        .flat_map(|voters| &voters.holders)
+        .flat_map(|voters| &voters.entries)
         .filter(|voter| is_replaced(state, voter))
         .map(|voter| voter.node)
         .collect();
     for node in replaced {
-        state.liveness.lose(node);
+        state.liveness.mark_unreachable(node);
     }
 }
 
 /// Returns whether another node has responded at a voter's address since the voter stopped responding.
 pub(super) fn is_replaced(state: &ControllerState, voter: &VoterEntry) -> bool {
-    state.seeds.get(&voter.address).is_some_and(|seen| {
-        seen.node != voter.node
-            && state
-                .liveness
-                .is_successor(state.now, seen.node, voter.node)
-    })
+    state
+        .known_controllers
+        .get(&voter.address)
+        .is_some_and(|seen| {
+            seen.node != voter.node
+                && state
+                    .liveness
+                    .is_successor(state.now, seen.node, voter.node)
+        })
 }
 
 /// Logs that more voters are lost than consensus can tolerate. Only their return resolves this.
@@ -52,8 +55,8 @@
     let unreachable: Vec<String> = state
         .voters()
         .into_iter()
-        .flat_map(|voters| &voters.holders)
-        .filter(|voter| voter.node != state.node && !state.liveness.alive(now, voter.node))
+        .flat_map(|voters| &voters.entries)
+        .filter(|voter| voter.node != state.node && !state.liveness.is_alive(now, voter.node))
         .map(|voter| voter.address.to_string())
         .collect();
     let why = format!("unreachable voters: {}", unreachable.join(", "));
--- a/crates/controller/src/leadership/ownership.rs
+++ b/crates/controller/src/leadership/ownership.rs
@@ -25,14 +25,14 @@
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts a term when the epoch is new, and proposes the next key range change when one is due.
-pub(super) fn manage_key_ranges(state: &mut ControllerState, epoch: Epoch, held: Duration) {
+pub(super) fn manage_key_ranges(state: &mut ControllerState, epoch: Epoch, leading_for: Duration) {
     let Some(guard) = guard_by_fence(state, MapName::Ownership, epoch) else {
         return;
     };
     if state.ownership_role.epoch != Some(epoch) {
         begin_term(state, epoch);
     }
-    if held < state.options.core.listen
+    if leading_for < state.options.core.collection_period
         || state.now < state.ownership_role.next_plan_at
         || state.has_proposal_in_flight(&ProposalOrigin::Ownership)
     {
@@ -54,9 +54,9 @@
     let fault_injection = state.options.fault_injection;
     let role = &mut state.ownership_role;
     role.epoch = Some(epoch);
-    role.manager.spans = state.options.core.owner_manager;
-    let after_own = role.previous_epoch == Some(epoch);
-    role.manager.take_up(state.now, after_own);
+    role.manager.timings = state.options.core.owner_manager;
+    let is_own_predecessor = role.previous_epoch == Some(epoch);
+    role.manager.start_term(state.now, is_own_predecessor);
     fault_injection.apply_to_owner_manager(&mut role.manager);
     state.log_event(Event::OwnershipLeaderElected { epoch });
 }
@@ -94,7 +94,7 @@
     guard: Guard,
 ) {
     let key = format!("slices/{service}");
-    let expected = state.map(MapName::Ownership).present(&key);
+    let expected = state.map(MapName::Ownership).item_version(&key);
     let value = Value::KeyRanges { table };
     let mut change = single_put(state, "slices", key, expected, value);
     change.guards.push(guard);
@@ -126,7 +126,7 @@
 fn is_owner_manager(state: &ControllerState) -> bool {
     let term = state.map(MapName::Membership).leadership(OWNERSHIP);
     let epoch = state.ownership_role.epoch;
-    let has_role = term.is_some_and(|term| term.holder == state.node && epoch == Some(term.epoch));
+    let has_role = term.is_some_and(|term| term.leader == state.node && epoch == Some(term.epoch));
     let fence = state.map(MapName::Ownership).fence().map(|term| term.epoch);
     has_role
         && fence == epoch
@@ -140,13 +140,13 @@
     if !state.is_current(MapName::Membership) {
         return None;
     }
-    let leader = state.map(MapName::Membership).leadership(OWNERSHIP)?.holder;
-    let is_reachable = leader != state.node && state.liveness.alive(state.now, leader);
+    let leader = state.map(MapName::Membership).leadership(OWNERSHIP)?.leader;
+    let is_reachable = leader != state.node && state.liveness.is_alive(state.now, leader);
     is_reachable.then(|| owner_manager_address(state)).flatten()
 }
 
 /// Returns the owner manager's address according to the local membership.
 pub fn owner_manager_address(state: &ControllerState) -> Option<SocketAddr> {
     let term = state.map(MapName::Membership).leadership(OWNERSHIP)?;
-    Some(state.voters()?.holder(term.holder)?.address)
+    Some(state.voters()?.entry(term.leader)?.address)
 }
--- a/crates/controller/src/leadership/solver.rs
+++ b/crates/controller/src/leadership/solver.rs
@@ -1,4 +1,4 @@
-//! The solver role: computes how load is placed on instances and writes the placement map.
+//! The solver role: computes the mapping of client groups to zones and writes it to the placement map.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 /// A new leader first collects heartbeats for a while. No placement is computed from an outdated
 /// configuration, which may contain removed routes, nor while there is no ready proxy: the last placement
 /// then remains in use.
-pub(super) fn update_placement(state: &mut ControllerState, epoch: Epoch, held: Duration) {
+pub(super) fn update_placement(state: &mut ControllerState, epoch: Epoch, leading_for: Duration) {
     let Some(guard) = guard_by_fence(state, MapName::Placement, epoch) else {
         return;
     };
-    if held < state.options.core.listen
+    if leading_for < state.options.core.collection_period
         || state.has_proposal_in_flight(&ProposalOrigin::Solver)
         || !state.is_current(MapName::Configuration)
         || state.members.ready_proxies().next().is_none()
@@ -45,12 +45,12 @@
 }
 
 fn propose_placement(state: &mut ControllerState, mapping: Mapping, guard: Guard) {
-    let expected = state.map(MapName::Placement).present(MAPPING);
+    let expected = state.map(MapName::Placement).item_version(MAPPING);
     let value = Value::Mapping { mapping };
     let mut change = single_put(state, MAPPING, MAPPING.to_string(), expected, value);
     change.guards.push(guard);
     state.propose(MapName::Placement, ProposalOrigin::Solver, change);
 }
 
-/// The item of the placement map that holds the placement.
+/// The key of the item that contains the mapping in the placement map.
 const MAPPING: &str = "mapping";
--- a/crates/controller/src/leadership/voter_management.rs
+++ b/crates/controller/src/leadership/voter_management.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariants: a change adds or removes a single voter, so that every majority before it intersects every
 //! majority after it. It is proposed only if the live voters are a majority of the new set. All maps are
-//! repaired first, so that no change that the previous voters had partly accepted is lost.
+//! recovered first, so that no change that the previous voters had partly accepted is lost.
 
 use std::time::Duration;
 
@@ -35,8 +35,8 @@
 }
 
 /// Proposes the next voter change if one is due, and otherwise the next change of the fallback members.
-pub(super) fn manage_voters(state: &mut ControllerState, held: Duration) {
-    if held < state.options.core.listen
+pub(super) fn manage_voters(state: &mut ControllerState, leading_for: Duration) {
+    if leading_for < state.options.core.collection_period
         || state.has_proposal_in_flight(&ProposalOrigin::VoterManagement)
         || !state.is_current(MapName::Membership)
     {
@@ -49,7 +49,7 @@
     match next_change(state, &voters) {
         Some(change) if !has_live_majority(state, &change.next) => log_rejection(state, change),
         Some(change) => {
-            if repair_all_maps(state) {
+            if recover_all_maps(state) {
                 propose_voters(state, change);
             }
         }
@@ -61,9 +61,9 @@
 /// than from the start of the term, since the previous leader may have waited for it already.
 fn record_lost_voters(state: &mut ControllerState, voters: &VoterSet) {
     let now = state.now;
-    for voter in &voters.holders {
+    for voter in &voters.entries {
         let lost_since = &mut state.voter_management.lost_since;
-        if voter.node == state.node || state.liveness.alive(now, voter.node) {
+        if voter.node == state.node || state.liveness.is_alive(now, voter.node) {
             lost_since.remove(&voter.node);
         } else {
             let since = state.liveness.last_seen(voter.node).unwrap_or(now);
@@ -79,7 +79,7 @@
 
 fn live_voter_count(state: &ControllerState, voters: &VoterSet) -> usize {
     voters
-        .holders
+        .entries
         .iter()
         .filter(|voter| !state.voter_management.lost_since.contains_key(&voter.node))
         .count()
@@ -93,25 +93,25 @@
     }
     management.rejection_logged_at = state.now;
     let live = live_voter_count(state, &next);
-    let why = format!("{reason}: {live} live voters of {}", next.holders.len());
+    let why = format!("{reason}: {live} live voters of {}", next.entries.len());
     state.log_event(Event::VoterChangeRejected { why });
 }
 
-/// Returns whether no map has an undecided change under the current voters, and starts the repair of those
-/// that do.
-fn repair_all_maps(state: &mut ControllerState) -> bool {
+/// Returns whether no map has an undecided change under the current voters, and requests the recovery of
+/// those that may have one.
+fn recover_all_maps(state: &mut ControllerState) -> bool {
     let membership = state.map(MapName::Membership).version;
-    let mut is_settled = true;
+    let mut are_recovered = true;
     for proposer in &mut state.proposers {
-        is_settled &= ensure_recovered(proposer, membership);
+        are_recovered &= ensure_recovered(proposer, membership);
     }
-    is_settled
+    are_recovered
 }
 
 fn propose_voters(state: &mut ControllerState, change: VoterChange) {
     let why = change.reason;
     state.log_event(Event::VoterChangeProposed { why });
-    let expected = state.map(MapName::Membership).present(VOTERS);
+    let expected = state.map(MapName::Membership).item_version(VOTERS);
     let value = Value::VoterSet {
         voters: change.next,
     };
@@ -127,9 +127,11 @@
     }
 }
 
-/// Returns a change that replaces the present fallback members.
+/// Returns a change that replaces the current fallback members.
 pub fn fallback_members_change(state: &mut ControllerState, value: Value) -> Change {
-    let expected = state.map(MapName::Membership).present(FALLBACK_MEMBERS);
+    let expected = state
+        .map(MapName::Membership)
+        .item_version(FALLBACK_MEMBERS);
     let mut change = single_put(
         state,
         FALLBACK_MEMBERS,
@@ -153,21 +155,21 @@
 /// Adds a candidate controller while there are too few controllers among the voters.
 fn add_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let controllers = voters
-        .holders
+        .entries
         .iter()
         .filter(|voter| voter.controller)
         .count();
     if controllers >= state.options.core.controller_voters {
         return None;
     }
-    let newcomer = controller_candidate(state, voters)?;
-    let reason = format!("adding controller {}", newcomer.node);
-    Some(with_voter(voters, newcomer, reason))
+    let new_voter = controller_candidate(state, voters)?;
+    let reason = format!("adding controller {}", new_voter.node);
+    Some(with_voter(voters, new_voter, reason))
 }
 
 /// Removes a witness that is draining or has been unreachable for too long.
 fn remove_lost_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
-    let lost = voters.holders.iter().find(|voter| {
+    let lost = voters.entries.iter().find(|voter| {
         let is_draining = state
             .members
             .iter()
@@ -182,8 +184,8 @@
 /// old one cannot come back there. It is removed only if a candidate can replace it: until then its disk may
 /// still be needed for a majority.
 fn remove_lost_controller(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
-    let timeout = state.options.core.controller_lost;
-    let lost = voters.holders.iter().find(|voter| {
+    let timeout = state.options.core.controller_timeout;
+    let lost = voters.entries.iter().find(|voter| {
         let has_timed_out = unreachable_for(state, voter.node) >= timeout;
         voter.controller && (is_replaced(state, voter) || has_timed_out)
     })?;
@@ -195,9 +197,9 @@
 /// Removes a witness that shares its zone with another voter if there is a candidate in a zone without a
 /// voter: two voters in one zone would be lost together.
 fn remove_colocated_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
-    let colocated = voters.holders.iter().find(|voter| {
+    let colocated = voters.entries.iter().find(|voter| {
         let shares_zone = |other: &VoterEntry| other.node != voter.node && other.zone == voter.zone;
-        !voter.controller && voters.holders.iter().any(shares_zone)
+        !voter.controller && voters.entries.iter().any(shares_zone)
     })?;
     let candidate = witness_candidate(state, voters)?;
     if has_voter_in(voters, &candidate.zone) {
@@ -214,7 +216,7 @@
 fn add_witness(state: &ControllerState, voters: &VoterSet) -> Option<VoterChange> {
     let core = &state.options.core;
     let wanted = core.controller_voters + core.witness_voters;
-    if core.witness_voters == 0 || voters.holders.len() >= wanted {
+    if core.witness_voters == 0 || voters.entries.len() >= wanted {
         return None;
     }
     let witness = witness_candidate(state, voters)?;
@@ -222,15 +224,15 @@
     Some(with_voter(voters, witness, reason))
 }
 
-fn with_voter(voters: &VoterSet, newcomer: VoterEntry, reason: String) -> VoterChange {
+fn with_voter(voters: &VoterSet, new_voter: VoterEntry, reason: String) -> VoterChange {
     let mut next = voters.clone();
-    next.holders.push(newcomer);
+    next.entries.push(new_voter);
     VoterChange { next, reason }
 }
 
 fn without_voter(voters: &VoterSet, lost: NodeId, reason: String) -> VoterChange {
     let mut next = voters.clone();
-    next.holders.retain(|voter| voter.node != lost);
+    next.entries.retain(|voter| voter.node != lost);
     VoterChange { next, reason }
 }
 
--- a/crates/controller/src/operator_calls.rs
+++ b/crates/controller/src/operator_calls.rs
@@ -59,7 +59,7 @@
                 until,
             });
         }
-        OperatorCall::Retire { dropped } => retire(state, ticket, &dropped),
+        OperatorCall::RemoveAgents { agents } => remove_agents(state, ticket, &agents),
         OperatorCall::Status => {
             let status = Box::new(status(state));
             state.respond(ticket, OperatorResponse::Status { status });
@@ -148,7 +148,7 @@
         .filter(|put| is_unversioned_put(put))
         .map(|put| Guard {
             key: put.key.clone(),
-            expected: configuration.present(&put.key),
+            expected: configuration.item_version(&put.key),
         });
     change.guards.extend(fences);
     state.unversioned_changes.insert(ticket, unversioned);
@@ -174,12 +174,12 @@
 }
 
 /// Proposes to remove these agents from the fallback members.
-fn retire(state: &mut ControllerState, ticket: u64, dropped: &[SocketAddr]) {
+fn remove_agents(state: &mut ControllerState, ticket: u64, removed: &[SocketAddr]) {
     if state.stopping_since.is_some() {
         state.respond(ticket, OperatorResponse::ShuttingDown);
         return;
     }
-    match agents::fallback_members_without(state, dropped) {
+    match agents::fallback_members_without(state, removed) {
         Ok(fallback_members) => {
             let value = Value::FallbackMembers { fallback_members };
             let change = voter_management::fallback_members_change(state, value);
@@ -210,10 +210,10 @@
         voters: membership
             .voters()
             .iter()
-            .flat_map(|voters| &voters.holders)
+            .flat_map(|voters| &voters.entries)
             .map(|voter| {
                 let is_alive =
-                    voter.node == state.node || state.liveness.alive(state.now, voter.node);
+                    voter.node == state.node || state.liveness.is_alive(state.now, voter.node);
                 (voter.clone(), is_alive)
             })
             .collect(),
@@ -232,7 +232,7 @@
 fn update_up_to(update: ConsensusMessage, version: Version) -> Option<ConsensusMessage> {
     match update {
         ConsensusMessage::Updates { map, mut changes } => {
-            changes.retain(|numbered| numbered.version <= version);
+            changes.retain(|committed| committed.version <= version);
             Some(ConsensusMessage::Updates { map, changes })
         }
         ConsensusMessage::Snapshot { map, full_map } if full_map.version <= version => {
--- a/crates/controller/src/reads.rs
+++ b/crates/controller/src/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads of the configuration with a read index: a read is answered from the local replica once
+//! Linearizable reads of the configuration with a read index: a read is served from the local replica once
 //! that has all versions that a majority of the voters reported in a quorum read begun after the read arrived.
 //!
 //! Every change that was accepted before the read arrived is known to at least one voter of each majority, so
@@ -54,7 +54,7 @@
     is_quorum_read_wanted: bool,
 }
 
-/// Begins a read, which is answered as soon as its quorum read has completed.
+/// Begins a read, which is served as soon as its quorum read has completed.
 ///
 /// It is rejected immediately if no majority is reachable, or if this controller knows no membership.
 pub fn begin_read(state: &mut ControllerState, ticket: u64, kind: ReadKind) {
@@ -107,7 +107,7 @@
     }
     begin_wanted_quorum_read(state);
     for read in std::mem::take(&mut state.reads.pending) {
-        if is_answered_by(state, read.quorum_read) {
+        if is_satisfied_by(state, read.quorum_read) {
             respond(state, read.ticket, read.kind);
         } else if state.now >= read.until {
             reject(state, read.ticket);
@@ -122,7 +122,7 @@
 ///
 /// The membership must be up to date too: voters that were replaced do not know what the current voters have
 /// accepted, but at least one of a majority of them knows that they were replaced.
-fn is_answered_by(state: &ControllerState, number: u64) -> bool {
+fn is_satisfied_by(state: &ControllerState, number: u64) -> bool {
     let Some(quorum_read) = state.quorum_reads.completed_since(number) else {
         return false;
     };
--- a/crates/controller/src/renewal.rs
+++ b/crates/controller/src/renewal.rs
@@ -68,20 +68,20 @@
     let mapping = state.map(MapName::Placement).mapping();
     let placed_proxies = mapping.map_or(0, |mapping| mapping.proxies);
     let proxies = placed_proxies.max(state.members.ready_proxies().count() as u32);
-    let assured = quorum_read.is_some();
+    let has_quorum = quorum_read.is_some();
     let (quorum_read_age, versions) = quorum_read.unwrap_or((LEASE_DURATION, Vec::new()));
     let granted = Granted {
         number: renewal.number,
         quorum_read_age,
         versions,
-        instances: instances.heard,
+        instances: instances.received,
         instances_offset: instances.offset,
-        gone: state.instances.ended_after(now, offsets.ended_instances),
+        deregistered: state.instances.ended_after(now, offsets.ended_instances),
         proxies,
-        members: members.heard,
+        members: members.received,
         members_offset: members.offset,
         updates,
-        assured,
+        has_quorum,
         in_chunks,
         more: more || instances.more || members.more,
     };
@@ -118,7 +118,7 @@
     /// other controller yet. It receives all instances that are draining or have ended, whether or not they
     /// had reached the other controller.
     fn of(state: &ControllerState, renewal: &Renewal) -> Self {
-        if renewal.controller == state.incarnation {
+        if renewal.controller_incarnation == state.incarnation {
             return Self {
                 instances: renewal.instances_after,
                 members: renewal.members_after,
@@ -150,7 +150,7 @@
     max_facts: usize,
 ) -> FactBatch<ReceivedHeartbeat> {
     if role == Role::Directory {
-        return FactBatch::none(state.instances.learned());
+        return FactBatch::none(state.instances.latest_offset());
     }
     let first = state
         .instances
@@ -160,7 +160,7 @@
             .instances
             .draining_between(state.now, offsets.ended_instances, offsets.instances);
     FactBatch {
-        heard: draining.into_iter().chain(first.heard).collect(),
+        received: draining.into_iter().chain(first.received).collect(),
         ..first
     }
 }
@@ -176,12 +176,12 @@
     max_facts: usize,
 ) -> FactBatch<ReceivedMember> {
     if role == Role::Proxy {
-        return FactBatch::none(state.members.learned());
+        return FactBatch::none(state.members.latest_offset());
     }
     let mut members = state
         .members
         .first_after(state.now, members_after, max_facts);
-    for received in &mut members.heard {
+    for received in &mut members.received {
         received.member.demand.clear();
     }
     members
@@ -209,7 +209,7 @@
         ResponseExtent::Brief => MAX_BRIEF_UPDATE_BYTES,
     };
     let mut maps = FollowerMaps::default();
-    for map in renewal.wants.iter().copied() {
+    for map in renewal.followed_maps.iter().copied() {
         let versions = &renewal.member.versions;
         let version = versions.get(map.index()).copied().unwrap_or_default();
         let voter = &state.voter;
@@ -221,7 +221,7 @@
             renewal.form,
             max_bytes,
         ) {
-            FollowerUpdate::Nothing => {}
+            FollowerUpdate::UpToDate => {}
             FollowerUpdate::InChunks => maps.in_chunks.push(map),
             FollowerUpdate::Partial(changes) => {
                 maps.updates.push(changes);
--- a/crates/controller/src/state/mod.rs
+++ b/crates/controller/src/state/mod.rs
@@ -92,7 +92,7 @@
     /// The progress of the membership's founding.
     pub founding: FoundingProgress,
     /// Other controllers by address, as described by their last seed message.
-    pub seeds: BTreeMap<SocketAddr, KnownController>,
+    pub known_controllers: BTreeMap<SocketAddr, KnownController>,
 
     /// The quorum reads in flight, and the results of the last ones.
     pub quorum_reads: QuorumReads,
@@ -169,10 +169,10 @@
             .collect();
         let leaderships = LEADERSHIPS.iter().map(|name| LeadershipWatch::new(name));
         let mut instances = Instances::default();
-        instances.span = options.core.instance_timeout;
-        instances.refresh = options.core.heartbeat_refresh;
+        instances.timeout = options.core.instance_timeout;
+        instances.refresh_interval = options.core.heartbeat_refresh;
         let mut members = Members::default();
-        members.refresh = options.core.member_refresh;
+        members.refresh_interval = options.core.member_refresh;
         Self {
             now: Duration::ZERO,
             node,
@@ -188,7 +188,7 @@
             snapshots: SnapshotSender::default(),
             full_map_limit: SnapshotRateLimiter::default(),
             founding: FoundingProgress::default(),
-            seeds: BTreeMap::new(),
+            known_controllers: BTreeMap::new(),
             quorum_reads: QuorumReads::default(),
             liveness: Liveness::default(),
             next_quorum_read_at: Duration::ZERO,
@@ -231,7 +231,7 @@
     /// Returns whether a node is alive and has synced everything that this one has.
     pub fn is_synced_replica(&self, node: NodeId) -> bool {
         let own = self.versions();
-        self.liveness.alive(self.now, node)
+        self.liveness.is_alive(self.now, node)
             && self
                 .reported_synced_versions
                 .get(&node)
@@ -249,7 +249,7 @@
     /// Returns whether this node is a voter according to its replica of the membership.
     pub fn is_voter(&self) -> bool {
         self.voters()
-            .is_some_and(|voters| voters.holder(self.node).is_some())
+            .is_some_and(|voters| voters.entry(self.node).is_some())
     }
 
     /// Sends a message to another node, or to this node itself through the host.
@@ -270,10 +270,10 @@
 
     /// Returns the address of a node that is a voter or that sent a seed message.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
-        if let Some(voter) = self.voters().and_then(|voters| voters.holder(node)) {
+        if let Some(voter) = self.voters().and_then(|voters| voters.entry(node)) {
             return Some(voter.address);
         }
-        self.seeds
+        self.known_controllers
             .iter()
             .find(|(_, seen)| seen.node == node)
             .map(|(address, _)| *address)
@@ -285,7 +285,7 @@
         let mut addresses: BTreeSet<SocketAddr> =
             membership.voter_addresses(true).into_iter().collect();
         addresses.extend(&self.options.seeds);
-        addresses.extend(self.seeds.keys());
+        addresses.extend(self.known_controllers.keys());
         addresses.remove(&self.options.control);
         addresses
     }
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -70,8 +70,8 @@
         self.requests + self.responses + self.chunks + self.full_maps
     }
 
-    fn count(&mut self, vote: &ConsensusMessage, bytes: usize) {
-        match vote {
+    fn count(&mut self, message: &ConsensusMessage, bytes: usize) {
+        match message {
             ConsensusMessage::CatchUp { .. } => self.requests += 1,
             ConsensusMessage::Updates { .. } => self.responses += 1,
             ConsensusMessage::Chunk { .. } => self.chunks += 1,
@@ -194,9 +194,9 @@
     }
 
     fn send(&mut self, index: usize, to: SocketAddr, mut message: Message) {
-        if let Message::ConsensusMessage { vote } = &mut message {
+        if let Message::ConsensusMessage { message } = &mut message {
             if let (ConsensusMessage::Chunk { chunk }, Some((receiver, corrupt))) =
-                (&mut *vote, self.corruption)
+                (&mut *message, self.corruption)
             {
                 if to == address(receiver) {
                     corrupt(chunk);
@@ -213,8 +213,8 @@
             let bytes = minicbor::to_vec(&envelope)
                 .expect("the envelope encodes")
                 .len();
-            if let Message::ConsensusMessage { vote } = &envelope.message {
-                self.traffic.count(vote, bytes);
+            if let Message::ConsensusMessage { message } = &envelope.message {
+                self.traffic.count(message, bytes);
             }
             let transfer_time = Duration::from_micros(bytes as u64 * 1_000_000 / rate);
             let free_at = self.link_free_at.entry((address(index), to)).or_default();
@@ -259,8 +259,8 @@
         }
     }
 
-    fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
@@ -282,12 +282,12 @@
     }
 
     /// Delivers a message of the first controller to another one, and returns the resulting outputs.
-    fn deliver_to(&mut self, index: usize, vote: ConsensusMessage) -> Vec<ControllerOutput> {
+    fn deliver_to(&mut self, index: usize, message: ConsensusMessage) -> Vec<ControllerOutput> {
         let machine = self.nodes[0]
             .machine
             .as_ref()
             .expect("the controller is running");
-        let envelope = machine.seal(address(index), Message::ConsensusMessage { vote });
+        let envelope = machine.seal(address(index), Message::ConsensusMessage { message });
         self.input(index, ControllerInput::MessageReceived { envelope })
     }
 
@@ -298,7 +298,10 @@
         let membership = state.map(MapName::Membership).version;
         let round = 1_000_000;
         let node = state.node;
-        let proposal_number = ProposalNumber { round, node };
+        let proposal_number = ProposalNumber {
+            counter: round,
+            node,
+        };
         let prepare = ConsensusMessage::Prepare {
             map,
             membership,
@@ -317,9 +320,9 @@
             version,
             change,
         };
-        for vote in [prepare, accept, commit] {
+        for message in [prepare, accept, commit] {
             for index in 0..2 {
-                let outputs = self.deliver_to(index, vote.clone());
+                let outputs = self.deliver_to(index, message.clone());
                 self.carry_out(index, outputs);
                 self.deliver();
             }
@@ -419,8 +422,8 @@
         assert!(state.storage.log_length() <= LOG_CAPACITY);
         let history = state.voter.history(MapName::Configuration);
         assert!(history.weight() <= MAX_HISTORY_WEIGHT);
-        let answered = state.map(MapName::Configuration).answered.len();
-        assert!(answered <= REMEMBERED_CHANGES);
+        let recent_changes = state.map(MapName::Configuration).recent_changes.len();
+        assert!(recent_changes <= REMEMBERED_CHANGES);
     }
     // Both controllers wrote a complete slot more than once. The map has grown a little since the last one,
     // because of the version history of each item.
@@ -484,7 +487,7 @@
         output,
         ControllerOutput::Send {
             message: Message::ConsensusMessage {
-                vote: ConsensusMessage::Promise { .. } | ConsensusMessage::Accepted { .. }
+                message: ConsensusMessage::Promise { .. } | ConsensusMessage::Accepted { .. }
             },
             ..
         }
@@ -512,13 +515,16 @@
         let state = fleet.state(0);
         let round = 2_000_000 + steps;
         let node = state.node;
-        let vote = ConsensusMessage::Prepare {
+        let message = ConsensusMessage::Prepare {
             map: MapName::Configuration,
             membership: state.map(MapName::Membership).version,
             version: state.map(MapName::Configuration).version.next(),
-            proposal_number: ProposalNumber { round, node },
+            proposal_number: ProposalNumber {
+                counter: round,
+                node,
+            },
         };
-        let outputs = fleet.deliver_to(2, vote);
+        let outputs = fleet.deliver_to(2, message);
         let is_write = |output: &ControllerOutput| matches!(output, ControllerOutput::Write { .. });
         let is_vote = |output: &ControllerOutput| is_promise(output) || is_write(output);
         assert!(!outputs.iter().any(is_vote), "step {steps}: {outputs:?}");
@@ -549,8 +555,8 @@
 /// Returns whether a controller that is behind becomes leader. It is the first candidate for every role.
 fn leads_while_behind(fault: FaultInjection) -> bool {
     let mut fleet = Fleet::founded(30);
-    let holders = &fleet.state(0).voters().expect("it is founded").holders;
-    assert_eq!(holders[0].address, address(0), "the first candidate");
+    let entries = &fleet.state(0).voters().expect("it is founded").entries;
+    assert_eq!(entries[0].address, address(0), "the first candidate");
     let image = fleet.nodes[0].image.clone();
     for number in 0..ROUTES / 50 {
         fleet.commit(routes_change(number * 50..(number + 1) * 50, ROUTES));
@@ -576,7 +582,7 @@
             .filter_map(|name| membership.leadership(name));
         let is_behind = fleet.state(0).map(MapName::Configuration).version
             < fleet.state(1).map(MapName::Configuration).version;
-        led |= is_behind && terms.into_iter().any(|term| term.holder == node);
+        led |= is_behind && terms.into_iter().any(|term| term.leader == node);
     }
     assert!(
         steps > 160,
@@ -586,7 +592,7 @@
     let membership = fleet.state(1).map(MapName::Membership);
     let node = fleet.state(0).node;
     let term = membership.leadership(SOLVER).expect("a leader");
-    assert_eq!(term.holder, node, "an up-to-date controller becomes leader");
+    assert_eq!(term.leader, node, "an up-to-date controller becomes leader");
     led
 }
 
--- a/crates/controller/tests/fleet/fleet.rs
+++ b/crates/controller/tests/fleet/fleet.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    pub fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
             for index in 0..self.nodes.len() {
@@ -338,9 +338,9 @@
         capacity: 4,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::MAX,
+        uptime: Duration::MAX,
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -305,16 +305,16 @@
     );
     fleet.run(Duration::from_secs(2));
     let owner_manager = fleet.owner_manager();
-    let mut holders = LeaseHolders::default();
+    let mut lease_holders = LeaseHolders::default();
     for _ in 0..40 {
-        holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "one");
-        holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
+        lease_holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "one");
+        lease_holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
         fleet.run(Duration::from_millis(250));
     }
-    let (one, two) = (&holders.leases["one"], &holders.leases["two"]);
+    let (one, two) = (&lease_holders.leases["one"], &lease_holders.leases["two"]);
     assert!(one.len() >= 3 && two.len() >= 3, "{one:?} {two:?}");
     assert_eq!(one.len() + two.len(), 8);
-    (fleet, holders, owner_manager)
+    (fleet, lease_holders, owner_manager)
 }
 
 fn deregister(fleet: &mut Fleet, index: usize, id: &str) {
@@ -328,8 +328,8 @@
     // The deregistration arrives either at the owner manager, or at another controller that propagates it within
     // 150 ms.
     for (offset, propagation_time) in [(0, Duration::ZERO), (1, Duration::from_millis(150))] {
-        let (mut fleet, mut holders, owner_manager) = fleet_with_two_owners(120);
-        let owned = holders.leases["one"].clone();
+        let (mut fleet, mut lease_holders, owner_manager) = fleet_with_two_owners(120);
+        let owned = lease_holders.leases["one"].clone();
         let ended_at = fleet.now;
         deregister(&mut fleet, (owner_manager + offset) % 3, "one");
         loop {
@@ -340,13 +340,13 @@
                 "the key ranges were never reassigned"
             );
             for index in (0..3).filter(|_| elapsed > propagation_time) {
-                let late = holders.send_heartbeat(&mut fleet, index, "one");
+                let late = lease_holders.send_heartbeat(&mut fleet, index, "one");
                 let context = format!("{offset} {index} after {elapsed:?}: {late:?}");
                 assert!(late.leases.is_empty(), "{context}");
                 assert!(late.release.is_empty(), "{context}");
             }
-            holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
-            let two = &holders.leases["two"];
+            lease_holders.send_heartbeat(&mut fleet, (owner_manager + 1) % 3, "two");
+            let two = &lease_holders.leases["two"];
             if !two.is_disjoint(&owned) {
                 assert!(
                     elapsed >= Duration::from_millis(500),
@@ -361,9 +361,9 @@
 
 #[test]
 fn heartbeat_right_after_deregistration_gets_no_lease() {
-    let (mut fleet, mut holders, owner_manager) = fleet_with_two_owners(130);
+    let (mut fleet, mut lease_holders, owner_manager) = fleet_with_two_owners(130);
     deregister(&mut fleet, owner_manager, "one");
-    let late = holders.send_heartbeat(&mut fleet, owner_manager, "one");
+    let late = lease_holders.send_heartbeat(&mut fleet, owner_manager, "one");
     assert!(late.leases.is_empty(), "{late:?}");
 }
 
@@ -755,7 +755,7 @@
     let nodes: BTreeSet<NodeId> = states.iter().map(|state| state.node).collect();
     let is_up_to_date = |state: &&ControllerState| {
         let voters = state.voters().map_or(BTreeSet::new(), |voters| {
-            voters.holders.iter().map(|holder| holder.node).collect()
+            voters.entries.iter().map(|entry| entry.node).collect()
         });
         voters == nodes && state.voter.highest_possible() == states[0].voter.highest_possible()
     };
@@ -763,10 +763,10 @@
 }
 
 /// Returns the node with a leadership role, as seen by one controller.
-fn role_holder(fleet: &Fleet, index: usize, role: &str) -> Option<NodeId> {
+fn role_leader(fleet: &Fleet, index: usize, role: &str) -> Option<NodeId> {
     let state = &fleet.nodes[index].machine.as_ref()?.state;
     let term = state.map(MapName::Membership).leadership(role)?;
-    Some(term.holder)
+    Some(term.leader)
 }
 
 fn node_at(fleet: &Fleet, index: usize) -> Option<NodeId> {
@@ -802,7 +802,7 @@
     let bound = Duration::from_secs(4);
     for wiped in 0..3 {
         let mut fleet = fleet_with_change(60 + wiped as u64);
-        let was_voter_manager = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, wiped);
+        let was_voter_manager = role_leader(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, wiped);
         assert_eq!(
             was_voter_manager,
             wiped == 0,
@@ -823,13 +823,13 @@
     let bound = Duration::from_secs(4);
     let core = CorePolicy {
         // As set on the operators' platform.
-        controller_lost: Duration::from_millis(2500),
+        controller_timeout: Duration::from_millis(2500),
         ..policy()
     };
     for lost in 0..3 {
         let mut fleet = Fleet::new([core.clone(), core.clone(), core.clone()], 65 + lost as u64);
         fleet.run(Duration::from_secs(8));
-        let was_voter_manager = role_holder(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
+        let was_voter_manager = role_leader(&fleet, 0, VOTER_MANAGEMENT) == node_at(&fleet, lost);
         fleet.stop(lost, true);
         fleet.add_controller(core.clone());
         let taken = time_to_recovery(&mut fleet).expect("the fleet recovers");
@@ -852,7 +852,7 @@
             .as_ref()
             .expect("the controller is running")
             .state;
-        assert!(state.voters().expect("voters").holder(node).is_none());
+        assert!(state.voters().expect("voters").entry(node).is_none());
     }
     // The other controllers still accept changes.
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
@@ -868,7 +868,7 @@
 #[test]
 fn shutdown_hands_roles_to_synced_controller() {
     let mut fleet = fleet_with_change(80);
-    assert_eq!(role_holder(&fleet, 0, OWNERSHIP), node_at(&fleet, 0));
+    assert_eq!(role_leader(&fleet, 0, OWNERSHIP), node_at(&fleet, 0));
     fleet.nodes[1].disk_hangs = true;
     let call = apply("call-2", vec![service_put("more", 4, Some(service()))]);
     fleet.call(0, call);
@@ -876,7 +876,7 @@
     fleet.handle_input(0, ControllerInput::Shutdown);
     fleet.run(Duration::from_secs(3));
     for role in LEADERSHIPS {
-        assert_eq!(role_holder(&fleet, 0, role), node_at(&fleet, 2), "{role}");
+        assert_eq!(role_leader(&fleet, 0, role), node_at(&fleet, 2), "{role}");
     }
 }
 
--- a/crates/controller/tests/stored_state.rs
+++ b/crates/controller/tests/stored_state.rs
@@ -42,7 +42,7 @@
 
 fn proposal_number(round: u64) -> ProposalNumber {
     ProposalNumber {
-        round,
+        counter: round,
         node: NodeId(77),
     }
 }
@@ -80,7 +80,7 @@
     ReplicatedMap {
         version: Version(version),
         items: [("zone/north-a".to_string(), item)].into_iter().collect(),
-        answered: vec![RecentChange {
+        recent_changes: vec![RecentChange {
             id: ChangeId::from("change-0"),
             version: Version(version),
             digest: 99,
@@ -95,7 +95,7 @@
     let founding = Founding {
         attempt: 2,
         voters: VoterSet {
-            holders: vec![VoterEntry {
+            entries: vec![VoterEntry {
                 node: NodeId(5),
                 address: SocketAddr::from(([10, 1, 2, 5], 7000)),
                 zone: Zone::from("north-a"),
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -80,7 +80,7 @@
     outputs.extend(requests.into_iter().map(|request| DirectoryOutput::Send {
         to: request.to,
         message: Message::ConsensusMessage {
-            vote: request.message(),
+            message: request.message(),
         },
     }));
 }
@@ -117,7 +117,7 @@
         let node = NodeId(random.next_u64() >> 1);
         let mut link = CoreLink::new(node, &FOLLOWED, options.seeds.clone(), random.next_u64())
             .with_form(FeedForm::Reduced);
-        link.members.refresh = options.member_refresh;
+        link.members.refresh_interval = options.member_refresh;
         Self {
             options,
             node,
@@ -205,8 +205,8 @@
             versions: self.link.versions(),
             draining: !self.ready,
             demand_unchanged: false,
-            silent: false,
-            stands: client_zones.collect(),
+            suspected: false,
+            client_zones: client_zones.collect(),
         }
     }
 
@@ -223,10 +223,10 @@
                 self.handle_map_updates(updated, outputs);
                 let requests = self.link.fetch_in_chunks(now, from, &granted);
                 request_chunks(requests, outputs);
-                self.update_proxies(now, granted.assured);
+                self.update_proxies(now, granted.has_quorum);
             }
-            Message::ConsensusMessage { vote } => {
-                let step = self.link.handle_catch_up(now, from, &vote);
+            Message::ConsensusMessage { message } => {
+                let step = self.link.handle_catch_up(now, from, &message);
                 self.handle_map_updates(step.advanced, outputs);
                 request_chunks(step.request, outputs);
                 if let Some(rejected) = step.rejected {
@@ -260,10 +260,10 @@
 
     /// Updates the list of proxies after a grant.
     ///
-    /// Members expire only on an assured response: while the controllers are unreachable, missing reports
-    /// of a proxy do not show that it is down, and the last list is the best there is.
-    fn update_proxies(&mut self, now: Duration, assured: bool) {
-        if assured {
+    /// Members expire only on a response with a quorum. While the controllers are unreachable, missing
+    /// reports of a proxy do not show that it is down, and no better list is available than the last one.
+    fn update_proxies(&mut self, now: Duration, has_quorum: bool) {
+        if has_quorum {
             self.link.members.expire(now);
         }
         let proxies: Vec<(Zone, SocketAddr)> = self
@@ -272,10 +272,10 @@
             .ready_proxies()
             .map(|member| (member.zone.clone(), member.serving))
             .collect();
-        // Without assurance the new list is taken only if it has at least half as many proxies: a zone
-        // may be lost together with most of the controllers, but a controller that is partitioned itself
-        // is missing nearly all proxies.
-        let is_plausible = match assured {
+        // Without a quorum the new list replaces the last one only if it has at least half as many proxies:
+        // a zone may be lost together with most of the controllers, but the list of a controller that is
+        // partitioned itself is missing nearly all proxies.
+        let is_plausible = match has_quorum {
             true => !proxies.is_empty(),
             false => proxies.len() * 2 >= self.proxies.len() && !proxies.is_empty(),
         };
--- a/crates/local-fleet/src/simulated_nodes.rs
+++ b/crates/local-fleet/src/simulated_nodes.rs
@@ -234,13 +234,13 @@
                 group: format!("10.{}.{}.0/24", number / 250 % 250, number % 250),
                 route: route_name((number * DEMAND_ROUTES + turn) % u64::from(self.fleet.routes)),
                 requests: 40,
-                locality: Duration::from_millis(20),
+                distance: Duration::from_millis(20),
             })
             .collect();
         Member {
-            stands: Vec::new(),
+            client_zones: Vec::new(),
             demand_unchanged: false,
-            silent: false,
+            suspected: false,
             node: self.node,
             counter: self.counter,
             role: Role::Proxy,
@@ -300,10 +300,10 @@
         let renewal = Renewal {
             number: self.counter,
             member,
-            controller: self.controller_incarnation,
+            controller_incarnation: self.controller_incarnation,
             instances_after: self.instances_offset,
             members_after: self.members_offset,
-            wants: FOLLOWED.to_vec(),
+            followed_maps: FOLLOWED.to_vec(),
             form: FeedForm::Complete,
             facts_age: None,
             extent: ResponseExtent::Full,
@@ -326,7 +326,7 @@
                 self.fetch_in_chunks(now, envelope.reply_to, &granted);
             }
             Message::ConsensusMessage {
-                vote: ConsensusMessage::Chunk { chunk },
+                message: ConsensusMessage::Chunk { chunk },
             } => self.take_chunk(now, envelope.reply_to, &chunk),
             Message::FallbackRequest { request } => {
                 // Not qualified under any fallback member list: simulated agents must not take part in the
@@ -358,7 +358,7 @@
             after: self.versions[map.index()],
             position: Some(position),
         };
-        self.send(to, Message::ConsensusMessage { vote });
+        self.send(to, Message::ConsensusMessage { message: vote });
     }
 
     /// Starts the transfer of each map that is too large for the grant, unless one is in progress.
@@ -428,9 +428,9 @@
             let granted_version = granted.versions.get(name.index()).copied();
             self.versions[name.index()] >= granted_version.unwrap_or_default()
         });
-        if granted.assured && is_up_to_date {
+        if granted.has_quorum && is_up_to_date {
             self.responded_at = now;
-        } else if granted.assured {
+        } else if granted.has_quorum {
             self.renew_at = self.renew_at.min(now + LAGGING_POLL_INTERVAL);
         }
         if granted.more {
@@ -561,9 +561,9 @@
             capacity: 50,
             state: InstanceState::Serving,
             load: 0,
-            up: now.saturating_sub(self.since),
+            uptime: now.saturating_sub(self.since),
             key_ranges_in_use: self.held_leases.key_ranges_in_use(now),
-            let_go: self.held_leases.let_go(),
+            released: self.held_leases.released_epochs(),
         }
     }
 
@@ -612,10 +612,10 @@
             return None;
         }
         let dated = heartbeats::read_timestamped_response(&fetched.json())?;
-        self.held_leases.answered(sent_at, &dated.response);
+        self.held_leases.apply_response(sent_at, &dated.response);
         self.stamps
             .insert(to, (dated.stamp, self.fleet.clock.now()));
-        Some(dated.again)
+        Some(dated.resend)
     }
 }
 
--- a/crates/model-check/src/bound.rs
+++ b/crates/model-check/src/bound.rs
@@ -33,18 +33,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum InjectedBug {
     #[default]
-    Nothing,
+    None,
     /// Votes are sent before they are synced.
     VotesBeforeSync,
     /// The voters are changed before proposals that the previous voters have accepted are committed.
     SkipsRecovery,
     /// A voter votes on proposals under any membership.
     VotesUnderAnyMembership,
-    /// A read is answered without a quorum read.
+    /// A read is served without a quorum read.
     ReadsWithoutQuorum,
-    /// A read is answered from a quorum read that began before the call.
+    /// A read is served after a quorum read that began before the call.
     ReadsByEarlierQuorumRead,
-    /// A read is answered from a quorum read in which a voter reported a later membership.
+    /// A read is served after a quorum read in which a voter reported a later membership.
     ReadsUnderOldMembership,
     /// A restarted proposer uses the same node id as its previous incarnation, so proposal numbers are
     /// used twice.
@@ -112,7 +112,7 @@
             wiped: Vec::new(),
             lost_replies: 0,
             separate_sync: false,
-            injected_bug: InjectedBug::Nothing,
+            injected_bug: InjectedBug::None,
         }
     }
 
--- a/crates/model-check/src/invariants.rs
+++ b/crates/model-check/src/invariants.rs
@@ -111,6 +111,7 @@
         Ok(())
     }
 
+    /// Returns the change that was chosen for a version of a map, if any was observed.
     pub fn at(&self, map: MapName, version: Version) -> Option<&ChangeId> {
         self.by_version
             .get(&(map, version))
@@ -120,8 +121,8 @@
     /// Records the committed changes in a node's maps, and compares them with the chosen ones.
     pub fn record_replicas(&mut self, voter: &Voter) -> Result<(), Violation> {
         for map in [MapName::Configuration, MapName::Membership] {
-            for answered in &voter.map(map).answered {
-                self.record(map, answered.version, &answered.id)?;
+            for recent in &voter.map(map).recent_changes {
+                self.record(map, recent.version, &recent.id)?;
             }
         }
         Ok(())
@@ -142,7 +143,7 @@
         return Ok(());
     };
     let missing = surviving()
-        .filter(|node| voters.holder(node.id).is_some())
+        .filter(|node| voters.entry(node.id).is_some())
         .filter(|node| !is_on_disk(world, node, accepted))
         .count();
     if missing >= voters.majority() {
--- a/crates/model-check/src/world/proposals.rs
+++ b/crates/model-check/src/world/proposals.rs
@@ -96,10 +96,10 @@
         let Some(voters) = node.voter.get().map(MapName::Membership).voters().cloned() else {
             return;
         };
-        for holder in voters.holders {
+        for entry in voters.entries {
             let request = Request {
                 proposer,
-                voter: holder.node,
+                voter: entry.node,
                 message: message.clone(),
             };
             let mut writer = DigestWriter::default();
@@ -126,7 +126,7 @@
             let outcome = node.voter.change().handle(message);
             node.unsynced.extend(outcome.records);
             node.unsynced_rewrite |= outcome.rewrite;
-            if outcome.moved.contains(&MapName::Membership) {
+            if outcome.advanced.contains(&MapName::Membership) {
                 node.quorum_reads.reset(before);
                 node.open_quorum_read = None;
             }
@@ -158,7 +158,7 @@
         if reply_lost {
             self.lost_replies -= 1;
         } else if bound.injected_bug == InjectedBug::VotesBeforeSync {
-            return self.carry_replies(index, replies.collect());
+            return self.deliver_replies(index, replies.collect());
         } else {
             self.change(index, |node| node.pending_replies.extend(replies));
         }
@@ -188,11 +188,11 @@
 
     pub(super) fn sync(&mut self, index: u8) -> Result<(), Violation> {
         let replies = self.change(index, Node::sync);
-        self.carry_replies(index, replies)
+        self.deliver_replies(index, replies)
     }
 
     /// Delivers a voter's replies to their proposers.
-    pub(super) fn carry_replies(
+    pub(super) fn deliver_replies(
         &mut self,
         index: u8,
         replies: Vec<(NodeId, ConsensusMessage)>,
--- a/crates/model-check/src/world/quorum_reads.rs
+++ b/crates/model-check/src/world/quorum_reads.rs
@@ -20,8 +20,8 @@
             let voters = node.voter.get().map(MapName::Membership).voters();
             let waiting = voters
                 .iter()
-                .flat_map(|voters| &voters.holders)
-                .map(|holder| holder.node)
+                .flat_map(|voters| &voters.entries)
+                .map(|entry| entry.node)
                 .collect();
             node.open_quorum_read = Some((number, waiting));
         });
@@ -41,13 +41,14 @@
             let majority = voters.map_or(usize::MAX, VoterSet::majority);
             if let Some((number, waiting)) = &mut node.open_quorum_read {
                 waiting.remove(&from);
-                node.quorum_reads.respond(from, *number, versions, majority);
+                node.quorum_reads
+                    .handle_response(from, *number, versions, majority);
             }
         });
         self.finish_read(bound, index)
     }
 
-    /// Completes the read if the node may answer it, and checks that the result is not stale.
+    /// Completes the read if the node may serve it, and checks that the result is not stale.
     pub(super) fn finish_read(&mut self, bound: &Bound, index: u8) -> Result<(), Violation> {
         let node = self.node(index);
         let ReadState::Called { accepted } = node.read else {
@@ -66,7 +67,7 @@
         if !is_confirmed && bound.injected_bug != InjectedBug::ReadsWithoutQuorum {
             return Ok(());
         }
-        // With an earlier quorum read, a call is answered at the moment when it arrives.
+        // With an earlier quorum read, a call is served at the moment when it arrives.
         let accepted = match bound.injected_bug {
             InjectedBug::ReadsByEarlierQuorumRead => self.accepted,
             _ => accepted,
--- a/crates/proxy/tests/support/fixture.rs
+++ b/crates/proxy/tests/support/fixture.rs
@@ -154,9 +154,9 @@
         capacity: 100,
         state: InstanceState::Serving,
         load: 0,
-        up: Duration::from_secs(3600),
+        uptime: Duration::from_secs(3600),
         key_ranges_in_use: Vec::new(),
-        let_go: Vec::new(),
+        released: Vec::new(),
         warm_up_left: Duration::ZERO,
     }
 }
@@ -200,7 +200,7 @@
         instances_offset: number,
         all_instances: true,
         slow_link_remaining: Duration::ZERO,
-        silent: Vec::new(),
+        suspected: Vec::new(),
         number,
         left: LEASE,
         updates: vec![ConsensusMessage::Snapshot {
--- a/crates/simulator/src/actors/proxy.rs
+++ b/crates/simulator/src/actors/proxy.rs
@@ -142,7 +142,7 @@
                     group,
                     route,
                     requests: (f64::from(requests) / elapsed_s).ceil() as u32,
-                    locality,
+                    distance: locality,
                 })
                 .collect();
             self.demand
--- a/crates/simulator/src/observers/changes.rs
+++ b/crates/simulator/src/observers/changes.rs
@@ -143,7 +143,7 @@
     fn check_accepted(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         for accepted in self.accepted.clone() {
             let found = map
-                .answered
+                .recent_changes
                 .iter()
                 .find(|answered| answered.id == accepted.id);
             // A map keeps only the most recent change ids.
@@ -162,7 +162,7 @@
     /// Replays all changes that a map remembers; the result must equal the map.
     fn replay(&mut self, at: Duration, name: &str, map: &ReplicatedMap) {
         let mut replayed = ReplicatedMap::empty();
-        for answered in &map.answered {
+        for answered in &map.recent_changes {
             let known = self.proposed.get(&answered.id);
             let change = known
                 .into_iter()
@@ -187,7 +187,7 @@
             }
             replayed.apply(&change);
         }
-        if map.answered.len() < REMEMBERED_CHANGES && replayed.items != map.items {
+        if map.recent_changes.len() < REMEMBERED_CHANGES && replayed.items != map.items {
             self.record_violation(
                 Invariant::LostChange,
                 at,
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -30,7 +30,10 @@
         let input = match event {
             NodeEvent::Tick => Some(ControllerInput::Tick),
             NodeEvent::Control { envelope } => {
-                if let Message::HeartbeatForward { heard, .. } = &envelope.message {
+                if let Message::HeartbeatForward {
+                    received: heard, ..
+                } = &envelope.message
+                {
                     if heard.heartbeat.state == InstanceState::Draining {
                         self.observers.draining_received(self.now, &heard.heartbeat);
                     }
@@ -173,7 +176,7 @@
                 }
                 MapName::Membership => {
                     if let Some(term) = machine.state.map(*map).leadership(OWNERSHIP) {
-                        self.observers.owner_manager_known(self.now, term.holder);
+                        self.observers.owner_manager_known(self.now, term.leader);
                     }
                 }
                 _ => {}
@@ -200,7 +203,7 @@
             ProposalOutcome::Conflicts(conflicts) => {
                 for conflict in conflicts {
                     self.known_versions
-                        .insert(conflict.key.clone(), conflict.present);
+                        .insert(conflict.key.clone(), conflict.current);
                 }
             }
             _ => {}
--- a/crates/simulator/src/world/instances.rs
+++ b/crates/simulator/src/world/instances.rs
@@ -133,7 +133,7 @@
             return (self.nodes[proxy].incarnation == proxy_incarnation).then_some((proxy, ended));
         }
         if let Some((key_range, _)) = target.key_range {
-            instance.held_leases.started(key_range);
+            instance.held_leases.start_request(key_range);
         }
         let work = instance.work.insert(Work {
             request,
@@ -173,7 +173,7 @@
                 .may_start(local, key_range, epoch, Duration::ZERO)
         });
         if let Some((key_range, _)) = done.key_range {
-            instance.held_leases.ended(key_range);
+            instance.held_leases.end_request(key_range);
         }
         let mut response = Some(InstanceResponse::NotRun);
         if still_has_lease || instance.skips_checks {
@@ -226,9 +226,9 @@
     };
     match response {
         Some(stamped) => {
-            instance.held_leases.answered(sent, &stamped.response);
+            instance.held_leases.apply_response(sent, &stamped.response);
             instance.stamps.insert(target, (stamped.stamp, local));
-            if stamped.again {
+            if stamped.resend {
                 instance.next_heartbeat = local;
             }
         }
--- a/crates/simulator/src/world/observation.rs
+++ b/crates/simulator/src/world/observation.rs
@@ -91,7 +91,7 @@
         for index in 0..self.nodes.len() {
             if let Some(Process::Instance(instance)) = &self.nodes[index].process {
                 let local = self.local_time(index);
-                let (key_ranges, longest) = instance.held_leases.live(local);
+                let (key_ranges, longest) = instance.held_leases.valid_leases(local);
                 if !key_ranges.is_empty() {
                     live.push((&instance.service, &instance.id, key_ranges, longest));
                 }
--- a/crates/test-instance/src/main.rs
+++ b/crates/test-instance/src/main.rs
@@ -143,7 +143,10 @@
         let uptime = self.clock.now();
         let (key_ranges_in_use, released) = {
             let held_leases = locked(&self.held_leases);
-            (held_leases.key_ranges_in_use(uptime), held_leases.let_go())
+            (
+                held_leases.key_ranges_in_use(uptime),
+                held_leases.released_epochs(),
+            )
         };
         let state = if self.draining.load(Ordering::SeqCst) {
             InstanceState::Draining
@@ -162,9 +165,9 @@
             capacity: self.flags.capacity,
             state,
             load: self.load.load(Ordering::SeqCst),
-            up: uptime,
+            uptime,
             key_ranges_in_use,
-            let_go: released,
+            released,
             warm_up_left: Duration::ZERO,
         }
     }
@@ -198,10 +201,10 @@
         match result {
             Ok(fetched) if fetched.status == 200 => {
                 let timestamped = heartbeats::read_timestamped_response(&fetched.json())?;
-                locked(&self.held_leases).answered(sent_at, &timestamped.response);
+                locked(&self.held_leases).apply_response(sent_at, &timestamped.response);
                 let now = self.clock.now();
                 locked(&self.stamps).insert(agent, (timestamped.stamp, now));
-                Some(timestamped.again)
+                Some(timestamped.resend)
             }
             _ => None,
         }
@@ -290,11 +293,11 @@
         let started_at = wall_clock_ms();
         self.load.fetch_add(1, Ordering::SeqCst);
         if let Some((key_range, _)) = key_range {
-            locked(&self.held_leases).started(key_range);
+            locked(&self.held_leases).start_request(key_range);
         }
         let outcome = self.work(request.into_body(), key_range).await;
         if let Some((key_range, _)) = key_range {
-            locked(&self.held_leases).ended(key_range);
+            locked(&self.held_leases).end_request(key_range);
         }
         let load = self.load.fetch_sub(1, Ordering::SeqCst) - 1;
         let digest = match outcome {
