--- a/crates/caperworks/src/feed/history.rs
+++ b/crates/caperworks/src/feed/history.rs
@@ -63,8 +63,8 @@
         reaches_back.then(|| self.changes.iter().filter(is_later).cloned().collect())
     }
 
-    /// Returns the first changes after a version: as many as fit into `max_bytes`, and at
-    /// least one. Returns Returns `None` if the history does not reach back that far.
+    /// Returns the first changes after a version: as many as fit into `max_bytes`, and at least one.
+    /// Returns `None` if the history does not reach back that far.
     pub fn first_changes_after(
         &self,
         after: Version,
