--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -628,7 +628,7 @@
         Command::Down => down(&fleet).await,
         Command::Status => {
             for process in &fleet.processes {
-                let state = if process.is_alive() { "alive" } else { "ended" };
+                let state = if process.is_alive() { "lives" } else { "ended" };
                 println!(
                     "{state} {:>8} {} {} {}",
                     process.pid, process.name, process.zone, process.serving
@@ -650,11 +650,7 @@
             for index in select_or_exit(&fleet, names) {
                 let was_alive = fleet.processes[index].is_alive();
                 fleet.start(index)?;
-                let state = if was_alive {
-                    "already alive"
-                } else {
-                    "started"
-                };
+                let state = if was_alive { "lives" } else { "started" };
                 println!("{} {state}", fleet.processes[index].name);
             }
             fleet.save()?;
