--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -63,7 +63,7 @@
                     AgentEvent::MapUpdated { map, version } => {
                         event(MAP_UPDATED, format!("{map} at {version}"));
                     }
-                    AgentEvent::InstanceGone { id } => event(INSTANCE_GONE, id),
+                    AgentEvent::InstanceSuspected { id } => event(INSTANCE_GONE, id),
                     AgentEvent::ControlLinkSlow { figures } => {
                         event(CONTROL_LINK_SLOW, format!("agent: {figures}"));
                     }
--- a/crates/agent/src/machine.rs
+++ b/crates/agent/src/machine.rs
@@ -129,7 +129,7 @@
         map: MapName,
         version: Version,
     },
-    InstanceGone {
+    InstanceSuspected {
         id: InstanceId,
     },
     /// There is no lease; the figures show what was requested and received recently.
@@ -349,7 +349,7 @@
             false => self.link.instances.mark_suspected(now),
         };
         for id in suspected {
-            let event = AgentEvent::InstanceGone { id };
+            let event = AgentEvent::InstanceSuspected { id };
             outputs.push(AgentOutput::LogEvent { event });
         }
         if let Some(figures) = self.link.report(now) {
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -140,7 +140,7 @@
         }
         for output in outputs {
             if let AgentOutput::LogEvent {
-                event: AgentEvent::InstanceGone { id },
+                event: AgentEvent::InstanceSuspected { id },
             } = output
             {
                 self.expired.push((now, id.to_string()));
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn the_first_controller_that_responds_is_followed_however_late_it_was_asked() {
+fn first_controller_to_respond_is_followed_after_others_were_polled() {
     let mut link = new_link();
     let (started_at, unresponsive) = follow_controller(&mut link);
     let (_, _, _) = next_renewal(&mut link, started_at);
--- a/crates/caperworks/tests/route_changes.rs
+++ b/crates/caperworks/tests/route_changes.rs
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn older_map_of_an_agent_that_began_anew_is_not_taken() {
+fn older_map_from_a_restarted_agent_is_ignored() {
     let older = map_of(3);
     let mut newer = older.clone();
     newer.apply(&change(
--- a/crates/local-fleet/src/scale/lost_zone.rs
+++ b/crates/local-fleet/src/scale/lost_zone.rs
@@ -40,12 +40,16 @@
         }
         start.elapsed()
     };
-    let silent_until = Instant::now() + Duration::from_secs(options.lose_zone);
-    simulated.first_zone_silent.store(true, Ordering::SeqCst);
+    let partitioned_until = Instant::now() + Duration::from_secs(options.lose_zone);
+    simulated
+        .first_zone_partitioned
+        .store(true, Ordering::SeqCst);
     let removed_after = time_until(remaining).await;
     locked(timings).0 = Some(removed_after);
-    tokio::time::sleep_until(silent_until.into()).await;
-    simulated.first_zone_silent.store(false, Ordering::SeqCst);
+    tokio::time::sleep_until(partitioned_until.into()).await;
+    simulated
+        .first_zone_partitioned
+        .store(false, Ordering::SeqCst);
     let returned_after = time_until(all).await;
     locked(timings).1 = Some(returned_after);
     std::future::pending().await
--- a/crates/local-fleet/src/scale/options.rs
+++ b/crates/local-fleet/src/scale/options.rs
@@ -40,7 +40,7 @@
     pub json: Option<PathBuf>,
     pub sweep: bool,
     pub check: bool,
-    /// Seconds for which the simulated nodes of the first zone are silent during the run; 0 for never.
+    /// Seconds for which the simulated nodes of the first zone are partitioned during the run; 0 for never.
     pub lose_zone: u64,
 }
 
--- a/crates/local-fleet/src/scale/report.rs
+++ b/crates/local-fleet/src/scale/report.rs
@@ -107,7 +107,7 @@
     /// Bytes per second sent to the operator in response to changes, and the size of one status response.
     pub operator_bytes: f64,
     pub status_bytes: usize,
-    /// How long the controllers took to remove a silent zone, and to register it again after its return.
+    /// How long the controllers took to remove a partitioned zone, and to register it again after its return.
     pub zone_out: Option<Duration>,
     pub zone_back: Option<Duration>,
     pub restarted: u64,
--- a/crates/local-fleet/src/scale/run.rs
+++ b/crates/local-fleet/src/scale/run.rs
@@ -156,7 +156,7 @@
         services: options.services,
         routes: options.routes,
         spread: Duration::from_millis(300 + u64::from(options.nodes)),
-        first_zone_silent: AtomicBool::new(false),
+        first_zone_partitioned: AtomicBool::new(false),
         addresses,
         flows: flows.clone(),
     });
--- a/crates/local-fleet/src/simulated_nodes.rs
+++ b/crates/local-fleet/src/simulated_nodes.rs
@@ -74,7 +74,7 @@
     /// The period over which the first messages of all nodes are spread.
     pub spread: Duration,
     /// Whether the nodes of the first zone neither send nor receive, as if the zone were lost.
-    pub first_zone_silent: AtomicBool,
+    pub first_zone_partitioned: AtomicBool,
     pub addresses: Addresses,
     pub flows: Arc<Flows>,
 }
@@ -89,8 +89,8 @@
         (number as usize).is_multiple_of(self.zones.len())
     }
 
-    fn is_silent(&self, number: u32) -> bool {
-        self.is_in_first_zone(number) && self.first_zone_silent.load(Ordering::SeqCst)
+    fn is_partitioned(&self, number: u32) -> bool {
+        self.is_in_first_zone(number) && self.first_zone_partitioned.load(Ordering::SeqCst)
     }
 }
 
@@ -281,7 +281,7 @@
     /// Sends a renewal, first switching to another controller if the current one does not respond.
     fn renew(&mut self) {
         let now = self.fleet.clock.now();
-        if self.fleet.is_silent(self.number) {
+        if self.fleet.is_partitioned(self.number) {
             self.renew_at = now + RENEW_INTERVAL;
             return;
         }
@@ -314,7 +314,7 @@
 
     fn handle(&mut self, envelope: Envelope) {
         let now = self.fleet.clock.now();
-        if self.fleet.is_silent(self.number) {
+        if self.fleet.is_partitioned(self.number) {
             return;
         }
         self.envelope_clock.open(now, &envelope);
@@ -518,7 +518,7 @@
         let mut controller = number as usize % instance.fleet.controllers.len();
         loop {
             ticks.tick().await;
-            if instance.fleet.is_silent(instance.zone_number()) {
+            if instance.fleet.is_partitioned(instance.zone_number()) {
                 continue;
             }
             if restart_requested.swap(false, Ordering::SeqCst) {
--- a/crates/proxy/tests/support/server.rs
+++ b/crates/proxy/tests/support/server.rs
@@ -89,7 +89,7 @@
 
     /// Returns the random source for a request and its number of arrival, so that the same seed
     /// acts in the same way whatever the timing.
-    fn chance_for(&self, id: &str, arrival: u32) -> RandomSource {
+    fn random_source_for(&self, id: &str, arrival: u32) -> RandomSource {
         RandomSource::seeded(mix(self.seed ^ stable_hash(id) ^ u64::from(arrival) << 32))
     }
 }
@@ -123,7 +123,7 @@
             name: RequestIdHeader(format!("{header}: {named}")),
         };
         let arrival = journal.arrive(&id);
-        let mut random_source = self.server.chance_for(&id, arrival);
+        let mut random_source = self.server.random_source_for(&id, arrival);
         let random = Behaviour::random(&mut random_source);
         let behaviour = self.server.script.map_or(random, |script| script(&head));
         journal.behave(&id, behaviour);
--- a/crates/simulator/tests/style.rs
+++ b/crates/simulator/tests/style.rs
@@ -62,8 +62,9 @@
 
 /// The project's earlier words, which hide the field's standard terms: attempt, connection, zone,
 /// lease, health, failure, version, request, route, membership, voter, leadership, key ownership,
-/// service, proposal outcome, and the programs' own names.
-const OLD_WORDS: [&str; 73] = [
+/// service, proposal outcome, receiver, notification, restart, location, eligibility, partition,
+/// recovery, random source, and the programs' own names.
+const OLD_WORDS: [&str; 110] = [
     "shot",
     "shots",
     "circuit",
@@ -137,6 +138,43 @@
     "questions",
     "copies",
     "rounds",
+    "heard",
+    "hears",
+    "hearer",
+    "tell",
+    "tells",
+    "asked",
+    "anew",
+    "careless",
+    "carrier",
+    "dialect",
+    "whereabouts",
+    "standpoint",
+    "standing",
+    "nowhere",
+    "unfit",
+    "weigh",
+    "weighing",
+    "politely",
+    "uptake",
+    "holds",
+    "ailment",
+    "ailments",
+    "parted",
+    "deaf",
+    "deafen",
+    "happening",
+    "hollow",
+    "breach",
+    "breaches",
+    "wish",
+    "stories",
+    "story",
+    "judge",
+    "judged",
+    "mend",
+    "doubtful",
+    "chance",
 ];
 
 /// Names in which "order" refers to sorting.
@@ -413,6 +451,8 @@
         ("    number Edition;", "Edition"),
         ("    text Area;", "Area"),
         ("    111 Warn PORT_MISHAP \"It failed.\";", "PORT_MISHAP"),
+        ("pub(crate) struct Hearer;", "Hearer"),
+        ("pub const UNFIT_NODES: u8 = 1;", "UNFIT_NODES"),
     ] {
         assert_eq!(old_names(text), [reported], "{text}");
     }
