--- a/crates/caperworks/src/placement/proposals.rs
+++ b/crates/caperworks/src/placement/proposals.rs
@@ -34,8 +34,8 @@
     pub proposals: usize,
 }
 
-/// Solves the placement of one route: runs proposals and rejections until every group has stopped, then assigns the
-/// units that are left over, see `overflow`.
+/// Solves the placement of one route: runs proposals and rejections until every group has stopped, then
+/// assigns the units that are left over, see `overflow`.
 pub fn solve(groups: &[ClientGroup], sites: &[Site], epsilon: f64) -> Solution {
     let mut matching = Matching::new(groups, sites);
     matching.run(epsilon);
--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -1,5 +1,5 @@
-//! Tests of a follower whose controller does not respond in time: which other controllers it polls, which one it
-//! follows, and which facts it receives again.
+//! Tests of a follower whose controller does not respond in time: which other controllers it polls,
+//! which one it follows, and which facts it receives again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -204,7 +204,8 @@
     let (_, _, _) = next_renewal(&mut link, started_at);
     let (polled_at, _, renewal) = next_renewal(&mut link, started_at);
     let age = renewal.facts_age.expect("it has received all facts once");
-    // The last response came one step after its request, and contains what was known at the time of the request.
+    // The last response came one step after its request, and contains what was known at the time of the
+    // request.
     assert_eq!(age, polled_at - started_at + STEP);
 }
 
--- a/crates/controller/src/daemon/handle.rs
+++ b/crates/controller/src/daemon/handle.rs
@@ -68,8 +68,8 @@
         response.await.ok()
     }
 
-    /// Submits an operator's call and waits for its response. Returns `None` if the inbox is full or the process
-    /// ends.
+    /// Submits an operator's call and waits for its response. Returns `None` if the inbox is full or
+    /// the process ends.
     ///
     /// A change without a version that may have waited in a socket for a long time is rejected: its caller may
     /// have switched to another controller since, and may have reverted the change there.
--- a/crates/controller/src/fact_exchange.rs
+++ b/crates/controller/src/fact_exchange.rs
@@ -38,8 +38,8 @@
 impl FactExchange {
     /// Records that a message from a peer was received.
     ///
-    /// All facts are sent again to a peer that was unreachable or has restarted: facts sent in the meantime may be
-    /// lost, and a new incarnation has none of the earlier ones.
+    /// All facts are sent again to a peer that was unreachable or has restarted: facts sent in the
+    /// meantime may be lost, and a new incarnation has none of the earlier ones.
     pub fn record_contact(&mut self, now: Duration, peer: SocketAddr, incarnation: NodeId) {
         let previous = self.last_seen.insert(
             peer,
--- a/crates/controller/tests/catch_up.rs
+++ b/crates/controller/tests/catch_up.rs
@@ -434,7 +434,8 @@
     assert!(fleet.largest_slot > full_map as usize * 3 / 4);
     assert!(fleet.largest_slot <= 2 * 1024 * 1024);
     assert!(fleet.slots_written < 60, "{} slots", fleet.slots_written);
-    // A controller that was down during all changes, over fast and slow links, and then a new one without state.
+    // A controller that was down during all changes, over fast and slow links, and then a new one
+    // without state.
     let image = fleet.nodes[2].image.clone();
     for (index, rate, max_duration) in [
         (2, LINK_BYTES_PER_SECOND, Duration::from_secs(2)),
--- a/crates/controller/tests/fleet/main.rs
+++ b/crates/controller/tests/fleet/main.rs
@@ -325,8 +325,8 @@
 
 #[test]
 fn late_heartbeats_do_not_extend_leases_of_ended_owner() {
-    // The deregistration arrives either at the owner manager, or at another controller that propagates it within
-    // 150 ms.
+    // The deregistration arrives either at the owner manager, or at another controller that propagates
+    // it within 150 ms.
     for (offset, propagation_time) in [(0, Duration::ZERO), (1, Duration::from_millis(150))] {
         let (mut fleet, mut lease_holders, owner_manager) = fleet_with_two_owners(120);
         let owned = lease_holders.leases["one"].clone();
@@ -448,8 +448,8 @@
     }
 }
 
-/// Returns how long a partitioned owner manager still acknowledges heartbeats, and whether the other controllers
-/// deregister an instance that switches to them as soon as it is rejected.
+/// Returns how long a partitioned owner manager still acknowledges heartbeats, and whether the other
+/// controllers deregister an instance that switches to them as soon as it is rejected.
 fn acknowledgements_while_partitioned(fault: FaultInjection) -> (Duration, bool) {
     let mut fleet = Fleet::founded_with_fault(200, fault);
     let call = apply("call-1", vec![service_put("records", 1, Some(service()))]);
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -176,7 +176,8 @@
         tokio::spawn(self.clone().serve_outgoing(to, peer));
     }
 
-    /// Opens a new connection if the current one gets no responses; once it is open it replaces the current one.
+    /// Opens a new connection if the current one gets no responses; once it is open it replaces the
+    /// current one.
     fn replace_if_dead(&self, to: SocketAddr, peer: &PeerConnection) {
         let Some(watch) = &peer.watch else {
             return;
--- a/crates/runtime/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -16,8 +16,9 @@
 
 /// Makes a write beyond a file size limit fail with an error instead of raising a fatal signal.
 ///
-/// Otherwise `SIGXFSZ` ends the process, while a failing disk must only stop this controller from voting. Once a
-/// handler was installed, the signal no longer ends the process, even after the handler is dropped.
+/// Otherwise `SIGXFSZ` ends the process, while a failing disk must only stop this controller from
+/// voting. Once a handler was installed, the signal no longer ends the process, even after the handler
+/// is dropped.
 pub fn raise_file_limits() -> std::io::Result<()> {
     drop(signal(SignalKind::from_raw(libc::SIGXFSZ))?);
     Ok(())
--- a/crates/runtime/src/options/node_settings.rs
+++ b/crates/runtime/src/options/node_settings.rs
@@ -38,8 +38,8 @@
 }
 
 impl NodeSettings {
-    /// Combines the file and the flags; a flag takes precedence over the file. `required_fields` names the fields
-    /// that this program requires. All faults are returned at once.
+    /// Combines the file and the flags; a flag takes precedence over the file. `required_fields` names
+    /// the fields that this program requires. All faults are returned at once.
     pub fn read(flags: &NodeFlags, required_fields: &[&str]) -> Result<Self, Vec<OptionsFault>> {
         let mut reader = OptionsReader::open(flags.file.as_deref(), required_fields)
             .map_err(|fault| vec![fault])?;
--- a/crates/runtime/src/outgoing_queue.rs
+++ b/crates/runtime/src/outgoing_queue.rs
@@ -75,8 +75,8 @@
 }
 
 impl OutgoingQueue {
-    /// Adds an encoded message, in the place of an earlier one that it supersedes. It is dropped if the queue is
-    /// full, and returned as the error if the queue is closed.
+    /// Adds an encoded message, in the place of an earlier one that it supersedes. It is dropped if the
+    /// queue is full, and returned as the error if the queue is closed.
     pub fn push(&self, message: &Message, bytes: Vec<u8>) -> Result<(), Vec<u8>> {
         let frame = Frame {
             superseding: superseding(message),
--- a/crates/runtime/tests/control_port.rs
+++ b/crates/runtime/tests/control_port.rs
@@ -236,7 +236,8 @@
     drop(old_connection);
     let mut new_connection = accept(&listener).await;
     assert_eq!(read_message(&mut new_connection).await, renewal(2));
-    // If the peer resets the new connection as well, the port does not repeat the request: its process may be down.
+    // If the peer resets the new connection as well, the port does not repeat the request: its process
+    // may be down.
     drop(new_connection);
     let mut lost = 0;
     while lost < 2 {
