--- a/crates/caperworks/tests/key_ranges.rs
+++ b/crates/caperworks/tests/key_ranges.rs
@@ -1,4 +1,4 @@
-//! Key ranges: bounds, handovers, releases, and how long a lease prevents a move.
+//! Tests of key ranges: their bounds, handovers and releases, and how long a lease prevents a move.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
             let (first, last) = service.key_bounds(key_range);
             assert_eq!(
                 first, next,
-                "key range {key_range} of {key_ranges}: no gap, no overlap"
+                "key range {key_range} of {key_ranges} begins right after the previous one"
             );
             assert!(
                 last >= first,
@@ -106,7 +106,7 @@
     service: Service,
     closed: BTreeSet<Zone>,
     changes: u32,
-    known: BTreeMap<String, Instance>,
+    simulated_instances: BTreeMap<String, Instance>,
 }
 
 impl Bench {
@@ -120,20 +120,22 @@
             service: range_service(key_ranges),
             closed: BTreeSet::new(),
             changes: 0,
-            known: BTreeMap::new(),
+            simulated_instances: BTreeMap::new(),
         }
     }
 
     fn instance(&mut self, name: &str) -> &mut Instance {
-        self.known.entry(name.to_string()).or_insert(Instance {
-            zone: "east-1",
-            state: InstanceState::Serving,
-            counter: 0,
-            key_ranges_in_use: BTreeSet::new(),
-            granted: BTreeMap::new(),
-            released: BTreeMap::new(),
-            releases: true,
-        })
+        self.simulated_instances
+            .entry(name.to_string())
+            .or_insert(Instance {
+                zone: "east-1",
+                state: InstanceState::Serving,
+                counter: 0,
+                key_ranges_in_use: BTreeSet::new(),
+                granted: BTreeMap::new(),
+                released: BTreeMap::new(),
+                releases: true,
+            })
     }
 
     /// Creates the next heartbeat of an instance.
@@ -250,8 +252,8 @@
         owner.map_or_else(String::new, |owner| owner.instance.to_string())
     }
 
-    /// Twice a second, lets all instances send a heartbeat and applies the plan; returns whether nothing
-    /// moved in the last step.
+    /// Runs steps of half a second: in each, these instances send a heartbeat and the next plan is applied.
+    /// Returns whether no key range moved in the last step.
     fn run(&mut self, from: Duration, names: &[&str], steps: u64) -> bool {
         let mut moved = 0;
         for step in 0..steps {
@@ -268,7 +270,7 @@
     /// Checks that no key range is leased to two instances at once.
     fn assert_no_shared_key_range(&self, now: Duration) {
         let mut owners: BTreeMap<u32, &str> = BTreeMap::new();
-        for (name, instance) in &self.known {
+        for (name, instance) in &self.simulated_instances {
             for key_range in &instance.key_ranges_in_use {
                 let (granted_at, _) = instance.granted[key_range];
                 if now < granted_at + KEY_RANGE_LEASE_DURATION {
@@ -292,7 +294,7 @@
     let before = bench.owners();
     assert!(
         bench.run(seconds(3), &["a", "b"], 40),
-        "key ranges keep moving"
+        "key ranges still move in the last step"
     );
     let moved: Vec<usize> = (0..16)
         .filter(|key_range| bench.owner(*key_range) == "b")
@@ -300,8 +302,8 @@
     assert!(moved.len() >= 4, "only {moved:?} moved");
     for key_range in moved {
         let owner = bench.owners()[key_range].clone().expect("it has an owner");
-        let first = before[key_range].clone().expect("it had one");
-        assert!(owner.epoch > first.epoch, "the epoch grows");
+        let former_owner = before[key_range].clone().expect("it had an owner before");
+        assert!(owner.epoch > former_owner.epoch, "the epoch grows");
         let expected = Some(format!("from a of {key_range}"));
         assert_eq!(owner.handover, expected);
     }
@@ -322,7 +324,7 @@
     assert!(bench.run(seconds(3), &["a", "b"], 10));
     assert_eq!(bench.owner(0), "b");
     bench.instance("b").state = InstanceState::Draining;
-    bench.known.remove("a");
+    bench.simulated_instances.remove("a");
     assert!(bench.run(seconds(9), &["b", "c"], 10));
     let owner = bench.owners()[0].clone().expect("it has an owner");
     assert_eq!(owner.instance.as_str(), "c");
@@ -341,7 +343,7 @@
     assert!(count(&bench) > 0);
     bench.instance("a").state = InstanceState::Draining;
     bench.run(seconds(6), &["a", "b", "c"], 5);
-    assert_eq!(count(&bench), 0, "two and a half seconds later");
+    assert_eq!(count(&bench), 0, "all have moved within 2.5 s");
     assert!((0..64).all(|key_range| !bench.owner(key_range).is_empty()));
 }
 
@@ -366,7 +368,7 @@
     late.released = vec![ReleasedKeyRange {
         key_range: 0,
         epoch: None,
-        handover: Some("of an earlier time".to_string()),
+        handover: Some("from an earlier release".to_string()),
     }];
     bench.instance("a").state = InstanceState::Draining;
     for step in 0..8 {
@@ -382,13 +384,17 @@
     }
     bench.instance("a").releases = true;
     bench.run(seconds(6), &["a", "b"], 3);
-    assert_eq!(bench.owner(0), "b", "its later release counts");
+    assert_eq!(
+        bench.owner(0),
+        "b",
+        "a release reported after the request is accepted"
+    );
 }
 
 #[test]
 fn several_late_heartbeats_from_before_the_release_are_no_release() {
-    // Either the owner manager received the owner's heartbeats itself, or it has just become the leader and
-    // got them from other controllers.
+    // The owner manager either received the owner's heartbeats itself, or has just become the leader and
+    // received them from other controllers.
     for is_new_leader in [false, true] {
         let mut bench = Bench::new(1);
         bench.instance("a").releases = false;
@@ -424,11 +430,15 @@
             let response = bench.deliver(seconds(3), heartbeat);
             assert_eq!(response.release.len(), 1, "its release is requested");
             bench.plan(seconds(3));
-            assert_eq!(bench.owner(0), "a", "it owns the key range");
+            assert_eq!(bench.owner(0), "a", "it still owns the key range");
         }
         bench.instance("a").releases = true;
         bench.run(seconds(4), &["a", "b"], 4);
-        assert_eq!(bench.owner(0), "b", "its later release counts");
+        assert_eq!(
+            bench.owner(0),
+            "b",
+            "a release reported after the request is accepted"
+        );
     }
 }
 
@@ -470,22 +480,22 @@
     let mut bench = Bench::new(4);
     bench.owner_manager.timings = timings;
     bench.run(seconds(1), &["a"], 30);
-    let last = seconds(16);
-    let response = bench.heartbeat(last, "a");
+    let last_heartbeat_at = seconds(16);
+    let response = bench.heartbeat(last_heartbeat_at, "a");
     assert_eq!(response.leases.len(), 4);
     assert!(response
         .leases
         .iter()
         .all(|lease| lease.duration == timings.lease));
     for step in 1..100 {
-        let now = last + millis(100 * step);
+        let now = last_heartbeat_at + millis(100 * step);
         bench.heartbeat(now, "b");
         if bench.plan(now) > 0 {
             assert!(
-                now >= last + timings.lease + timings.drift,
+                now >= last_heartbeat_at + timings.lease + timings.drift,
                 "moved at {now:?}"
             );
-            assert!(now <= last + timings.lease + timings.drift + millis(200));
+            assert!(now <= last_heartbeat_at + timings.lease + timings.drift + millis(200));
             return;
         }
     }
@@ -530,7 +540,7 @@
         assert_eq!(
             moved_at,
             Some(seconds(30) + expected),
-            "{is_own_predecessor}"
+            "is_own_predecessor={is_own_predecessor}"
         );
         assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
     }
@@ -541,16 +551,19 @@
     let mut bench = Bench::new(4);
     bench.run(seconds(1), &["a"], 10);
     assert!((0..4).all(|key_range| bench.owner(key_range) == "a"));
-    let ended = seconds(6);
+    let ended_at = seconds(6);
     let id = InstanceId::new("a");
-    assert_eq!(bench.instances.time_since_end(ended, &id), Duration::ZERO);
-    assert!(bench.instances.record_termination(ended, &id));
     assert_eq!(
-        bench.instances.time_since_end(ended + millis(400), &id),
+        bench.instances.time_since_end(ended_at, &id),
+        Duration::ZERO
+    );
+    assert!(bench.instances.record_termination(ended_at, &id));
+    assert_eq!(
+        bench.instances.time_since_end(ended_at + millis(400), &id),
         millis(400)
     );
     for step in 1..=5 {
-        let now = ended + millis(100 * step);
+        let now = ended_at + millis(100 * step);
         // A late heartbeat of the terminated instance does not restore it, and its leases no longer count.
         let late = bench.next_heartbeat("a");
         bench.deliver(now, &late);
@@ -560,9 +573,9 @@
         assert_eq!(bench.plan(now), if step < 5 { 0 } else { 4 }, "at {now:?}");
     }
     assert!((0..4).all(|key_range| bench.owner(key_range) == "b"));
-    let other = InstanceId::new("b");
+    let running = InstanceId::new("b");
     assert_eq!(
-        bench.instances.time_since_end(seconds(20), &other),
+        bench.instances.time_since_end(seconds(20), &running),
         Duration::ZERO
     );
 }
--- a/crates/caperworks/tests/operator_version_races.rs
+++ b/crates/caperworks/tests/operator_version_races.rs
@@ -1,5 +1,5 @@
-//! Two operators that choose the same item version: random schedules over voters and proposers, with
-//! lost messages and responses, calls repeated at other nodes, restarts and snapshots.
+//! Random schedules in which two operators choose the same version of an item, while messages and responses
+//! are lost, calls are repeated at other nodes, and nodes restart or receive snapshots.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
 /// Returns the same change under another id, as after the map has forgotten its id.
 fn under_another_id(change: &Change, number: u64) -> Change {
     Change {
-        id: ChangeId::new(format!("{}-late-{number}", change.id)),
+        id: ChangeId::new(format!("{}-repeat-{number}", change.id)),
         ..change.clone()
     }
 }
@@ -114,7 +114,7 @@
         let reported = reported(outcome);
         self.last = Some((change.id.clone(), reported));
         match reported {
-            ReportedOutcome::Confirmed => self.confirmed(change),
+            ReportedOutcome::Confirmed => self.record_confirmed(change),
             ReportedOutcome::Rejected => {
                 self.rejections += 1;
                 if self.has_confirmed(change) {
@@ -127,9 +127,9 @@
         }
     }
 
-    fn confirmed(&mut self, change: &Change) {
+    fn record_confirmed(&mut self, change: &Change) {
         for put in &change.puts {
-            let written = put.written.clone().expect("a version");
+            let written = put.written.clone().expect("put has an operator version");
             let item_key = (put.key.clone(), written.version);
             let contents = (put.value.clone(), written.text);
             let first = self
@@ -182,7 +182,7 @@
 }
 
 impl Node {
-    fn started(number: u64, voter: Voter, options: &ProposerOptions) -> Self {
+    fn start(number: u64, voter: Voter, options: &ProposerOptions) -> Self {
         let slot = minicbor::to_vec(voter.replicas().to_vec()).expect("replicas encode");
         let proposer = Proposer::new(CONFIGURATION, NodeId(number), options.clone());
         Self {
@@ -205,7 +205,7 @@
         }
     }
 
-    fn recovered(&self) -> Voter {
+    fn recover_voter(&self) -> Voter {
         let replicas: Vec<Replica> = minicbor::decode(&self.slot).expect("a slot decodes");
         let mut voter = Voter::restored(replicas);
         for line in &self.log {
@@ -216,7 +216,7 @@
 }
 
 /// Three nodes and two operators, with lost, repeated and reordered messages, and restarts.
-struct World {
+struct Simulation {
     random: RandomSource,
     now: Duration,
     options: ProposerOptions,
@@ -229,7 +229,7 @@
     observer: Observer,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, highest_version: u64, options: ProposerOptions) -> Self {
         let mut nodes = BTreeMap::new();
         for number in 1..=NODES {
@@ -239,7 +239,7 @@
                 version: Version(1),
                 change: voters_change(),
             });
-            nodes.insert(number, Node::started(number, voter, &options));
+            nodes.insert(number, Node::start(number, voter, &options));
         }
         Self {
             random: RandomSource::seeded(seed),
@@ -263,7 +263,7 @@
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.pending_calls.insert(ticket, change.clone());
-        let proposer = &mut self.nodes.get_mut(&node).expect("a node").proposer;
+        let proposer = &mut self.nodes.get_mut(&node).expect("node exists").proposer;
         proposer.propose(self.now, ticket, change);
     }
 
@@ -276,8 +276,8 @@
             .map(|index| {
                 let version = 1 + self.random.below(self.highest_version);
                 let contents = format!("{operator} {}", self.random.below(2));
-                let drops = self.random.below(6) == 0;
-                let contents = (!drops).then_some(contents.as_str());
+                let is_removal = self.random.below(6) == 0;
+                let contents = (!is_removal).then_some(contents.as_str());
                 put(ITEM_KEYS[index % 3], version, contents)
             })
             .collect();
@@ -287,7 +287,7 @@
         self.send(node, change);
     }
 
-    /// Proposes an earlier change again, as if its response was lost or it was delayed.
+    /// Proposes an earlier change again, as after a lost response or a delay.
     fn repeat_call(&mut self) {
         if self.calls.is_empty() {
             return;
@@ -301,7 +301,7 @@
         self.send(node, change);
     }
 
-    fn act(&mut self, from: u64, outcome: ProposerOutcome) {
+    fn apply_outcome(&mut self, from: u64, outcome: ProposerOutcome) {
         for (ticket, proposal_outcome) in outcome.proposal_outcomes {
             if let Some(change) = self.pending_calls.remove(&ticket) {
                 self.observer.record_outcome(&change, &proposal_outcome);
@@ -319,18 +319,18 @@
 
     fn tick(&mut self, number: u64) {
         self.now += Duration::from_millis(10 + self.random.below(90));
-        let node = self.nodes.get_mut(&number).expect("a node");
+        let node = self.nodes.get_mut(&number).expect("node exists");
         if self.random.below(4) == 0 {
             node.proposer.request_recovery();
         }
         let outcome = node.proposer.tick(self.now, &node.voter, &mut self.random);
-        self.act(number, outcome);
+        self.apply_outcome(number, outcome);
     }
 
     fn deliver(&mut self, from: u64, to: u64, message: ConsensusMessage) {
         let now = self.now;
-        let node = self.nodes.get_mut(&to).expect("a node");
-        let more = node
+        let node = self.nodes.get_mut(&to).expect("node exists");
+        let proposer_outcome = node
             .proposer
             .handle(now, NodeId(from), &message, &node.voter);
         let outcome = node.voter.handle(message);
@@ -338,7 +338,7 @@
         for reply in outcome.replies {
             self.in_flight.push((to, from, reply));
         }
-        self.act(to, more);
+        self.apply_outcome(to, proposer_outcome);
     }
 
     fn deliver_any(&mut self) {
@@ -358,8 +358,8 @@
 
     /// Restarts a node from its synced state; its pending calls get no response.
     fn restart(&mut self, number: u64) {
-        let voter = self.nodes[&number].recovered();
-        let node = Node::started(number, voter, &self.options);
+        let voter = self.nodes[&number].recover_voter();
+        let node = Node::start(number, voter, &self.options);
         self.nodes.insert(number, node);
     }
 
@@ -392,7 +392,7 @@
         }
     }
 
-    /// Completes one call while no messages are lost.
+    /// Sends one call and delivers all messages until its outcome is known.
     fn run_call(&mut self, number: u64, change: &Change) -> ReportedOutcome {
         self.send(number, change.clone());
         let ticket = self.next_ticket;
@@ -413,10 +413,10 @@
 
     /// Repeats a call, and checks that it is confirmed again if it was confirmed before.
     fn repeat_call_and_check(&mut self, number: u64, change: &Change) {
-        let before = self.observer.has_confirmed(change);
+        let was_confirmed = self.observer.has_confirmed(change);
         let reported = self.run_call(number, change);
-        let remembered = self.highest_version <= REMEMBERED_VERSIONS as u64;
-        if before && remembered && reported != ReportedOutcome::Confirmed {
+        let are_versions_remembered = self.highest_version <= REMEMBERED_VERSIONS as u64;
+        if was_confirmed && are_versions_remembered && reported != ReportedOutcome::Confirmed {
             let description = format!("{} was confirmed and now got {reported:?}", change.id);
             self.observer.violations.push(description);
         }
@@ -430,8 +430,8 @@
         self.in_flight.clear();
         for (number, change) in self.calls.clone().into_iter().enumerate() {
             for node in 1..=NODES {
-                let late = under_another_id(&change, number as u64);
-                self.repeat_call_and_check(node, &late);
+                let repeated = under_another_id(&change, number as u64);
+                self.repeat_call_and_check(node, &repeated);
                 self.repeat_call_and_check(node, &change);
             }
         }
@@ -444,20 +444,20 @@
     }
 }
 
-/// Returns all violations over some seeds, and how many calls were confirmed and rejected.
+/// Runs one schedule for each seed. Returns all violations, and how many calls were confirmed and rejected.
 fn run_schedules(
     seeds: u64,
-    highest: u64,
+    highest_version: u64,
     options: &ProposerOptions,
 ) -> (Vec<String>, usize, usize) {
     let (mut violations, mut confirmed, mut rejected) = (Vec::new(), 0, 0);
     for seed in 0..seeds {
-        let mut world = World::new(seed, highest, options.clone());
-        world.run(1500);
-        confirmed += world.observer.confirmed_calls.len();
-        rejected += world.observer.rejections;
-        let of_seed = world.observer.violations.iter();
-        violations.extend(of_seed.map(|description| format!("seed {seed}: {description}")));
+        let mut simulation = Simulation::new(seed, highest_version, options.clone());
+        simulation.run(1500);
+        confirmed += simulation.observer.confirmed_calls.len();
+        rejected += simulation.observer.rejections;
+        let seed_violations = simulation.observer.violations.iter();
+        violations.extend(seed_violations.map(|description| format!("seed {seed}: {description}")));
     }
     (violations, confirmed, rejected)
 }
@@ -468,22 +468,28 @@
 fn operator_version_is_confirmed_with_only_one_content() {
     let (violations, confirmed, rejected) = run_schedules(SEEDS, 12, &ProposerOptions::default());
     assert_eq!(violations, Vec::<String>::new());
-    assert!(confirmed > 500 && rejected > 500, "{confirmed}, {rejected}");
+    assert!(
+        confirmed > 500 && rejected > 500,
+        "{confirmed} confirmed, {rejected} rejected"
+    );
 }
 
 #[test]
 fn confirmed_call_is_never_rejected_after_its_version_is_forgotten() {
     let (violations, confirmed, rejected) = run_schedules(SEEDS, 200, &ProposerOptions::default());
     assert_eq!(violations, Vec::<String>::new());
-    assert!(confirmed > 500 && rejected > 50, "{confirmed}, {rejected}");
+    assert!(
+        confirmed > 500 && rejected > 50,
+        "{confirmed} confirmed, {rejected} rejected"
+    );
 }
 
 #[test]
 fn observer_detects_a_version_confirmed_with_two_contents() {
-    let broken = ProposerOptions {
+    let faulty_options = ProposerOptions {
         confirms_taken_versions: true,
         ..ProposerOptions::default()
     };
-    let (violations, ..) = run_schedules(SEEDS, 12, &broken);
+    let (violations, ..) = run_schedules(SEEDS, 12, &faulty_options);
     assert!(!violations.is_empty());
 }
--- a/crates/caperworks/tests/proxy_policy.rs
+++ b/crates/caperworks/tests/proxy_policy.rs
@@ -1,4 +1,4 @@
-//! Proxy policies, kinds of routes, retries, and instances that are warming up.
+//! Tests of proxy policies, kinds of requests, retries, and instances that are warming up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -164,18 +164,19 @@
             .check_admission(now, &Zone::new("e1"), route)
     }
 
-    /// Returns which instances are chosen in many attempts.
+    /// Returns the instances that are chosen for many concurrent requests.
     fn chosen(&self, now: Duration, route: &Route) -> BTreeSet<String> {
         let mut shard = ServiceShard::new(1);
         let mut names = BTreeSet::new();
-        let own = Zone::new("e1");
+        let own_zone = Zone::new("e1");
         for _ in 0..300 {
-            if let Ok(target) = shard.choose(now, &self.proxy_state, &own, route, None, &[]) {
+            if let Ok(target) = shard.choose(now, &self.proxy_state, &own_zone, route, None, &[]) {
                 let checked = self
                     .proxy_state
-                    .check_before_send(now, &own, route, &target);
+                    .check_before_send(now, &own_zone, route, &target);
                 assert_eq!(checked, Ok(()));
-                // The request is not ended: instances at their limit leave the choice to all others.
+                // The request stays open, so that this instance reaches its limit and the others are
+                // chosen too.
                 shard.begin_attempt(now, &target);
                 names.insert(target.instance.to_string());
             }
@@ -200,6 +201,7 @@
         .collect()
 }
 
+/// A time long after every lease of the proxy has expired.
 const LONG_AFTER: Duration = Duration::from_secs(100_000);
 
 #[test]
@@ -279,13 +281,28 @@
 fn majority_of_slow_connects_marks_the_link_as_full() {
     let (slow, fast) = (SLOW_CONNECT, millis(110));
     let mut connects = RecentConnects::default();
-    assert!(!connects.record(millis(100), slow), "one may be down");
-    assert!(!connects.record(millis(200), slow), "two are too few");
+    assert!(
+        !connects.record(millis(100), slow),
+        "one slow connect may be due to its instance"
+    );
+    assert!(
+        !connects.record(millis(200), slow),
+        "two slow connects are too few"
+    );
     assert!(connects.record(millis(300), slow));
-    assert!(connects.record(millis(400), fast), "three of four");
-    assert!(connects.record(millis(500), fast), "three of five");
-    assert!(!connects.record(millis(600), fast), "half of them");
-    // The slow ones are outside of the window by then.
+    assert!(
+        connects.record(millis(400), fast),
+        "three of four connects were slow"
+    );
+    assert!(
+        connects.record(millis(500), fast),
+        "three of five connects were slow"
+    );
+    assert!(
+        !connects.record(millis(600), fast),
+        "half is not a majority"
+    );
+    // The slow connects are outside the window by then.
     assert!(!connects.record(millis(2500), fast));
     for step in 0..10 {
         let took = if step % 2 == 0 { slow } else { fast };
@@ -345,23 +362,30 @@
         ..ProxyPolicy::default()
     });
     bench.send_view(Duration::ZERO, &[heartbeat("in-e1", "e1")]);
-    let own = Zone::new("e1");
+    let own_zone = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let target = shard
-        .choose(millis(1), &bench.proxy_state, &own, &route(), None, &[])
+        .choose(
+            millis(1),
+            &bench.proxy_state,
+            &own_zone,
+            &route(),
+            None,
+            &[],
+        )
         .expect("it has capacity");
     bench.apply(vec![zone_put("e1", "east", true)]);
     bench.send_view(millis(100), &[heartbeat("in-e1", "e1")]);
     let checked = bench
         .proxy_state
-        .check_before_send(millis(101), &own, &route(), &target);
+        .check_before_send(millis(101), &own_zone, &route(), &target);
     assert_eq!(checked, Err(Failure::NoInstance));
 }
 
 #[test]
 fn proxy_outside_the_home_region_forwards_only_to_home_instances() {
-    let mut bound = route();
-    bound.homes = vec![Region::new("west")];
+    let mut home_route = route();
+    home_route.homes = vec![Region::new("west")];
     for forwards_to_home in [true, false] {
         let mut bench = Bench::new(ProxyPolicy {
             forwards_to_home,
@@ -369,21 +393,21 @@
         });
         bench.send_view(Duration::ZERO, &one_in_each_zone());
         if forwards_to_home {
-            assert_eq!(bench.check_admission(millis(1), &bound), Ok(()));
-            assert_eq!(bench.chosen(millis(1), &bound), names(&["in-w1"]));
-            let absent: Vec<Heartbeat> = one_in_each_zone()
+            assert_eq!(bench.check_admission(millis(1), &home_route), Ok(()));
+            assert_eq!(bench.chosen(millis(1), &home_route), names(&["in-w1"]));
+            let without_home: Vec<Heartbeat> = one_in_each_zone()
                 .into_iter()
                 .filter(|heartbeat| heartbeat.zone.as_str() != "w1")
                 .collect();
-            bench.send_view(millis(2), &absent);
+            bench.send_view(millis(2), &without_home);
             assert_eq!(
-                bench.chosen(millis(3), &bound),
+                bench.chosen(millis(3), &home_route),
                 names(&[]),
-                "no other region"
+                "instances in other regions are not used"
             );
         } else {
             assert_eq!(
-                bench.check_admission(millis(1), &bound),
+                bench.check_admission(millis(1), &home_route),
                 Err(Failure::OutsideHomeRegion)
             );
         }
@@ -394,27 +418,32 @@
 fn route_with_several_homes_uses_all_of_them_only() {
     let mut bench = Bench::new(ProxyPolicy::default());
     bench.send_view(Duration::ZERO, &one_in_each_zone());
-    let mut bound = route();
-    bound.homes = vec![Region::new("north"), Region::new("east")];
-    assert_eq!(bench.check_admission(millis(1), &bound), Ok(()));
-    let chosen = bench.chosen(millis(1), &bound);
+    let mut home_route = route();
+    home_route.homes = vec![Region::new("north"), Region::new("east")];
+    assert_eq!(bench.check_admission(millis(1), &home_route), Ok(()));
+    let chosen = bench.chosen(millis(1), &home_route);
     assert_eq!(chosen, names(&["in-e1", "in-e2", "in-n1"]));
-    bound.homes = vec![Region::new("north"), Region::new("west")];
+    home_route.homes = vec![Region::new("north"), Region::new("west")];
     assert_eq!(
-        bench.check_admission(millis(1), &bound),
+        bench.check_admission(millis(1), &home_route),
         Err(Failure::OutsideHomeRegion)
     );
 }
 
 #[test]
 fn split_by_weight_is_proportional() {
-    let part = |service: &str, weight: u32| SplitTarget {
+    let split_target = |service: &str, weight: u32| SplitTarget {
         service: ServiceName::new(service),
         weight,
     };
     let mut split = route();
     split.service = ServiceName::new("never");
-    split.split = vec![part("a", 1), part("none", 0), part("b", 30), part("c", 69)];
+    split.split = vec![
+        split_target("a", 1),
+        split_target("none", 0),
+        split_target("b", 30),
+        split_target("c", 69),
+    ];
     let mut random = RandomSource::seeded(5);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..100_000 {
@@ -425,7 +454,7 @@
     assert_eq!(
         listed,
         ["a", "b", "c"],
-        "neither weight 0 nor another service"
+        "neither the target with weight 0 nor the route's own service is used"
     );
     for (service, expected) in [("a", 1000), ("b", 30_000), ("c", 69_000)] {
         let deviation = counts[service].abs_diff(expected);
@@ -546,17 +575,21 @@
     assert_eq!(step, NextStep::Respond(Failure::NotOpened));
     let mut other = sent(RequestKind::Repeatable, true, 0);
     other.limit_deadline(millis(5000));
-    assert_eq!(other.deadline(), millis(1000), "the route's own deadline");
+    assert_eq!(
+        other.deadline(),
+        millis(1000),
+        "the route's shorter deadline applies"
+    );
 }
 
 /// Returns how many requests an instance gets in some seconds, with one request a millisecond.
 fn count_requests(bench: &Bench, from: Duration, seconds: u64, name: &str) -> u32 {
     let mut shard = ServiceShard::new(3);
-    let own = Zone::new("e1");
+    let own_zone = Zone::new("e1");
     let mut count = 0;
     for step in 0..seconds * 1000 {
         let now = from + millis(step);
-        if let Ok(target) = shard.choose(now, &bench.proxy_state, &own, &route(), None, &[]) {
+        if let Ok(target) = shard.choose(now, &bench.proxy_state, &own_zone, &route(), None, &[]) {
             shard.begin_attempt(now, &target);
             shard.end_attempt(now, &target, true, Some(0));
             count += u32::from(target.instance.as_str() == name);
@@ -575,19 +608,22 @@
     // Ten requests a second for ten seconds, without a burst at the start.
     assert!(
         (80..=100).contains(&count),
-        "{count} to the warming instance"
+        "{count} requests to the warming instance"
     );
     // Several proxies divide the rate between them.
     bench.proxy_state.proxies = 5;
     let count = count_requests(&bench, Duration::ZERO, 10, "cold");
-    assert!((16..=20).contains(&count), "{count} by one proxy of five");
+    assert!(
+        (16..=20).contains(&count),
+        "{count} requests by one of five proxies"
+    );
     warming.warm_up_left = Duration::ZERO;
     warming.counter += 1;
     bench.send_view(millis(10_000), &[warming, heartbeat("warm", "e2")]);
     let count = count_requests(&bench, millis(10_000), 1, "cold");
     assert!(
         count > 900,
-        "only {count} to the nearest instance once warm"
+        "only {count} requests to the nearest instance after its warm-up"
     );
 }
 
@@ -597,12 +633,12 @@
     let mut warming = heartbeat("cold", "e1");
     warming.warm_up_left = millis(60_000);
     bench.send_view(Duration::ZERO, &[warming]);
-    let own = Zone::new("e1");
+    let own_zone = Zone::new("e1");
     let mut shard = ServiceShard::new(3);
     let _ = shard.choose(
         Duration::ZERO,
         &bench.proxy_state,
-        &own,
+        &own_zone,
         &route(),
         None,
         &[],
@@ -610,7 +646,7 @@
     let mut count = 0;
     for _ in 0..50 {
         let now = millis(2900);
-        if let Ok(target) = shard.choose(now, &bench.proxy_state, &own, &route(), None, &[]) {
+        if let Ok(target) = shard.choose(now, &bench.proxy_state, &own_zone, &route(), None, &[]) {
             shard.begin_attempt(now, &target);
             shard.end_attempt(now, &target, true, Some(0));
             count += 1;
@@ -664,10 +700,10 @@
     let mut bench = Bench::new(ProxyPolicy::default());
     let one = heartbeat("one", "e1");
     bench.send_view(Duration::ZERO, std::slice::from_ref(&one));
-    let own = Zone::new("e1");
+    let own_zone = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let choose = |shard: &mut ServiceShard, bench: &Bench, now: Duration| {
-        shard.choose(now, &bench.proxy_state, &own, &route(), None, &[])
+        shard.choose(now, &bench.proxy_state, &own_zone, &route(), None, &[])
     };
     let target = choose(&mut shard, &bench, millis(1)).expect("it has capacity");
     shard.begin_attempt(millis(1), &target);
@@ -675,7 +711,7 @@
     shard.end_attempt(millis(2), &target, false, None);
     for now in [3, 100, 1000, 2900] {
         let chosen = choose(&mut shard, &bench, millis(now));
-        assert_eq!(chosen, Err(Failure::NoInstance), "after {now}");
+        assert_eq!(chosen, Err(Failure::NoInstance), "after {now} ms");
     }
     let mut later = one;
     later.counter += 1;
@@ -698,7 +734,7 @@
     let mut owner = heartbeat("owner", "e1");
     owner.warm_up_left = millis(60_000);
     bench.send_view(Duration::ZERO, &[owner]);
-    let holder = KeyRangeOwner {
+    let range_owner = KeyRangeOwner {
         instance: InstanceId::new("owner"),
         incarnation: Incarnation(0),
         epoch: Epoch(1),
@@ -706,7 +742,7 @@
     };
     let table = KeyRangeTable {
         epoch: Epoch(1),
-        owners: vec![Some(holder)],
+        owners: vec![Some(range_owner)],
     };
     let key_ranges = change("t", vec![put("slices/records", Value::KeyRanges { table })]);
     let updates = ConsensusMessage::Updates {
@@ -719,13 +755,20 @@
     assert!(Arc::make_mut(&mut bench.proxy_state.maps)
         .apply_updates(&updates)
         .is_some());
-    let own = Zone::new("e1");
+    let own_zone = Zone::new("e1");
     let mut shard = ServiceShard::new(1);
     let mut count = 0;
     for step in 0..2000 {
         let now = millis(step);
         let key = (step % 65_536).to_string();
-        let chosen = shard.choose(now, &bench.proxy_state, &own, &route(), Some(&key), &[]);
+        let chosen = shard.choose(
+            now,
+            &bench.proxy_state,
+            &own_zone,
+            &route(),
+            Some(&key),
+            &[],
+        );
         if let Ok(target) = chosen {
             assert_eq!(target.key_range, Some((0, Epoch(1))));
             shard.begin_attempt(now, &target);
@@ -733,19 +776,29 @@
             count += 1;
         }
     }
-    assert!((16..=20).contains(&count), "{count} in two seconds");
+    assert!(
+        (16..=20).contains(&count),
+        "{count} requests in two seconds"
+    );
     for key in ["65536", "-1", "x", ""] {
         let chosen = shard.choose(
             millis(2000),
             &bench.proxy_state,
-            &own,
+            &own_zone,
             &route(),
             Some(key),
             &[],
         );
         assert_eq!(chosen, Err(Failure::BadKey), "{key}");
     }
-    let missing = shard.choose(millis(2000), &bench.proxy_state, &own, &route(), None, &[]);
+    let missing = shard.choose(
+        millis(2000),
+        &bench.proxy_state,
+        &own_zone,
+        &route(),
+        None,
+        &[],
+    );
     assert_eq!(missing, Err(Failure::MissingKey));
 }
 
@@ -756,7 +809,7 @@
     warming.warm_up_left = millis(60_000);
     bench.send_view(Duration::ZERO, &[warming]);
     bench.proxy_state.proxies = 24;
-    let own = Zone::new("e1");
+    let own_zone = Zone::new("e1");
     let mut shards: Vec<ServiceShard> = (0..24)
         .map(|seed| ServiceShard::new(seed * 77 + 5))
         .collect();
@@ -764,7 +817,9 @@
     for step in 0..1000 {
         let now = millis(step * 10);
         for shard in &mut shards {
-            if let Ok(target) = shard.choose(now, &bench.proxy_state, &own, &route(), None, &[]) {
+            if let Ok(target) =
+                shard.choose(now, &bench.proxy_state, &own_zone, &route(), None, &[])
+            {
                 shard.begin_attempt(now, &target);
                 shard.end_attempt(now, &target, true, Some(0));
                 sent.push(step * 10);
@@ -782,7 +837,7 @@
         .max();
     assert!(
         max_per_second.is_some_and(|requests| requests <= 16),
-        "{max_per_second:?} in one second"
+        "{max_per_second:?} requests in one second"
     );
-    assert!(sent.len() >= 80, "{} in ten seconds", sent.len());
+    assert!(sent.len() >= 80, "{} requests in ten seconds", sent.len());
 }
--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -53,7 +53,7 @@
     VoterEntry {
         node: NodeId(number),
         address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
-        zone: Zone::new(format!("area-{number}")),
+        zone: Zone::new(format!("zone-{number}")),
         controller,
     }
 }
@@ -82,7 +82,7 @@
     voters: BTreeMap<u64, Voter>,
     proposers: BTreeMap<u64, Proposer>,
     down: BTreeSet<u64>,
-    chance: RandomSource,
+    random: RandomSource,
     now: Duration,
     proposal_outcomes: Vec<(u64, ProposalOutcome)>,
 }
@@ -107,7 +107,7 @@
             voters,
             proposers,
             down: BTreeSet::new(),
-            chance: RandomSource::seeded(1),
+            random: RandomSource::seeded(1),
             now: Duration::ZERO,
             proposal_outcomes: Vec::new(),
         }
@@ -128,16 +128,18 @@
                 .into_iter()
                 .map(|(node, message)| (Some(node.0), message)),
         );
-        while let Some((only, message)) = to_voters.pop_front() {
+        while let Some((recipient, message)) = to_voters.pop_front() {
             let numbers: Vec<u64> = self.voters.keys().copied().collect();
             for number in numbers {
-                if self.down.contains(&number) || only.is_some_and(|only| only != number) {
+                if self.down.contains(&number)
+                    || recipient.is_some_and(|recipient| recipient != number)
+                {
                     continue;
                 }
                 let replies = self
                     .voters
                     .get_mut(&number)
-                    .expect("seat")
+                    .expect("voter exists")
                     .handle(message.clone())
                     .replies;
                 for reply in replies {
@@ -145,24 +147,34 @@
                     | ConsensusMessage::Updates { .. }
                     | ConsensusMessage::Snapshot { .. } = reply
                     {
-                        let back = self
+                        let follow_ups = self
                             .voters
                             .get_mut(&from)
-                            .expect("seat")
+                            .expect("voter exists")
                             .handle(reply)
                             .replies;
-                        for message in back {
-                            self.voters.get_mut(&number).expect("seat").handle(message);
+                        for message in follow_ups {
+                            self.voters
+                                .get_mut(&number)
+                                .expect("voter exists")
+                                .handle(message);
                         }
                         continue;
                     }
-                    let proposer = self.proposers.get_mut(&from).expect("proposer");
-                    let more =
+                    let proposer = self.proposers.get_mut(&from).expect("proposer exists");
+                    let next_outcome =
                         proposer.handle(self.now, NodeId(number), &reply, &self.voters[&from]);
-                    self.proposal_outcomes.extend(more.proposal_outcomes);
-                    to_voters.extend(more.to_voters.into_iter().map(|message| (None, message)));
+                    self.proposal_outcomes
+                        .extend(next_outcome.proposal_outcomes);
                     to_voters.extend(
-                        more.to_voter
+                        next_outcome
+                            .to_voters
+                            .into_iter()
+                            .map(|message| (None, message)),
+                    );
+                    to_voters.extend(
+                        next_outcome
+                            .to_voter
                             .into_iter()
                             .map(|(node, message)| (Some(node.0), message)),
                     );
@@ -174,8 +186,8 @@
     fn tick(&mut self, number: u64, elapsed_ms: u64) {
         self.now += millis(elapsed_ms);
         let voter = &self.voters[&number];
-        let proposer = self.proposers.get_mut(&number).expect("proposer");
-        let outcome = proposer.tick(self.now, voter, &mut self.chance);
+        let proposer = self.proposers.get_mut(&number).expect("proposer exists");
+        let outcome = proposer.tick(self.now, voter, &mut self.random);
         self.deliver(number, outcome);
     }
 
@@ -183,7 +195,7 @@
         let now = self.now;
         self.proposers
             .get_mut(&number)
-            .expect("proposer")
+            .expect("proposer exists")
             .propose(now, ticket, change);
     }
 
@@ -261,7 +273,7 @@
         consensus
             .voters
             .get_mut(&number)
-            .expect("seat")
+            .expect("voter exists")
             .handle(request);
     }
     consensus.down.insert(1);
@@ -294,15 +306,15 @@
     );
     // A majority promises, and then becomes unreachable before it can accept the change.
     let mut consensus = Consensus::new(3, 0);
-    consensus.propose(1, 11, change("cut-short", vec![zone_put("e2", None)]));
-    let proposer = consensus.proposers.get_mut(&1).expect("proposer");
-    let prepared = proposer.tick(millis(10), &consensus.voters[&1], &mut consensus.chance);
+    consensus.propose(1, 11, change("interrupted", vec![zone_put("e2", None)]));
+    let proposer = consensus.proposers.get_mut(&1).expect("proposer exists");
+    let prepared = proposer.tick(millis(10), &consensus.voters[&1], &mut consensus.random);
     let mut is_proposed = false;
     for number in [2, 3] {
         let replies = consensus
             .voters
             .get_mut(&number)
-            .expect("seat")
+            .expect("voter exists")
             .handle(prepared.to_voters[0].clone());
         let outcome = proposer.handle(
             millis(20),
@@ -330,13 +342,13 @@
 fn controller_with_stale_maps_does_not_reject_a_change_as_invalid() {
     let mut consensus = Consensus::new(3, 0);
     consensus.down.extend([2, 3]);
-    let drops_missing_service = Put {
+    let removal_of_missing_service = Put {
         key: "pool/that-others-have".to_string(),
         expected: None,
         value: None,
         written: None,
     };
-    consensus.propose(1, 10, change("drop", vec![drops_missing_service]));
+    consensus.propose(1, 10, change("drop", vec![removal_of_missing_service]));
     consensus.tick(1, 50);
     assert_eq!(
         consensus.proposal_outcome(10),
@@ -400,7 +412,7 @@
             outcome.records.is_empty(),
             "voted under membership {membership}"
         );
-        let learns = outcome.replies.iter().any(|reply| {
+        let has_catch_up = outcome.replies.iter().any(|reply| {
             matches!(
                 reply,
                 ConsensusMessage::Snapshot { .. }
@@ -408,7 +420,7 @@
                     | ConsensusMessage::CatchUp { .. }
             )
         });
-        assert!(learns);
+        assert!(has_catch_up);
     }
 }
 
@@ -439,12 +451,12 @@
         disk.record_write(ticket);
         disk.record_sync(ticket);
     }
-    let truth = Recovery::Found {
+    let expected = Recovery::Found {
         state: b"second state".to_vec(),
         lines: vec![b"line one".to_vec(), b"line two".to_vec()],
     };
-    assert_eq!(SlotDisk::new(4096, 4096).recover(&image), truth);
-    let mut damaged = 0;
+    assert_eq!(SlotDisk::new(4096, 4096).recover(&image), expected);
+    let mut damaged_count = 0;
     for (part, length) in [
         (0, image.slots[0].len()),
         (1, image.slots[1].len()),
@@ -457,10 +469,10 @@
                 _ => corrupted.slots[part][index] ^= 0x40,
             }
             match SlotDisk::new(4096, 4096).recover(&corrupted) {
-                Recovery::Damaged(_) => damaged += 1,
+                Recovery::Damaged(_) => damaged_count += 1,
                 Recovery::Found { state, lines } => {
                     assert_eq!(state, b"second state", "part {part} byte {index}");
-                    // Only damage to the last line may be taken for a torn tail.
+                    // Only damage to the last line may be treated as a torn write.
                     assert!(
                         lines.len() >= usize::from(part == 2),
                         "part {part} byte {index}"
@@ -471,7 +483,10 @@
             }
         }
     }
-    assert!(damaged > 0, "corruption of the newest slot is detected");
+    assert!(
+        damaged_count > 0,
+        "corruption of the newest slot is detected"
+    );
 }
 
 #[test]
@@ -497,24 +512,24 @@
     write_prefix(&mut image, &write, write_length(&write));
     let writes = disk.rewrite(b"base and synced");
     for (index, torn) in writes.iter().enumerate() {
-        for cut in 0..write_length(torn) {
-            let mut found = image.clone();
+        for torn_at in 0..write_length(torn) {
+            let mut image_after_loss = image.clone();
             for complete in &writes[..index] {
-                write_prefix(&mut found, complete, write_length(complete));
+                write_prefix(&mut image_after_loss, complete, write_length(complete));
             }
-            write_prefix(&mut found, torn, cut);
-            match SlotDisk::new(4096, 4096).recover(&found) {
+            write_prefix(&mut image_after_loss, torn, torn_at);
+            match SlotDisk::new(4096, 4096).recover(&image_after_loss) {
                 Recovery::Found { state, lines } if state == b"base" => {
                     assert_eq!(
                         lines,
                         vec![b"synced".to_vec()],
-                        "write {index} cut at {cut}"
+                        "write {index} torn at byte {torn_at}"
                     );
                 }
                 Recovery::Found { state, .. } => assert_eq!(state, b"base and synced"),
                 // The log header is overwritten only while the other slot is intact, so no data is
                 // lost.
-                other => panic!("write {index} cut at {cut}: {other:?}"),
+                other => panic!("write {index} torn at byte {torn_at}: {other:?}"),
             }
         }
     }
@@ -550,20 +565,20 @@
         feed_cache.apply_updates(&updates(2, 4)),
         Some(MapName::Configuration)
     );
-    let old = ConsensusMessage::Snapshot {
+    let empty_snapshot = ConsensusMessage::Snapshot {
         map: MapName::Configuration,
         full_map: ReplicatedMap::empty(),
     };
     assert_eq!(
-        feed_cache.apply_updates(&old),
+        feed_cache.apply_updates(&empty_snapshot),
         None,
-        "a lower version is ignored"
+        "a snapshot of a lower version is ignored"
     );
     assert_eq!(
         feed_cache.follower().map(MapName::Configuration).version,
         Version(4)
     );
-    // A downstream follower that is slightly behind gets changes, one far behind a full snapshot.
+    // A downstream follower that is slightly behind gets changes; one that is far behind gets a snapshot.
     assert!(matches!(
         feed_cache.updates_after(MapName::Configuration, Version(3)),
         Some(ConsensusMessage::Updates { changes, .. }) if changes.len() == 1
@@ -736,7 +751,7 @@
     assert_eq!(
         leader,
         Some(NodeId(2)),
-        "a node that has just come back has to wait"
+        "a node that has just recovered is not eligible yet"
     );
     for step in 45..70 {
         for node in 1..=3 {
@@ -747,7 +762,7 @@
     assert_eq!(
         leader,
         Some(NodeId(1)),
-        "once it is stable it is first in order again"
+        "once stable, the node becomes the leader again"
     );
 }
 
@@ -783,12 +798,12 @@
         envelope
     );
     // Corrupted bytes may give a decoding error but never a panic.
-    let mut chance = RandomSource::seeded(3);
+    let mut random = RandomSource::seeded(3);
     for _ in 0..20_000 {
         let mut garbled = bytes.clone();
-        for _ in 0..=chance.below(4) {
-            let index = chance.below(garbled.len() as u64) as usize;
-            garbled[index] = chance.next_u64() as u8;
+        for _ in 0..=random.below(4) {
+            let index = random.below(garbled.len() as u64) as usize;
+            garbled[index] = random.next_u64() as u8;
         }
         let _ = minicbor::decode::<Envelope>(&garbled);
     }
@@ -900,13 +915,17 @@
         "{proposal_outcome:?}"
     );
     let map = consensus.voters[&1].map(MapName::Configuration);
-    assert_eq!(map.items["pool/a"].value, Value::Dropped, "still dropped");
+    assert_eq!(
+        map.items["pool/a"].value,
+        Value::Dropped,
+        "the repeated change does not restore the item"
+    );
 }
 
 #[test]
 fn call_with_two_faults_reports_both_and_applies_nothing() {
     let mut consensus = Consensus::new(3, 0);
-    let dangling = |name: &str, path: &str| Put {
+    let route_to_missing_service = |name: &str, path: &str| Put {
         key: format!("rule/{name}"),
         value: Some(Value::Route {
             route: Route {
@@ -922,8 +941,8 @@
     };
     let puts = vec![
         put_under_version("good", 1, Some(1)),
-        dangling("one", "/one"),
-        dangling("two", "two"),
+        route_to_missing_service("one", "/one"),
+        route_to_missing_service("two", "two"),
     ];
     consensus.propose(1, 1, change("faulty", puts));
     for _ in 0..10 {
@@ -932,16 +951,17 @@
     let Some(ProposalOutcome::Invalid(faults)) = consensus.proposal_outcome(1) else {
         panic!("expected faults, got {:?}", consensus.proposal_outcome(1));
     };
-    let named: BTreeSet<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
+    let faulty_fields: BTreeSet<&str> = faults.iter().map(|fault| fault.field.as_str()).collect();
     let expected = ["rule/one.pool", "rule/two.path", "rule/two.pool"];
-    assert_eq!(named, BTreeSet::from(expected));
+    assert_eq!(faulty_fields, BTreeSet::from(expected));
     for voter in consensus.voters.values() {
         assert_eq!(voter.map(MapName::Configuration), &ReplicatedMap::empty());
         assert_eq!(voter.replica(MapName::Configuration).accepted, None);
     }
 }
 
-/// Three controllers and two witnesses whose proposers require this many synced controllers.
+/// Returns three controllers and two witnesses, whose proposers commit a change only once this many
+/// controllers have synced it.
 fn consensus_with_synced_controllers(synced_controllers: Option<usize>) -> Consensus {
     let mut consensus = Consensus::new(3, 2);
     for (number, proposer) in &mut consensus.proposers {
@@ -1086,11 +1106,11 @@
         "the first change is already decided: {outcome:?}"
     );
     consensus.propose(3, 30, left.clone());
-    let forgotten_id = Change {
-        id: ChangeId::new("left under an id that nobody remembers"),
+    let under_new_id = Change {
+        id: ChangeId::new("left under a new id"),
         ..left
     };
-    consensus.propose(3, 31, forgotten_id);
+    consensus.propose(3, 31, under_new_id);
     for _ in 0..40 {
         consensus.tick(3, 50);
     }
@@ -1123,18 +1143,18 @@
 
 #[test]
 fn shorter_lease_duration_applies_and_a_longer_one_has_no_effect() {
-    let wants = [MapName::Configuration];
+    let required_maps = [MapName::Configuration];
     for (duration, lifetime) in [
         (Duration::from_millis(2250), Duration::from_millis(2150)),
         (LEASE_DURATION, LEASE_DURATION - DRIFT_MARGIN),
-        // A longer duration would outlive the period for which owner managers wait.
+        // A longer lease would still be valid after the time for which a new owner manager waits.
         (LEASE_DURATION * 2, LEASE_DURATION - DRIFT_MARGIN),
     ] {
         let mut lease_holder = LeaseHolder::default();
         lease_holder.duration = duration;
         let number = lease_holder.renew(millis(1000));
         lease_holder.apply_grant(number, millis(50), vec![Version(0); 4]);
-        let until = lease_holder.fresh_until(&Follower::default(), &wants);
+        let until = lease_holder.fresh_until(&Follower::default(), &required_maps);
         assert_eq!(until, millis(1000) + lifetime - millis(50), "{duration:?}");
     }
 }
--- a/crates/caperworks/tests/suspected_instances.rs
+++ b/crates/caperworks/tests/suspected_instances.rs
@@ -1,5 +1,5 @@
-//! Tests of instances that are suspected because of missing heartbeats: those that respond to requests keep
-//! serving.
+//! Tests of instances that are suspected because of missing heartbeats: they keep serving while they respond
+//! to requests.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -82,7 +82,7 @@
     configuration
 }
 
-/// A proxy with its state of some instances.
+/// A proxy that knows some instances.
 struct Proxy {
     proxy_state: ProxyState,
     shard: ServiceShard,
@@ -100,8 +100,9 @@
         proxy
     }
 
-    /// Applies a view with these instances, of which some are suspected.
-    fn receive_view(&mut self, names: &[&str], suspected: &[&str], all: bool) {
+    /// Applies a view with these instances, of which some are suspected. A full view lists all instances;
+    /// any other lists those that have changed.
+    fn receive_view(&mut self, names: &[&str], suspected: &[&str], is_full: bool) {
         self.views += 1;
         let updates = ConsensusMessage::Snapshot {
             map: MapName::Configuration,
@@ -117,7 +118,7 @@
             ownership: Version(0),
             agent: NodeId(1),
             instances_offset: self.views,
-            all_instances: all,
+            all_instances: is_full,
             slow_link_remaining: Duration::ZERO,
             suspected: suspected
                 .iter()
@@ -184,8 +185,8 @@
     let mut proxy = Proxy::new(&["a", "b", "c"]);
     proxy.send_request(millis(1000), "a", true);
     proxy.receive_view(&["a"], &["a"], false);
-    let late = millis(1000) + RECENT_RESPONSE_WINDOW;
-    assert_eq!(proxy.chosen_instances(late), names(&["b", "c"]));
+    let window_end = millis(1000) + RECENT_RESPONSE_WINDOW;
+    assert_eq!(proxy.chosen_instances(window_end), names(&["b", "c"]));
 }
 
 #[test]
@@ -265,10 +266,10 @@
     assert_eq!(
         instances.mark_suspected(suspected_at + millis(10)),
         [],
-        "once"
+        "an instance is reported as suspected only once"
     );
-    let forgotten_at = suspected_at + SUSPECTED_RETENTION;
-    instances.mark_suspected(forgotten_at);
+    let removed_at = suspected_at + SUSPECTED_RETENTION;
+    instances.mark_suspected(removed_at);
     assert!(instances.get(&id).is_none());
     assert!(!instances.is_suspected(&id));
 }
@@ -312,16 +313,16 @@
 #[test]
 fn restart_with_a_lower_incarnation_is_accepted_once_the_old_one_is_suspected() {
     let mut instances = Instances::default();
-    let mut former = received_heartbeat("a", 9);
-    former.heartbeat.incarnation = Incarnation(1000);
-    instances.handle(millis(1000), &former);
-    let next = received_heartbeat("a", 1);
+    let mut old = received_heartbeat("a", 9);
+    old.heartbeat.incarnation = Incarnation(1000);
+    instances.handle(millis(1000), &old);
+    let restarted = received_heartbeat("a", 1);
     assert!(
-        !instances.handle(millis(2000), &next),
-        "not while heartbeats of the old incarnation are received"
+        !instances.handle(millis(2000), &restarted),
+        "a lower incarnation is ignored until the old one is suspected"
     );
     instances.mark_suspected(millis(1000) + INSTANCE_TIMEOUT);
-    assert!(instances.handle(millis(4100), &next));
+    assert!(instances.handle(millis(4100), &restarted));
     let id = InstanceId::new("a");
     let known = instances.get(&id).map(|known| known.incarnation);
     assert_eq!(known, Some(Incarnation(1)));
@@ -332,12 +333,12 @@
 fn instance_unseen_for_long_is_suspected_before_it_is_removed() {
     let mut instances = Instances::default();
     instances.handle(millis(1000), &received_heartbeat("a", 1));
-    let resumed_at = millis(1000) + INSTANCE_TIMEOUT + SUSPECTED_RETENTION * 2;
+    let checked_at = millis(1000) + INSTANCE_TIMEOUT + SUSPECTED_RETENTION * 2;
     let id = InstanceId::new("a");
-    assert_eq!(instances.mark_suspected(resumed_at), vec![id.clone()]);
+    assert_eq!(instances.mark_suspected(checked_at), vec![id.clone()]);
     assert!(instances.is_suspected(&id));
-    instances.mark_suspected(resumed_at + SUSPECTED_RETENTION - millis(1));
+    instances.mark_suspected(checked_at + SUSPECTED_RETENTION - millis(1));
     assert!(instances.get(&id).is_some());
-    instances.mark_suspected(resumed_at + SUSPECTED_RETENTION);
+    instances.mark_suspected(checked_at + SUSPECTED_RETENTION);
     assert!(instances.get(&id).is_none());
 }
