--- a/crates/caperworks/tests/state_machines.rs
+++ b/crates/caperworks/tests/state_machines.rs
@@ -961,7 +961,7 @@
 }
 
 /// Returns three controllers and two witnesses, whose proposers commit a change only once this many
-/// controllers have synced it.
+/// controllers have synced it. With `None`, they wait for a second controller only for a limited time.
 fn consensus_with_synced_controllers(synced_controllers: Option<usize>) -> Consensus {
     let mut consensus = Consensus::new(3, 2);
     for (number, proposer) in &mut consensus.proposers {
