--- a/crates/caperworks/tests/controller_search.rs
+++ b/crates/caperworks/tests/controller_search.rs
@@ -1,5 +1,5 @@
-//! Tests of a follower whose controller does not respond in time: which other controllers it polls, which one it
-//! follows, and which facts it receives again.
+//! Tests of a follower whose controller does not respond in time: which other controllers it polls,
+//! which one it follows, and which facts it receives again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn the_first_controller_that_responds_is_followed_however_late_it_was_asked() {
+fn first_controller_to_respond_is_followed_after_others_were_polled() {
     let mut link = new_link();
     let (started_at, unresponsive) = follow_controller(&mut link);
     let (_, _, _) = next_renewal(&mut link, started_at);
@@ -204,7 +204,8 @@
     let (_, _, _) = next_renewal(&mut link, started_at);
     let (polled_at, _, renewal) = next_renewal(&mut link, started_at);
     let age = renewal.facts_age.expect("it has received all facts once");
-    // The last response came one step after its request, and contains what was known at the time of the request.
+    // The last response came one step after its request, and contains what was known at the time of the
+    // request.
     assert_eq!(age, polled_at - started_at + STEP);
 }
 
