--- a/crates/local-fleet/src/main.rs
+++ b/crates/local-fleet/src/main.rs
@@ -169,7 +169,7 @@
         .help("Address for requests to cut, join and change the HTTP mode")
         .argument::<SocketAddr>("ADDRESS");
     let pairs = long("pair")
-        .help("Control port to relay, as ADVERTISED=LISTENED")
+        .help("ADVERTISED=LISTENED")
         .argument::<String>("PAIR")
         .many();
     let http = long("http")
