--- a/crates/caperctl/src/main.rs
+++ b/crates/caperctl/src/main.rs
@@ -279,7 +279,8 @@
         let fetched = Fetch::get(*agent, "/usage").send().await;
         match fetched {
             Ok(fetched) if fetched.status == 200 => responses.push(fetched.json()),
-            // All or nothing: an export without one machine's counts could not be told from a complete one.
+            // Fails as a whole: an export that lacks one machine's counts would look like a
+            // complete one.
             Ok(fetched) => bail!(
                 "{agent} responded with status {}: no file was written",
                 fetched.status
--- a/crates/caperworks/src/instances.rs
+++ b/crates/caperworks/src/instances.rs
@@ -195,8 +195,8 @@
     /// Marks the instances whose heartbeats are overdue as suspected, and returns those that were not
     /// suspected before; removes those that have been suspected for [`SUSPECTED_RETENTION`].
     ///
-    /// Suspected instances are not removed at once, as perhaps only their heartbeats are lost on the
-    /// network and not their responses.
+    /// Suspected instances are not removed at once, since the network may be losing only their
+    /// heartbeats and not their responses.
     pub fn mark_suspected(&mut self, now: Duration) -> Vec<InstanceId> {
         self.prune_ended(now);
         self.evict_long_suspected(now);
@@ -228,7 +228,7 @@
     }
 
     /// The time counts from when an instance became suspected, not from its last heartbeat: while the
-    /// controllers are unreachable nobody becomes suspected, however long the outage lasts.
+    /// controllers are unreachable no instance becomes suspected, however long the outage lasts.
     fn evict_long_suspected(&mut self, now: Duration) {
         let suspected = self.suspected.iter();
         let expired =
--- a/crates/controller/src/state_machine/event.rs
+++ b/crates/controller/src/state_machine/event.rs
@@ -75,7 +75,7 @@
         map: MapName,
         /// The address of the sender.
         from: SocketAddr,
-        /// Why the chunk was rejected.
+        /// The reason for the rejection.
         why: ChunkError,
     },
     /// No majority of the voters has responded within the timeout.
--- a/crates/proxy/src/framing.rs
+++ b/crates/proxy/src/framing.rs
@@ -34,7 +34,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns whether the end of the response can be told from a truncation.
+/// Returns whether the end of the response can be distinguished from a truncation.
 pub(crate) fn is_unambiguously_framed(response: &Response<Incoming>, method: &Method) -> bool {
     let status = response.status();
     let has_no_body = status == StatusCode::NO_CONTENT
--- a/crates/proxy/src/instance_connections.rs
+++ b/crates/proxy/src/instance_connections.rs
@@ -20,7 +20,7 @@
 /// Requests that are not idempotent do not reuse a connection that has been idle for longer.
 ///
 /// An instance may close an idle connection just as it is reused, and a request lost that way
-/// cannot be told from one that ran. An idempotent request can be retried all the same.
+/// cannot be distinguished from one that ran. An idempotent request can be retried in either case.
 const MAX_IDLE_TIME_NON_IDEMPOTENT: Duration = Duration::from_secs(1);
 /// The fraction of the keep-alive timeout of an instance within which an idle connection is reused.
 /// It is less than one because the request must arrive before the instance closes the connection.
@@ -107,8 +107,8 @@
             let stream = TcpStream::connect(key.2).await.ok()?;
             let _ = stream.set_nodelay(true);
             // Dropping the connection must also drop the data that is still queued. On a congested
-            // link that data would otherwise reach the instance seconds later, as a request that
-            // nobody waits for.
+            // link that data would otherwise reach the instance seconds later, as a request whose
+            // response is no longer awaited.
             let _ = stream.set_zero_linger();
             let send_guard = Arc::new(SendGuard::of(&stream));
             let guarded = GuardedSocket {
--- a/crates/proxy/tests/support/journal.rs
+++ b/crates/proxy/tests/support/journal.rs
@@ -177,7 +177,7 @@
     /// Returns the id of any other request whose client has its response.
     ///
     /// Only such requests are used: a forged response with the id of a request still in flight
-    /// elsewhere could not be told from its real one.
+    /// elsewhere could not be distinguished from its real one.
     pub fn other_request(&self, id: &str, random_source: &mut RandomSource) -> String {
         let entries = locked(&self.entries);
         let others: Vec<&String> = entries.seen.keys().filter(|known| *known != id).collect();
--- a/crates/runtime/src/http/response.rs
+++ b/crates/runtime/src/http/response.rs
@@ -13,7 +13,7 @@
 /// A response that is still being produced.
 pub type BoxedResponse = std::pin::Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// Returns a response with a JSON body. With status 503 it asks the caller to retry after a second.
+/// Returns a response with a JSON body. A 503 response tells the caller to retry after a second.
 pub fn json_response(status: u16, value: &JsonValue) -> Response<Body> {
     let mut response = Response::new(full_body(value.dump()));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
