--- a/crates/caperworks/src/configuration/route_table.rs
+++ b/crates/caperworks/src/configuration/route_table.rs
@@ -44,7 +44,7 @@
             }
             added.extend(new.and_then(|(key, item)| route_of(key, item)));
         }
-        // Routes are added only after all removals, since a new route may have the host and path of
+        // Added only after every removed route is gone, since a route may take the host and path of
         // a removed one.
         for (name, route) in added {
             table.insert(name, route);
